--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -23,20 +23,20 @@
 
 // Grant is a lease as the stewards committed it.
 type Grant struct {
-	Duty   Duty
-	Holder string        // the pooler's instance id
-	Token  uint64        // fencing token: the log index of the command that gave the lease to this holder
-	Term   time.Duration // from the holder's asking
+	Duty   Duty          `json:"Duty"`
+	Holder string        `json:"Holder"` // the pooler's instance id
+	Token  uint64        `json:"Token"`  // fencing token: the log index of the command that gave the lease to this holder
+	Term   time.Duration `json:"Term"`   // from the holder's asking
 }
 
 // Command is what a pooler proposes to the stewards, as their leader stamps it.
 type Command struct {
-	Release bool // give the lease up, once the holder has stopped acting (Holder.Lost); else acquire or renew it
-	Duty    Duty
-	Holder  string
-	Term    time.Duration
-	Now     time.Duration // the table's time at the leader, taken after the pooler asked (Clock.At)
-	Epoch   uint64        // the leader's term of office at the stamp
+	Release bool          `json:"Release"` // give the lease up, once the holder has stopped acting (Holder.Lost); else acquire or renew it
+	Duty    Duty          `json:"Duty"`
+	Holder  string        `json:"Holder"`
+	Term    time.Duration `json:"Term"`
+	Now     time.Duration `json:"Now"`   // the table's time at the leader, taken after the pooler asked (Clock.At)
+	Epoch   uint64        `json:"Epoch"` // the leader's term of office at the stamp
 }
 
 // Clock is how one leader tells the table's time: from the latest time that it found there when it came to office, on by
@@ -58,9 +58,9 @@
 
 // entry is one duty's lease. Invariant: Token is that of the command that gave it to Holder; renewals keep it.
 type entry struct {
-	Holder  string
-	Token   uint64
-	Expires time.Duration
+	Holder  string        `json:"Holder"`
+	Token   uint64        `json:"Token"`
+	Expires time.Duration `json:"Expires"`
 }
 
 // Table is the stewards' state. The zero Table holds no lease. Drift is the most by which two monotonic clocks may differ
@@ -124,8 +124,8 @@
 
 // saved is a Table as a snapshot keeps it.
 type saved struct {
-	Latest time.Duration
-	Leases map[Duty]entry
+	Latest time.Duration  `json:"Latest"`
+	Leases map[Duty]entry `json:"Leases"`
 }
 
 // MarshalJSON gives the state for a snapshot; Drift is the operators' and not part of it.
--- a/internal/fleet/steward/table.go
+++ b/internal/fleet/steward/table.go
@@ -16,7 +16,7 @@
 // documents have none.
 type command struct {
 	lease.Command
-	Put *shared.Write `json:",omitempty"`
+	Put *shared.Write `json:"Put,omitempty"`
 }
 
 // table is the leases and the documents as the engine's state machine.
