--- a/internal/fleet/audit/merge.go
+++ b/internal/fleet/audit/merge.go
@@ -26,42 +26,47 @@
 
 // Moment is how many live poolers acted on each version from a time on.
 type Moment struct {
-	At      int64
-	Builds  map[string]int
-	Configs map[string]int
-	Handed  map[uint64]map[uint64]int // poolers by the token and number of their list; 0, 0: of an own call
-	Poolers int
+	At      int64                     `json:"At"`
+	Builds  map[string]int            `json:"Builds"`
+	Configs map[string]int            `json:"Configs"`
+	Handed  map[uint64]map[uint64]int `json:"Handed"` // poolers by the token and number of their list; 0, 0: of an own call
+	Poolers int                       `json:"Poolers"`
 }
 
 // Straggler is a pooler that acted on an older version than the fleet's newest for longer than the grace.
 type Straggler struct {
-	Instance   string
-	What       string // "list" or "config"
-	From, To   int64  // from when the newer version was first taken anywhere until this pooler took it; To 0: never
-	Has, Wants string
+	Instance string `json:"Instance"`
+	What     string `json:"What"` // "list" or "config"
+	From     int64  `json:"From"` // from when the newer version was first taken anywhere until this pooler took it; To 0: never
+	To       int64  `json:"To"`
+	Has      string `json:"Has"`
+	Wants    string `json:"Wants"`
 }
 
 // OldToken is an act of a lease after another pooler had acted by a newer one.
 type OldToken struct {
-	Record Record
-	Newer  Record
+	Record Record `json:"Record"`
+	Newer  Record `json:"Newer"`
 }
 
 // Disagreement is a time in which two poolers had different primaries of a group.
 type Disagreement struct {
-	Group    int
-	A, B     string // instances
-	Of, As   string // their primaries
-	From, To int64  // To 0: until the end
+	Group int    `json:"Group"`
+	A     string `json:"A"` // instances
+	B     string `json:"B"`
+	Of    string `json:"Of"` // their primaries
+	As    string `json:"As"`
+	From  int64  `json:"From"` // To 0: until the end
+	To    int64  `json:"To"`
 }
 
 // Report is what the journals of a fleet say together.
 type Report struct {
-	Records       []Record // of all, by time
-	Moments       []Moment // each time something changes
-	Stragglers    []Straggler
-	OldTokens     []OldToken
-	Disagreements []Disagreement
+	Records       []Record       `json:"Records"` // of all, by time
+	Moments       []Moment       `json:"Moments"` // each time something changes
+	Stragglers    []Straggler    `json:"Stragglers"`
+	OldTokens     []OldToken     `json:"OldTokens"`
+	Disagreements []Disagreement `json:"Disagreements"`
 }
 
 // Merge puts records of many journals on one timeline, by the poolers' clocks, and finds what they say together.
