--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -63,26 +63,26 @@
 	switch e.Code {
 	case simulator.EvTargets:
 		if e.How == 3 {
-			f.router.List(now, policy.ListFailed, nil)
+			f.router.HandleList(now, policy.ListFailed, nil)
 			return nil
 		}
 		if !h.listed[e.Slot] {
 			return fmt.Errorf("instance %d: list number %d was never given", e.Who, e.Slot)
 		}
 		kind := [...]policy.ListKind{policy.ListDelta, policy.ListFull, policy.ListCached}[e.How]
-		f.router.List(now, kind, members(h.lists[e.Slot]))
+		f.router.HandleList(now, kind, members(h.lists[e.Slot]))
 	case simulator.EvCall:
-		f.router.Request(now, policy.Request{ID: e.Handle, Class: int(e.Lane), Group: int(e.Cluster),
-			Session: e.Session, Patience: config.Milliseconds(e.Ms), WroteAgo: config.Milliseconds(float64(e.WroteMs))})
+		f.router.HandleRequest(now, policy.Request{ID: e.Handle, Class: int(e.Lane), Group: int(e.Cluster),
+			Session: e.Session, Timeout: config.Milliseconds(e.Ms), SinceLastWrite: config.Milliseconds(float64(e.WroteMs))})
 	case simulator.EvOutcome:
-		f.router.Outcome(now, f.outcome(e))
+		f.router.HandleOutcome(now, f.outcome(e))
 	case simulator.EvEcho:
-		f.router.ProbeResult(now, policy.ProbeResult{Store: e.Store, Result: result(e.RC),
-			Report: f.report(e.Report)})
+		f.router.HandleProbeResult(now, policy.ProbeResult{Server: e.Store, Result: result(e.RC),
+			Status: f.report(e.Report)})
 	case simulator.EvGone:
-		f.router.Gone(now, e.Handle)
+		f.router.HandleDisconnect(now, e.Handle)
 	case simulator.EvElapsed:
-		f.router.Timer(now)
+		f.router.HandleTimer(now)
 	}
 	return nil // streams and messages between fronts carry nothing that the module uses
 }
@@ -96,7 +96,7 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", e.Who, err)
 	}
-	f := &front{who: e.Who, reply: &h.reply, base: set.BaseTime, fields: facts.Report.Fields}
+	f := &front{who: e.Who, reply: &h.reply, base: set.PositionEpoch, fields: facts.Report.Fields}
 	router, err := policy.New(set, e.Seed, f)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", e.Who, err)
@@ -109,9 +109,9 @@
 func members(entries []simulator.Entry) []policy.Member {
 	out := make([]policy.Member, len(entries))
 	for i, e := range entries {
-		state := [...]policy.State{policy.Gone, policy.Ready, policy.Draining}[e.Availability]
-		out[i] = policy.Member{Store: e.Store, Zone: int(e.Zone), Group: int(e.Cell), State: state,
-			Primary: e.Head == 1, Started: config.Milliseconds(e.BootMs)}
+		state := [...]policy.MemberState{policy.Removed, policy.Ready, policy.Draining}[e.Availability]
+		out[i] = policy.Member{ID: e.Store, Zone: int(e.Zone), Group: int(e.Cell), State: state,
+			Primary: e.Head == 1, StartedAt: config.Milliseconds(e.BootMs)}
 	}
 	return out
 }
@@ -121,26 +121,26 @@
 	case 100:
 		return policy.OK
 	case 101:
-		return policy.Missed
+		return policy.Misdirected
 	case 301:
-		return policy.Errored
+		return policy.ServerError
 	case 302:
-		return policy.Full
+		return policy.Overloaded
 	case 303:
 		return policy.TimedOut
 	case 304:
-		return policy.NoConnect
+		return policy.ConnectFailed
 	case 305:
-		return policy.Reset
+		return policy.ConnectionReset
 	case 306:
 		return policy.Cancelled
 	}
-	return policy.Moot
+	return policy.NotSent
 }
 
 func (f *front) outcome(e *simulator.Event) policy.Outcome {
-	o := policy.Outcome{ID: e.Handle, Attempt: int(e.Round), Store: e.Store, Result: result(e.RC),
-		Closed: e.Closed, Report: f.report(e.Report)}
+	o := policy.Outcome{RequestID: e.Handle, Attempt: int(e.Round), Server: e.Store, Result: result(e.RC),
+		Answered: e.Closed, Status: f.report(e.Report)}
 	switch e.Note & 3 {
 	case 1:
 		o.Role = policy.RolePrimary
@@ -153,8 +153,8 @@
 	return o
 }
 
-func (f *front) report(values []float32) policy.Report {
-	var r policy.Report
+func (f *front) report(values []float32) policy.ServerStatus {
+	var r policy.ServerStatus
 	for i, v := range values {
 		if i >= len(f.fields) {
 			break
@@ -163,9 +163,9 @@
 		case "x0":
 			r.HasPosition, r.Position = true, f.base+config.Milliseconds(float64(v)*1000)
 		case "x1":
-			r.HasRole, r.Primary = true, v == 1
+			r.HasRole, r.IsPrimary = true, v == 1
 		case "cpu":
-			r.Busy = float64(v)
+			r.Utilization = float64(v)
 		}
 	}
 	return r
@@ -185,8 +185,8 @@
 func (f *front) Watch()                                { f.reply.Observe(f.who, true) }
 func (f *front) Log(text string)                       { f.reply.Emit(f.who, text) }
 
-func (f *front) Primary(n policy.News) {
-	if text := n.Text(); text != "" {
+func (f *front) Primary(n policy.PrimaryEvent) {
+	if text := n.LogText(); text != "" {
 		f.Log(text)
 	}
 }
--- a/cmd/threadsail-fleet/main.go
+++ b/cmd/threadsail-fleet/main.go
@@ -52,31 +52,31 @@
 	if err != nil {
 		return err
 	}
-	log := pooler.NewLog(os.Stderr, console, least)
-	control := pooler.Signals()
+	log := pooler.NewLogger(os.Stderr, console, least)
+	control := pooler.SignalControl()
 	if part != nil {
-		if cfg.MemoryBytes < leastMemory {
+		if cfg.MemoryBytes < minMemoryBytes {
 			return errors.New("limits.memory_mb: under 32, which the fleet's parts need")
 		}
-		control.Fleet = wire(cfg, part, pooler.Build(version), log)
+		control.Fleet = newFleetPart(cfg, part, pooler.BuildVersion(version), log)
 	}
-	return pooler.Serve(cfg, my, log, control, func(pooler.Addrs) {})
+	return pooler.Serve(cfg, my, log, control, func(pooler.Addresses) {})
 }
 
-// wire puts the parts that the files ask for between the pooler and its fleet.
-func wire(cfg *config.Config, c *config.Fleet, build string, log zerolog.Logger) *pooler.FleetPart {
-	all := parts(cfg, c)
-	o := fleet.Options{Config: c, Spread: pooler.Spread(cfg), Log: log}
+// newFleetPart puts the parts that the files ask for between the pooler and its fleet.
+func newFleetPart(cfg *config.Config, c *config.Fleet, build string, log zerolog.Logger) *pooler.FleetOptions {
+	all := newComponents(cfg, c)
+	o := fleet.Options{Config: c, JitterFraction: pooler.Spread(cfg), Log: log}
 	var limit func(func(int) policy.Class, func() policy.Settings) pooler.Limiter
 	for _, p := range all {
-		o.Parts = append(o.Parts, p.Part)
+		o.Components = append(o.Components, p.Component)
 		if p.limit != nil {
 			limit = p.limit
 		}
 	}
-	return &pooler.FleetPart{Config: c, Build: build, Limit: limit,
-		Open: func(events pooler.FleetEvents) (pooler.Fleet, error) { return fleet.Open(o, events) },
-		Attach: func(f pooler.Front) {
+	return &pooler.FleetOptions{Config: c, Build: build, NewLimiter: limit,
+		Open: func(events pooler.FleetEvents) (pooler.Fleet, error) { return fleet.Start(o, events) },
+		Attach: func(f pooler.Frontend) {
 			for _, p := range all {
 				if p.attach != nil {
 					p.attach(f)
@@ -98,5 +98,5 @@
 		}}
 }
 
-// leastMemory is twice what the program takes at rest with its fleet's parts.
-const leastMemory = 32 << 20
+// minMemoryBytes is twice what the program takes at rest with its fleet's parts.
+const minMemoryBytes = 32 << 20
--- a/cmd/threadsail-fleet/main_test.go
+++ b/cmd/threadsail-fleet/main_test.go
@@ -25,7 +25,7 @@
 		version = os.Getenv("THREADSAIL_TEST_BUILD")
 		fmt.Fprintf(os.Stderr, "{\"message\":%q}\n", processBegins)
 		if os.Getenv("THREADSAIL_TEST_SCRIBE") != "" {
-			tests = append(tests, part{Part: scribe{}})
+			testComponents = append(testComponents, component{Component: scribe{}})
 		}
 		main()
 		return
@@ -315,7 +315,7 @@
 	}
 	shut := map[string]bool{}
 	for _, r := range journals(t, rep) {
-		if r.Act == audit.ShutOut {
+		if r.Act == audit.WritesBarred {
 			shut[r.Instance[:2]] = true
 		}
 	}
@@ -347,15 +347,15 @@
 	for _, s := range found.Stragglers {
 		t.Logf("%+v", s)
 		if !strings.HasPrefix(s.Instance, "n5/") || s.To == 0 {
-			t.Errorf("%s is behind in its %s from %d to %d: want the one cut off alone, and brought up", s.Instance, s.What, s.From, s.To)
+			t.Errorf("%s is behind in its %s from %d to %d: want the one cut off alone, and brought up", s.Instance, s.Subject, s.From, s.To)
 		}
-		behind[s.What] = true
+		behind[s.Subject] = true
 	}
 	acts := map[audit.Act][]string{}
 	for _, r := range journals(t, rep) {
 		acts[r.Act] = append(acts[r.Act], r.Instance[:2])
 	}
-	if shut, up := acts[audit.ShutOut], acts[audit.BroughtUp]; len(shut) == 0 || len(up) == 0 || slices.ContainsFunc(append(shut, up...), func(n string) bool { return n != "n5" }) {
+	if shut, up := acts[audit.WritesBarred], acts[audit.WritesRestored]; len(shut) == 0 || len(up) == 0 || slices.ContainsFunc(append(shut, up...), func(n string) bool { return n != "n5" }) {
 		t.Errorf("shut out %v, brought up %v: want n5 alone, by its configuration", shut, up)
 	}
 	if !behind["list"] || !behind["config"] {
--- a/cmd/threadsail-fleet/parts.go
+++ b/cmd/threadsail-fleet/parts.go
@@ -7,31 +7,31 @@
 	"threadsail/internal/pooler"
 )
 
-// part is a part of the fleet as this program wires it. A field that a part has no use for is nil.
-type part struct {
-	fleet.Part
-	attach func(pooler.Front) // puts guards and the like on each front's core, before its loop runs
+// component is a part of the fleet as this program wires it. A field that a part has no use for is nil.
+type component struct {
+	fleet.Component
+	attach func(pooler.Frontend) // puts guards and the like on each front's core, before its loop runs
 	limit  func(func(int) policy.Class, func() policy.Settings) pooler.Limiter
 	reload func(*config.Config, *config.Fleet) // takes over the files as they are read again at SIGHUP
 }
 
-// parts are those that the operators' files ask for, in the order in which their guards are asked.
-func parts(cfg *config.Config, c *config.Fleet) (out []part) {
+// newComponents are those that the operators' files ask for, in the order in which their guards are asked.
+func newComponents(cfg *config.Config, c *config.Fleet) (out []component) {
 	// Each part has its place here: if its key asks for it, out = append(out, part{...}).
-	if p := newLimits(c, cfg); p != nil {
-		out = append(out, part{Part: p, limit: limiter(p), reload: func(_ *config.Config, c *config.Fleet) { p.Propose(c.Limits) }})
+	if p := newQuota(c, cfg); p != nil {
+		out = append(out, component{Component: p, limit: newLimiter(p), reload: func(_ *config.Config, c *config.Fleet) { p.Propose(c.Limits) }})
 	}
-	if p := newShards(c); p != nil {
-		out = append(out, part{Part: p, attach: p.attach, reload: p.reload})
+	if p := newShardComponent(c); p != nil {
+		out = append(out, component{Component: p, attach: p.attach, reload: p.reload})
 	}
 	if c.Verdicts.Enabled {
-		out = append(out, newVerdicts(cfg, c.Verdicts))
+		out = append(out, newOutlierComponent(cfg, c.Verdicts))
 	}
-	if p := newPurges(c); p != nil { // behind the map, which may send a request to another cluster
-		out = append(out, part{Part: p, attach: p.attach, reload: p.reload})
+	if p := newPurgeComponent(c); p != nil { // behind the map, which may send a request to another cluster
+		out = append(out, component{Component: p, attach: p.attach, reload: p.reload})
 	}
-	return append(out, tests...)
+	return append(out, testComponents...)
 }
 
-// tests are parts that only this program's own tests have.
-var tests []part
+// testComponents are parts that only this program's own tests have.
+var testComponents []component
--- a/cmd/threadsail-fleet/purges.go
+++ b/cmd/threadsail-fleet/purges.go
@@ -10,41 +10,41 @@
 	"threadsail/internal/pooler/postgres"
 )
 
-// purgePart is the purges' part, with a cache of its own for each front.
-type purgePart struct {
-	*purge.Part
-	file config.PurgesPart
+// purgeComponent is the purges' part, with a cache of its own for each front.
+type purgeComponent struct {
+	*purge.Component
+	settings config.PurgesPart
 }
 
-// newPurges is the part that empties this pooler's cache at its site's close; nil: it has no site.
-func newPurges(c *config.Fleet) *purgePart {
+// newPurgeComponent is the part that empties this pooler's cache at its site's close; nil: it has no site.
+func newPurgeComponent(c *config.Fleet) *purgeComponent {
 	if c.Purges.Site == "" {
 		return nil
 	}
-	p := &purgePart{purge.New(c.Purges.Site, proposal(c)), c.Purges}
-	p.Term, p.Journal, p.Keep = c.Term, c.Journal.File, c.Journal.Keep
+	p := &purgeComponent{purge.New(c.Purges.Site, purgeProposal(c)), c.Purges}
+	p.Term, p.Journal, p.KeptJournals = c.Term, c.Journal.File, c.Journal.Keep
 	return p
 }
 
 // attach puts the cache before a front.
-func (p *purgePart) attach(f pooler.Front) {
-	kept := map[string]func(any) (any, int, bool){"postgres": postgres.Kept, "mysql": mysql.Kept}[f.Name]
-	if len(p.file.Classes) > 0 {
-		f.Core.Guard(p.Cached(uint64(p.file.Answers), p.file.Classes, f.Core.ClassInfo, kept))
+func (p *purgeComponent) attach(f pooler.Frontend) {
+	kept := map[string]func(any) (any, int, bool){"postgres": postgres.Cacheable, "mysql": mysql.Cacheable}[f.Name]
+	if len(p.settings.Classes) > 0 {
+		f.Dispatcher.AddGuard(p.NewCacheGuard(uint64(p.settings.Answers), p.settings.Classes, f.Dispatcher.ClassInfo, kept))
 	}
 }
 
 // reload takes over what the operators propose and order.
-func (p *purgePart) reload(_ *config.Config, c *config.Fleet) { p.Propose(proposal(c)) }
+func (p *purgeComponent) reload(_ *config.Config, c *config.Fleet) { p.Propose(purgeProposal(c)) }
 
-// proposal is what the operators' file has of purges.
-func proposal(c *config.Fleet) purge.Proposal {
+// purgeProposal is what the operators' file has of purges.
+func purgeProposal(c *config.Fleet) purge.Proposal {
 	file := c.Purges
 	p := purge.Proposal{Revision: file.Revision, Book: file.Book,
 		// A write is given a term, and the lease that it names has a term and the drift left when it is given up.
-		Bounds: purge.Bounds{Guard: file.Guard, Confirm: file.Confirm, Settle: file.Settle, Lead: 2*c.Term + c.Drift}}
+		Bounds: purge.Bounds{Guard: file.Guard, MaxReplicaAge: file.Confirm, Settle: file.Settle, WriteLead: 2*c.Term + c.Drift}}
 	for _, o := range file.Orders {
-		p.Orders = append(p.Orders, purge.Wish(o))
+		p.Orders = append(p.Orders, purge.RequestedOrder(o))
 	}
 	return p
 }
--- a/cmd/threadsail-fleet/shared_test.go
+++ b/cmd/threadsail-fleet/shared_test.go
@@ -28,7 +28,7 @@
 
 const scribeKey, heldKey = "scribe/all", "scribe/held"
 
-func (scribe) Run(ctx context.Context, g fleet.Ground) error {
+func (scribe) Run(ctx context.Context, g fleet.Runtime) error {
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() {
@@ -46,7 +46,7 @@
 	if os.Getenv("THREADSAIL_TEST_SCRIBE") == "copies" {
 		return nil
 	}
-	tenure := g.Stand(ctx, "scribe")
+	tenure := g.Campaign(ctx, "scribe")
 	for n := 0; ctx.Err() == nil; n++ {
 		select {
 		case <-ctx.Done():
@@ -68,7 +68,7 @@
 			d, err := g.Store.Read(call, heldKey)
 			if err == nil {
 				var version uint64
-				version, err = g.Store.Put(call, heldKey, d.Version, []byte(g.Bus.Self()), replication.Fence{Duty: "scribe", Token: token})
+				version, err = g.Store.Put(call, heldKey, d.Version, []byte(g.Bus.Self()), replication.Fence{Lease: "scribe", Token: token})
 				g.Log.Log().Uint64("token", token).Uint64("version", version).Str("result", result(err)).Msg("scribe: held")
 			}
 		}
@@ -253,7 +253,7 @@
 	}
 	gap := false
 	for _, r := range journals(t, rep) {
-		gap = gap || r.Act == audit.Dropped && strings.HasPrefix(r.Instance, "n5/")
+		gap = gap || r.Act == audit.RecordsDropped && strings.HasPrefix(r.Instance, "n5/")
 	}
 	if !gap {
 		t.Error("n5's journal does not tell of its gap")
--- a/cmd/threadsail-fleet/verdicts.go
+++ b/cmd/threadsail-fleet/verdicts.go
@@ -11,102 +11,102 @@
 	"threadsail/internal/pooler"
 )
 
-// aFront is how far apart two fronts' groups and classes are numbered for the verdicts.
-const aFront = 1 << 20
+// frontStride is how far apart two fronts' groups and classes are numbered for the verdicts.
+const frontStride = 1 << 20
 
-// verdictHost carries the fleet's verdicts out on the fronts' cores, each used on its own loop only.
-type verdictHost struct {
-	part *outlier.Part
+// outlierHost carries the fleet's verdicts out on the fronts' cores, each used on its own loop only.
+type outlierHost struct {
+	detector *outlier.Component
 
 	mu      sync.Mutex
-	fronts  []pooler.Front
+	fronts  []pooler.Frontend
 	members []map[int][]string // by front, as of its last look
 }
 
-// newVerdicts is the part by which the fleet finds bad servers out, and the way of its verdicts to the fronts.
-func newVerdicts(cfg *config.Config, c config.VerdictsPart) part {
+// newOutlierComponent is the part by which the fleet finds bad servers out, and the way of its verdicts to the fronts.
+func newOutlierComponent(cfg *config.Config, c config.VerdictsPart) component {
 	zone := ""
 	if z := cfg.Settings.Zone; z >= 0 && z < len(cfg.Zones) {
 		zone = cfg.Zones[z]
 	}
-	h := &verdictHost{}
-	h.part = outlier.New(outlier.Rules{Observers: c.Observers, Rooms: c.Rooms, Share: c.Share, Term: c.Term}, zone, h)
-	return part{Part: h.part, attach: h.attach}
+	h := &outlierHost{}
+	h.detector = outlier.New(outlier.Settings{MinObservers: c.Observers, MinZones: c.Rooms, MaxEjectedShare: c.Share, BaseEjectionTime: c.Term}, zone, h)
+	return component{Component: h.detector, attach: h.attach}
 }
 
 // attach joins the part to a front, before its loop runs.
-func (h *verdictHost) attach(f pooler.Front) {
+func (h *outlierHost) attach(f pooler.Frontend) {
 	h.mu.Lock()
 	i := len(h.fronts)
 	h.fronts, h.members = append(h.fronts, f), append(h.members, nil)
 	h.mu.Unlock()
-	f.Core.Guard(verdictGuard{h.part, f.Core})
-	f.Core.OnOutcome(func(server string, class int, result policy.Result, took time.Duration) {
+	f.Dispatcher.AddGuard(outlierGuard{h.detector, f.Dispatcher})
+	f.Dispatcher.OnOutcome(func(server string, class int, result policy.Result, took time.Duration) {
 		if kind, ok := outlier.FromResult(result); ok {
-			h.part.Observe(server, i*aFront+class, kind, took)
+			h.detector.Observe(server, i*frontStride+class, kind, took)
 		}
 	})
-	f.Core.OnPrimary(func(kind policy.NewsKind, _ int, server string, _ time.Duration) {
-		if kind == policy.PrimaryLost && server != "" {
-			h.part.LostPrimary(server)
+	f.Dispatcher.OnPrimary(func(kind policy.PrimaryEventKind, _ int, server string, _ time.Duration) {
+		if kind == policy.PrimaryDown && server != "" {
+			h.detector.LostPrimary(server)
 		}
 	})
-	f.Loop.Post(func() { h.look(i, f) })
+	f.Loop.Post(func() { h.refreshMembers(i, f) })
 }
 
-// look takes in the members of a front's groups, again each second: a verdict on one that left just now does nothing.
-func (h *verdictHost) look(i int, f pooler.Front) {
-	ready := f.Core.ReadyMembers()
+// refreshMembers takes in the members of a front's groups, again each second: a verdict on one that left just now does nothing.
+func (h *outlierHost) refreshMembers(i int, f pooler.Frontend) {
+	ready := f.Dispatcher.ReadyMembers()
 	h.mu.Lock()
 	h.members[i] = ready
 	h.mu.Unlock()
-	f.Loop.After(time.Second, func() { h.look(i, f) })
+	f.Loop.After(time.Second, func() { h.refreshMembers(i, f) })
 }
 
-// each is all fronts.
-func (h *verdictHost) each() []pooler.Front {
+// allFronts is all fronts.
+func (h *outlierHost) allFronts() []pooler.Frontend {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fronts
 }
 
-// Verdict implements verdict.Host.
-func (h *verdictHost) Verdict(server string, bad bool) {
-	for _, f := range h.each() {
-		f.Loop.Post(func() { f.Core.Verdict(server, bad) })
+// SetEjected implements verdict.Host.
+func (h *outlierHost) SetEjected(server string, bad bool) {
+	for _, f := range h.allFronts() {
+		f.Loop.Post(func() { f.Dispatcher.SetEjectedByFleet(server, bad) })
 	}
 }
 
-// Suspect implements verdict.Host.
-func (h *verdictHost) Suspect(group int) {
-	if fronts := h.each(); group/aFront < len(fronts) {
-		f := fronts[group/aFront]
-		f.Loop.Post(func() { f.Core.Suspect(group % aFront) })
+// ReportPrimaryDown implements verdict.Host.
+func (h *outlierHost) ReportPrimaryDown(group int) {
+	if fronts := h.allFronts(); group/frontStride < len(fronts) {
+		f := fronts[group/frontStride]
+		f.Loop.Post(func() { f.Dispatcher.ReportPrimaryDown(group % frontStride) })
 	}
 }
 
 // Members implements verdict.Host.
-func (h *verdictHost) Members() map[int][]string {
+func (h *outlierHost) Members() map[int][]string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := map[int][]string{}
 	for i, groups := range h.members {
 		for g, members := range groups {
-			out[i*aFront+g] = members
+			out[i*frontStride+g] = members
 		}
 	}
 	return out
 }
 
-// verdictGuard asks the part of those reads only that several members can serve.
-type verdictGuard struct {
-	*outlier.Part
-	core *dispatch.Core
+// outlierGuard asks the part of those reads only that several members can serve.
+type outlierGuard struct {
+	*outlier.Component
+	core *dispatch.Dispatcher
 }
 
-func (g verdictGuard) MaySend(now time.Duration, r *dispatch.Request, server string) dispatch.Sending {
-	if need := g.core.ClassInfo(r.Class).Need; need == policy.NeedWrite || need == policy.NeedFresh {
+func (g outlierGuard) MaySend(now time.Duration, r *dispatch.Request, server string) dispatch.SendDecision {
+	if need := g.core.ClassInfo(r.Class).Access; need == policy.Write || need == policy.ReadLatest {
 		return dispatch.Send
 	}
-	return g.Part.MaySend(now, r, server)
+	return g.Component.MaySend(now, r, server)
 }
--- a/cmd/threadsail-fleet/verdicts_test.go
+++ b/cmd/threadsail-fleet/verdicts_test.go
@@ -22,9 +22,9 @@
 	begun, ended := map[string]int{}, map[string]int{}
 	for _, r := range journals(t, rep) {
 		switch r.Act {
-		case audit.VerdictBegun:
+		case audit.EjectionBegun:
 			begun[r.Server]++
-		case audit.VerdictEnded:
+		case audit.EjectionEnded:
 			ended[r.Server]++
 		}
 	}
--- a/cmd/threadsail-lab/main.go
+++ b/cmd/threadsail-lab/main.go
@@ -149,7 +149,7 @@
 		<-signals
 		close(terminate)
 	}()
-	return pooler.Serve(cfg, my, pooler.NewLog(os.Stderr, false, zerolog.InfoLevel), pooler.Control{Terminate: terminate}, func(pooler.Addrs) {})
+	return pooler.Serve(cfg, my, pooler.NewLogger(os.Stderr, false, zerolog.InfoLevel), pooler.Control{Terminate: terminate}, func(pooler.Addresses) {})
 }
 
 type demoCmd struct {
--- a/cmd/threadsail/audit.go
+++ b/cmd/threadsail/audit.go
@@ -70,13 +70,13 @@
 		}
 		return time.Unix(0, ns).UTC().Format("15:04:05.000")
 	}
-	if n := len(rep.Moments); n > 0 {
+	if n := len(rep.VersionCounts); n > 0 {
 		fmt.Fprintf(w, "\nversions, the last %d of %d changes\nat\tpoolers\tbuilds\tconfigurations\tlists (token.number)\n", min(shown, n), n)
-		for _, m := range rep.Moments[max(n-shown, 0):] {
+		for _, m := range rep.VersionCounts[max(n-shown, 0):] {
 			var lists []string
-			for _, token := range slices.Sorted(maps.Keys(m.Handed)) {
-				for _, seq := range slices.Sorted(maps.Keys(m.Handed[token])) {
-					lists = append(lists, fmt.Sprintf("%d.%d: %d", token, seq, m.Handed[token][seq]))
+			for _, token := range slices.Sorted(maps.Keys(m.Lists)) {
+				for _, seq := range slices.Sorted(maps.Keys(m.Lists[token])) {
+					lists = append(lists, fmt.Sprintf("%d.%d: %d", token, seq, m.Lists[token][seq]))
 				}
 			}
 			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", at(m.At), m.Poolers, counts(m.Builds), counts(m.Configs), strings.Join(lists, ", "))
@@ -85,7 +85,7 @@
 	if len(rep.Stragglers) > 0 {
 		fmt.Fprintf(w, "\nstragglers\npooler\tbehind in\tfrom\tto\thad\tfleet had\n")
 		for _, x := range rep.Stragglers {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", x.Instance, x.What, at(x.From), at(x.To), x.Has, x.Wants)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", x.Instance, x.Subject, at(x.From), at(x.To), x.HasVersion, x.WantsVersion)
 		}
 	}
 	if len(rep.OldTokens) > 0 {
@@ -97,7 +97,7 @@
 	if len(rep.Disagreements) > 0 {
 		fmt.Fprintf(w, "\ndisagreements about a primary\ngroup\tfrom\tto\tpooler\tprimary\tpooler\tprimary\n")
 		for _, x := range rep.Disagreements {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Group, at(x.From), at(x.To), x.A, x.Of, x.B, x.As)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Group, at(x.From), at(x.To), x.InstanceA, x.PrimaryA, x.InstanceB, x.PrimaryB)
 		}
 	}
 }
--- a/cmd/threadsail/inventory_test.go
+++ b/cmd/threadsail/inventory_test.go
@@ -82,11 +82,11 @@
 	}
 	// What goes back is confirmed against the newest generation, so that a pooler on that one takes it at once.
 	l, err := pooler.ReadList("mysql", "b.csv", nil)
-	if err != nil || !l.Sealed || l.Confirms != digest {
+	if err != nil || !l.Sealed || l.ConfirmedDigest != digest {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	g := serverlist.NewGate(serverlist.Policy{Hold: time.Hour}, &serverlist.Generation{Number: 2, Digest: digest, Servers: less.Servers})
-	if d := g.Offer(0, serverlist.Candidate{Servers: l.Servers, Sealed: true, Confirms: l.Confirms}); d.Verdict != serverlist.Taken {
+	if d := g.Offer(0, serverlist.Candidate{Servers: l.Servers, Sealed: true, Confirms: l.ConfirmedDigest}); d.Verdict != serverlist.Taken {
 		t.Errorf("it is %v: %s", d.Verdict, d.Reason)
 	}
 	if info, err := os.Stat("b.csv"); err != nil || info.Mode().Perm() != 0o640 {
--- a/cmd/threadsail/main.go
+++ b/cmd/threadsail/main.go
@@ -100,8 +100,8 @@
 	if err != nil {
 		return err
 	}
-	log := pooler.NewLog(s.err, c.LogFormat == "console", level)
-	return pooler.Serve(cfg, my, log, pooler.Signals(), func(pooler.Addrs) {})
+	log := pooler.NewLogger(s.err, c.LogFormat == "console", level)
+	return pooler.Serve(cfg, my, log, pooler.SignalControl(), func(pooler.Addresses) {})
 }
 
 type checkCmd struct{}
@@ -137,7 +137,7 @@
 type versionCmd struct{}
 
 func (*versionCmd) Run(s streams) error {
-	fmt.Fprintln(s.out, "threadsail", pooler.Build(version))
+	fmt.Fprintln(s.out, "threadsail", pooler.BuildVersion(version))
 	return nil
 }
 
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -11,28 +11,28 @@
 
 func (g *page) roles() Table {
 	n, term := g.n, c("config.defaultTerm")
-	pull := c("gossip.pullEvery") * (math.Ceil(math.Log2(n)-5) + 1)
+	pull := c("gossip.pushPullInterval") * (math.Ceil(math.Log2(n)-5) + 1)
 	return Table{"roles", []string{"role", "state it holds", "bound at this size, by the code", "carried by"}, [][]string{
 		{"client", "one connection, one request at a time", fmt.Sprintf("%s connections a pooler; no control message reaches it", digits(float64(g.Clients)/n)), "`internal/pooler/connlimit`, `internal/transport`"},
 		{"pooler", fmt.Sprintf("the list of %s databases, a copy of the documents, a member of each other pooler", digits(float64(g.Databases))),
-			fmt.Sprintf("list: up to %s databases (`serverlist.MaxServers`); documents: up to %s (`replication.MaxTotal`); the whole view of %s members goes to and from one other each %s s (`gossip.pullEvery`, memberlist's scale), and to and from whoever asks",
-				digits(c("serverlist.MaxServers")), quantity(c("replication.MaxTotal"), "B"), digits(n), digits(pull)),
+			fmt.Sprintf("list: up to %s databases (`serverlist.MaxServers`); documents: up to %s (`replication.MaxTotalSize`); the whole view of %s members goes to and from one other each %s s (`gossip.pushPullInterval`, memberlist's scale), and to and from whoever asks",
+				digits(c("serverlist.MaxServers")), quantity(c("replication.MaxTotalSize"), "B"), digits(n), digits(pull)),
 			"`internal/pooler`, `internal/fleet/replication`, `internal/fleet/gossip`"},
-		{"steward", "leases and all documents, its log, a connection of each asker", fmt.Sprintf("%s askers at once (`consensus.maxCallers`), %s poolers with a connection or two each; at most %s stewards (`config.mostStewards`)",
-			digits(c("consensus.maxCallers")), digits(n), digits(c("config.mostStewards"))), "`internal/fleet/consensus`"},
+		{"steward", "leases and all documents, its log, a connection of each asker", fmt.Sprintf("%s askers at once (`consensus.maxConnections`), %s poolers with a connection or two each; at most %s stewards (`config.mostStewards`)",
+			digits(c("consensus.maxConnections")), digits(n), digits(c("config.mostStewards"))), "`internal/fleet/consensus`"},
 		{"leader", "the same, and a datagram a pooler for each word", fmt.Sprintf("%s datagrams a beat of %s, and as many at each change (one in %s)", digits(n-1), quantity(term/3, "s"), quantity(day/g.ConfigChanges.PerDay, "s")),
 			"`internal/fleet/replication` (`bringer.speak`), `internal/fleet/gossip` (`Bus.Cast`)"},
-		{"holder of the list duty", "the list service's watch, the newest list", fmt.Sprintf("%s datagrams a third of a term; whole lists to %d askers at once (`fleet.gives`); a pooler shows its list %s after it has it at the latest (`gossip.metaEach`), so nearly all ask the holder",
-			digits(n-1), int(c("fleet.gives")), quantity(c("gossip.metaEach")*n, "s")), "`internal/fleet/discoveryleader`, `internal/fleet`"},
+		{"holder of the list duty", "the list service's watch, the newest list", fmt.Sprintf("%s datagrams a third of a term; whole lists to %d askers at once (`fleet.maxListTransfers`); a pooler shows its list %s after it has it at the latest (`gossip.metaUpdateSpacing`), so nearly all ask the holder",
+			digits(n-1), int(c("fleet.maxListTransfers")), quantity(c("gossip.metaUpdateSpacing")*n, "s")), "`internal/fleet/discoveryleader`, `internal/fleet`"},
 		{"distributor", "a stream of each pooler that turned to it, the documents, what changed lately", "processor " + g.pick("distribution", "change", "distributor", "cpu").value(g.n) + ", memory " + g.pick("distribution", "change", "distributor", "rss").value(g.n) + ", bytes out " + g.pick("distribution", "change", "distributor", "bytes_out").value(g.n) + ", each of as many as were measured; a stream a pooler: see machines", "`internal/fleet/distribution`"},
-		{"dealer of limits", "an account of each pooler, each key's wants and slices", fmt.Sprintf("%s asks and as many answers a second (one a pooler each third of a term), each over a connection of its own (`gossip.Send`); %s of them may wait (`quota.queued`)",
-			digits(3*n/term), digits(c("quota.queued"))), "`internal/fleet/quota` (`Dealer`)"},
+		{"dealer of limits", "an account of each pooler, each key's wants and slices", fmt.Sprintf("%s asks and as many answers a second (one a pooler each third of a term), each over a connection of its own (`gossip.Send`); %s of them may wait (`quota.maxQueuedRequests`)",
+			digits(3*n/term), digits(c("quota.maxQueuedRequests"))), "`internal/fleet/quota` (`Dealer`)"},
 		{"judge of verdicts", "the newest report of each observer; every pooler is one", fmt.Sprintf("%s observers are heard (`outlier.maxObservers`) of %s; while they complain %s reports a second at each pooler of up to %s bytes: %s",
-			digits(c("outlier.maxObservers")), digits(n), digits(n/c("outlier.mostEvery")), digits(c("outlier.maxReport")), quantity(n/c("outlier.mostEvery")*c("outlier.maxReport"), "B/s")), "`internal/fleet/outlier`"},
-		{"mover of shards", "the map, and each pooler's word in a move", fmt.Sprintf("in a move %s asks a second and as many answers to one; at rest none", digits(c("shardmap.askEvery")*n/term)), "`internal/fleet/shardmap` (`Holder`)"},
-		{"list service, as we call it", "one watch of the holder's", fmt.Sprintf("one watch while a holder is heard; without one each of %s poolers calls for itself, spread over %s (`policy.listGap`) but no longer than a change counts as told", digits(n), quantity(c("policy.listGap")*n, "s")),
+			digits(c("outlier.maxObservers")), digits(n), digits(n/c("outlier.maxReportInterval")), digits(c("outlier.maxReport")), quantity(n/c("outlier.maxReportInterval")*c("outlier.maxReport"), "B/s")), "`internal/fleet/outlier`"},
+		{"mover of shards", "the map, and each pooler's word in a move", fmt.Sprintf("in a move %s asks a second and as many answers to one; at rest none", digits(c("shardmap.requestsPerTerm")*n/term)), "`internal/fleet/shardmap` (`Holder`)"},
+		{"list service, as we call it", "one watch of the holder's", fmt.Sprintf("one watch while a holder is heard; without one each of %s poolers calls for itself, spread over %s (`policy.listPollSpacing`) but no longer than a change counts as told", digits(n), quantity(c("policy.listPollSpacing")*n, "s")),
 			"`internal/fleet/discoveryleader`, `internal/pooler` (`watcher`)"},
-		{"database, as we load it", "connections of each pooler that sends there", fmt.Sprintf("up to one connection and more of each of %s poolers; a primary %s pings a second of all together (`policy.pingEvery`)", digits(n), digits(1/c("policy.pingEvery"))),
+		{"database, as we load it", "connections of each pooler that sends there", fmt.Sprintf("up to one connection and more of each of %s poolers; a primary %s pings a second of all together (`policy.primaryPingInterval`)", digits(n), digits(1/c("policy.primaryPingInterval"))),
 			"`internal/transport` (`Pool`), `internal/policy`"},
 	}}
 }
@@ -42,41 +42,41 @@
 	n, term, within := g.n, c("config.defaultTerm"), g.ConfigChanges.Within
 	clients := float64(g.Clients / g.Poolers)
 	fleet := func(phase string) string { return fmt.Sprintf("%s_fleet_%d", phase, g.Poolers) }
-	fetch := c("replication.wordEach") + c("replication.fetchEach")*n
-	sites := c("replication.MaxValue") / n
-	perRange := c("replication.MaxValue") / float64(g.Groups())
+	fetch := c("replication.minAnnouncementInterval") + c("replication.fetchSpreadPerMember")*n
+	sites := c("replication.MaxDocumentSize") / n
+	perRange := c("replication.MaxDocumentSize") / float64(g.Groups())
 	return Table{"rows", []string{"what", "limit", "at this size", "carried today by", "gives way at", "instead"}, [][]string{
 		{"a document's change in force everywhere", quantity(within, "s"),
-			fmt.Sprintf("%s; bound: 50 ms and two messages by a word, but %s (`replication.wordEach` + `replication.fetchEach` × poolers) where the word is lost or what changed is over %s (`replication.maxDelta`)", "the last pooler: "+g.seenOr("gossip", "change", "in_force_last")+" by gossip, "+g.seenOr("distribution", "change", "in_force_last")+" by distribution", quantity(fetch, "s"), quantity(c("replication.maxDelta"), "B")),
-			"words and fetches: `internal/fleet/replication`", digits(g.untilFetch("replication.fetchEach")) + " poolers", "distribution (first, built)"},
-		{"a list's change in force everywhere", quantity(within, "s"), fmt.Sprintf("%s; bound: %s (`discoveryleader.fetchEach` × poolers) and the giving, %d at once", NotMeasured, quantity(c("discoveryleader.fetchEach")*n, "s"), int(c("fleet.gives"))),
-			"word and whole list: `internal/fleet/discoveryleader`, `internal/fleet`", digits(math.Floor(within/c("discoveryleader.fetchEach"))) + " poolers", "distribution's feed of lists (first, built)"},
+			fmt.Sprintf("%s; bound: 50 ms and two messages by a word, but %s (`replication.minAnnouncementInterval` + `replication.fetchSpreadPerMember` × poolers) where the word is lost or what changed is over %s (`replication.maxDeltaSize`)", "the last pooler: "+g.seenOr("gossip", "change", "in_force_last")+" by gossip, "+g.seenOr("distribution", "change", "in_force_last")+" by distribution", quantity(fetch, "s"), quantity(c("replication.maxDeltaSize"), "B")),
+			"words and fetches: `internal/fleet/replication`", digits(g.untilFetch("replication.fetchSpreadPerMember")) + " poolers", "distribution (first, built)"},
+		{"a list's change in force everywhere", quantity(within, "s"), fmt.Sprintf("%s; bound: %s (`discoveryleader.fetchSpacing` × poolers) and the giving, %d at once", NotMeasured, quantity(c("discoveryleader.fetchSpacing")*n, "s"), int(c("fleet.maxListTransfers"))),
+			"word and whole list: `internal/fleet/discoveryleader`, `internal/fleet`", digits(math.Floor(within/c("discoveryleader.fetchSpacing"))) + " poolers", "distribution's feed of lists (first, built)"},
 		{"60 changes a minute", quantity(within, "s"), fmt.Sprintf("the last pooler: %s by gossip, %s by distribution; bound of gossip on an ordinary day: %s datagrams a second from the leading steward's process, words each %s and changes", g.seenOr("gossip", "changes60", "in_force_last"), g.seenOr("distribution", "changes60", "in_force_last"),
 			digits(n*(3/term+g.ConfigChanges.PerDay/day)), quantity(term/3, "s")), "`internal/fleet/gossip` (`Bus.Cast`)", "see order", "distribution (first, built)"},
 		{"a change of primary over", quantity(g.PrimaryChanges.Within, "s"), NotMeasured + fmt.Sprintf("; noticed by whoever uses the group, by an attempt or by a ping of all poolers' %s a second; told to the holder by a datagram; the holder's word goes to all. A holder that never used the group does not look, and each pooler repeats rounds for itself",
-			digits(1/c("policy.pingEvery"))), "`internal/policy` (rounds), `internal/pooler` (`listDuty`)", "groups that the holder does not use", "fifth: groups dealt to watchers"},
+			digits(1/c("policy.primaryPingInterval"))), "`internal/policy` (rounds), `internal/pooler` (`listDuty`)", "groups that the holder does not use", "fifth: groups dealt to watchers"},
 		{"who must know of it", "poolers that use the group", fmt.Sprintf("today all: %s datagrams each, %s a day", digits(n-1), digits((n-1)*g.PrimaryChanges.PerDay)), "`fleet.TellFound`", "no limit found", "distribution carries it (first, built)"},
-		{fmt.Sprintf("watching %s databases", digits(float64(g.Databases))), "none stated", fmt.Sprintf("primaries alone: %s pings a second for %s groups, %s a pooler, and only of groups that a pooler used in the last %s (`policy.pingEvery` × poolers); replicas by what requests meet",
-			digits(float64(g.Groups())/c("policy.pingEvery")), digits(float64(g.Groups())), digits(float64(g.Groups())/c("policy.pingEvery")/n), quantity(c("policy.pingEvery")*n, "s")), "`internal/policy` (ping)", "an idle group is watched by nobody", "fifth: groups dealt to watchers"},
+		{fmt.Sprintf("watching %s databases", digits(float64(g.Databases))), "none stated", fmt.Sprintf("primaries alone: %s pings a second for %s groups, %s a pooler, and only of groups that a pooler used in the last %s (`policy.primaryPingInterval` × poolers); replicas by what requests meet",
+			digits(float64(g.Groups())/c("policy.primaryPingInterval")), digits(float64(g.Groups())), digits(float64(g.Groups())/c("policy.primaryPingInterval")/n), quantity(c("policy.primaryPingInterval")*n, "s")), "`internal/policy` (ping)", "an idle group is watched by nobody", "fifth: groups dealt to watchers"},
 		{"the size of a whole list", quantity(c("discovery.maxText"), "B") + " (`discovery.maxText`)", g.listSize(), "`internal/protocol/discovery`", "see what gives way first", "ninth: larger lists, taken by difference"},
 		{"whole lists at start and at return", "the 2 KB a second", g.lists(), "`fleet.Give`, `discovery.List`", g.listsUntil(), "distribution's feed of lists: whole at a start, deltas after it (first, built)"},
-		{"whole documents at start and at return", "the 2 KB a second", fmt.Sprintf("up to %s a pooler (`replication.MaxTotal`), %s for all; at %s restarts a day %s a second for all", quantity(c("replication.MaxTotal"), "B"), quantity(c("replication.MaxTotal")*n, "B"),
-			digits(g.Faults.RestartsPerDay), quantity(c("replication.MaxTotal")*g.Faults.RestartsPerDay/day, "B")), "`internal/fleet/replication` (`bringer.fetch`), copy on disk", "holds while documents are few", "distribution: deltas from the copy on disk (first, built)"},
+		{"whole documents at start and at return", "the 2 KB a second", fmt.Sprintf("up to %s a pooler (`replication.MaxTotalSize`), %s for all; at %s restarts a day %s a second for all", quantity(c("replication.MaxTotalSize"), "B"), quantity(c("replication.MaxTotalSize")*n, "B"),
+			digits(g.Faults.RestartsPerDay), quantity(c("replication.MaxTotalSize")*g.Faults.RestartsPerDay/day, "B")), "`internal/fleet/replication` (`bringer.fetch`), copy on disk", "holds while documents are few", "distribution: deltas from the copy on disk (first, built)"},
 		{"connections at a database", "not told by the operators", fmt.Sprintf("at a primary %s if each pooler uses all groups alike, %s if it uses a tenth of them; %s busy at a time if a statement takes 5 ms (assumed). Nothing bounds how many poolers hold one",
 			g.of(fleet("all_groups"), "derived", "connections_primary", "pooler").value(n), g.of(fleet("tenth_of_groups"), "derived", "connections_primary", "pooler").value(n), digits(g.Statements/float64(g.Databases)*0.005)),
 			"`internal/transport` (`Pool`); limits bound the rate of new ones only", "by the database's own limit", "sixth: each pooler uses some replicas of a group only"},
 		{fmt.Sprintf("memory of %s clients", digits(float64(g.Clients)/n)), "the pooler's own, beside control", "resting " + g.of("resting", "pooler", "rss", "client").value(clients) + ", with a request of each open " + g.of("busy", "pooler", "rss", "client").value(clients), "`internal/transport`", "–", "–"},
-		{"limits: asks of one dealer", "one core of a pooler", fmt.Sprintf("%s; bound: %s asks a second; after a change of dealer all %s at once, of which %s may wait (`quota.queued`)", NotMeasured, digits(3*n/term), digits(n), digits(c("quota.queued"))),
-			"`internal/fleet/quota`", digits(c("quota.queued")) + " poolers", "third: dealing in two steps"},
-		{"limits: standing for the duty", fmt.Sprintf("%s connections at a steward", digits(c("consensus.maxCallers"))), fmt.Sprintf("%s poolers stand, each with a connection to the leader, and ask once in a term or so", digits(n)), "`shared.Stand`", digits(c("consensus.maxCallers")) + " poolers", "distributors alone stand (first, built)"},
-		{"limits at each database", fmt.Sprintf("%s keys a pooler (`quota.mostBuckets`)", digits(c("quota.mostBuckets"))), fmt.Sprintf("%s databases are as many keys of each limit on connections, cold or probes; an ask names %s (`quota.mostAsked`)", digits(float64(g.Databases)), digits(c("quota.mostAsked"))),
-			"`internal/fleet/quota`", digits(c("quota.mostBuckets")) + " databases used by one pooler", "third"},
-		{"verdicts: reports to all", "the 2 KB a second", fmt.Sprintf("%s; bound while poolers complain: %s messages a second in the fleet, %s at each pooler", NotMeasured, digits(n*n/c("outlier.mostEvery")), quantity(n/c("outlier.mostEvery")*c("outlier.maxReport"), "B/s")),
+		{"limits: asks of one dealer", "one core of a pooler", fmt.Sprintf("%s; bound: %s asks a second; after a change of dealer all %s at once, of which %s may wait (`quota.maxQueuedRequests`)", NotMeasured, digits(3*n/term), digits(n), digits(c("quota.maxQueuedRequests"))),
+			"`internal/fleet/quota`", digits(c("quota.maxQueuedRequests")) + " poolers", "third: dealing in two steps"},
+		{"limits: standing for the duty", fmt.Sprintf("%s connections at a steward", digits(c("consensus.maxConnections"))), fmt.Sprintf("%s poolers stand, each with a connection to the leader, and ask once in a term or so", digits(n)), "`shared.Stand`", digits(c("consensus.maxConnections")) + " poolers", "distributors alone stand (first, built)"},
+		{"limits at each database", fmt.Sprintf("%s keys a pooler (`quota.maxBuckets`)", digits(c("quota.maxBuckets"))), fmt.Sprintf("%s databases are as many keys of each limit on connections, cold or probes; an ask names %s (`quota.maxRequestedKeys`)", digits(float64(g.Databases)), digits(c("quota.maxRequestedKeys"))),
+			"`internal/fleet/quota`", digits(c("quota.maxBuckets")) + " databases used by one pooler", "third"},
+		{"verdicts: reports to all", "the 2 KB a second", fmt.Sprintf("%s; bound while poolers complain: %s messages a second in the fleet, %s at each pooler", NotMeasured, digits(n*n/c("outlier.maxReportInterval")), quantity(n/c("outlier.maxReportInterval")*c("outlier.maxReport"), "B/s")),
 			"`internal/fleet/outlier`", digits(c("outlier.maxObservers")) + " observers, " + digits(c("outlier.maxServers")) + " databases seen by one", "second: evidence summed on its way up"},
-		{"purges: the plan", quantity(c("replication.MaxValue"), "B") + " a document (`replication.MaxValue`)", fmt.Sprintf("all sites are in one document: %s bytes each if every pooler had a site of its own; each edge compares clocks once in %s or sooner", digits(sites), quantity(c("purge.slowestRound"), "s")),
+		{"purges: the plan", quantity(c("replication.MaxDocumentSize"), "B") + " a document (`replication.MaxDocumentSize`)", fmt.Sprintf("all sites are in one document: %s bytes each if every pooler had a site of its own; each edge compares clocks once in %s or sooner", digits(sites), quantity(c("purge.maxComparisonInterval"), "s")),
 			"`internal/fleet/purge`", "by sites, of which the operators tell none", "seventh: a document a site"},
-		{"shard maps: enrolment", fmt.Sprintf("%s documents (`replication.MaxDocs`)", digits(c("replication.MaxDocs"))), fmt.Sprintf("a document a pooler: %s; %s writes a day by restarts", digits(n), digits(2*g.Faults.RestartsPerDay)), "`internal/fleet/shardmap` (`shards/router/NAME`)", digits(c("replication.MaxDocs")) + " poolers", "fourth: enrolment at distributors"},
-		{"shard maps: the map", quantity(c("replication.MaxValue"), "B") + " a document", fmt.Sprintf("one document: %s bytes a group if each has one range", digits(perRange)), "`internal/fleet/shardmap` (`shards/map`)", "by ranges", "fourth: a map in parts"},
+		{"shard maps: enrolment", fmt.Sprintf("%s documents (`replication.MaxDocuments`)", digits(c("replication.MaxDocuments"))), fmt.Sprintf("a document a pooler: %s; %s writes a day by restarts", digits(n), digits(2*g.Faults.RestartsPerDay)), "`internal/fleet/shardmap` (`shards/router/NAME`)", digits(c("replication.MaxDocuments")) + " poolers", "fourth: enrolment at distributors"},
+		{"shard maps: the map", quantity(c("replication.MaxDocumentSize"), "B") + " a document", fmt.Sprintf("one document: %s bytes a group if each has one range", digits(perRange)), "`internal/fleet/shardmap` (`shards/map`)", "by ranges", "fourth: a map in parts"},
 		{"the audit's journals", "disk", fmt.Sprintf("up to %s MB a pooler (`config.defaultJournalMB`, `config.defaultKeep`), %s for all; a record for each list or configuration taken: up to %s a day in the fleet; merging them: %s", digits(c("config.defaultJournalMB")*(1+c("config.defaultKeep"))), quantity(c("config.defaultJournalMB")*(1+c("config.defaultKeep"))*n*1e6, "B"), digits(g.ConfigChanges.PerDay*n), NotMeasured),
 			"`internal/fleet/audit`", NotMeasured, "eighth: journals merged by region"},
 	}}
@@ -109,14 +109,14 @@
 		return limit{what, by, size, digits(size) + " databases", float64(g.Databases)}
 	}
 	all := []limit{
-		poolers("a document's change in force in time, where its word is lost or it is large", "`replication.fetchEach`", g.untilFetch("replication.fetchEach")),
-		poolers("a list's change in force in time", "`discoveryleader.fetchEach`", math.Floor(g.ConfigChanges.Within/c("discoveryleader.fetchEach"))),
-		poolers("asks of the limits' dealer at once", "`quota.queued`", c("quota.queued")),
-		poolers("connections to the leading steward, with limits on", "`consensus.maxCallers`", c("consensus.maxCallers")),
+		poolers("a document's change in force in time, where its word is lost or it is large", "`replication.fetchSpreadPerMember`", g.untilFetch("replication.fetchSpreadPerMember")),
+		poolers("a list's change in force in time", "`discoveryleader.fetchSpacing`", math.Floor(g.ConfigChanges.Within/c("discoveryleader.fetchSpacing"))),
+		poolers("asks of the limits' dealer at once", "`quota.maxQueuedRequests`", c("quota.maxQueuedRequests")),
+		poolers("connections to the leading steward, with limits on", "`consensus.maxConnections`", c("consensus.maxConnections")),
 		poolers("observers that verdicts count", "`outlier.maxObservers`", c("outlier.maxObservers")),
-		poolers("documents of enrolled poolers, with shard maps on", "`replication.MaxDocs`", c("replication.MaxDocs")),
+		poolers("documents of enrolled poolers, with shard maps on", "`replication.MaxDocuments`", c("replication.MaxDocuments")),
 		databases("servers that one observer counts for verdicts", "`outlier.maxServers`", c("outlier.maxServers")),
-		databases("keys of limits at one pooler, one limit by server", "`quota.mostBuckets`", c("quota.mostBuckets")),
+		databases("keys of limits at one pooler, one limit by server", "`quota.maxBuckets`", c("quota.maxBuckets")),
 		databases("servers in a list", "`serverlist.MaxServers`", c("serverlist.MaxServers")),
 	}
 	line := func(what string, r reading, most float64, of string, plan float64) {
@@ -180,7 +180,7 @@
 
 // untilFetch is the largest fleet whose fetches, spread by a constant, are over in time.
 func (g *page) untilFetch(each string) float64 {
-	return math.Floor((g.ConfigChanges.Within - c("replication.wordEach")) / c(each))
+	return math.Floor((g.ConfigChanges.Within - c("replication.minAnnouncementInterval")) / c(each))
 }
 
 // seenOr is what a record says of an ordinary pooler at the plan's size, if one does.
@@ -288,7 +288,7 @@
 		left := float64(count - m.lost)
 		each := math.Ceil(g.n / left)
 		row := []string{fmt.Sprint(count - m.lost), m.when, digits(each), digits(100*each/float64(g.Machines.Descriptors)) + "%", quantity(each*g.Control.Bytes, "B/s"),
-			quantity(g.n*c("replication.MaxTotal")/left/g.Machines.Bytes, "s")}
+			quantity(g.n*c("replication.MaxTotalSize")/left/g.Machines.Bytes, "s")}
 		for _, figure := range []string{"cpu", "rss", "descriptors", "bytes_out"} { // as if the fleet were so much larger before all of them
 			row = append(row, g.pick("distribution", "change", "distributor", figure).value(math.Round(g.n*float64(count)/left)))
 		}
@@ -306,10 +306,10 @@
 	}
 	return Table{"order", []string{"place", "mechanism", "why", "today's gives way at", "state"}, [][]string{
 		{"first", "distribution: one stream a pooler, documents and lists as deltas, words the newest only, who is alive summed on its way up; ordinary poolers stand for no duty", "a change in time, the 2 KB a second, connections at stewards",
-			fmt.Sprintf("by fetches' spread: %s poolers; by askers: %s; %s", digits(g.untilFetch("replication.fetchEach")), digits(c("consensus.maxCallers")), bytes), "built, off as shipped: `internal/fleet/distribution`; gossip stands beside it"},
-		{"second", "evidence for verdicts summed by distributors", fmt.Sprintf("%s reports a second in the fleet", digits(n*n/c("outlier.mostEvery"))), fmt.Sprintf("%s observers (`outlier.maxObservers`), %s databases of one observer (`outlier.maxServers`)", digits(c("outlier.maxObservers")), digits(c("outlier.maxServers"))), "missing"},
-		{"third", "limits dealt in two steps, to distributors and by them", "one dealer hears all", fmt.Sprintf("%s asks that wait (`quota.queued`), %s keys of a pooler (`quota.mostBuckets`)", digits(c("quota.queued")), digits(c("quota.mostBuckets"))), "missing"},
-		{"fourth", "enrolment of routers at distributors, the shard map in parts", "a document a pooler", fmt.Sprintf("%s documents (`replication.MaxDocs`)", digits(c("replication.MaxDocs"))), "missing; shard maps are off as shipped"},
+			fmt.Sprintf("by fetches' spread: %s poolers; by askers: %s; %s", digits(g.untilFetch("replication.fetchSpreadPerMember")), digits(c("consensus.maxConnections")), bytes), "built, off as shipped: `internal/fleet/distribution`; gossip stands beside it"},
+		{"second", "evidence for verdicts summed by distributors", fmt.Sprintf("%s reports a second in the fleet", digits(n*n/c("outlier.maxReportInterval"))), fmt.Sprintf("%s observers (`outlier.maxObservers`), %s databases of one observer (`outlier.maxServers`)", digits(c("outlier.maxObservers")), digits(c("outlier.maxServers"))), "missing"},
+		{"third", "limits dealt in two steps, to distributors and by them", "one dealer hears all", fmt.Sprintf("%s asks that wait (`quota.maxQueuedRequests`), %s keys of a pooler (`quota.maxBuckets`)", digits(c("quota.maxQueuedRequests")), digits(c("quota.maxBuckets"))), "missing"},
+		{"fourth", "enrolment of routers at distributors, the shard map in parts", "a document a pooler", fmt.Sprintf("%s documents (`replication.MaxDocuments`)", digits(c("replication.MaxDocuments"))), "missing; shard maps are off as shipped"},
 		{"fifth", "groups dealt to watchers, two or three for each, in its own region", "groups that the holder does not use are looked after by nobody, or by all", "no size: it holds for small fleets too", "missing"},
 		{"sixth", "each pooler uses a few databases of a group, and few groups have all poolers", "connections at a database", "by the database's own limit; a primary holds " + g.of(fmt.Sprintf("tenth_of_groups_fleet_%d", g.Poolers), "derived", "connections_primary", "pooler").value(n) + " where each pooler uses a tenth of the groups", "half: homes by `internal/rendezvous`, not the connections"},
 		{"seventh", "a document a site for purges", "one document for all", "by sites: " + NotMeasured, "missing; purges are off as shipped"},
--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -268,7 +268,7 @@
 		{"until a whole list is taken", "whole_list", "pooler", "list_taken", "server"},
 		{"processor time of a change of one server", "delta", "pooler", "cpu", "server"},
 		{"until a change of one server is taken", "delta", "pooler", "list_taken", "server"},
-		{"pings of primaries, seconds after use (the next are due after `policy.pingEvery` × poolers)", "rest" + fleet, "pooler", "pings", "group"},
+		{"pings of primaries, seconds after use (the next are due after `policy.primaryPingInterval` × poolers)", "rest" + fleet, "pooler", "pings", "group"},
 		{"processor at rest with all groups used once", "rest" + fleet, "pooler", "cpu", "group"},
 		{"memory with all groups used once", "rest" + fleet, "pooler", "rss", "group"},
 		{"connections of all poolers at a primary, all groups used alike", "all_groups" + fleet, "derived", "connections_primary", "pooler"},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -162,7 +162,7 @@
 		switch {
 		case k.Name == "" || seen[k.Name]:
 			return fmt.Errorf("settings.lanes[%d].name: %q is empty or names another class too", i, k.Name)
-		case k.Deadline <= 0:
+		case k.TotalTimeout <= 0:
 			return fmt.Errorf("settings.lanes[%d].hardLimitMs: not above 0", i)
 		}
 		seen[k.Name] = true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,8 +30,8 @@
 	want := &Config{Name: "n3", Listen: "127.0.0.4:6432", Admin: "127.0.0.4:12000", Discovery: "127.2.0.1:8500", Seed: 0x8c1f30d27a5be964,
 		MemoryBytes: 64 << 20, Sockets: 512, Known: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{}},
 		Zones: []string{"a"}, Reports: true, MaxOpen: 7, ConnIdle: 9 * time.Second, ConnectTimeout: defaultConnectTimeout,
-		Settings: policy.Settings{Classes: []policy.Class{{Name: "w", Need: policy.NeedWrite, Effect: policy.Keyed,
-			Scope: policy.ScopeGroup, Deadline: 3 * time.Second}}}}
+		Settings: policy.Settings{Classes: []policy.Class{{Name: "w", Access: policy.Write, Idempotency: policy.IdempotentByKey,
+			DedupScope: policy.DedupInGroup, TotalTimeout: 3 * time.Second}}}}
 	if d := cmp.Diff(want, got, cmpopts.IgnoreFields(Config{}, "shape", "Digest")); d != "" {
 		t.Error(d)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,23 +12,23 @@
 // Settings puts the facts into the module's words, for the pooler and for the simulator's adapter.
 func Settings(f *Facts) (policy.Settings, error) {
 	s := policy.Settings{
-		Balancers: f.Balancers, Me: f.Me, Zone: f.Zone, Asks: f.Discovery == "ask", Tick: Milliseconds(f.TickMs),
-		BehindWait: Milliseconds(f.FamilyInfo.WaitMs), BaseTime: Milliseconds(f.FamilyInfo.BaseTimeMs),
-		Remembered: f.FamilyInfo.Tokens == "kept",
-		MayProbe:   f.Caps.Probing, MayCancel: f.Caps.MayCancel, SecondCopies: f.Caps.SecondCopies,
-		RetryAfter: f.Caps.RetryAfter, MaxAttempts: f.Caps.MaxAttempts,
-		MaxRetryAfter: Milliseconds(f.Caps.MaxRetryAfterMs),
-		MustAsk:       Milliseconds(f.Contract.MustAskInMs), DrainOnly: f.Contract.OnlyDrainingBinds,
-		DrainGrace: Milliseconds(f.Contract.DrainGraceMs), ColdFrom: f.Contract.ColdFrom,
-		ColdFor:      Milliseconds(f.Contract.ColdMs),
-		ColdMultiple: f.Contract.OverloadFactor, ColdSpan: Milliseconds(f.Contract.OverloadForMs),
+		Poolers: f.Balancers, PoolerIndex: f.Me, Zone: f.Zone, PollList: f.Discovery == "ask", EventInterval: Milliseconds(f.TickMs),
+		StaleReadWait: Milliseconds(f.FamilyInfo.WaitMs), PositionEpoch: Milliseconds(f.FamilyInfo.BaseTimeMs),
+		TrackSessions: f.FamilyInfo.Tokens == "kept",
+		ProbesAllowed: f.Caps.Probing, CancelAllowed: f.Caps.MayCancel, HedgingAllowed: f.Caps.SecondCopies,
+		RetryAfterSupported: f.Caps.RetryAfter, MaxAttempts: f.Caps.MaxAttempts,
+		MaxRetryAfter:   Milliseconds(f.Caps.MaxRetryAfterMs),
+		MaxPollInterval: Milliseconds(f.Contract.MustAskInMs), IgnoreRemoval: f.Contract.OnlyDrainingBinds,
+		DrainGracePeriod: Milliseconds(f.Contract.DrainGraceMs), SlowStartCapacity: f.Contract.ColdFrom,
+		SlowStartDuration: Milliseconds(f.Contract.ColdMs),
+		OverloadFactor:    f.Contract.OverloadFactor, OverloadInterval: Milliseconds(f.Contract.OverloadForMs),
 	}
 	switch f.FamilyInfo.Behind {
 	case "", "none":
 	case "bounce":
-		s.Behind = policy.BehindRefuses
+		s.StaleReads = policy.StaleReadRejected
 	case "await":
-		s.Behind = policy.BehindWaits
+		s.StaleReads = policy.StaleReadWaits
 	default:
 		return s, fmt.Errorf("settings.familyInfo.behind: unknown word %q", f.FamilyInfo.Behind)
 	}
@@ -43,7 +43,7 @@
 	}
 	if f.Report.How != "none" {
 		for _, name := range f.Report.Fields {
-			s.RoleReported = s.RoleReported || name == "x1"
+			s.RolesReported = s.RolesReported || name == "x1"
 		}
 	}
 	for i, l := range f.Lanes {
@@ -57,43 +57,43 @@
 }
 
 func class(f *Facts, i int, l Lane) (policy.Class, error) {
-	c := policy.Class{Name: l.Name, Aim: Milliseconds(l.AimMs), Deadline: Milliseconds(l.HardLimitMs), Worth: l.Worth,
-		LateWorth: l.LateWorth, Window: Milliseconds(l.WindowMs)}
+	c := policy.Class{Name: l.Name, LatencyObjective: Milliseconds(l.AimMs), TotalTimeout: Milliseconds(l.HardLimitMs), PriorityWeight: l.Worth,
+		LateWeightFraction: l.LateWorth, DedupWindow: Milliseconds(l.WindowMs)}
 	switch l.Semantics {
 	case "free":
-		c.Effect = policy.Safe
+		c.Idempotency = policy.Idempotent
 	case "guarded":
-		c.Effect = policy.Keyed
+		c.Idempotency = policy.IdempotentByKey
 	case "single_shot":
-		c.Effect = policy.Unsafe
+		c.Idempotency = policy.NotIdempotent
 	default:
 		return c, fmt.Errorf("lanes[%d].semantics: unknown word %q", i, l.Semantics)
 	}
 	switch l.Group {
 	case "all":
-		c.Scope = policy.ScopeAll
+		c.DedupScope = policy.DedupEverywhere
 	case "zone":
-		c.Scope = policy.ScopeZone
+		c.DedupScope = policy.DedupInZone
 	case "", "cell":
-		c.Scope = policy.ScopeGroup
+		c.DedupScope = policy.DedupInGroup
 	default:
 		return c, fmt.Errorf("lanes[%d].group: unknown word %q", i, l.Group)
 	}
 	if i < len(f.FamilyInfo.LagAllowedMs) {
-		c.Bound = Milliseconds(f.FamilyInfo.LagAllowedMs[i])
+		c.MaxStaleness = Milliseconds(f.FamilyInfo.LagAllowedMs[i])
 	}
 	if i < len(f.FamilyInfo.ClassRead) {
 		switch w := f.FamilyInfo.ClassRead[i]; w {
 		case "eventual":
-			c.Need = policy.NeedAny
+			c.Access = policy.ReadAny
 		case "lag_bound":
-			c.Need = policy.NeedBounded
+			c.Access = policy.ReadBounded
 		case "causal":
-			c.Need = policy.NeedSession
+			c.Access = policy.ReadSession
 		case "strong":
-			c.Need = policy.NeedFresh
+			c.Access = policy.ReadLatest
 		case "mutate":
-			c.Need = policy.NeedWrite
+			c.Access = policy.Write
 		default:
 			return c, fmt.Errorf("familyInfo.classRead[%d]: unknown word %q", i, w)
 		}
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -13,16 +13,16 @@
 
 const (
 	// replyMargin of a client's patience is left for the way back of a final answer.
-	replyMargin = 5 * time.Millisecond
-	probeSlack  = 50 * time.Millisecond // a probe may need a connection first
-	maxKnown    = 1 << 16               // names kept; more than any list that is not garbage
-	goneFor     = 3 * time.Minute       // after which a server that is gone is forgotten; the module forgets it sooner
+	replyMargin           = 5 * time.Millisecond
+	probeConnectAllowance = 50 * time.Millisecond // a probe may need a connection first
+	maxKnownServers       = 1 << 16               // names kept; more than any list that is not garbage
+	forgetServerAfter     = 3 * time.Minute       // after which a server that is gone is forgotten; the module forgets it sooner
 )
 
 // Replier gives a client its one final answer.
 type Replier interface {
-	// Left tells whether the client has gone, as far as this machine can know. It is asked right before each attempt is written.
-	Left() bool
+	// ClientDisconnected tells whether the client has gone, as far as this machine can know. It is asked right before each attempt is written.
+	ClientDisconnected() bool
 	Serve(answer any)
 	Refuse(after time.Duration) // nothing may have run; come again after the time, if any
 	Fail()
@@ -30,63 +30,63 @@
 
 // Request is a client's request, in no wire's terms. Payload goes to the backend as it is.
 type Request struct {
-	Class, Group int
-	Keyed        bool // it carries a key by which its cluster drops repeats
-	Session      uint64
-	After        time.Duration // Unix time of the session's last commit; 0: none
-	Arrived      time.Duration // of its last byte
-	Patience     time.Duration // from then on
-	Payload      any
-	Reply        Replier
-	// Text is the statement without its comment, and Key the quoted key that it names; "": none. Only where the core is guarded.
-	Text, Key string
-	// Form is what else an answer depends on, so that a request of equal Form, Text, Class and Group may be given the same one;
+	Class, Group      int
+	HasIdempotencyKey bool // it carries a key by which its cluster drops repeats
+	Session           uint64
+	SessionCommitAt   time.Duration // Unix time of the session's last commit; 0: none
+	ArrivedAt         time.Duration // of its last byte
+	Timeout           time.Duration // from then on
+	Payload           any
+	Reply             Replier
+	// Statement is the statement without its comment, and Key the quoted key that it names; "": none. Only where the core is guarded.
+	Statement, Key string
+	// CacheVariant is what else an answer depends on, so that a request of equal Form, Text, Class and Group may be given the same one;
 	// empty: none may. Only where the core is guarded.
-	Form string
-	// Waited is set while a guard is asked of an attempt once more, behind the wait for its connection.
-	Waited bool
+	CacheVariant string
+	// WaitedForConnection is set while a guard is asked of an attempt once more, behind the wait for its connection.
+	WaitedForConnection bool
 }
 
-// Result is the end of an attempt or a probe, as the backend saw it.
-type Result struct {
+// AttemptResult is the end of an attempt or a probe, as the backend saw it.
+type AttemptResult struct {
 	Result      policy.Result
 	Answer      any
 	Role        policy.Role
 	HasPosition bool
 	Position    time.Duration
-	Report      policy.Report
+	Report      policy.ServerStatus
 	Broken      bool // the connection had come up, and broke
 }
 
-// Attempt is the core's side of a request sent to a server. All of it is called on the loop.
-type Attempt struct {
-	Fits func() bool  // asked before a request that had to wait for its connection is written
-	Sent func()       // its last byte has gone out
-	Done func(Result) // its end, once
+// AttemptCallbacks is the core's side of a request sent to a server. All of it is called on the loop.
+type AttemptCallbacks struct {
+	StillAllowed func() bool         // asked before a request that had to wait for its connection is written
+	Sent         func()              // its last byte has gone out
+	Done         func(AttemptResult) // its end, once
 }
 
 // Stream is an answer that is passed on while it still comes. It is the final answer of its request from its beginning on.
 type Stream interface {
-	OnEnd(func(End))
-	Drop()  // nobody waits for it
-	Break() // its time is over: it ends, and so that its client can tell
+	OnEnd(func(StreamEnd))
+	Discard() // nobody waits for it
+	Abort()   // its time is over: it ends, and so that its client can tell
 }
 
-// End is how a stream ends.
-type End uint8
+// StreamEnd is how a stream ends.
+type StreamEnd uint8
 
 // The ends.
 const (
-	Whole End = iota
-	Broken
-	Left // the client has gone
+	StreamComplete StreamEnd = iota
+	StreamBroken
+	StreamClientDisconnected // the client has gone
 )
 
 // Backend reaches the servers. Send and Probe tell the end once, on the loop and after they have returned. A request that
 // had to wait for its connection is written only if it still fits; else it has ended as Missed.
 type Backend interface {
-	Send(addr string, payload any, left time.Duration, a Attempt) Call
-	Probe(addr string, done func(Result)) Call
+	Send(addr string, payload any, left time.Duration, a AttemptCallbacks) Call
+	Probe(addr string, done func(AttemptResult)) Call
 	CloseIdle(addr string)
 }
 
@@ -99,7 +99,7 @@
 type Member struct {
 	Name, Addr  string
 	Zone, Group int
-	State       policy.State
+	State       policy.MemberState
 	Primary     bool
 	Started     time.Duration
 	Weight      int // as rules.Member.Weight
@@ -115,145 +115,145 @@
 	Log          func(string)
 }
 
-// Open is a request under way.
-type Open struct {
-	c        *Core
-	id       uint32
-	req      *Request
-	counts   *Counts
-	deadline time.Duration
-	ended    bool
-	ran      bool // an attempt may have run
-	sent     int
-	live     map[int]*call
-	erred    []uint32 // stores that have answered with an error; only where outcomes are told
+// OpenRequest is a request under way.
+type OpenRequest struct {
+	dispatcher      *Dispatcher
+	id              uint32
+	request         *Request
+	counters        *ClassCounters
+	deadline        time.Duration
+	ended           bool
+	mayHaveExecuted bool // an attempt may have run
+	attemptCount    int
+	inFlight        map[int]*inFlightAttempt
+	failedServers   []uint32 // stores that have answered with an error; only where outcomes are told
 }
 
-type call struct {
-	store uint32
-	began time.Duration
-	call  Call // nil: never sent
-	timer *Timer
+type inFlightAttempt struct {
+	server   uint32
+	chosenAt time.Duration
+	call     Call // nil: never sent
+	timer    *Timer
 }
 
-func (k *call) abort() {
+func (k *inFlightAttempt) abort() {
 	if k.call != nil {
 		k.call.Abort()
 	}
 }
 
-// Core carries the module's decisions out.
-type Core struct {
-	loop    *Loop
-	opt     Options
-	router  *policy.Router
-	backend Backend
-	open    map[uint32]*Open
-	lastID  uint32
-	addrs   map[uint32]string
-	names   map[string]uint32
-	gone    map[uint32]time.Duration // since when; servers that are to be forgotten
-	groups  map[int]bool
-	classes map[string]int // the numbers of those in the settings
-	unkeyed map[int]int    // of a keyed class: the one for requests that carry no key
-	listed  map[uint32]bool
-	ready   map[uint32]int // the groups of those that are listed as ready
-	counts  []*Counts
-	pending int
-	actions []func()
-	// noWrites: writes that come are refused, as this pooler acts on a version that the fleet has left behind.
-	noWrites bool
-	primary  []func(kind policy.NewsKind, group int, server string, asOf time.Duration)
-	guards   []Guard
-	gate     Gate // nil: none
-	met      func(server string, class int, result policy.Result, took time.Duration)
-	spare    spare
-	until    time.Duration // by when all requests must have their answers; 0: by their own time alone
+// Dispatcher carries the module's decisions out.
+type Dispatcher struct {
+	loop          *EventLoop
+	options       Options
+	router        *policy.Router
+	backend       Backend
+	openRequests  map[uint32]*OpenRequest
+	lastRequestID uint32
+	addresses     map[uint32]string
+	serverIDs     map[string]uint32
+	removedAt     map[uint32]time.Duration // since when; servers that are to be forgotten
+	knownGroups   map[int]bool
+	classNumbers  map[string]int // the numbers of those in the settings
+	withoutKey    map[int]int    // of a keyed class: the one for requests that carry no key
+	listed        map[uint32]bool
+	readyGroups   map[uint32]int // the groups of those that are listed as ready
+	counters      []*ClassCounters
+	pending       int
+	actions       []func()
+	// writesRejected: writes that come are refused, as this pooler acts on a version that the fleet has left behind.
+	writesRejected   bool
+	primaryObservers []func(kind policy.PrimaryEventKind, group int, server string, asOf time.Duration)
+	guards           []Guard
+	connectionGate   ConnectionGate // nil: none
+	outcomeObserver  func(server string, class int, result policy.Result, took time.Duration)
+	drainReserve     drainReserve
+	deadlineLimit    time.Duration // by when all requests must have their answers; 0: by their own time alone
 }
 
 // New returns a core that runs on a loop.
-func New(loop *Loop, backend Backend, opt Options) (*Core, error) {
-	c := &Core{loop: loop, opt: opt, backend: backend, open: map[uint32]*Open{}, addrs: map[uint32]string{},
-		names: map[string]uint32{}, gone: map[uint32]time.Duration{}, groups: map[int]bool{}, unkeyed: map[int]int{}, classes: map[string]int{},
-		listed: map[uint32]bool{}, ready: map[uint32]int{}}
-	c.opt.Settings.Classes = nil
-	c.enlist(opt.Settings)
-	router, err := policy.New(c.opt.Settings, opt.Seed, (*actions)(c))
+func New(loop *EventLoop, backend Backend, opt Options) (*Dispatcher, error) {
+	c := &Dispatcher{loop: loop, options: opt, backend: backend, openRequests: map[uint32]*OpenRequest{}, addresses: map[uint32]string{},
+		serverIDs: map[string]uint32{}, removedAt: map[uint32]time.Duration{}, knownGroups: map[int]bool{}, withoutKey: map[int]int{}, classNumbers: map[string]int{},
+		listed: map[uint32]bool{}, readyGroups: map[uint32]int{}}
+	c.options.Settings.Classes = nil
+	c.registerClasses(opt.Settings)
+	router, err := policy.New(c.options.Settings, opt.Seed, (*actions)(c))
 	if err != nil {
 		return nil, err
 	}
 	c.router = router
-	loop.round = c.carryOut
+	loop.endOfRound = c.carryOut
 	return c, nil
 }
 
 // OnPrimary has f told too, on the loop, of all news of groups' primaries, as of a Unix time where the news has one.
-func (c *Core) OnPrimary(f func(kind policy.NewsKind, group int, server string, asOf time.Duration)) {
-	c.primary = append(c.primary, f)
+func (c *Dispatcher) OnPrimary(f func(kind policy.PrimaryEventKind, group int, server string, asOf time.Duration)) {
+	c.primaryObservers = append(c.primaryObservers, f)
 }
 
-// Told takes in what another pooler, which repeats rounds for the fleet, found of a group: its primary, or "" for none
+// ObservePrimary takes in what another pooler, which repeats rounds for the fleet, found of a group: its primary, or "" for none
 // yet. A server that no list here has named is passed over.
-func (c *Core) Told(group int, server string, asOf time.Duration) {
-	id, known := c.names[server]
+func (c *Dispatcher) ObservePrimary(group int, server string, asOf time.Duration) {
+	id, known := c.serverIDs[server]
 	if known || server == "" {
-		c.router.Told(c.loop.Now(), group, id, known, asOf)
+		c.router.ObservePrimary(c.loop.Now(), group, id, known, asOf)
 	}
 }
 
-// TakeWrites has writes taken in, or refused at once with the time to come again that the settings allow. Those that have
+// SetWritesAllowed has writes taken in, or refused at once with the time to come again that the settings allow. Those that have
 // been taken are carried on.
-func (c *Core) TakeWrites(on bool) { c.noWrites = !on }
+func (c *Dispatcher) SetWritesAllowed(on bool) { c.writesRejected = !on }
 
-// Until has each request that comes from now on end by a Unix time, if its own time is not over before.
-func (c *Core) Until(at time.Duration) { c.until = at }
+// SetDeadlineLimit has each request that comes from now on end by a Unix time, if its own time is not over before.
+func (c *Dispatcher) SetDeadlineLimit(at time.Duration) { c.deadlineLimit = at }
 
 // LongestDeadline is that of the classes in the settings.
-func (c *Core) LongestDeadline() (d time.Duration) {
-	for _, i := range c.classes {
-		d = max(d, c.opt.Settings.Classes[i].Deadline)
+func (c *Dispatcher) LongestDeadline() (d time.Duration) {
+	for _, i := range c.classNumbers {
+		d = max(d, c.options.Settings.Classes[i].TotalTimeout)
 	}
 	return d
 }
 
-// Suspect takes in that another pooler has lost a group's primary.
-func (c *Core) Suspect(group int) { c.router.Suspect(c.loop.Now(), group) }
+// ReportPrimaryDown takes in that another pooler has lost a group's primary.
+func (c *Dispatcher) ReportPrimaryDown(group int) { c.router.ReportPrimaryDown(c.loop.Now(), group) }
 
-// ForAll has this pooler repeat rounds for the fleet, or leaves that to others.
-func (c *Core) ForAll(on bool) { c.router.ForAll(on) }
+// SetRoundLeader has this pooler repeat rounds for the fleet, or leaves that to others.
+func (c *Dispatcher) SetRoundLeader(on bool) { c.router.SetRoundLeader(on) }
 
 // Retune takes over new settings under way. Requests that are open keep their class. Settings that can't be used change nothing.
-func (c *Core) Retune(set policy.Settings, maxOpen int, probeTimeout time.Duration) error {
+func (c *Dispatcher) Retune(set policy.Settings, maxOpen int, probeTimeout time.Duration) error {
 	if err := set.Validate(); err != nil {
 		return err
 	}
-	unbound := c.opt.Settings.DrainOnly
-	c.enlist(set)
-	c.opt.MaxOpen, c.opt.ProbeTimeout = maxOpen, probeTimeout
-	if err := c.router.Retune(c.loop.Now(), c.opt.Settings); err != nil {
+	unbound := c.options.Settings.IgnoreRemoval
+	c.registerClasses(set)
+	c.options.MaxOpen, c.options.ProbeTimeout = maxOpen, probeTimeout
+	if err := c.router.UpdateSettings(c.loop.Now(), c.options.Settings); err != nil {
 		return err
 	}
-	if unbound && !set.DrainOnly { // what has left the list meanwhile was still used
+	if unbound && !set.IgnoreRemoval { // what has left the list meanwhile was still used
 		var gone []Member
-		for name, id := range c.names {
+		for name, id := range c.serverIDs {
 			if !c.listed[id] {
-				gone = append(gone, Member{Name: name, State: policy.Gone})
+				gone = append(gone, Member{Name: name, State: policy.Removed})
 			}
 		}
 		slices.SortFunc(gone, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
-		c.List(policy.ListDelta, gone)
+		c.ApplyList(policy.ListDelta, gone)
 	}
 	return nil
 }
 
 // Settings are those in force.
-func (c *Core) Settings() policy.Settings { return c.opt.Settings }
+func (c *Dispatcher) Settings() policy.Settings { return c.options.Settings }
 
-// enlist numbers the classes of the settings. A number stands for the same class for good: one that has changed gets
+// registerClasses numbers the classes of the settings. A number stands for the same class for good: one that has changed gets
 // another, one that comes back has the one it had.
-func (c *Core) enlist(set policy.Settings) {
-	table := c.opt.Settings.Classes
-	c.opt.Settings = set
+func (c *Dispatcher) registerClasses(set policy.Settings) {
+	table := c.options.Settings.Classes
+	c.options.Settings = set
 	number := func(k policy.Class) int {
 		i := slices.Index(table, k)
 		if i < 0 {
@@ -262,187 +262,189 @@
 		}
 		return i
 	}
-	clear(c.classes)
+	clear(c.classNumbers)
 	for _, k := range set.Classes {
 		i := number(k)
-		c.classes[k.Name] = i
-		c.countsOf(k.Name) // they show from the start
+		c.classNumbers[k.Name] = i
+		c.countersOf(k.Name) // they show from the start
 		// Without a key nobody drops a repeat: such a request of a keyed class may not run twice at all.
-		if k.Effect == policy.Keyed {
-			k.Effect = policy.Unsafe
+		if k.Idempotency == policy.IdempotentByKey {
+			k.Idempotency = policy.NotIdempotent
 			k.Name += " without a key"
-			c.unkeyed[i] = number(k)
+			c.withoutKey[i] = number(k)
 		}
 	}
-	c.opt.Settings.Classes = table
+	c.options.Settings.Classes = table
 }
 
-// Open tells how many requests are open.
-func (c *Core) Open() int { return len(c.open) }
+// OpenRequests tells how many requests are open.
+func (c *Dispatcher) OpenRequests() int { return len(c.openRequests) }
 
 // Class finds a class by its name.
-func (c *Core) Class(name string) (int, bool) {
-	i, ok := c.classes[name]
+func (c *Dispatcher) Class(name string) (int, bool) {
+	i, ok := c.classNumbers[name]
 	return i, ok
 }
 
 // ClassInfo is what the settings say of a class.
-func (c *Core) ClassInfo(class int) policy.Class { return c.opt.Settings.Classes[class] }
+func (c *Dispatcher) ClassInfo(class int) policy.Class { return c.options.Settings.Classes[class] }
 
 // HasGroup tells whether some list has named a group. Before the first list any may come to be.
-func (c *Core) HasGroup(group int) bool { return len(c.groups) == 0 || c.groups[group] }
+func (c *Dispatcher) HasGroup(group int) bool { return len(c.knownGroups) == 0 || c.knownGroups[group] }
 
 // Submit takes a request in. It is answered through its Reply, once, unless Gone comes first.
-func (c *Core) Submit(r *Request) *Open {
+func (c *Dispatcher) Submit(r *Request) *OpenRequest {
 	now := c.loop.Now()
-	o := &Open{c: c, req: r, counts: c.countsOf(c.opt.Settings.Classes[r.Class].Name),
-		deadline: r.Arrived + r.Patience - replyMargin, live: map[int]*call{}}
-	if c.until > 0 {
-		o.deadline = min(o.deadline, c.until)
+	o := &OpenRequest{dispatcher: c, request: r, counters: c.countersOf(c.options.Settings.Classes[r.Class].Name),
+		deadline: r.ArrivedAt + r.Timeout - replyMargin, inFlight: map[int]*inFlightAttempt{}}
+	if c.deadlineLimit > 0 {
+		o.deadline = min(o.deadline, c.deadlineLimit)
 	}
-	if len(c.open) >= c.opt.MaxOpen || c.noWrites && c.opt.Settings.Classes[r.Class].Need == policy.NeedWrite {
+	if len(c.openRequests) >= c.options.MaxOpen || c.writesRejected && c.options.Settings.Classes[r.Class].Access == policy.Write {
 		o.ended = true
-		o.counts.Refused++
+		o.counters.Rejected++
 		after := time.Duration(0)
-		if c.opt.Settings.RetryAfter {
-			after = c.opt.Settings.MaxRetryAfter
+		if c.options.Settings.RetryAfterSupported {
+			after = c.options.Settings.MaxRetryAfter
 		}
-		c.do(func() { r.Reply.Refuse(after) })
+		c.enqueue(func() { r.Reply.Refuse(after) })
 		return o
 	}
-	if !c.admitted(o, now) {
+	if !c.admit(o, now) {
 		return o
 	}
-	for c.lastID++; c.open[c.lastID] != nil; c.lastID++ {
+	for c.lastRequestID++; c.openRequests[c.lastRequestID] != nil; c.lastRequestID++ {
 	}
-	o.id = c.lastID
-	c.open[o.id] = o
+	o.id = c.lastRequestID
+	c.openRequests[o.id] = o
 	c.pending++
 	class := r.Class
-	if twin, ok := c.unkeyed[class]; ok && !r.Keyed {
+	if twin, ok := c.withoutKey[class]; ok && !r.HasIdempotencyKey {
 		class = twin
 	}
-	in := policy.Request{ID: o.id, Class: class, Group: r.Group, Session: r.Session, Patience: o.deadline - now}
-	if r.After > 0 {
-		in.WroteAgo = max(now-r.After, time.Microsecond)
+	in := policy.Request{ID: o.id, Class: class, Group: r.Group, Session: r.Session, Timeout: o.deadline - now}
+	if r.SessionCommitAt > 0 {
+		in.SinceLastWrite = max(now-r.SessionCommitAt, time.Microsecond)
 	}
-	c.router.Request(now, in)
+	c.router.HandleRequest(now, in)
 	return o
 }
 
-// Gone tells that the client has left.
-func (o *Open) Gone() {
+// ClientDisconnected tells that the client has left.
+func (o *OpenRequest) ClientDisconnected() {
 	if !o.ended {
-		o.close()
-		o.c.router.Gone(o.c.loop.Now(), o.id)
-		o.forget()
+		o.finish()
+		o.dispatcher.router.HandleDisconnect(o.dispatcher.loop.Now(), o.id)
+		o.removeIfSettled()
 	}
 }
 
-// left tells that nobody waits for the answer any more. It looks for the client: its close may not have been taken in yet.
-func (o *Open) left() bool {
-	if !o.ended && o.req.Reply.Left() {
-		o.Gone()
+// clientDisconnected tells that nobody waits for the answer any more. It looks for the client: its close may not have been taken in yet.
+func (o *OpenRequest) clientDisconnected() bool {
+	if !o.ended && o.request.Reply.ClientDisconnected() {
+		o.ClientDisconnected()
 	}
 	return o.ended
 }
 
-// streamed counts a request whose answer was passed on as it came.
-func (o *Open) streamed(how End) {
-	o.c.pending--
+// streamEnded counts a request whose answer was passed on as it came.
+func (o *OpenRequest) streamEnded(how StreamEnd) {
+	o.dispatcher.pending--
 	switch how {
-	case Whole:
-		o.counts.Served++
-		o.tell(Ending{Served: true})
-	case Broken:
-		o.counts.Failed++
-		o.tell(Ending{})
+	case StreamComplete:
+		o.counters.Served++
+		o.notifyGuards(FinalAnswer{Served: true})
+	case StreamBroken:
+		o.counters.Failed++
+		o.notifyGuards(FinalAnswer{})
 	}
 }
 
-func (o *Open) close() {
+func (o *OpenRequest) finish() {
 	o.ended = true
-	o.c.pending--
+	o.dispatcher.pending--
 }
 
-func (o *Open) forget() {
-	if o.ended && len(o.live) == 0 {
-		delete(o.c.open, o.id)
+func (o *OpenRequest) removeIfSettled() {
+	if o.ended && len(o.inFlight) == 0 {
+		delete(o.dispatcher.openRequests, o.id)
 	}
 }
 
-// List hands a list to the module that counts as told now.
-func (c *Core) List(kind policy.ListKind, members []Member) { c.ListTold(kind, members, c.loop.Now()) }
+// ApplyList hands a list to the module that counts as told now.
+func (c *Dispatcher) ApplyList(kind policy.ListKind, members []Member) {
+	c.ApplyListNotifiedAt(kind, members, c.loop.Now())
+}
 
-// ListTold hands a list to the module that may have counted as told to this pooler since a Unix time. As much of a drain's
+// ApplyListNotifiedAt hands a list to the module that may have counted as told to this pooler since a Unix time. As much of a drain's
 // grace has gone by.
-func (c *Core) ListTold(kind policy.ListKind, members []Member, told time.Duration) {
-	c.spare.late(c.loop.Now(), told, c.opt.Settings.DrainGrace)
-	c.router.SendTakes(c.spare.most(c.loop.Now()))
+func (c *Dispatcher) ApplyListNotifiedAt(kind policy.ListKind, members []Member, told time.Duration) {
+	c.drainReserve.observeListDelay(c.loop.Now(), told, c.options.Settings.DrainGracePeriod)
+	c.router.SetSendDuration(c.drainReserve.required(c.loop.Now()))
 	entries := make([]policy.Member, 0, len(members))
 	named := map[uint32]bool{}
 	for _, m := range members {
-		id, ok := c.id(m.Name, m.State)
+		id, ok := c.serverID(m.Name, m.State)
 		if !ok {
 			continue
 		}
 		named[id] = true
-		if m.State == policy.Gone {
-			c.leave(m.Name, id)
+		if m.State == policy.Removed {
+			c.markRemoved(m.Name, id)
 		} else {
 			c.listed[id] = true
-			c.groups[m.Group] = true
-			c.addrs[id] = m.Addr
-			delete(c.gone, id)
-			if c.gate != nil {
-				c.gate.Listed(m.Name, m.Started)
+			c.knownGroups[m.Group] = true
+			c.addresses[id] = m.Addr
+			delete(c.removedAt, id)
+			if c.connectionGate != nil {
+				c.connectionGate.ServerListed(m.Name, m.Started)
 			}
 		}
-		if delete(c.ready, id); m.State == policy.Ready {
-			c.ready[id] = m.Group
+		if delete(c.readyGroups, id); m.State == policy.Ready {
+			c.readyGroups[id] = m.Group
 		}
-		entries = append(entries, policy.Member{Store: id, Zone: m.Zone, Group: m.Group, State: m.State,
-			Primary: m.Primary, Started: m.Started, Weight: m.Weight})
+		entries = append(entries, policy.Member{ID: id, Zone: m.Zone, Group: m.Group, State: m.State,
+			Primary: m.Primary, StartedAt: m.Started, ReadWeight: m.Weight})
 	}
 	if kind == policy.ListFull || kind == policy.ListCached { // what it omits is gone
-		for name, id := range c.names {
+		for name, id := range c.serverIDs {
 			if !named[id] {
-				c.leave(name, id)
+				c.markRemoved(name, id)
 			}
 		}
 	}
-	c.router.List(c.loop.Now(), kind, entries)
+	c.router.HandleList(c.loop.Now(), kind, entries)
 }
 
-// leave notes that a server is gone. It is forgotten later, unless it comes back or an attempt is still out there.
-func (c *Core) leave(name string, id uint32) {
+// markRemoved notes that a server is gone. It is forgotten later, unless it comes back or an attempt is still out there.
+func (c *Dispatcher) markRemoved(name string, id uint32) {
 	delete(c.listed, id)
-	delete(c.ready, id)
-	if _, ok := c.gone[id]; ok || c.opt.Settings.DrainOnly { // there the module may still send to it
+	delete(c.readyGroups, id)
+	if _, ok := c.removedAt[id]; ok || c.options.Settings.IgnoreRemoval { // there the module may still send to it
 		return
 	}
 	since := c.loop.Now()
-	c.gone[id] = since
-	c.loop.After(goneFor, func() { c.forget(name, id, since) })
+	c.removedAt[id] = since
+	c.loop.After(forgetServerAfter, func() { c.forgetServer(name, id, since) })
 }
 
-func (c *Core) forget(name string, id uint32, since time.Duration) {
-	if at, ok := c.gone[id]; !ok || at != since {
+func (c *Dispatcher) forgetServer(name string, id uint32, since time.Duration) {
+	if at, ok := c.removedAt[id]; !ok || at != since {
 		return
 	}
-	delete(c.gone, id)
-	if c.uses(id) {
-		c.leave(name, id)
+	delete(c.removedAt, id)
+	if c.hasAttemptAt(id) {
+		c.markRemoved(name, id)
 		return
 	}
-	delete(c.names, name)
-	delete(c.addrs, id)
+	delete(c.serverIDs, name)
+	delete(c.addresses, id)
 }
 
-func (c *Core) uses(id uint32) bool {
-	for _, o := range c.open {
-		for _, k := range o.live {
-			if k.store == id {
+func (c *Dispatcher) hasAttemptAt(id uint32) bool {
+	for _, o := range c.openRequests {
+		for _, k := range o.inFlight {
+			if k.server == id {
 				return true
 			}
 		}
@@ -450,21 +452,21 @@
 	return false
 }
 
-// id is a server's number. It is made from the name alone, so that all poolers come to the same order.
-func (c *Core) id(name string, state policy.State) (uint32, bool) {
-	if id, ok := c.names[name]; ok {
+// serverID is a server's number. It is made from the name alone, so that all poolers come to the same order.
+func (c *Dispatcher) serverID(name string, state policy.MemberState) (uint32, bool) {
+	if id, ok := c.serverIDs[name]; ok {
 		return id, true
 	}
-	if state == policy.Gone || len(c.names) >= maxKnown {
+	if state == policy.Removed || len(c.serverIDs) >= maxKnownServers {
 		return 0, false
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	id := h.Sum32()
-	for c.addrs[id] != "" {
+	for c.addresses[id] != "" {
 		id++
 	}
-	c.names[name] = id
+	c.serverIDs[name] = id
 	return id, true
 }
 
@@ -472,11 +474,11 @@
 
 // actions notes down what the module asks for. It is carried out after the round of events: the module is never
 // called from within.
-type actions Core
+type actions Dispatcher
 
-func (c *Core) do(f func()) { c.actions = append(c.actions, f) }
+func (c *Dispatcher) enqueue(f func()) { c.actions = append(c.actions, f) }
 
-func (c *Core) carryOut() {
+func (c *Dispatcher) carryOut() {
 	for i := 0; i < len(c.actions); i++ {
 		c.actions[i]()
 		c.actions[i] = nil
@@ -484,76 +486,76 @@
 	c.actions = c.actions[:0]
 }
 
-func (a *actions) core() *Core { return (*Core)(a) }
+func (a *actions) core() *Dispatcher { return (*Dispatcher)(a) }
 
 func (a *actions) Attempt(id, store uint32, timeout time.Duration) {
 	c := a.core()
 	chosen := c.loop.Now()
-	c.do(func() { c.attempt(id, store, timeout, chosen) })
+	c.enqueue(func() { c.attempt(id, store, timeout, chosen) })
 }
 
 func (a *actions) Refuse(id uint32, after time.Duration) {
-	a.core().do(func() {
-		a.core().end(id, func(o *Open) {
-			o.counts.Refused++
-			o.req.Reply.Refuse(after)
-			o.tell(Ending{Refused: true})
+	a.core().enqueue(func() {
+		a.core().endRequest(id, func(o *OpenRequest) {
+			o.counters.Rejected++
+			o.request.Reply.Refuse(after)
+			o.notifyGuards(FinalAnswer{Rejected: true})
 		})
 	})
 }
 
 func (a *actions) Fail(id uint32) {
-	a.core().do(func() {
-		a.core().end(id, func(o *Open) {
-			o.counts.Failed++
-			o.req.Reply.Fail()
-			o.tell(Ending{})
+	a.core().enqueue(func() {
+		a.core().endRequest(id, func(o *OpenRequest) {
+			o.counters.Failed++
+			o.request.Reply.Fail()
+			o.notifyGuards(FinalAnswer{})
 		})
 	})
 }
 
 func (a *actions) Cancel(id uint32, attempt int) {
 	c := a.core()
-	c.do(func() {
-		if o := c.open[id]; o != nil && o.live[attempt] != nil {
-			o.live[attempt].abort()
-			c.loop.Post(func() { o.outcome(attempt, Result{Result: policy.Cancelled}) })
+	c.enqueue(func() {
+		if o := c.openRequests[id]; o != nil && o.inFlight[attempt] != nil {
+			o.inFlight[attempt].abort()
+			c.loop.Post(func() { o.attemptEnded(attempt, AttemptResult{Result: policy.Cancelled}) })
 		}
 	})
 }
 
-func (a *actions) Probe(store uint32) { a.core().do(func() { a.core().probe(store) }) }
+func (a *actions) Probe(store uint32) { a.core().enqueue(func() { a.core().probe(store) }) }
 
 func (a *actions) SetTimer(after time.Duration) {
 	c := a.core()
-	c.loop.After(after, func() { c.router.Timer(c.loop.Now()) })
+	c.loop.After(after, func() { c.router.HandleTimer(c.loop.Now()) })
 }
 
 func (a *actions) CloseIdle(store uint32) {
 	c := a.core()
-	c.do(func() {
-		if addr := c.addrs[store]; addr != "" {
+	c.enqueue(func() {
+		if addr := c.addresses[store]; addr != "" {
 			c.backend.CloseIdle(addr)
 		}
 	})
 }
 
-func (a *actions) Watch()          { a.core().do(a.core().opt.Watch) }
-func (a *actions) Log(text string) { a.core().opt.Log(text) }
+func (a *actions) Watch()          { a.core().enqueue(a.core().options.Watch) }
+func (a *actions) Log(text string) { a.core().options.Log(text) }
 
-func (a *actions) Primary(n policy.News) {
-	if text := n.Text(); text != "" {
+func (a *actions) Primary(n policy.PrimaryEvent) {
+	if text := n.LogText(); text != "" {
 		a.Log(text)
 	}
 	c := a.core()
-	for _, f := range c.primary {
-		c.do(func() { f(n.Kind, n.Group, c.name(n.Store), n.AsOf) })
+	for _, f := range c.primaryObservers {
+		c.enqueue(func() { f(n.Kind, n.Group, c.serverName(n.Server), n.AsOf) })
 	}
 }
 
-// name is what lists call a store. It is asked for rarely.
-func (c *Core) name(store uint32) string {
-	for name, id := range c.names {
+// serverName is what lists call a store. It is asked for rarely.
+func (c *Dispatcher) serverName(store uint32) string {
+	for name, id := range c.serverIDs {
 		if id == store {
 			return name
 		}
@@ -563,145 +565,145 @@
 
 // attempt sends a request to a server. The time-out closes the connection before the module hears of it, so that
 // no second attempt can meet the first. chosen is when the module last said that it may go there.
-func (c *Core) attempt(id, store uint32, timeout, chosen time.Duration) {
-	o := c.open[id]
+func (c *Dispatcher) attempt(id, store uint32, timeout, chosen time.Duration) {
+	o := c.openRequests[id]
 	if o == nil {
 		return
 	}
-	n, now := o.sent, c.loop.Now()
-	o.sent++
+	n, now := o.attemptCount, c.loop.Now()
+	o.attemptCount++
 	at := o.deadline
 	if timeout > 0 {
 		at = min(at, now+timeout)
 	}
-	k := &call{store: store, began: now}
-	o.live[n] = k
-	addr := c.addrs[store]
-	if o.left() || at <= now || addr == "" {
-		c.loop.Post(func() { o.outcome(n, Result{Result: policy.Moot}) })
+	k := &inFlightAttempt{server: store, chosenAt: now}
+	o.inFlight[n] = k
+	addr := c.addresses[store]
+	if o.clientDisconnected() || at <= now || addr == "" {
+		c.loop.Post(func() { o.attemptEnded(n, AttemptResult{Result: policy.NotSent}) })
 		return
 	}
-	switch o.maySend(store) {
-	case Elsewhere:
-		c.loop.Post(func() { o.outcome(n, Result{Result: policy.Full}) })
+	switch o.checkSend(store) {
+	case SendElsewhere:
+		c.loop.Post(func() { o.attemptEnded(n, AttemptResult{Result: policy.Overloaded}) })
 		return
-	case Stop:
+	case RejectRequest:
 		c.loop.Post(func() {
-			o.stopped()
-			o.outcome(n, Result{Result: policy.Moot})
+			o.rejectByGuard()
+			o.attemptEnded(n, AttemptResult{Result: policy.NotSent})
 		})
 		return
 	}
-	k.call = c.backend.Send(addr, o.req.Payload, at-now, Attempt{
-		Fits: func() bool {
-			if o.left() {
-				o.outcome(n, Result{Result: policy.Moot})
+	k.call = c.backend.Send(addr, o.request.Payload, at-now, AttemptCallbacks{
+		StillAllowed: func() bool {
+			if o.clientDisconnected() {
+				o.attemptEnded(n, AttemptResult{Result: policy.NotSent})
 				return false
 			}
-			if !c.router.StillFits(c.loop.Now(), id, n) {
+			if !c.router.MayStillSend(c.loop.Now(), id, n) {
 				return false
 			}
-			o.req.Waited = true
-			sending := o.maySend(store)
-			o.req.Waited = false
+			o.request.WaitedForConnection = true
+			sending := o.checkSend(store)
+			o.request.WaitedForConnection = false
 			switch sending {
-			case Elsewhere:
+			case SendElsewhere:
 				return false
-			case Stop:
-				o.stopped()
+			case RejectRequest:
+				o.rejectByGuard()
 				return false
 			}
 			chosen = c.loop.Now()
 			return true
 		},
 		Sent: func() {
-			o.counts.Attempts++
-			c.spare.sent(c.loop.Now(), chosen)
-			c.router.SendTakes(c.spare.most(c.loop.Now()))
+			o.counters.Attempts++
+			c.drainReserve.observeSend(c.loop.Now(), chosen)
+			c.router.SetSendDuration(c.drainReserve.required(c.loop.Now()))
 		},
-		Done: func(r Result) { o.outcome(n, r) }})
+		Done: func(r AttemptResult) { o.attemptEnded(n, r) }})
 	k.timer = c.loop.At(at, func() {
 		k.abort()
-		o.outcome(n, Result{Result: policy.TimedOut})
+		o.attemptEnded(n, AttemptResult{Result: policy.TimedOut})
 	})
 }
 
-// outcome reports the end of an attempt, once.
-func (o *Open) outcome(n int, r Result) {
-	k := o.live[n]
+// attemptEnded reports the end of an attempt, once.
+func (o *OpenRequest) attemptEnded(n int, r AttemptResult) {
+	k := o.inFlight[n]
 	if k == nil {
 		return
 	}
-	delete(o.live, n)
+	delete(o.inFlight, n)
 	k.timer.Stop()
-	o.ran = o.ran || !r.Result.NeverRan()
-	if o.c.met != nil {
-		o.meets(k, r.Result)
+	o.mayHaveExecuted = o.mayHaveExecuted || !r.Result.NotExecuted()
+	if o.dispatcher.outcomeObserver != nil {
+		o.observeOutcome(k, r.Result)
 	}
 	stream, long := r.Answer.(Stream)
 	switch {
 	case long && o.ended:
-		stream.Drop()
-	case (long || r.Result == policy.OK) && !o.ended && !o.believed():
+		stream.Discard()
+	case (long || r.Result == policy.OK) && !o.ended && !o.answerAccepted():
 		if long {
-			stream.Drop()
+			stream.Discard()
 		}
-		o.close()
-		o.counts.Failed++
-		o.c.do(func() { o.req.Reply.Fail() })
-		o.tell(Ending{})
+		o.finish()
+		o.counters.Failed++
+		o.dispatcher.enqueue(func() { o.request.Reply.Fail() })
+		o.notifyGuards(FinalAnswer{})
 	case long:
 		o.ended = true
-		late := o.c.loop.At(o.deadline, stream.Break)
-		stream.OnEnd(func(how End) {
+		late := o.dispatcher.loop.At(o.deadline, stream.Abort)
+		stream.OnEnd(func(how StreamEnd) {
 			late.Stop()
-			o.streamed(how)
+			o.streamEnded(how)
 		})
-		o.c.do(func() { o.req.Reply.Serve(r.Answer) })
+		o.dispatcher.enqueue(func() { o.request.Reply.Serve(r.Answer) })
 	case r.Result == policy.OK && !o.ended:
-		o.close()
-		o.counts.Served++
-		o.c.do(func() { o.req.Reply.Serve(r.Answer) })
-		if len(o.c.guards) > 0 {
-			o.tell(Ending{Served: true, Answer: r.Answer, Server: o.c.name(k.store)})
+		o.finish()
+		o.counters.Served++
+		o.dispatcher.enqueue(func() { o.request.Reply.Serve(r.Answer) })
+		if len(o.dispatcher.guards) > 0 {
+			o.notifyGuards(FinalAnswer{Served: true, Answer: r.Answer, Server: o.dispatcher.serverName(k.server)})
 		}
 	}
-	o.c.router.Outcome(o.c.loop.Now(), policy.Outcome{ID: o.id, Attempt: n, Store: k.store, Result: r.Result,
-		Closed: o.ended, Role: r.Role, HasPosition: r.HasPosition, Position: r.Position, Report: r.Report})
-	o.forget()
+	o.dispatcher.router.HandleOutcome(o.dispatcher.loop.Now(), policy.Outcome{RequestID: o.id, Attempt: n, Server: k.server, Result: r.Result,
+		Answered: o.ended, Role: r.Role, HasPosition: r.HasPosition, Position: r.Position, Status: r.Report})
+	o.removeIfSettled()
 }
 
-// end gives the module's own final answer, at once.
-func (c *Core) end(id uint32, answer func(*Open)) {
-	if o := c.open[id]; o != nil && !o.ended {
-		o.close()
+// endRequest gives the module's own final answer, at once.
+func (c *Dispatcher) endRequest(id uint32, answer func(*OpenRequest)) {
+	if o := c.openRequests[id]; o != nil && !o.ended {
+		o.finish()
 		answer(o)
-		o.forget()
+		o.removeIfSettled()
 	}
 }
 
-func (c *Core) probe(store uint32) {
-	addr := c.addrs[store]
+func (c *Dispatcher) probe(store uint32) {
+	addr := c.addresses[store]
 	ended := false
 	var timer *Timer
-	done := func(r Result) {
+	done := func(r AttemptResult) {
 		if !ended {
 			ended = true
 			timer.Stop()
-			c.router.ProbeResult(c.loop.Now(), policy.ProbeResult{Store: store, Result: r.Result, Report: r.Report})
+			c.router.HandleProbeResult(c.loop.Now(), policy.ProbeResult{Server: store, Result: r.Result, Status: r.Report})
 		}
 	}
 	if addr == "" {
-		c.loop.Post(func() { done(Result{Result: policy.NoConnect}) })
+		c.loop.Post(func() { done(AttemptResult{Result: policy.ConnectFailed}) })
 		return
 	}
-	if c.gate != nil && !c.gate.MayProbe(c.loop.Now(), c.name(store)) {
-		c.loop.Post(func() { done(Result{Result: policy.Full}) })
+	if c.connectionGate != nil && !c.connectionGate.MayProbe(c.loop.Now(), c.serverName(store)) {
+		c.loop.Post(func() { done(AttemptResult{Result: policy.Overloaded}) })
 		return
 	}
 	call := c.backend.Probe(addr, done)
-	timer = c.loop.After(c.opt.ProbeTimeout+probeSlack, func() {
+	timer = c.loop.After(c.options.ProbeTimeout+probeConnectAllowance, func() {
 		call.Abort()
-		done(Result{Result: policy.TimedOut})
+		done(AttemptResult{Result: policy.TimedOut})
 	})
 }
--- a/internal/dispatch/evidence_test.go
+++ b/internal/dispatch/evidence_test.go
@@ -36,33 +36,36 @@
 		})
 	}
 	r, w := submit(c, b, time.Second)
-	on(func() { w.Done(Result{Result: policy.OK, Answer: "a"}); w.Done(Result{Result: policy.OK}) })
+	on(func() {
+		w.Done(AttemptResult{Result: policy.OK, Answer: "a"})
+		w.Done(AttemptResult{Result: policy.OK})
+	})
 	want("served", fmt.Sprint("s", policy.OK))
 	_, w = submit(c, b, time.Second)
-	on(func() { w.Done(Result{Result: policy.Errored}) })
+	on(func() { w.Done(AttemptResult{Result: policy.ServerError}) })
 	w = <-b.calls // a keyed write goes out again, to the only server
-	on(func() { w.Done(Result{Result: policy.OK, Answer: "a"}) })
+	on(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "a"}) })
 	want("its own error", fmt.Sprint("s", policy.OK))
 	<-r.ended
 	on(func() {
-		o := &Open{c: c, req: &Request{}, erred: []uint32{c.names["s"]}}
-		o.meets(&call{store: 99, began: c.loop.Now()}, policy.OK)
+		o := &OpenRequest{dispatcher: c, request: &Request{}, failedServers: []uint32{c.serverIDs["s"]}}
+		o.observeOutcome(&inFlightAttempt{server: 99, chosenAt: c.loop.Now()}, policy.OK)
 	})
-	want("the server's error", fmt.Sprint("s", policy.Errored))
+	want("the server's error", fmt.Sprint("s", policy.ServerError))
 	on(func() {
-		o := &Open{c: c, req: &Request{}}
-		o.meets(&call{store: c.names["s"], began: c.loop.Now()}, policy.Cancelled)
+		o := &OpenRequest{dispatcher: c, request: &Request{}}
+		o.observeOutcome(&inFlightAttempt{server: c.serverIDs["s"], chosenAt: c.loop.Now()}, policy.Cancelled)
 		o.ended = true
-		o.meets(&call{store: c.names["s"], began: c.loop.Now()}, policy.Cancelled)
-		o.meets(&call{store: c.names["s"], began: c.loop.Now()}, policy.Moot)
+		o.observeOutcome(&inFlightAttempt{server: c.serverIDs["s"], chosenAt: c.loop.Now()}, policy.Cancelled)
+		o.observeOutcome(&inFlightAttempt{server: c.serverIDs["s"], chosenAt: c.loop.Now()}, policy.NotSent)
 	})
 	want("given up", fmt.Sprint("s", policy.Cancelled))
 	on(func() {
-		c.List(policy.ListDelta, []Member{{Name: "t", Addr: "t", Group: 3, State: policy.Ready}, {Name: "s", Addr: "s", State: policy.Draining}})
+		c.ApplyList(policy.ListDelta, []Member{{Name: "t", Addr: "t", Group: 3, State: policy.Ready}, {Name: "s", Addr: "s", State: policy.Draining}})
 		if got := fmt.Sprint(c.ReadyMembers()); got != "map[3:[t]]" {
 			t.Errorf("ready: %s", got)
 		}
-		c.Verdict("t", true)
-		c.Verdict("nobody", true)
+		c.SetEjectedByFleet("t", true)
+		c.SetEjectedByFleet("nobody", true)
 	})
 }
--- a/internal/dispatch/gate_test.go
+++ b/internal/dispatch/gate_test.go
@@ -15,13 +15,13 @@
 	waited  []bool
 }
 
-func (g *gatekeeper) Listed(server string, started time.Duration) { g.started[server] = started }
+func (g *gatekeeper) ServerListed(server string, started time.Duration) { g.started[server] = started }
 func (g *gatekeeper) MayDial(time.Duration, string) (time.Duration, bool) {
 	return time.Second, false
 }
 func (g *gatekeeper) MayProbe(time.Duration, string) bool { g.probes++; return false }
-func (g *gatekeeper) MaySend(now time.Duration, r *Request, server string) Sending {
-	g.waited = append(g.waited, r.Waited)
+func (g *gatekeeper) MaySend(now time.Duration, r *Request, server string) SendDecision {
+	g.waited = append(g.waited, r.WaitedForConnection)
 	return g.script.MaySend(now, r, server)
 }
 
@@ -33,9 +33,9 @@
 	done := make(chan struct{})
 	c.loop.Post(func() {
 		defer close(done)
-		c.Guard(g)
-		c.Gate(g)
-		c.List(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Ready, Started: 7 * time.Second}})
+		c.AddGuard(g)
+		c.SetConnectionGate(g)
+		c.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Ready, Started: 7 * time.Second}})
 		if g.started["s"] != 7*time.Second {
 			t.Errorf("told of starts: %v", g.started)
 		}
@@ -46,7 +46,7 @@
 			t.Error("no leave for an address that no list names")
 		}
 		before := len(b.calls)
-		c.probe(c.names["s"])
+		c.probe(c.serverIDs["s"])
 		if g.probes == 0 || len(b.calls) != before {
 			t.Errorf("%d probes asked for", g.probes)
 		}
@@ -55,7 +55,7 @@
 	_, w := submit(c, b, time.Second)
 	asked := make(chan []bool)
 	c.loop.Post(func() {
-		w.Fits()
+		w.StillAllowed()
 		asked <- g.waited
 	})
 	if got := <-asked; len(got) != 2 || got[0] || !got[1] {
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -10,39 +10,41 @@
 // script is a guard that says what a test has set, and notes what it is told.
 type script struct {
 	admission Admission
-	sending   Sending
-	ended     []Ending
+	sending   SendDecision
+	ended     []FinalAnswer
 }
 
-func (s *script) Admit(time.Duration, *Request) Admission         { return s.admission }
-func (s *script) MaySend(time.Duration, *Request, string) Sending { return s.sending }
-func (s *script) Ended(_ time.Duration, _ *Request, e Ending)     { s.ended = append(s.ended, e) }
-func guarded(t *testing.T, s *script) (*Core, *backend, reply, func(func())) {
+func (s *script) Admit(time.Duration, *Request) Admission              { return s.admission }
+func (s *script) MaySend(time.Duration, *Request, string) SendDecision { return s.sending }
+func (s *script) RequestEnded(_ time.Duration, _ *Request, e FinalAnswer) {
+	s.ended = append(s.ended, e)
+}
+func guarded(t *testing.T, s *script) (*Dispatcher, *backend, reply, func(func())) {
 	c, b := start(t)
 	on := func(f func()) {
 		done := make(chan struct{})
 		c.loop.Post(func() { f(); close(done) })
 		<-done
 	}
-	on(func() { c.Guard(s) })
+	on(func() { c.AddGuard(s) })
 	return c, b, reply{make(chan string, 2)}, on
 }
 
-func (r reply) submit(c *Core) func() {
+func (r reply) submit(c *Dispatcher) func() {
 	return func() {
-		c.Submit(&Request{Keyed: true, Arrived: c.loop.Now(), Patience: 400 * time.Millisecond, Reply: r})
+		c.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: c.loop.Now(), Timeout: 400 * time.Millisecond, Reply: r})
 	}
 }
 
 // What a guard answers or refuses must not reach the module, nor a server.
 func TestGuardAdmits(t *testing.T) {
-	for want, a := range map[string]Admission{"served": {Answer: "kept"}, "refused": {Refuse: true, After: time.Second}} {
+	for want, a := range map[string]Admission{"served": {Answer: "kept"}, "refused": {Reject: true, RetryAfter: time.Second}} {
 		c, b, r, on := guarded(t, &script{admission: a})
 		on(r.submit(c))
 		end := <-r.ended
 		on(func() {
-			if end != want || c.Open() != 0 || len(b.calls) != 0 {
-				t.Errorf("%+v: %s, %d open, %d attempts", a, end, c.Open(), len(b.calls))
+			if end != want || c.OpenRequests() != 0 || len(b.calls) != 0 {
+				t.Errorf("%+v: %s, %d open, %d attempts", a, end, c.OpenRequests(), len(b.calls))
 			}
 		})
 	}
@@ -50,7 +52,7 @@
 
 // A request that a guard stops before it is sent is refused; one that may have run by then is failed; each once.
 func TestGuardStops(t *testing.T) {
-	s := &script{sending: Stop}
+	s := &script{sending: RejectRequest}
 	c, b, r, on := guarded(t, s)
 	on(r.submit(c))
 	if end := <-r.ended; end != "refused" || len(b.calls) != 0 {
@@ -60,15 +62,15 @@
 	on(r.submit(c))
 	w := <-b.calls
 	on(func() {
-		s.sending = Stop
-		w.Done(Result{Result: policy.Errored}) // a keyed write goes out again
+		s.sending = RejectRequest
+		w.Done(AttemptResult{Result: policy.ServerError}) // a keyed write goes out again
 	})
 	if end := <-r.ended; end != "failed" {
 		t.Errorf("behind an attempt that may have run: %s", end)
 	}
 	on(func() {
-		if len(s.ended) != 2 || !s.ended[0].Refused || s.ended[1].Refused || s.ended[1].Served || c.Open() != 0 {
-			t.Errorf("the guard heard of %+v; %d open", s.ended, c.Open())
+		if len(s.ended) != 2 || !s.ended[0].Rejected || s.ended[1].Rejected || s.ended[1].Served || c.OpenRequests() != 0 {
+			t.Errorf("the guard heard of %+v; %d open", s.ended, c.OpenRequests())
 		}
 	})
 	if len(r.ended) > 0 {
@@ -83,16 +85,16 @@
 	on(r.submit(c))
 	w := <-b.calls
 	on(func() {
-		s.sending = Stop
-		if w.Fits() {
+		s.sending = RejectRequest
+		if w.StillAllowed() {
 			t.Error("it is still sent")
 		}
-		w.Done(Result{Result: policy.Missed})
+		w.Done(AttemptResult{Result: policy.Misdirected})
 	})
 	end := <-r.ended
 	on(func() {
-		if end != "refused" || c.Open() != 0 {
-			t.Errorf("%s, %d open", end, c.Open())
+		if end != "refused" || c.OpenRequests() != 0 {
+			t.Errorf("%s, %d open", end, c.OpenRequests())
 		}
 	})
 }
@@ -100,20 +102,20 @@
 // doubter is a guard that believes no answer.
 type doubter struct{ script }
 
-func (*doubter) Counts(time.Duration, *Request) bool { return false }
+func (*doubter) AcceptAnswer(time.Duration, *Request) bool { return false }
 
 // An answer that a guard holds to be too late is not served: the request has failed, once, and is not sent again.
 func TestGuardDoubtsAnAnswer(t *testing.T) {
 	c, b, r, on := guarded(t, &script{})
 	d := &doubter{}
-	on(func() { c.Guard(d) })
+	on(func() { c.AddGuard(d) })
 	on(r.submit(c))
 	w := <-b.calls
-	on(func() { w.Done(Result{Result: policy.OK, Answer: "too late"}) })
+	on(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "too late"}) })
 	end := <-r.ended
 	on(func() {
-		if end != "failed" || c.Open() != 0 || len(b.calls) != 0 || len(d.ended) != 1 || d.ended[0].Served {
-			t.Errorf("%s, %d open, %d further attempts; the guard heard of %+v", end, c.Open(), len(b.calls), d.ended)
+		if end != "failed" || c.OpenRequests() != 0 || len(b.calls) != 0 || len(d.ended) != 1 || d.ended[0].Served {
+			t.Errorf("%s, %d open, %d further attempts; the guard heard of %+v", end, c.OpenRequests(), len(b.calls), d.ended)
 		}
 	})
 	if len(r.ended) > 0 {
--- a/internal/dispatch/spare.go
+++ b/internal/dispatch/spare.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// sendsFor is how long a send is remembered at the least, and twice that at the most: a machine that was too busy a moment
+// sendMemory is how long a send is remembered at the least, and twice that at the most: a machine that was too busy a moment
 // ago may be so again.
-const sendsFor = 5 * time.Second
+const sendMemory = 5 * time.Second
 
-// spare is how much of a drain's grace has to stay unused: the longest time that a send has lately taken from its choice to
+// drainReserve is how much of a drain's grace has to stay unused: the longest time that a send has lately taken from its choice to
 // its last byte, or, for the length of a grace, how late a list was heard. Its times are Unix times on the loop's clock. It
 // belongs to the loop.
-type spare struct {
-	now, before time.Duration // the longest of this span and of the one before
-	turn        time.Duration // the end of this span
-	heard       time.Duration // how late a list was heard
-	until       time.Duration // to which that counts
+type drainReserve struct {
+	longestNow, longestBefore time.Duration // the longest of this span and of the one before
+	spanEnd                   time.Duration // the end of this span
+	listDelay                 time.Duration // how late a list was heard
+	listDelayUntil            time.Duration // to which that counts
 }
 
-// sent takes in that the last byte of a request has gone out at now, whose server was chosen at chosen.
-func (s *spare) sent(now, chosen time.Duration) {
-	s.roll(now)
-	s.now = max(s.now, now-chosen)
+// observeSend takes in that the last byte of a request has gone out at now, whose server was chosen at chosen.
+func (s *drainReserve) observeSend(now, chosen time.Duration) {
+	s.rotate(now)
+	s.longestNow = max(s.longestNow, now-chosen)
 }
 
-// late takes in a list that may have counted as told since told, where a drain has a grace.
-func (s *spare) late(now, told, grace time.Duration) {
-	if now >= s.until || now-told >= s.heard {
-		s.heard, s.until = now-told, now+grace
+// observeListDelay takes in a list that may have counted as told since told, where a drain has a grace.
+func (s *drainReserve) observeListDelay(now, told, grace time.Duration) {
+	if now >= s.listDelayUntil || now-told >= s.listDelay {
+		s.listDelay, s.listDelayUntil = now-told, now+grace
 	}
 }
 
-// most is what has to stay unused now.
-func (s *spare) most(now time.Duration) time.Duration {
-	s.roll(now)
-	d := max(s.now, s.before)
-	if now < s.until {
-		d = max(d, s.heard)
+// required is what has to stay unused now.
+func (s *drainReserve) required(now time.Duration) time.Duration {
+	s.rotate(now)
+	d := max(s.longestNow, s.longestBefore)
+	if now < s.listDelayUntil {
+		d = max(d, s.listDelay)
 	}
 	return d
 }
 
-func (s *spare) roll(now time.Duration) {
-	if now < s.turn {
+func (s *drainReserve) rotate(now time.Duration) {
+	if now < s.spanEnd {
 		return
 	}
-	s.before = s.now
-	if now >= s.turn+sendsFor {
-		s.before = 0
+	s.longestBefore = s.longestNow
+	if now >= s.spanEnd+sendMemory {
+		s.longestBefore = 0
 	}
-	s.now, s.turn = 0, now+sendsFor
+	s.longestNow, s.spanEnd = 0, now+sendMemory
 }
--- a/internal/dispatch/spare_test.go
+++ b/internal/dispatch/spare_test.go
@@ -11,16 +11,16 @@
 func TestSpare(t *testing.T) {
 	const ms, grace = time.Millisecond, 250 * time.Millisecond
 	now := 1000 * time.Second
-	var s spare
+	var s drainReserve
 	for _, step := range []struct {
 		after, send, late, want time.Duration
 	}{
 		{send: 3 * ms, want: 3 * ms},
 		{send: 80 * ms, want: 80 * ms},
 		{send: ms, want: 80 * ms},
-		{after: sendsFor, send: 5 * ms, want: 80 * ms},
-		{after: sendsFor, want: 5 * ms},
-		{after: 2 * sendsFor, want: 0},
+		{after: sendMemory, send: 5 * ms, want: 80 * ms},
+		{after: sendMemory, want: 5 * ms},
+		{after: 2 * sendMemory, want: 0},
 		{late: 40 * ms, want: 40 * ms},
 		{after: grace / 2, late: 10 * ms, want: 40 * ms},
 		{after: grace / 2, late: 10 * ms, want: 10 * ms},
@@ -28,23 +28,23 @@
 	} {
 		now += step.after
 		if step.send > 0 {
-			s.sent(now, now-step.send)
+			s.observeSend(now, now-step.send)
 		}
 		if step.late > 0 {
-			s.late(now, now-step.late, grace)
+			s.observeListDelay(now, now-step.late, grace)
 		}
-		if got := s.most(now); got != step.want {
+		if got := s.required(now); got != step.want {
 			t.Errorf("after %+v %v is kept", step, got)
 		}
 	}
 }
 
 // drained tells whether an attempt that waits for its connection still fits right after its server was listed as draining.
-func drained(c *Core, w *waiting, late time.Duration) bool {
+func drained(c *Dispatcher, w *waiting, late time.Duration) bool {
 	fits := make(chan bool)
 	c.loop.Post(func() {
-		c.ListTold(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}, c.loop.Now()-late)
-		fits <- w.Fits()
+		c.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}, c.loop.Now()-late)
+		fits <- w.StillAllowed()
 	})
 	return <-fits
 }
@@ -63,10 +63,10 @@
 		t.Run(name, func(t *testing.T) {
 			core, b := start(t)
 			if c.want { // however late this machine is
-				set := core.opt.Settings
-				set.DrainGrace = time.Minute
+				set := core.options.Settings
+				set.DrainGracePeriod = time.Minute
 				retuned := make(chan error)
-				core.loop.Post(func() { retuned <- core.Retune(set, core.opt.MaxOpen, core.opt.ProbeTimeout) })
+				core.loop.Post(func() { retuned <- core.Retune(set, core.options.MaxOpen, core.options.ProbeTimeout) })
 				if err := <-retuned; err != nil {
 					t.Fatal(err)
 				}
--- a/internal/fleet/audit/audit_test.go
+++ b/internal/fleet/audit/audit_test.go
@@ -14,7 +14,7 @@
 )
 
 func record(i int) Record {
-	return Record{At: int64(i), Instance: "n1", Build: "b", Config: "c", Revision: uint64(i), Act: ListTaken, Server: strings.Repeat("s", i%7)}
+	return Record{At: int64(i), Instance: "n1", Build: "b", Config: "c", Revision: uint64(i), Act: ListApplied, Server: strings.Repeat("s", i%7)}
 }
 
 // A journal cut at any byte is opened again, loses the torn record alone, and goes on; nothing torn is ever read.
@@ -202,16 +202,16 @@
 		}
 		return r
 	}
-	list := func(token, seq uint64) func(*Record) { return func(r *Record) { r.Token, r.Seq = token, seq } }
+	list := func(token, seq uint64) func(*Record) { return func(r *Record) { r.Token, r.Sequence = token, seq } }
 	primary := func(server string) func(*Record) { return func(r *Record) { r.Group, r.Server = 2, server } }
 	config := func(digest string) func(*Record) { return func(r *Record) { r.Config = digest } }
 	rep := Merge([]Record{
 		// Journals come one after the other, not by time.
-		act(0, "a", Started, nil), act(1, "a", HandedOn, list(5, 1)), act(10, "a", HandedOn, list(5, 2)), act(11, "a", PrimaryTaken, primary("p")),
-		act(20, "a", ConfigTaken, config("c2")), act(30, "a", HandedOn, list(5, 3)), act(40, "a", Ended, config("c2")),
-		act(0, "b", Started, nil), act(2, "b", ListTaken, list(5, 1)), act(12, "b", ListTaken, list(5, 2)), act(12, "b", PrimaryTaken, primary("q")),
-		act(15, "b", PrimaryTaken, primary("p")), act(22, "b", ConfigTaken, config("c2")), act(25, "b", LeaseHeld, list(9, 0)), act(26, "b", HandedOn, list(9, 1)),
-		act(0, "c", Started, nil), act(2, "c", ListTaken, list(5, 1)), act(28, "c", ListTaken, list(9, 1)), act(50, "c", Refused, list(5, 3)),
+		act(0, "a", Started, nil), act(1, "a", ListAnnounced, list(5, 1)), act(10, "a", ListAnnounced, list(5, 2)), act(11, "a", PrimaryAdopted, primary("p")),
+		act(20, "a", ConfigApplied, config("c2")), act(30, "a", ListAnnounced, list(5, 3)), act(40, "a", Ended, config("c2")),
+		act(0, "b", Started, nil), act(2, "b", ListApplied, list(5, 1)), act(12, "b", ListApplied, list(5, 2)), act(12, "b", PrimaryAdopted, primary("q")),
+		act(15, "b", PrimaryAdopted, primary("p")), act(22, "b", ConfigApplied, config("c2")), act(25, "b", LeaseHeld, list(9, 0)), act(26, "b", ListAnnounced, list(9, 1)),
+		act(0, "c", Started, nil), act(2, "c", ListApplied, list(5, 1)), act(28, "c", ListApplied, list(9, 1)), act(50, "c", Refused, list(5, 3)),
 	}, Limits{Grace: 5 * time.Second})
 	want := []Straggler{
 		{"c", "list", 10 * s, 28 * s, "5.1", "5.2"},
@@ -225,14 +225,14 @@
 	if len(rep.OldTokens) != 1 || rep.OldTokens[0].Record.At != 30*s || rep.OldTokens[0].Newer.Token != 9 {
 		t.Errorf("old tokens: %+v", rep.OldTokens)
 	}
-	if d := cmp.Diff([]Disagreement{{Group: 2, A: "a", B: "b", Of: "p", As: "q", From: 12 * s, To: 15 * s}}, rep.Disagreements); d != "" {
+	if d := cmp.Diff([]Disagreement{{Group: 2, InstanceA: "a", InstanceB: "b", PrimaryA: "p", PrimaryB: "q", From: 12 * s, To: 15 * s}}, rep.Disagreements); d != "" {
 		t.Error(d)
 	}
 	killed := Merge([]Record{act(0, "a/1", Started, nil), act(1, "b/1", Started, nil), act(5, "a/2", Started, nil)}, Limits{})
-	if last := killed.Moments[len(killed.Moments)-1]; last.Poolers != 2 {
+	if last := killed.VersionCounts[len(killed.VersionCounts)-1]; last.Poolers != 2 {
 		t.Errorf("%d poolers after one was killed and started again, want 2", last.Poolers)
 	}
-	if n := len(rep.Moments); n == 0 || rep.Moments[n-1].Poolers != 2 || rep.Moments[2].Poolers != 3 {
-		t.Errorf("moments: %+v", rep.Moments)
+	if n := len(rep.VersionCounts); n == 0 || rep.VersionCounts[n-1].Poolers != 2 || rep.VersionCounts[2].Poolers != 3 {
+		t.Errorf("moments: %+v", rep.VersionCounts)
 	}
 }
--- a/internal/fleet/audit/journal.go
+++ b/internal/fleet/audit/journal.go
@@ -10,12 +10,12 @@
 // Journal is a pooler's journal on disk. It is not safe for use by several goroutines. What holds: a write that fails leaves no
 // part of its record, and the next one is tried on its own, whatever had failed.
 type Journal struct {
-	path string
-	most int64    // bytes of one file
-	keep int      // older files kept beside it: path.1 is the youngest
-	file *os.File // nil: it could not be opened after it was put aside
-	size int64
-	torn bool // half a record is behind size, and could not be cut off
+	path      string
+	maxBytes  int64    // bytes of one file
+	keptFiles int      // older files kept beside it: path.1 is the youngest
+	file      *os.File // nil: it could not be opened after it was put aside
+	size      int64
+	torn      bool // half a record is behind size, and could not be cut off
 }
 
 // Open opens a journal for writing, or makes it. A torn tail is cut; cut tells how many bytes that was. A file that is no
@@ -45,7 +45,7 @@
 		_ = file.Close()
 		return nil, 0, err
 	}
-	return &Journal{path: path, most: most, keep: keep, file: file, size: whole}, int64(len(text)) - whole, nil
+	return &Journal{path: path, maxBytes: most, keptFiles: keep, file: file, size: whole}, int64(len(text)) - whole, nil
 }
 
 // Write appends a record with one system call, so that a crash of the process leaves it whole or not at all; a crash of the
@@ -55,25 +55,25 @@
 	if err != nil {
 		return err
 	}
-	if j.size > 0 && j.size+int64(len(b)) > j.most {
+	if j.size > 0 && j.size+int64(len(b)) > j.maxBytes {
 		if err := j.rotate(); err != nil {
 			return err
 		}
 	}
-	if err := j.ready(); err != nil {
+	if err := j.prepare(); err != nil {
 		return err
 	}
 	n, err := j.file.Write(b)
 	if err != nil && n > 0 { // a full disk: no half record stays
 		j.torn = true
-		return errors.Join(err, j.ready())
+		return errors.Join(err, j.prepare())
 	}
 	j.size += int64(n)
 	return err
 }
 
-// ready has the file open and ending behind its last whole record.
-func (j *Journal) ready() (err error) {
+// prepare has the file open and ending behind its last whole record.
+func (j *Journal) prepare() (err error) {
 	if j.file == nil {
 		if j.file, err = os.OpenFile(j.path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600); err != nil {
 			j.file = nil
@@ -95,7 +95,7 @@
 
 // rotate puts the file aside. Where that fails the act is not written, and the next one tries again.
 func (j *Journal) rotate() error {
-	for i := j.keep; i > 0; i-- {
+	for i := j.keptFiles; i > 0; i-- {
 		from := j.path
 		if i > 1 {
 			from = fmt.Sprintf("%s.%d", j.path, i-1)
--- a/internal/fleet/audit/merge.go
+++ b/internal/fleet/audit/merge.go
@@ -20,27 +20,27 @@
 	Build    string
 	Config   string
 	Token    uint64 // of the list, where it was handed on
-	Seq      uint64
+	Sequence uint64
 	Revision uint64
 }
 
-// Moment is how many live poolers acted on each version from a time on.
-type Moment struct {
+// VersionCounts is how many live poolers acted on each version from a time on.
+type VersionCounts struct {
 	At      int64                     `json:"At"`
 	Builds  map[string]int            `json:"Builds"`
 	Configs map[string]int            `json:"Configs"`
-	Handed  map[uint64]map[uint64]int `json:"Handed"` // poolers by the token and number of their list; 0, 0: of an own call
+	Lists   map[uint64]map[uint64]int `json:"Handed"` // poolers by the token and number of their list; 0, 0: of an own call
 	Poolers int                       `json:"Poolers"`
 }
 
 // Straggler is a pooler that acted on an older version than the fleet's newest for longer than the grace.
 type Straggler struct {
-	Instance string `json:"Instance"`
-	What     string `json:"What"` // "list" or "config"
-	From     int64  `json:"From"` // from when the newer version was first taken anywhere until this pooler took it; To 0: never
-	To       int64  `json:"To"`
-	Has      string `json:"Has"`
-	Wants    string `json:"Wants"`
+	Instance     string `json:"Instance"`
+	Subject      string `json:"What"` // "list" or "config"
+	From         int64  `json:"From"` // from when the newer version was first taken anywhere until this pooler took it; To 0: never
+	To           int64  `json:"To"`
+	HasVersion   string `json:"Has"`
+	WantsVersion string `json:"Wants"`
 }
 
 // OldToken is an act of a lease after another pooler had acted by a newer one.
@@ -51,22 +51,22 @@
 
 // Disagreement is a time in which two poolers had different primaries of a group.
 type Disagreement struct {
-	Group int    `json:"Group"`
-	A     string `json:"A"` // instances
-	B     string `json:"B"`
-	Of    string `json:"Of"` // their primaries
-	As    string `json:"As"`
-	From  int64  `json:"From"` // To 0: until the end
-	To    int64  `json:"To"`
+	Group     int    `json:"Group"`
+	InstanceA string `json:"A"` // instances
+	InstanceB string `json:"B"`
+	PrimaryA  string `json:"Of"` // their primaries
+	PrimaryB  string `json:"As"`
+	From      int64  `json:"From"` // To 0: until the end
+	To        int64  `json:"To"`
 }
 
 // Report is what the journals of a fleet say together.
 type Report struct {
-	Records       []Record       `json:"Records"` // of all, by time
-	Moments       []Moment       `json:"Moments"` // each time something changes
-	Stragglers    []Straggler    `json:"Stragglers"`
-	OldTokens     []OldToken     `json:"OldTokens"`
-	Disagreements []Disagreement `json:"Disagreements"`
+	Records       []Record        `json:"Records"` // of all, by time
+	VersionCounts []VersionCounts `json:"Moments"` // each time something changes
+	Stragglers    []Straggler     `json:"Stragglers"`
+	OldTokens     []OldToken      `json:"OldTokens"`
+	Disagreements []Disagreement  `json:"Disagreements"`
 }
 
 // Merge puts records of many journals on one timeline, by the poolers' clocks, and finds what they say together.
@@ -76,26 +76,26 @@
 		return cmp.Or(cmp.Compare(a.At, b.At), strings.Compare(a.Instance, b.Instance))
 	})
 	rep := Report{Records: all}
-	rep.moments()
-	rep.stragglers(limits.Grace)
-	rep.tokens()
-	rep.disagreements()
+	rep.countVersions()
+	rep.findStragglers(limits.Grace)
+	rep.findOldTokens()
+	rep.findDisagreements()
 	return rep
 }
 
-// moments counts versions over time.
-func (rep *Report) moments() {
+// countVersions counts versions over time.
+func (rep *Report) countVersions() {
 	now := map[string]Version{}
 	for _, r := range rep.Records {
 		v, had := now[r.Instance]
-		next := Version{Build: r.Build, Config: r.Config, Token: v.Token, Seq: v.Seq, Revision: r.Revision}
+		next := Version{Build: r.Build, Config: r.Config, Token: v.Token, Sequence: v.Sequence, Revision: r.Revision}
 		switch r.Act {
 		case Ended:
 			delete(now, r.Instance)
 		case Started: // the one of that name before it was killed
-			maps.DeleteFunc(now, func(other string, _ Version) bool { return name(other) == name(r.Instance) })
-		case ListTaken, HandedOn:
-			next.Token, next.Seq = r.Token, r.Seq
+			maps.DeleteFunc(now, func(other string, _ Version) bool { return poolerName(other) == poolerName(r.Instance) })
+		case ListApplied, ListAnnounced:
+			next.Token, next.Sequence = r.Token, r.Sequence
 		}
 		if r.Act != Ended {
 			if had && next == v {
@@ -103,84 +103,84 @@
 			}
 			now[r.Instance] = next
 		}
-		m := Moment{At: r.At, Builds: map[string]int{}, Configs: map[string]int{}, Handed: map[uint64]map[uint64]int{}, Poolers: len(now)}
+		m := VersionCounts{At: r.At, Builds: map[string]int{}, Configs: map[string]int{}, Lists: map[uint64]map[uint64]int{}, Poolers: len(now)}
 		for _, v := range now {
 			m.Builds[v.Build]++
 			m.Configs[v.Config]++
-			if m.Handed[v.Token] == nil {
-				m.Handed[v.Token] = map[uint64]int{}
+			if m.Lists[v.Token] == nil {
+				m.Lists[v.Token] = map[uint64]int{}
 			}
-			m.Handed[v.Token][v.Seq]++
+			m.Lists[v.Token][v.Sequence]++
 		}
-		rep.Moments = append(rep.Moments, m)
+		rep.VersionCounts = append(rep.VersionCounts, m)
 	}
 }
 
-// took is when a version was taken first by anybody, and by each.
-type took struct {
-	name  string
-	order Version // of a list: its token and number
-	first int64
-	by    map[string]int64
+// adoption is when a version was taken first by anybody, and by each.
+type adoption struct {
+	name       string
+	order      Version // of a list: its token and number
+	firstAt    int64
+	byInstance map[string]int64
 }
 
-// stragglers finds who took a list or a configuration late or never while it lived. Lists are ordered by token and number;
+// findStragglers finds who took a list or a configuration late or never while it lived. Lists are ordered by token and number;
 // configurations by when they were first taken, as a digest has no order.
-func (rep *Report) stragglers(grace time.Duration) {
-	lives := rep.lives()
-	var lists, configs []*took
-	note := func(to *[]*took, name string, r Record) {
-		i := slices.IndexFunc(*to, func(t *took) bool { return t.name == name })
+func (rep *Report) findStragglers(grace time.Duration) {
+	lives := rep.lifetimes()
+	var lists, configs []*adoption
+	note := func(to *[]*adoption, name string, r Record) {
+		i := slices.IndexFunc(*to, func(t *adoption) bool { return t.name == name })
 		if i < 0 {
-			*to = append(*to, &took{name, Version{Token: r.Token, Seq: r.Seq}, r.At, map[string]int64{}})
+			*to = append(*to, &adoption{name, Version{Token: r.Token, Sequence: r.Sequence}, r.At, map[string]int64{}})
 			i = len(*to) - 1
 		}
-		if _, ok := (*to)[i].by[r.Instance]; !ok {
-			(*to)[i].by[r.Instance] = r.At
+		if _, ok := (*to)[i].byInstance[r.Instance]; !ok {
+			(*to)[i].byInstance[r.Instance] = r.At
 		}
 	}
 	for _, r := range rep.Records {
 		switch {
-		case (r.Act == ListTaken || r.Act == HandedOn) && r.Token > 0:
-			note(&lists, listName(r.Token, r.Seq), r)
-		case r.Act == Started || r.Act == ConfigTaken:
+		case (r.Act == ListApplied || r.Act == ListAnnounced) && r.Token > 0:
+			note(&lists, listName(r.Token, r.Sequence), r)
+		case r.Act == Started || r.Act == ConfigApplied:
 			note(&configs, r.Config, r)
 		}
 	}
-	slices.SortFunc(lists, func(a, b *took) int {
-		return cmp.Or(cmp.Compare(a.order.Token, b.order.Token), cmp.Compare(a.order.Seq, b.order.Seq))
+	slices.SortFunc(lists, func(a, b *adoption) int {
+		return cmp.Or(cmp.Compare(a.order.Token, b.order.Token), cmp.Compare(a.order.Sequence, b.order.Sequence))
 	})
-	for what, versions := range map[string][]*took{"list": lists, "config": configs} {
+	for what, versions := range map[string][]*adoption{"list": lists, "config": configs} {
 		for i, v := range versions {
 			for instance, life := range lives {
-				if i == 0 || life.from > v.first+int64(grace) { // the first of all has nobody behind it
+				if i == 0 || life.from > v.firstAt+int64(grace) { // the first of all has nobody behind it
 					continue
 				}
-				at, caught := v.by[instance], false
+				at, caught := v.byInstance[instance], false
 				for _, later := range versions[i:] { // a still newer one will do
-					if t, ok := later.by[instance]; ok && (!caught || t < at) {
+					if t, ok := later.byInstance[instance]; ok && (!caught || t < at) {
 						at, caught = t, true
 					}
 				}
 				switch {
-				case caught && at > v.first+int64(grace):
-					rep.Stragglers = append(rep.Stragglers, Straggler{instance, what, v.first, at, versions[i-1].name, v.name})
-				case !caught && life.to > v.first+int64(grace):
-					rep.Stragglers = append(rep.Stragglers, Straggler{instance, what, v.first, 0, versions[i-1].name, v.name})
+				case caught && at > v.firstAt+int64(grace):
+					rep.Stragglers = append(rep.Stragglers, Straggler{instance, what, v.firstAt, at, versions[i-1].name, v.name})
+				case !caught && life.to > v.firstAt+int64(grace):
+					rep.Stragglers = append(rep.Stragglers, Straggler{instance, what, v.firstAt, 0, versions[i-1].name, v.name})
 				}
 			}
 		}
 	}
 	slices.SortFunc(rep.Stragglers, func(a, b Straggler) int {
-		return cmp.Or(cmp.Compare(a.From, b.From), strings.Compare(a.Instance, b.Instance), strings.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(a.From, b.From), strings.Compare(a.Instance, b.Instance), strings.Compare(a.Subject, b.Subject))
 	})
 }
 
-// life is from a pooler's first record to its last; Ended or not, nothing is known of it outside.
-type life struct{ from, to int64 }
+// lifetime is from a pooler's first record to its last; Ended or not, nothing is known of it outside.
+type lifetime struct{ from, to int64 }
 
-func (rep *Report) lives() map[string]life {
-	out := map[string]life{}
+func (rep *Report) lifetimes() map[string]lifetime {
+	out := map[string]lifetime{}
 	for _, r := range rep.Records {
 		l, ok := out[r.Instance]
 		if !ok {
@@ -192,13 +192,13 @@
 	return out
 }
 
-// tokens finds acts by a token older than one that had been acted on.
-func (rep *Report) tokens() {
+// findOldTokens finds acts by a token older than one that had been acted on.
+func (rep *Report) findOldTokens() {
 	var newest Record
 	for _, r := range rep.Records {
 		switch {
-		case r.Act != HandedOn && r.Act != LeaseHeld:
-		case r.Act == HandedOn && r.Token < newest.Token:
+		case r.Act != ListAnnounced && r.Act != LeaseHeld:
+		case r.Act == ListAnnounced && r.Token < newest.Token:
 			rep.OldTokens = append(rep.OldTokens, OldToken{r, newest})
 		case r.Token > newest.Token:
 			newest = r
@@ -206,8 +206,8 @@
 	}
 }
 
-// disagreements finds the times in which two poolers had different primaries of a group.
-func (rep *Report) disagreements() {
+// findDisagreements finds the times in which two poolers had different primaries of a group.
+func (rep *Report) findDisagreements() {
 	type key struct {
 		group int
 		a, b  string
@@ -222,32 +222,32 @@
 			k := key{group, min(instance, other), max(instance, other)}
 			mine, has := primary[group][instance]
 			i, is := open[k]
-			if differ := has && mine != theirs; is && (!differ || primary[group][k.a] != rep.Disagreements[i].Of || primary[group][k.b] != rep.Disagreements[i].As) {
+			if differ := has && mine != theirs; is && (!differ || primary[group][k.a] != rep.Disagreements[i].PrimaryA || primary[group][k.b] != rep.Disagreements[i].PrimaryB) {
 				rep.Disagreements[i].To = at
 				delete(open, k)
 				is = false
 			}
 			if has && mine != theirs && !is {
 				open[k] = len(rep.Disagreements)
-				rep.Disagreements = append(rep.Disagreements, Disagreement{Group: group, A: k.a, B: k.b, Of: primary[group][k.a], As: primary[group][k.b], From: at})
+				rep.Disagreements = append(rep.Disagreements, Disagreement{Group: group, InstanceA: k.a, InstanceB: k.b, PrimaryA: primary[group][k.a], PrimaryB: primary[group][k.b], From: at})
 			}
 		}
 	}
 	for _, r := range rep.Records {
 		switch r.Act {
-		case PrimaryTaken:
+		case PrimaryAdopted:
 			if primary[r.Group] == nil {
 				primary[r.Group] = map[string]string{}
 			}
 			primary[r.Group][r.Instance] = r.Server
 			settle(r.At, r.Group, r.Instance)
-		case PrimaryLeft:
+		case PrimaryDropped:
 			delete(primary[r.Group], r.Instance)
 			settle(r.At, r.Group, r.Instance)
 		case Ended, Started:
 			for group, of := range primary {
 				for instance := range of {
-					if instance == r.Instance || r.Act == Started && name(instance) == name(r.Instance) {
+					if instance == r.Instance || r.Act == Started && poolerName(instance) == poolerName(r.Instance) {
 						delete(of, instance)
 						settle(r.At, group, instance)
 					}
@@ -257,8 +257,8 @@
 	}
 }
 
-// name is a pooler's, of whichever process.
-func name(instance string) string {
+// poolerName is a pooler's, of whichever process.
+func poolerName(instance string) string {
 	name, _, _ := strings.Cut(instance, "/")
 	return name
 }
--- a/internal/fleet/audit/record.go
+++ b/internal/fleet/audit/record.go
@@ -20,31 +20,31 @@
 
 // The acts. What further fields a record holds is told with each.
 const (
-	Started      Act = "started"       // the process serves
-	Ended        Act = "ended"         // it ends in order
-	PrimaryTaken Act = "primary-taken" // Group, Server: writes go there from now on
-	PrimaryLeft  Act = "primary-left"  // Group, Server: and no longer
-	ListTaken    Act = "list-taken"    // Revision; Token and Seq if it was handed on
-	ConfigTaken  Act = "config-taken"  // Config
-	LeaseHeld    Act = "lease-held"    // Token
-	LeaseLost    Act = "lease-lost"    // Token
-	HandedOn     Act = "handed-on"     // Token, Seq, Revision: an act of the list duty
-	ShutOut      Act = "shut-out"      // it takes no writes: barred, or behind for too long
-	BroughtUp    Act = "brought-up"    // it takes writes again
-	Refused      Act = "refused"       // Token, Seq: a word or list older than one before it
-	VerdictBegun Act = "verdict-begun" // Server: the fleet holds it to be bad, by the evidence that this pooler has
-	VerdictEnded Act = "verdict-ended" // Server: and no longer
-	Purged       Act = "purged"        // Purge, Due: a cache was emptied, once for each purge
-	Unkept       Act = "unkept"        // its copy of the shared documents can't be written to its disk
-	Kept         Act = "kept"          // and can be again
-	Dropped      Act = "dropped"       // Seq: acts that could not be written here, since the record before
+	Started         Act = "started"       // the process serves
+	Ended           Act = "ended"         // it ends in order
+	PrimaryAdopted  Act = "primary-taken" // Group, Server: writes go there from now on
+	PrimaryDropped  Act = "primary-left"  // Group, Server: and no longer
+	ListApplied     Act = "list-taken"    // Revision; Token and Seq if it was handed on
+	ConfigApplied   Act = "config-taken"  // Config
+	LeaseHeld       Act = "lease-held"    // Token
+	LeaseLost       Act = "lease-lost"    // Token
+	ListAnnounced   Act = "handed-on"     // Token, Seq, Revision: an act of the list duty
+	WritesBarred    Act = "shut-out"      // it takes no writes: barred, or behind for too long
+	WritesRestored  Act = "brought-up"    // it takes writes again
+	Refused         Act = "refused"       // Token, Seq: a word or list older than one before it
+	EjectionBegun   Act = "verdict-begun" // Server: the fleet holds it to be bad, by the evidence that this pooler has
+	EjectionEnded   Act = "verdict-ended" // Server: and no longer
+	Purged          Act = "purged"        // Purge, Due: a cache was emptied, once for each purge
+	ReplicaNotSaved Act = "unkept"        // its copy of the shared documents can't be written to its disk
+	ReplicaSaved    Act = "kept"          // and can be again
+	RecordsDropped  Act = "dropped"       // Seq: acts that could not be written here, since the record before
 )
 
-// LimitsDealt: Token; this pooler deals the fleet's limits from now on.
-const LimitsDealt Act = "limits-dealt"
+// QuotasAllocated: Token; this pooler deals the fleet's limits from now on.
+const QuotasAllocated Act = "limits-dealt"
 
-// Counted tells whether the act must be in the journal once: one that a full disk turns down is written when there is room again.
-func (a Act) Counted() bool { return a == Purged }
+// MustBeRecorded tells whether the act must be in the journal once: one that a full disk turns down is written when there is room again.
+func (a Act) MustBeRecorded() bool { return a == Purged }
 
 // Record is one act of one pooler. The zero value of a field that an act has no use for is left out.
 type Record struct {
@@ -54,7 +54,7 @@
 	Config   string `json:"config"`   // digest of the configuration in force
 	Revision uint64 `json:"revision"` // of the list in force
 	Token    uint64 `json:"token,omitempty"`
-	Seq      uint64 `json:"seq,omitempty"`
+	Sequence uint64 `json:"seq,omitempty"`
 	Act      Act    `json:"act"`
 	Group    int    `json:"group,omitempty"`
 	Server   string `json:"server,omitempty"`
@@ -66,8 +66,8 @@
 func (r Record) Time() time.Time { return time.Unix(0, r.At) }
 
 const (
-	headLen   = 8
-	maxRecord = 64 << 10 // of a frame's JSON: names are short, and a torn length must not be believed
+	frameHeaderSize = 8
+	maxRecordSize   = 64 << 10 // of a frame's JSON: names are short, and a torn length must not be believed
 )
 
 // What Next finds wrong.
@@ -77,7 +77,7 @@
 	ErrForeign = errors.New("no journal of acts")
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Append puts a record's frame behind b.
 func Append(b []byte, r Record) ([]byte, error) {
@@ -85,35 +85,35 @@
 	if err != nil {
 		return b, err
 	}
-	if len(text) > maxRecord {
-		return b, fmt.Errorf("audit: a record of %d bytes is over %d", len(text), maxRecord)
+	if len(text) > maxRecordSize {
+		return b, fmt.Errorf("audit: a record of %d bytes is over %d", len(text), maxRecordSize)
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(text, castagnoli))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(text, castagnoliTable))
 	return append(b, text...), nil
 }
 
 // Next reads the frame at the beginning of b and tells how long it is. Errors are ErrTorn, ErrCorrupt and ErrForeign; of a
 // corrupt frame whose length can be believed n is that length, so that what follows can still be read, else 0.
 func Next(b []byte) (r Record, n int, err error) {
-	if len(b) < headLen {
+	if len(b) < frameHeaderSize {
 		return r, 0, ErrTorn
 	}
 	size := int(binary.LittleEndian.Uint32(b))
 	switch {
-	case size > maxRecord || size < 2:
+	case size > maxRecordSize || size < 2:
 		return r, 0, ErrForeign
-	case len(b) < headLen+size:
+	case len(b) < frameHeaderSize+size:
 		return r, 0, ErrTorn
 	}
-	text := b[headLen : headLen+size]
-	if crc32.Checksum(text, castagnoli) != binary.LittleEndian.Uint32(b[4:]) {
-		return r, headLen + size, ErrCorrupt
+	text := b[frameHeaderSize : frameHeaderSize+size]
+	if crc32.Checksum(text, castagnoliTable) != binary.LittleEndian.Uint32(b[4:]) {
+		return r, frameHeaderSize + size, ErrCorrupt
 	}
 	if err := json.Unmarshal(text, &r); err != nil || r.Act == "" || r.Instance == "" {
-		return Record{}, headLen + size, ErrForeign
+		return Record{}, frameHeaderSize + size, ErrForeign
 	}
-	return r, headLen + size, nil
+	return r, frameHeaderSize + size, nil
 }
 
 // Problem is a place in a journal that could not be read.
--- a/internal/fleet/bus/bus.go
+++ b/internal/fleet/bus/bus.go
@@ -7,8 +7,8 @@
 	"errors"
 )
 
-// ErrUnknown tells that a pooler is not held to be alive.
-var ErrUnknown = errors.New("bus: no such pooler is alive")
+// ErrUnknownMember tells that a pooler is not held to be alive.
+var ErrUnknownMember = errors.New("bus: no such pooler is alive")
 
 // Bus is one pooler's way to the others. It is safe for use by several goroutines.
 type Bus interface {
@@ -23,9 +23,9 @@
 	// Send gives one pooler a message, whether it is among Members or not. nil: it was written to a connection, or waits for one that
 	// is open; whether it was read is not known. An error: it may have come all the same. It waits for the network, but no longer than ctx.
 	Send(ctx context.Context, to, topic string, body []byte) error
-	// Cast gives all others a datagram each, and gossip for those that are not known here. It may be lost, come twice, or
+	// Broadcast gives all others a datagram each, and gossip for those that are not known here. It may be lost, come twice, or
 	// overtake another. A newer one of the same topic takes the place of one that is still being passed on by gossip.
-	Cast(topic string, body []byte)
+	Broadcast(topic string, body []byte)
 	// Handle has f called with each message of a topic that comes from another pooler, on goroutines of the bus, several at once.
 	// f must not wait; body is its own. It must be called before the first message is to be heard.
 	Handle(topic string, f func(from string, body []byte))
--- a/internal/fleet/bus/bustest/bustest.go
+++ b/internal/fleet/bus/bustest/bustest.go
@@ -15,80 +15,80 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// noticed is how long a member that can't be reached stays among the members of the others, as by gossip.
-const noticed = 3 * time.Second
+// detectionDelay is how long a member that can't be reached stays among the members of the others, as by gossip.
+const detectionDelay = 3 * time.Second
 
 // Network joins buses. It is safe for use by several goroutines.
 type Network struct {
-	mu            sync.Mutex
-	rng           *rand.Rand
-	buses         map[string]*Bus
-	cut           map[[2]string]time.Time // from, to: since when nothing passes
-	delay, jitter time.Duration
-	drop, twice   float64
-	sends, casts  int
+	mu                      sync.Mutex
+	rng                     *rand.Rand
+	buses                   map[string]*Bus
+	cutSince                map[[2]string]time.Time // from, to: since when nothing passes
+	delay, jitter           time.Duration
+	dropRate, duplicateRate float64
+	sends, broadcasts       int
 }
 
 // New is a network without a fault.
 func New(seed uint64) *Network {
-	return &Network{rng: rand.New(rand.NewPCG(seed, 0)), buses: map[string]*Bus{}, cut: map[[2]string]time.Time{}}
+	return &Network{rng: rand.New(rand.NewPCG(seed, 0)), buses: map[string]*Bus{}, cutSince: map[[2]string]time.Time{}}
 }
 
 // Join adds a pooler. One of the same name that has stopped is replaced.
 func (n *Network) Join(name string) *Bus {
-	b := &Bus{n: n, name: name, handlers: map[string]func(string, []byte){}}
+	b := &Bus{network: n, name: name, handlers: map[string]func(string, []byte){}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.buses[name] = b
 	return b
 }
 
-// OneWay cuts what goes from one pooler to another, or heals it; the way back stays as it is.
-func (n *Network) OneWay(from, to string, cut bool) {
+// SetOneWayCut cuts what goes from one pooler to another, or heals it; the way back stays as it is.
+func (n *Network) SetOneWayCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	link := [2]string{from, to}
-	if _, was := n.cut[link]; cut && !was {
-		n.cut[link] = time.Now()
+	if _, was := n.cutSince[link]; cut && !was {
+		n.cutSince[link] = time.Now()
 	} else if !cut {
-		delete(n.cut, link)
+		delete(n.cutSince, link)
 	}
 }
 
-// Cut cuts each link between the two sets, both ways, or heals it.
-func (n *Network) Cut(a, b []string, cut bool) {
+// SetCut cuts each link between the two sets, both ways, or heals it.
+func (n *Network) SetCut(a, b []string, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
 			if x != y {
-				n.OneWay(x, y, cut)
-				n.OneWay(y, x, cut)
+				n.SetOneWayCut(x, y, cut)
+				n.SetOneWayCut(y, x, cut)
 			}
 		}
 	}
 }
 
-// Isolate cuts a pooler off from all that have joined, or heals that.
-func (n *Network) Isolate(name string, cut bool) { n.Cut([]string{name}, n.names(), cut) }
+// SetIsolated cuts a pooler off from all that have joined, or heals that.
+func (n *Network) SetIsolated(name string, cut bool) { n.SetCut([]string{name}, n.names(), cut) }
 
-// Delay has each message take from delay to delay+jitter from now on: those that jitter parts overtake each other.
-func (n *Network) Delay(delay, jitter time.Duration) {
+// SetDelay has each message take from delay to delay+jitter from now on: those that jitter parts overtake each other.
+func (n *Network) SetDelay(delay, jitter time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay, n.jitter = delay, jitter
 }
 
-// Drop loses a share of the datagrams and has another share of them come twice from now on.
-func (n *Network) Drop(drop, twice float64) {
+// SetLoss loses a share of the datagrams and has another share of them come twice from now on.
+func (n *Network) SetLoss(drop, twice float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.drop, n.twice = drop, twice
+	n.dropRate, n.duplicateRate = drop, twice
 }
 
-// Said counts the messages given to one pooler and the datagrams given to all, by all poolers so far.
-func (n *Network) Said() (sends, casts int) {
+// MessageCounts counts the messages given to one pooler and the datagrams given to all, by all poolers so far.
+func (n *Network) MessageCounts() (sends, casts int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.sends, n.casts
+	return n.sends, n.broadcasts
 }
 
 func (n *Network) names() []string {
@@ -97,15 +97,15 @@
 	return slices.Sorted(maps.Keys(n.buses))
 }
 
-// passes tells whether a message may leave for a pooler now. The caller has the lock.
-func (n *Network) passes(from, to string) bool {
-	_, cut := n.cut[[2]string{from, to}]
+// linkOpen tells whether a message may leave for a pooler now. The caller has the lock.
+func (n *Network) linkOpen(from, to string) bool {
+	_, cut := n.cutSince[[2]string{from, to}]
 	return !cut
 }
 
-// after has a message come to a pooler some time from now, if it is still there and the link was not cut meanwhile. The caller
+// deliverLater has a message come to a pooler some time from now, if it is still there and the link was not cut meanwhile. The caller
 // has the lock.
-func (n *Network) after(from, to, topic string, body []byte) time.Duration {
+func (n *Network) deliverLater(from, to, topic string, body []byte) time.Duration {
 	d := n.delay
 	if n.jitter > 0 {
 		d += time.Duration(n.rng.Int64N(int64(n.jitter)))
@@ -113,10 +113,10 @@
 	time.AfterFunc(d, func() {
 		n.mu.Lock()
 		b, ok := n.buses[to]
-		ok = ok && n.passes(from, to)
+		ok = ok && n.linkOpen(from, to)
 		n.mu.Unlock()
 		if ok {
-			b.hear(from, topic, slices.Clone(body))
+			b.deliver(from, topic, slices.Clone(body))
 		}
 	})
 	return d
@@ -124,8 +124,8 @@
 
 // Bus is one pooler's. It implements bus.Bus.
 type Bus struct {
-	n    *Network
-	name string
+	network *Network
+	name    string
 
 	mu       sync.Mutex
 	handlers map[string]func(from string, body []byte)
@@ -139,10 +139,10 @@
 	b.mu.Lock()
 	b.stopped = true
 	b.mu.Unlock()
-	b.n.mu.Lock()
-	defer b.n.mu.Unlock()
-	if b.n.buses[b.name] == b {
-		delete(b.n.buses, b.name)
+	b.network.mu.Lock()
+	defer b.network.mu.Unlock()
+	if b.network.buses[b.name] == b {
+		delete(b.network.buses, b.name)
 	}
 }
 
@@ -151,11 +151,11 @@
 
 // Members are those that have joined and not stopped, but for those that have been cut off from here, either way, for 3 s.
 func (b *Bus) Members() []string {
-	b.n.mu.Lock()
-	defer b.n.mu.Unlock()
+	b.network.mu.Lock()
+	defer b.network.mu.Unlock()
 	var out []string
-	for name := range b.n.buses {
-		if name == b.name || !b.n.gone(b.name, name) && !b.n.gone(name, b.name) {
+	for name := range b.network.buses {
+		if name == b.name || !b.network.detectedDown(b.name, name) && !b.network.detectedDown(name, b.name) {
 			out = append(out, name)
 		}
 	}
@@ -166,9 +166,9 @@
 // Size is documented with bus.Bus.
 func (b *Bus) Size() int { return max(len(b.Members()), 1) }
 
-func (n *Network) gone(from, to string) bool {
-	since, cut := n.cut[[2]string{from, to}]
-	return cut && time.Since(since) >= noticed
+func (n *Network) detectedDown(from, to string) bool {
+	since, cut := n.cutSince[[2]string{from, to}]
+	return cut && time.Since(since) >= detectionDelay
 }
 
 // Send is documented with bus.Bus. Into a cut link a message is lost, and by the seed the sender hears nothing of that or waits
@@ -178,17 +178,17 @@
 		return err
 	}
 	if !slices.Contains(b.Members(), to) || b.isStopped() {
-		return fmt.Errorf("%w: %s", bus.ErrUnknown, to)
+		return fmt.Errorf("%w: %s", bus.ErrUnknownMember, to)
 	}
-	b.n.mu.Lock()
-	b.n.sends++
+	b.network.mu.Lock()
+	b.network.sends++
 	var wait time.Duration
-	passes := b.n.passes(b.name, to)
-	unheard := !passes && b.n.rng.IntN(2) == 0
+	passes := b.network.linkOpen(b.name, to)
+	unheard := !passes && b.network.rng.IntN(2) == 0
 	if passes {
-		wait = b.n.after(b.name, to, topic, body)
+		wait = b.network.deliverLater(b.name, to, topic, body)
 	}
-	b.n.mu.Unlock()
+	b.network.mu.Unlock()
 	switch {
 	case unheard:
 		return nil
@@ -206,24 +206,24 @@
 	return nil
 }
 
-// Cast is documented with bus.Bus.
-func (b *Bus) Cast(topic string, body []byte) {
+// Broadcast is documented with bus.Bus.
+func (b *Bus) Broadcast(topic string, body []byte) {
 	if b.isStopped() {
 		return
 	}
-	for _, to := range b.n.names() {
+	for _, to := range b.network.names() {
 		if to == b.name {
 			continue
 		}
-		b.n.mu.Lock()
-		b.n.casts++
-		if b.n.passes(b.name, to) && b.n.rng.Float64() >= b.n.drop {
-			b.n.after(b.name, to, topic, body)
-			if b.n.rng.Float64() < b.n.twice {
-				b.n.after(b.name, to, topic, body)
+		b.network.mu.Lock()
+		b.network.broadcasts++
+		if b.network.linkOpen(b.name, to) && b.network.rng.Float64() >= b.network.dropRate {
+			b.network.deliverLater(b.name, to, topic, body)
+			if b.network.rng.Float64() < b.network.duplicateRate {
+				b.network.deliverLater(b.name, to, topic, body)
 			}
 		}
-		b.n.mu.Unlock()
+		b.network.mu.Unlock()
 	}
 }
 
@@ -240,7 +240,7 @@
 	return b.stopped
 }
 
-func (b *Bus) hear(from, topic string, body []byte) {
+func (b *Bus) deliver(from, topic string, body []byte) {
 	b.mu.Lock()
 	f := b.handlers[topic]
 	if b.stopped {
--- a/internal/fleet/bus/bustest/bustest_test.go
+++ b/internal/fleet/bus/bustest/bustest_test.go
@@ -36,15 +36,15 @@
 			}
 			heard = nil
 		}
-		a.Cast("t", []byte("1"))
+		a.Broadcast("t", []byte("1"))
 		want("a cast", "a>b:1", "a>c:1")
 		if err := a.Send(t.Context(), "c", "t", []byte("2")); err != nil {
 			t.Error(err)
 		}
 		want("a message", "a>c:2")
-		n.OneWay("a", "c", true)
-		a.Cast("t", []byte("3"))
-		c.Cast("t", []byte("4"))
+		n.SetOneWayCut("a", "c", true)
+		a.Broadcast("t", []byte("3"))
+		c.Broadcast("t", []byte("4"))
 		want("one way cut", "a>b:3", "c>a:4", "c>b:4")
 		lost := 0
 		for range 20 {
@@ -58,28 +58,28 @@
 		if lost == 0 {
 			t.Error("no message into a cut link told of it")
 		}
-		time.Sleep(noticed)
+		time.Sleep(detectionDelay)
 		if got := a.Members(); !slices.Equal(got, []string{"a", "b"}) {
 			t.Errorf("members %v", got)
 		}
-		if err := a.Send(t.Context(), "c", "t", nil); !errors.Is(err, bus.ErrUnknown) {
+		if err := a.Send(t.Context(), "c", "t", nil); !errors.Is(err, bus.ErrUnknownMember) {
 			t.Errorf("to one that is gone: %v", err)
 		}
-		n.Isolate("c", true)
-		n.Isolate("c", false)
+		n.SetIsolated("c", true)
+		n.SetIsolated("c", false)
 		want("in a cut")
-		n.Delay(time.Second, 0)
-		a.Cast("t", []byte("5"))
+		n.SetDelay(time.Second, 0)
+		a.Broadcast("t", []byte("5"))
 		synctest.Wait()
 		if len(heard) > 0 {
 			t.Errorf("at once: %q", heard)
 		}
 		b.Stop()
 		want("late, one stopped", "a>c:5")
-		n.Delay(0, 0)
-		n.Drop(0.5, 0.5)
+		n.SetDelay(0, 0)
+		n.SetLoss(0.5, 0.5)
 		for range 100 {
-			a.Cast("t", []byte("6"))
+			a.Broadcast("t", []byte("6"))
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
--- a/internal/fleet/calendar/book.go
+++ b/internal/fleet/calendar/book.go
@@ -29,19 +29,19 @@
 func (b Book) Check() error {
 	for _, name := range slices.Sorted(maps.Keys(b.Calendars)) {
 		if _, err := Compile(Plan{"UTC", b.Calendars[name]}); err != nil {
-			return wrong(err, "calendars", name)
+			return wrapPath(err, "calendars", name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.Sites)) {
 		s := b.Sites[name]
 		if _, ok := b.Calendars[s.Calendar]; !ok {
-			return wrong(fmt.Errorf("no calendar is named %q", s.Calendar), "sites", name, "calendar")
+			return wrapPath(fmt.Errorf("no calendar is named %q", s.Calendar), "sites", name, "calendar")
 		}
 		if name == "" {
-			return wrong(errors.New("a site without a name"), "sites")
+			return wrapPath(errors.New("a site without a name"), "sites")
 		}
 		if _, err := Compile(Plan{Zone: s.Zone}); err != nil {
-			return wrong(err, "sites", name)
+			return wrapPath(err, "sites", name)
 		}
 	}
 	return nil
--- a/internal/fleet/calendar/calendar.go
+++ b/internal/fleet/calendar/calendar.go
@@ -23,8 +23,8 @@
 // Easter and weekdays of a month are counted by the library in a zone of its own; UTC has no skipped midnight.
 func init() { cal.DefaultLoc = time.UTC }
 
-// MostClose is the latest close of a day, counted from its midnight: a night that ends at noon.
-const MostClose = 36 * time.Hour
+// MaxClose is the latest close of a day, counted from its midnight: a night that ends at noon.
+const MaxClose = 36 * time.Hour
 
 // Calendar is when a kind of site closes, as its operators write it.
 type Calendar struct {
@@ -37,14 +37,14 @@
 
 // Holiday is a day of each year: of a month, the nth weekday of a month (negative: from its end), or so many days from Easter.
 type Holiday struct {
-	Name    string `json:"name"`
-	Month   int    `json:"month,omitempty"`
-	Day     int    `json:"day,omitempty"`
-	Weekday string `json:"weekday,omitempty"`
-	Nth     int    `json:"nth,omitempty"`
-	Easter  *int   `json:"easter,omitempty"`
-	Monday  bool   `json:"monday_if_weekend,omitempty"` // kept on the Monday that follows a Saturday or Sunday
-	Close   string `json:"close,omitempty"`             // empty: the site does not open
+	Name            string `json:"name"`
+	Month           int    `json:"month,omitempty"`
+	Day             int    `json:"day,omitempty"`
+	Weekday         string `json:"weekday,omitempty"`
+	Nth             int    `json:"nth,omitempty"`
+	Easter          *int   `json:"easter,omitempty"`
+	MondayIfWeekend bool   `json:"monday_if_weekend,omitempty"` // kept on the Monday that follows a Saturday or Sunday
+	Close           string `json:"close,omitempty"`             // empty: the site does not open
 }
 
 // Exception is a span of dates, "2026-12-19" to To or that day alone, with a close of its own or none.
@@ -71,7 +71,7 @@
 // Unwrap is the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-func wrong(err error, path ...string) error {
+func wrapPath(err error, path ...string) error {
 	if err == nil {
 		return nil
 	}
@@ -84,10 +84,10 @@
 
 // Schedule is a plan made ready. It does not change and is safe for use by several goroutines.
 type Schedule struct {
-	Zone       *time.Location
-	days       [7]time.Duration
-	holidays   []holiday
-	exceptions []exception
+	Zone          *time.Location
+	weekdayCloses [7]time.Duration
+	holidays      []holiday
+	exceptions    []exception
 }
 
 type holiday struct {
@@ -110,38 +110,38 @@
 	s := &Schedule{}
 	var err error
 	if p.Zone == "" || p.Zone == "Local" { // Local is whatever each machine is set to
-		return nil, wrong(fmt.Errorf("%q is no IANA zone", p.Zone), "zone")
+		return nil, wrapPath(fmt.Errorf("%q is no IANA zone", p.Zone), "zone")
 	}
 	if s.Zone, err = time.LoadLocation(p.Zone); err != nil {
-		return nil, wrong(err, "zone")
+		return nil, wrapPath(err, "zone")
 	}
-	for i := range s.days {
-		s.days[i] = closed
+	for i := range s.weekdayCloses {
+		s.weekdayCloses[i] = closed
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Close)) {
 		day, ok := weekdays[name]
 		if !ok {
-			return nil, wrong(errors.New("no weekday"), "close", name)
+			return nil, wrapPath(errors.New("no weekday"), "close", name)
 		}
-		if s.days[day], err = clock(p.Close[name], false); err != nil {
-			return nil, wrong(err, "close", name)
+		if s.weekdayCloses[day], err = parseClose(p.Close[name], false); err != nil {
+			return nil, wrapPath(err, "close", name)
 		}
 	}
 	for i, h := range p.Holidays {
 		made, err := h.compile()
 		if err != nil {
-			return nil, wrong(err, "holidays", strconv.Itoa(i))
+			return nil, wrapPath(err, "holidays", strconv.Itoa(i))
 		}
 		s.holidays = append(s.holidays, made)
 	}
 	for i, e := range p.Exceptions {
 		made, err := e.compile()
 		if err != nil {
-			return nil, wrong(err, "exceptions", strconv.Itoa(i))
+			return nil, wrapPath(err, "exceptions", strconv.Itoa(i))
 		}
 		for j, o := range s.exceptions { // which of two counts would be anybody's guess
 			if !made.from.After(o.to) && !o.from.After(made.to) {
-				return nil, wrong(fmt.Errorf("overlaps with exceptions[%d]", j), "exceptions", strconv.Itoa(i), "from")
+				return nil, wrapPath(fmt.Errorf("overlaps with exceptions[%d]", j), "exceptions", strconv.Itoa(i), "from")
 			}
 		}
 		s.exceptions = append(s.exceptions, made)
@@ -154,49 +154,49 @@
 	weekday, named := weekdays[h.Weekday]
 	switch {
 	case h.Name == "":
-		return out, wrong(errors.New("missing"), "name")
+		return out, wrapPath(errors.New("missing"), "name")
 	case h.Easter != nil:
 		if h.Month != 0 || h.Day != 0 || h.Weekday != "" || *h.Easter < -100 || *h.Easter > 100 {
-			return out, wrong(errors.New("stands alone, within 100 days"), "easter")
+			return out, wrapPath(errors.New("stands alone, within 100 days"), "easter")
 		}
 		out.rule.Offset, out.rule.Func = *h.Easter, cal.CalcEasterOffset
 	case h.Month < 1 || h.Month > 12:
-		return out, wrong(fmt.Errorf("%d is no month", h.Month), "month")
+		return out, wrapPath(fmt.Errorf("%d is no month", h.Month), "month")
 	case h.Weekday != "":
 		if !named || h.Day != 0 || h.Nth == 0 || h.Nth < -5 || h.Nth > 5 {
-			return out, wrong(errors.New("it takes a weekday's name and nth from -5 to 5, not 0, and no day"), "weekday")
+			return out, wrapPath(errors.New("it takes a weekday's name and nth from -5 to 5, not 0, and no day"), "weekday")
 		}
 		out.rule.Month, out.rule.Weekday, out.rule.Offset, out.rule.Func = time.Month(h.Month), weekday, h.Nth, cal.CalcWeekdayOffset
 	case h.Day < 1 || time.Date(2024, time.Month(h.Month), h.Day, 0, 0, 0, 0, time.UTC).Month() != time.Month(h.Month):
-		return out, wrong(fmt.Errorf("%d is no day of month %d", h.Day, h.Month), "day")
+		return out, wrapPath(fmt.Errorf("%d is no day of month %d", h.Day, h.Month), "day")
 	default:
 		out.rule.Month, out.rule.Day, out.rule.Func = time.Month(h.Month), h.Day, cal.CalcDayOfMonth
 	}
-	if h.Monday {
+	if h.MondayIfWeekend {
 		out.rule.Observed = []cal.AltDay{{Day: time.Saturday, Offset: 2}, {Day: time.Sunday, Offset: 1}}
 	}
 	var err error
-	if out.close, err = clock(h.Close, true); err != nil {
-		return out, wrong(err, "close")
+	if out.close, err = parseClose(h.Close, true); err != nil {
+		return out, wrapPath(err, "close")
 	}
 	return out, nil
 }
 
 func (e Exception) compile() (out exception, err error) {
 	if out.from, err = time.Parse(time.DateOnly, e.From); err != nil {
-		return out, wrong(fmt.Errorf("%q is no date such as 2026-12-19", e.From), "from")
+		return out, wrapPath(fmt.Errorf("%q is no date such as 2026-12-19", e.From), "from")
 	}
 	if out.to, err = time.Parse(time.DateOnly, cmp.Or(e.To, e.From)); err != nil || out.to.Before(out.from) {
-		return out, wrong(fmt.Errorf("%q is no date from %s on", e.To, e.From), "to")
+		return out, wrapPath(fmt.Errorf("%q is no date from %s on", e.To, e.From), "to")
 	}
-	if out.close, err = clock(e.Close, true); err != nil {
-		return out, wrong(err, "close")
+	if out.close, err = parseClose(e.Close, true); err != nil {
+		return out, wrapPath(err, "close")
 	}
 	return out, nil
 }
 
-// clock reads a close.
-func clock(text string, mayBeClosed bool) (time.Duration, error) {
+// parseClose reads a close.
+func parseClose(text string, mayBeClosed bool) (time.Duration, error) {
 	if text == "" && mayBeClosed {
 		return closed, nil
 	}
@@ -208,7 +208,7 @@
 		bad = bad || err != nil || len(parts[i]) != 2 || i > 0 && n > 59
 		d += time.Duration(n) * unit
 	}
-	if bad || d > MostClose {
+	if bad || d > MaxClose {
 		return 0, fmt.Errorf("%q is no time of day from 00:00 to 36:00", text)
 	}
 	return d, nil
--- a/internal/fleet/calendar/calendar_test.go
+++ b/internal/fleet/calendar/calendar_test.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := First(zone(t, c.zone), reading).Format(time.RFC3339); got != c.want {
+		if got := FirstInstant(zone(t, c.zone), reading).Format(time.RFC3339); got != c.want {
 			t.Errorf("%s %s: %s, want %s (%s)", c.zone, c.reading, got, c.want, c.why)
 		}
 	}
@@ -71,7 +71,7 @@
 		for wall(want).Before(reading) {
 			want = want.Add(time.Minute)
 		}
-		if got := First(z, reading); !got.Equal(want) {
+		if got := FirstInstant(z, reading); !got.Equal(want) {
 			t.Fatalf("%s %s: %s, the clock reads it first at %s", name, reading, got, want)
 		}
 	})
@@ -84,7 +84,7 @@
 	Exceptions: []Exception{{From: "2026-12-28", To: "2027-01-03"}, {From: "2026-12-19", Close: "14:00"}}}}
 
 var kingston = Plan{"America/Jamaica", Calendar{Close: map[string]string{"monday": "18:00", "saturday": "13:00"},
-	Holidays: []Holiday{{Name: "Labour Day", Month: 5, Day: 23, Monday: true}, {Name: "Heroes' Day", Month: 10, Weekday: "monday", Nth: 3}}}}
+	Holidays: []Holiday{{Name: "Labour Day", Month: 5, Day: 23, MondayIfWeekend: true}, {Name: "Heroes' Day", Month: 10, Weekday: "monday", Nth: 3}}}}
 
 // Weekdays, holidays, exceptions and nights over a change of the clock; each date closes once.
 func TestBetween(t *testing.T) {
--- a/internal/fleet/calendar/occurrence.go
+++ b/internal/fleet/calendar/occurrence.go
@@ -19,22 +19,22 @@
 func (s *Schedule) Between(from, to time.Time) []Occurrence {
 	var out []Occurrence
 	// A local date begins within 15 h of its midnight in UTC, and its close is at most MostClose later.
-	const around = 15*time.Hour + MostClose
+	const around = 15*time.Hour + MaxClose
 	for day := from.UTC().Add(-around).Truncate(24 * time.Hour); !day.After(to.Add(around)); day = day.AddDate(0, 0, 1) {
 		d := s.closeOf(day)
 		if d == closed {
 			continue
 		}
-		if at := First(s.Zone, day.Add(d)); at.After(from) && !at.After(to) {
-			out = append(out, Occurrence{day.Format(time.DateOnly), reads(d), at})
+		if at := FirstInstant(s.Zone, day.Add(d)); at.After(from) && !at.After(to) {
+			out = append(out, Occurrence{day.Format(time.DateOnly), formatClose(d), at})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Occurrence) int { return a.At.Compare(b.At) })
 	return out
 }
 
-// reads is a close as the operators write it.
-func reads(d time.Duration) string {
+// formatClose is a close as the operators write it.
+func formatClose(d time.Duration) string {
 	text := fmt.Sprintf("%02d:%02d", d/time.Hour, d/time.Minute%60)
 	if s := d / time.Second % 60; s != 0 {
 		text += fmt.Sprintf(":%02d", s)
@@ -57,13 +57,13 @@
 			}
 		}
 	}
-	return s.days[day.Weekday()]
+	return s.weekdayCloses[day.Weekday()]
 }
 
-// First is the first instant at which the clock of a zone reads reading (whose own zone counts for nothing) or later. So a close
+// FirstInstant is the first instant at which the clock of a zone reads reading (whose own zone counts for nothing) or later. So a close
 // in an hour that is skipped falls on the first instant behind the gap, one in an hour that comes twice on the first of the two,
 // and one on a date that the zone leaves out on the beginning of the next: each exactly once.
-func First(zone *time.Location, reading time.Time) time.Time {
+func FirstInstant(zone *time.Location, reading time.Time) time.Time {
 	want := time.Date(reading.Year(), reading.Month(), reading.Day(), reading.Hour(), reading.Minute(), reading.Second(), 0, time.UTC)
 	for at := want.Add(-48 * time.Hour); ; { // no zone is or was as far from UTC, nor moved by more
 		local := at.In(zone)
--- a/internal/fleet/consensus/client.go
+++ b/internal/fleet/consensus/client.go
@@ -19,16 +19,16 @@
 // Client asks stewards for leases and documents, for one pooler, one thing at a time. It is not safe for use by several
 // goroutines; Clients is.
 type Client struct {
-	Holder   string // this pooler's name
-	Stewards []Peer
-	Timeout  time.Duration    // of one ask, over all stewards tried
-	Traffic  *traffic.Counter // counts what goes and comes; nil: nothing does
-	at       int              // the steward asked last
-	in       *bufio.Reader    // of c
-	used     time.Time        // c
-
-	mu sync.Mutex // of c: an ask is ended by its context
-	c  net.Conn
+	Holder     string // this pooler's name
+	Voters     []Peer
+	Timeout    time.Duration    // of one ask, over all stewards tried
+	Traffic    *traffic.Counter // counts what goes and comes; nil: nothing does
+	current    int              // the steward asked last
+	reader     *bufio.Reader    // of c
+	lastUsedAt time.Time        // c
+
+	mu         sync.Mutex // of c: an ask is ended by its context
+	connection net.Conn
 }
 
 // ErrNoLeader tells that no steward answered with a decision in time: the group has lost its quorum, is electing, or
@@ -37,50 +37,50 @@
 
 // Acquire asks for a duty's lease, or renews it. ok tells whether this pooler has it from the ask on; if not, the grant
 // says who does.
-func (c *Client) Acquire(ctx context.Context, d lease.Duty, term time.Duration) (g lease.Grant, ok bool, err error) {
-	a, err := c.ask(ctx, ask{Duty: d, Holder: c.Holder, Term: term})
-	return a.Grant, a.OK, err
+func (c *Client) Acquire(ctx context.Context, d lease.Name, term time.Duration) (g lease.Lease, ok bool, err error) {
+	a, err := c.do(ctx, request{Lease: d, Holder: c.Holder, Duration: term})
+	return a.Lease, a.OK, err
 }
 
 // Release gives a lease up. The caller has stopped acting on it.
-func (c *Client) Release(ctx context.Context, d lease.Duty) error {
-	_, err := c.ask(ctx, ask{Release: true, Duty: d, Holder: c.Holder})
+func (c *Client) Release(ctx context.Context, d lease.Name) error {
+	_, err := c.do(ctx, request{Release: true, Lease: d, Holder: c.Holder})
 	return err
 }
 
 // Put is documented with shared.Store.
 func (c *Client) Put(ctx context.Context, w replication.Write) (version uint64, err error) {
-	a, err := c.ask(ctx, ask{Holder: c.Holder, Put: &w})
+	a, err := c.do(ctx, request{Holder: c.Holder, Put: &w})
 	switch {
 	case err != nil:
 		return 0, err
 	case a.Refused == "":
 		return a.Version, nil
-	case a.Unsure: // the refusal may be that of a second try, after the first was taken
-		return 0, fmt.Errorf("steward: a try before may have been taken: %s", a.Why)
+	case a.MaybeApplied: // the refusal may be that of a second try, after the first was taken
+		return 0, fmt.Errorf("steward: a try before may have been taken: %s", a.Reason)
 	}
-	known, ok := refusals[a.Refused]
+	known, ok := refusalErrors[a.Refused]
 	if !ok {
-		return 0, fmt.Errorf("steward: refused: %s: %s", a.Refused, a.Why)
+		return 0, fmt.Errorf("steward: refused: %s: %s", a.Refused, a.Reason)
 	}
-	return 0, fmt.Errorf("%w (%s)", known, a.Why)
+	return 0, fmt.Errorf("%w (%s)", known, a.Reason)
 }
 
 // Read is documented with shared.Store.
-func (c *Client) Read(ctx context.Context, key string) (replication.Doc, error) {
-	a, err := c.ask(ctx, ask{Holder: c.Holder, Read: key})
+func (c *Client) Read(ctx context.Context, key string) (replication.Document, error) {
+	a, err := c.do(ctx, request{Holder: c.Holder, Read: key})
 	if err == nil && a.Doc == nil {
-		err = fmt.Errorf("steward: %s says nothing of %s", c.Stewards[c.at].Name, key)
+		err = fmt.Errorf("steward: %s says nothing of %s", c.Voters[c.current].Name, key)
 	}
 	if err != nil {
-		return replication.Doc{}, err
+		return replication.Document{}, err
 	}
 	return *a.Doc, nil
 }
 
 // Fetch is documented with shared.Stewards.
-func (c *Client) Fetch(ctx context.Context, since uint64, sure bool) (s replication.State, newer bool, err error) {
-	a, err := c.ask(ctx, ask{Holder: c.Holder, Since: &since, Sure: sure})
+func (c *Client) Fetch(ctx context.Context, since uint64, sure bool) (s replication.Snapshot, newer bool, err error) {
+	a, err := c.do(ctx, request{Holder: c.Holder, Since: &since, Linearizable: sure})
 	if err != nil || a.State == nil {
 		return s, false, err
 	}
@@ -91,90 +91,90 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.c != nil {
-		_ = c.c.Close()
-		c.c = nil
+	if c.connection != nil {
+		_ = c.connection.Close()
+		c.connection = nil
 	}
 }
 
-// ask tries the steward asked last, then the leader it names or the next one, until one decides or the time is over.
+// do tries the steward asked last, then the leader it names or the next one, until one decides or the time is over.
 // While they elect, each round over all of them is followed by a pause. An answer after a try that may have been taken says so.
-func (c *Client) ask(ctx context.Context, a ask) (answer, error) {
+func (c *Client) do(ctx context.Context, a request) (response, error) {
 	until := time.Now().Add(c.Timeout)
 	if end, ok := ctx.Deadline(); ok && end.Before(until) {
 		until = end
 	}
-	defer context.AfterFunc(ctx, c.hangUp)()
+	defer context.AfterFunc(ctx, c.interrupt)()
 	text, err := json.Marshal(a)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	why := ErrNoLeader
-	each := c.Timeout / time.Duration(len(c.Stewards)) // so that a silent one does not use up the time of all
+	each := c.Timeout / time.Duration(len(c.Voters)) // so that a silent one does not use up the time of all
 	unsure := false
 	for tries := 1; time.Now().Before(until) && ctx.Err() == nil; tries++ {
-		if tries%(len(c.Stewards)+1) == 0 {
+		if tries%(len(c.Voters)+1) == 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(min(each/4, time.Until(until))):
 			}
 		}
-		out, said, err := c.exchange(a.kind(), text, min(each, time.Until(until)))
-		unsure = unsure || out.Unsure || said && err != nil
+		out, said, err := c.roundTrip(a.trafficKind(), text, min(each, time.Until(until)))
+		unsure = unsure || out.MaybeApplied || said && err != nil
 		switch {
 		case err != nil:
-			why = fmt.Errorf("%w: %s: %w", ErrNoLeader, c.Stewards[c.at].Name, err)
+			why = fmt.Errorf("%w: %s: %w", ErrNoLeader, c.Voters[c.current].Name, err)
 		case out.Error == "":
-			out.Unsure = unsure
+			out.MaybeApplied = unsure
 			return out, nil
 		default:
-			why = fmt.Errorf("%w: %s: %s", ErrNoLeader, c.Stewards[c.at].Name, out.Error)
-			if i := slices.IndexFunc(c.Stewards, func(p Peer) bool { return p.Name == out.Leader }); i >= 0 {
-				c.turn(i)
+			why = fmt.Errorf("%w: %s: %s", ErrNoLeader, c.Voters[c.current].Name, out.Error)
+			if i := slices.IndexFunc(c.Voters, func(p Peer) bool { return p.Name == out.Leader }); i >= 0 {
+				c.switchTo(i)
 				continue
 			}
 		}
-		c.turn((c.at + 1) % len(c.Stewards))
+		c.switchTo((c.current + 1) % len(c.Voters))
 	}
-	return answer{}, why
+	return response{}, why
 }
 
-func (c *Client) turn(to int) {
-	if to != c.at {
+func (c *Client) switchTo(to int) {
+	if to != c.current {
 		c.Close()
-		c.at = to
+		c.current = to
 	}
 }
 
-// exchange sends one line to the steward at hand and reads its answer; said tells whether the line may have reached it. A
+// roundTrip sends one line to the steward at hand and reads its answer; said tells whether the line may have reached it. A
 // connection that fails is not used again: a late answer would be taken for the next one's.
-func (c *Client) exchange(kind string, line []byte, d time.Duration) (out answer, said bool, err error) {
+func (c *Client) roundTrip(kind string, line []byte, d time.Duration) (out response, said bool, err error) {
 	defer func() {
 		if err != nil {
 			c.Close()
 		}
 	}()
 	until := time.Now().Add(d)
-	if time.Since(c.used) > callerIdle/2 { // the steward may be about to close it, and a write that meets that is in doubt
+	if time.Since(c.lastUsedAt) > idleTimeout/2 { // the steward may be about to close it, and a write that meets that is in doubt
 		c.Close()
 	}
-	c.used = time.Now()
-	conn := c.conn()
+	c.lastUsedAt = time.Now()
+	conn := c.openConnection()
 	if conn == nil {
-		if conn, err = net.DialTimeout("tcp", c.Stewards[c.at].Addr, d); err != nil {
+		if conn, err = net.DialTimeout("tcp", c.Voters[c.current].Addr, d); err != nil {
 			return out, false, err
 		}
 		c.mu.Lock()
-		c.c, c.in = conn, bufio.NewReader(conn)
+		c.connection, c.reader = conn, bufio.NewReader(conn)
 		c.mu.Unlock()
-		line = append([]byte{callLease}, line...)
+		line = append([]byte{connectionClient}, line...)
 	}
 	_ = conn.SetDeadline(until)
 	if _, err = conn.Write(append(slices.Clip(line), '\n')); err != nil {
 		return out, true, err
 	}
 	c.Traffic.Out(kind, 1, len(line)+1)
-	text, err := readLine(c.in, maxAnswer)
+	text, err := readLine(c.reader, maxResponseBytes)
 	if err != nil {
 		return out, true, err
 	}
@@ -182,15 +182,15 @@
 	return out, true, json.Unmarshal(text, &out)
 }
 
-func (c *Client) conn() net.Conn {
+func (c *Client) openConnection() net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.c
+	return c.connection
 }
 
-// hangUp ends an exchange under way, on any goroutine.
-func (c *Client) hangUp() {
-	if conn := c.conn(); conn != nil {
+// interrupt ends an exchange under way, on any goroutine.
+func (c *Client) interrupt() {
+	if conn := c.openConnection(); conn != nil {
 		_ = conn.SetDeadline(time.Now())
 	}
 }
--- a/internal/fleet/consensus/clients.go
+++ b/internal/fleet/consensus/clients.go
@@ -9,28 +9,28 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// Clients asks stewards for several goroutines of one pooler, over a connection for each ask that is under way. It implements
+// ClientPool asks stewards for several goroutines of one pooler, over a connection for each ask that is under way. It implements
 // shared.Store, shared.Asker and shared.Stewards.
-type Clients struct{ idle chan *Client }
+type ClientPool struct{ idle chan *Client }
 
 var (
-	_ replication.Store = (*Clients)(nil)
-	_ replication.Asker = (*Clients)(nil)
+	_ replication.Store       = (*ClientPool)(nil)
+	_ replication.LeaseClient = (*ClientPool)(nil)
 
-	_ replication.Stewards = (*Clients)(nil)
+	_ replication.SnapshotFetcher = (*ClientPool)(nil)
 )
 
-// NewClients keeps so many clients; further asks wait for one.
-func NewClients(n int, holder string, stewards []Peer, timeout time.Duration) *Clients {
-	c := &Clients{idle: make(chan *Client, n)}
+// NewClientPool keeps so many clients; further asks wait for one.
+func NewClientPool(n int, holder string, stewards []Peer, timeout time.Duration) *ClientPool {
+	c := &ClientPool{idle: make(chan *Client, n)}
 	for range n {
-		c.idle <- &Client{Holder: holder, Stewards: stewards, Timeout: timeout}
+		c.idle <- &Client{Holder: holder, Voters: stewards, Timeout: timeout}
 	}
 	return c
 }
 
-// Count has what goes and comes counted from the first ask on.
-func (c *Clients) Count(t *traffic.Counter) {
+// CountTraffic has what goes and comes counted from the first ask on.
+func (c *ClientPool) CountTraffic(t *traffic.Counter) {
 	for range cap(c.idle) {
 		one := <-c.idle
 		one.Traffic = t
@@ -38,8 +38,8 @@
 	}
 }
 
-// with does something with a client that is idle.
-func (c *Clients) with(ctx context.Context, do func(*Client) error) error {
+// withClient does something with a client that is idle.
+func (c *ClientPool) withClient(ctx context.Context, do func(*Client) error) error {
 	select {
 	case one := <-c.idle:
 		defer func() { c.idle <- one }()
@@ -50,8 +50,8 @@
 }
 
 // Acquire is documented with Client.
-func (c *Clients) Acquire(ctx context.Context, d lease.Duty, term time.Duration) (g lease.Grant, ok bool, err error) {
-	err = c.with(ctx, func(one *Client) (err error) {
+func (c *ClientPool) Acquire(ctx context.Context, d lease.Name, term time.Duration) (g lease.Lease, ok bool, err error) {
+	err = c.withClient(ctx, func(one *Client) (err error) {
 		g, ok, err = one.Acquire(ctx, d, term)
 		return err
 	})
@@ -59,22 +59,22 @@
 }
 
 // Release is documented with Client.
-func (c *Clients) Release(ctx context.Context, d lease.Duty) error {
-	return c.with(ctx, func(one *Client) error { return one.Release(ctx, d) })
+func (c *ClientPool) Release(ctx context.Context, d lease.Name) error {
+	return c.withClient(ctx, func(one *Client) error { return one.Release(ctx, d) })
 }
 
 // Put is documented with shared.Store.
-func (c *Clients) Put(ctx context.Context, key string, expect uint64, value []byte, f replication.Fence) (version uint64, err error) {
-	err = c.with(ctx, func(one *Client) (err error) {
-		version, err = one.Put(ctx, replication.Write{Key: key, Expect: expect, Value: value, Fence: f})
+func (c *ClientPool) Put(ctx context.Context, key string, expect uint64, value []byte, f replication.Fence) (version uint64, err error) {
+	err = c.withClient(ctx, func(one *Client) (err error) {
+		version, err = one.Put(ctx, replication.Write{Key: key, ExpectedVersion: expect, Value: value, Fence: f})
 		return err
 	})
 	return version, err
 }
 
 // Read is documented with shared.Store.
-func (c *Clients) Read(ctx context.Context, key string) (d replication.Doc, err error) {
-	err = c.with(ctx, func(one *Client) (err error) {
+func (c *ClientPool) Read(ctx context.Context, key string) (d replication.Document, err error) {
+	err = c.withClient(ctx, func(one *Client) (err error) {
 		d, err = one.Read(ctx, key)
 		return err
 	})
@@ -82,8 +82,8 @@
 }
 
 // Fetch is documented with shared.Stewards.
-func (c *Clients) Fetch(ctx context.Context, since uint64, sure bool) (s replication.State, newer bool, err error) {
-	err = c.with(ctx, func(one *Client) (err error) {
+func (c *ClientPool) Fetch(ctx context.Context, since uint64, sure bool) (s replication.Snapshot, newer bool, err error) {
+	err = c.withClient(ctx, func(one *Client) (err error) {
 		s, newer, err = one.Fetch(ctx, since, sure)
 		return err
 	})
@@ -91,7 +91,7 @@
 }
 
 // Close waits for the asks under way and ends the connections. No other may come.
-func (c *Clients) Close() {
+func (c *ClientPool) Close() {
 	for range cap(c.idle) {
 		(<-c.idle).Close()
 	}
--- a/internal/fleet/consensus/disk_test.go
+++ b/internal/fleet/consensus/disk_test.go
@@ -51,12 +51,12 @@
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner, said, ending := &fullStore{InmemStore: raft.NewInmemStore()}, make(chan string, 9), make(chan struct{})
-		d := &disk{store: inner, ending: ending, say: func(line string) { said <- line }}
-		if err := errors.Join(d.SetUint64(termKey, 3), d.StoreLogs([]*raft.Log{{Index: 1}})); err != nil {
+		d := &retryingStore{raftStore: inner, shutdown: ending, log: func(line string) { said <- line }}
+		if err := errors.Join(d.SetUint64(currentTermKey, 3), d.StoreLogs([]*raft.Log{{Index: 1}})); err != nil {
 			t.Fatal(err)
 		}
 		inner.set(true)
-		if err := d.StoreLogs([]*raft.Log{{Index: 2}}); !errors.Is(err, errFull) || !d.Full() {
+		if err := d.StoreLogs([]*raft.Log{{Index: 2}}); !errors.Is(err, errFull) || !d.WriteFailed() {
 			t.Error(err)
 		}
 		if err := d.SetUint64([]byte("LastVoteTerm"), 4); !errors.Is(err, errFull) {
@@ -65,7 +65,7 @@
 		wrote := make(chan uint64, 9)
 		for _, term := range []uint64{5, 4} { // of the engine, and of a heartbeat that is late
 			go func() {
-				if err := d.SetUint64(termKey, term); err != nil {
+				if err := d.SetUint64(currentTermKey, term); err != nil {
 					t.Error(err)
 				}
 				wrote <- term
@@ -78,11 +78,11 @@
 		}
 		inner.set(false)
 		time.Sleep(time.Second)
-		if term, err := d.GetUint64(termKey); term != 5 || err != nil || d.Full() || len(wrote) != 2 {
-			t.Errorf("term %d %v, full %v, %d returned", term, err, d.Full(), len(wrote))
+		if term, err := d.GetUint64(currentTermKey); term != 5 || err != nil || d.WriteFailed() || len(wrote) != 2 {
+			t.Errorf("term %d %v, full %v, %d returned", term, err, d.WriteFailed(), len(wrote))
 		}
 		inner.set(true)
-		go func() { _ = d.SetUint64(termKey, 6); wrote <- 6 }()
+		go func() { _ = d.SetUint64(currentTermKey, 6); wrote <- 6 }()
 		synctest.Wait()
 		close(ending)
 		synctest.Wait()
@@ -97,7 +97,7 @@
 
 // slowStore takes its time over the first writes to the log.
 type slowStore struct {
-	store
+	raftStore
 	slow atomic.Int32
 	each time.Duration
 }
@@ -106,7 +106,7 @@
 	if s.slow.Add(-1) >= 0 {
 		time.Sleep(s.each)
 	}
-	return s.store.StoreLogs(l)
+	return s.raftStore.StoreLogs(l)
 }
 
 // A leader whose disk takes longer over its first entries than an election lasts comes to its office all the same: without it
@@ -120,13 +120,13 @@
 	_ = ln.Close()
 	slow := &slowStore{each: 3 * election}
 	slow.slow.Store(1)
-	s, err := Start(Options{Name: "s", Listen: addr, Dir: t.TempDir(), Stewards: []Peer{{"s", addr}}, Election: election,
-		wrap: func(inner store) store { slow.store = inner; return slow }})
+	s, err := Start(Options{Name: "s", ListenAddr: addr, Dir: t.TempDir(), Voters: []Peer{{"s", addr}}, ElectionTimeout: election,
+		wrapStore: func(inner raftStore) raftStore { slow.raftStore = inner; return slow }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	c := &Client{Holder: "a", Stewards: []Peer{{"s", addr}}, Timeout: 3 * election}
+	c := &Client{Holder: "a", Voters: []Peer{{"s", addr}}, Timeout: 3 * election}
 	defer c.Close()
 	acquire(t, c, time.Minute)
 }
--- a/internal/fleet/consensus/layer.go
+++ b/internal/fleet/consensus/layer.go
@@ -11,32 +11,32 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// layer is the engine's network: it dials stewards by name, at the addresses known here.
-type layer struct {
-	ln      net.Listener
-	calls   chan net.Conn
-	ending  chan struct{}
-	counter *traffic.Counter
-
-	mu    sync.Mutex
-	addrs map[raft.ServerAddress]string
+// streamLayer is the engine's network: it dials stewards by name, at the addresses known here.
+type streamLayer struct {
+	listener net.Listener
+	incoming chan net.Conn
+	shutdown chan struct{}
+	traffic  *traffic.Counter
+
+	mu        sync.Mutex
+	addresses map[raft.ServerAddress]string
 }
 
-func (l *layer) Accept() (net.Conn, error) {
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.calls:
+	case c := <-l.incoming:
 		return c, nil
-	case <-l.ending:
+	case <-l.shutdown:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *layer) Close() error   { return nil } // the listener is the steward's
-func (l *layer) Addr() net.Addr { return l.ln.Addr() }
+func (l *streamLayer) Close() error   { return nil } // the listener is the steward's
+func (l *streamLayer) Addr() net.Addr { return l.listener.Addr() }
 
-func (l *layer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *streamLayer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	l.mu.Lock()
-	addr, ok := l.addrs[name]
+	addr, ok := l.addresses[name]
 	l.mu.Unlock()
 	if !ok {
 		return nil, fmt.Errorf("no steward is named %q", name)
@@ -45,9 +45,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.Write([]byte{callRaft}); err != nil {
+	if _, err := c.Write([]byte{connectionRaft}); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
-	return l.counter.Conn(c, kindRaft), nil
+	return l.traffic.Conn(c, trafficKindRaft), nil
 }
--- a/internal/fleet/consensus/office.go
+++ b/internal/fleet/consensus/office.go
@@ -12,37 +12,37 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// ask is what a pooler asks, one JSON line: with Put or Read of a document, with Since for all documents, else for a lease.
+// request is what a pooler asks, one JSON line: with Put or Read of a document, with Since for all documents, else for a lease.
 // answer is the answer, one line too.
-type ask struct {
-	Release bool               `json:"release,omitempty"`
-	Duty    lease.Duty         `json:"duty,omitempty"`
-	Holder  string             `json:"holder"`
-	Term    time.Duration      `json:"term_ns,omitempty"`
-	Put     *replication.Write `json:"put,omitempty"`
-	Read    string             `json:"read,omitempty"`
-	Since   *uint64            `json:"since,omitempty"` // any steward answers with what it has, if that is newer
-	Sure    bool               `json:"sure,omitempty"`  // of Since: the leader answers, as of the ask
+type request struct {
+	Release      bool               `json:"release,omitempty"`
+	Lease        lease.Name         `json:"duty,omitempty"`
+	Holder       string             `json:"holder"`
+	Duration     time.Duration      `json:"term_ns,omitempty"`
+	Put          *replication.Write `json:"put,omitempty"`
+	Read         string             `json:"read,omitempty"`
+	Since        *uint64            `json:"since,omitempty"` // any steward answers with what it has, if that is newer
+	Linearizable bool               `json:"sure,omitempty"`  // of Since: the leader answers, as of the ask
 }
 
-// valid tells what is missing of an ask.
-func (a ask) valid() error {
+// validate tells what is missing of an ask.
+func (a request) validate() error {
 	switch {
 	case a.Holder == "":
 		return errors.New("holder is missing")
 	case a.Put != nil || a.Read != "" || a.Since != nil:
 		return nil
-	case a.Duty == "" || a.Term <= 0 && !a.Release:
+	case a.Lease == "" || a.Duration <= 0 && !a.Release:
 		return errors.New("duty or term_ns is missing")
 	}
 	return nil
 }
 
-// kindRaft is what stewards say to each other, counted by reads and writes; asks and answers are counted by the line.
-const kindRaft = "raft"
+// trafficKindRaft is what stewards say to each other, counted by reads and writes; asks and answers are counted by the line.
+const trafficKindRaft = "raft"
 
-// kind is what an ask and its answer are counted as.
-func (a ask) kind() string {
+// trafficKind is what an ask and its answer are counted as.
+func (a request) trafficKind() string {
 	switch {
 	case a.Put != nil:
 		return "documents/put"
@@ -54,24 +54,24 @@
 	return "lease"
 }
 
-type answer struct {
-	OK      bool               `json:"ok"`
-	Grant   lease.Grant        `json:"grant"`
-	Version uint64             `json:"version,omitempty"`
-	Refused string             `json:"refused,omitempty"` // a write: one of the refusals
-	Why     string             `json:"why,omitempty"`
-	Doc     *replication.Doc   `json:"doc,omitempty"`
-	State   *replication.State `json:"state,omitempty"`
-	Leader  string             `json:"leader,omitempty"` // ask that one; this one is not it
-	Error   string             `json:"error,omitempty"`  // nothing is decided
-	Unsure  bool               `json:"unsure,omitempty"` // of Error: it may have been taken, or may be yet
+type response struct {
+	OK           bool                  `json:"ok"`
+	Lease        lease.Lease           `json:"grant"`
+	Version      uint64                `json:"version,omitempty"`
+	Refused      string                `json:"refused,omitempty"` // a write: one of the refusals
+	Reason       string                `json:"why,omitempty"`
+	Doc          *replication.Document `json:"doc,omitempty"`
+	State        *replication.Snapshot `json:"state,omitempty"`
+	Leader       string                `json:"leader,omitempty"` // ask that one; this one is not it
+	Error        string                `json:"error,omitempty"`  // nothing is decided
+	MaybeApplied bool                  `json:"unsure,omitempty"` // of Error: it may have been taken, or may be yet
 }
 
-// refusals are the ways in which a write is refused for good, by the names that they go by between processes.
-var refusals = map[string]error{"conflict": replication.ErrConflict, "fenced": replication.ErrFenced, "large": replication.ErrTooLarge}
+// refusalErrors are the ways in which a write is refused for good, by the names that they go by between processes.
+var refusalErrors = map[string]error{"conflict": replication.ErrConflict, "fenced": replication.ErrFenced, "large": replication.ErrTooLarge}
 
-func refusal(err error) string {
-	for name, known := range refusals {
+func refusalName(err error) string {
+	for name, known := range refusalErrors {
 		if errors.Is(err, known) {
 			return name
 		}
@@ -79,13 +79,13 @@
 	return "large"
 }
 
-func (s *Steward) mono() time.Duration { return time.Since(s.start) }
+func (s *Voter) monotonicNow() time.Duration { return time.Since(s.startedAt) }
 
-// office follows this steward's terms of office: a clock is set once all that came before has been applied.
-func (s *Steward) office() {
+// followLeadership follows this steward's terms of office: a clock is set once all that came before has been applied.
+func (s *Voter) followLeadership() {
 	for {
 		select {
-		case <-s.ending:
+		case <-s.shutdown:
 			return
 		case leads := <-s.raft.LeaderCh():
 			s.mu.Lock()
@@ -95,134 +95,134 @@
 				continue
 			}
 			epoch := s.raft.CurrentTerm()
-			if !s.barrier(epoch) {
+			if !s.awaitBarrier(epoch) {
 				continue // it has lost its office again
 			}
-			s.table.mu.Lock()
-			clock := s.table.leases.Lead(epoch, s.mono())
-			s.table.mu.Unlock()
+			s.state.mu.Lock()
+			clock := s.state.lessor.StartClock(epoch, s.monotonicNow())
+			s.state.mu.Unlock()
 			s.mu.Lock()
 			s.clock = clock
 			s.mu.Unlock()
-			s.say(fmt.Sprintf("steward %s leads in term %d", s.o.Name, epoch))
+			s.log(fmt.Sprintf("steward %s leads in term %d", s.options.Name, epoch))
 		}
 	}
 }
 
-// barrier waits until all that came before an office has been applied, however slow the disk is, and tells whether the office still
+// awaitBarrier waits until all that came before an office has been applied, however slow the disk is, and tells whether the office still
 // stands: an office without a clock would answer nobody, and no other would be elected.
-func (s *Steward) barrier(epoch uint64) bool {
-	for s.raft.Barrier(s.o.Election).Error() != nil {
+func (s *Voter) awaitBarrier(epoch uint64) bool {
+	for s.raft.Barrier(s.options.ElectionTimeout).Error() != nil {
 		if s.raft.State() != raft.Leader || s.raft.CurrentTerm() != epoch {
 			return false
 		}
 		select {
-		case <-s.ending:
+		case <-s.shutdown:
 			return false
-		case <-time.After(s.o.Election / 10):
+		case <-time.After(s.options.ElectionTimeout / 10):
 		}
 	}
 	return true
 }
 
-// leads is this steward's clock as the leader, or else the answer that names another.
-func (s *Steward) leads() (lease.Clock, answer, bool) {
+// leaderClock is this steward's clock as the leader, or else the answer that names another.
+func (s *Voter) leaderClock() (lease.Clock, response, bool) {
 	s.mu.Lock()
 	clock := s.clock
 	s.mu.Unlock()
-	if s.raft.State() != raft.Leader || clock.Epoch == 0 || clock.Epoch != s.raft.CurrentTerm() {
+	if s.raft.State() != raft.Leader || clock.RaftTerm == 0 || clock.RaftTerm != s.raft.CurrentTerm() {
 		_, leader := s.raft.LeaderWithID()
-		if string(leader) == s.o.Name {
+		if string(leader) == s.options.Name {
 			leader = "" // just come to office, or just out of it
 		}
-		return lease.Clock{}, answer{Leader: string(leader), Error: "not the leader"}, false
+		return lease.Clock{}, response{Leader: string(leader), Error: "not the leader"}, false
 	}
-	return clock, answer{}, true
+	return clock, response{}, true
 }
 
-// decide answers an ask, or has the stewards decide.
-func (s *Steward) decide(a ask) answer {
-	if a.Since != nil && !a.Sure {
-		return s.fetch(*a.Since)
+// handle answers an ask, or has the stewards decide.
+func (s *Voter) handle(a request) response {
+	if a.Since != nil && !a.Linearizable {
+		return s.fetchDocuments(*a.Since)
 	}
-	clock, other, ok := s.leads()
+	clock, other, ok := s.leaderClock()
 	switch {
 	case !ok:
 		return other
 	case a.Since != nil:
-		if _, _, err := s.confirm(); err != nil {
-			return answer{Error: err.Error()}
+		if _, _, err := s.confirmLeadership(); err != nil {
+			return response{Error: err.Error()}
 		}
-		return s.fetch(*a.Since)
+		return s.fetchDocuments(*a.Since)
 	case a.Read != "":
-		return s.read(a.Read)
+		return s.readDocument(a.Read)
 	}
-	now := clock.At(s.mono())
+	now := clock.At(s.monotonicNow())
 	if a.Put == nil && !a.Release {
-		s.table.mu.Lock()
-		g, denied := s.table.leases.Denied(a.Duty, a.Holder, now)
-		s.table.mu.Unlock()
+		s.state.mu.Lock()
+		g, denied := s.state.lessor.WouldDeny(a.Lease, a.Holder, now)
+		s.state.mu.Unlock()
 		if denied { // without a write to the log: of hundreds that stand for a duty all but one hear this, again and again
-			return answer{Grant: g}
+			return response{Lease: g}
 		}
 	}
-	c := command{Command: lease.Command{Release: a.Release, Duty: a.Duty, Holder: a.Holder, Term: a.Term, Now: now, Epoch: clock.Epoch}, Put: a.Put}
+	c := command{Command: lease.Command{Release: a.Release, Name: a.Lease, Holder: a.Holder, Duration: a.Duration, Now: now, RaftTerm: clock.RaftTerm}, Put: a.Put}
 	text, err := json.Marshal(c)
 	if err != nil {
-		return answer{Error: err.Error()}
+		return response{Error: err.Error()}
 	}
-	f := s.raft.Apply(text, s.o.Election)
+	f := s.raft.Apply(text, s.options.ElectionTimeout)
 	if err := f.Error(); err != nil {
 		untaken := errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout) || errors.Is(err, raft.ErrLeadershipTransferInProgress)
-		return answer{Error: err.Error(), Unsure: !untaken}
+		return response{Error: err.Error(), MaybeApplied: !untaken}
 	}
-	return f.Response().(answer)
+	return f.Response().(response)
 }
 
-// read answers with a document as no older than the ask: all that came before this office has been applied (office), what this
+// readDocument answers with a document as no older than the ask: all that came before this office has been applied (office), what this
 // leader has decided since is applied before its asker hears of it, and none other decided meanwhile, if a majority still
 // follows this one.
-func (s *Steward) read(key string) answer {
-	if _, _, err := s.confirm(); err != nil {
-		return answer{Error: err.Error()}
-	}
-	s.table.mu.Lock()
-	defer s.table.mu.Unlock()
-	doc := s.table.docs.Get(key)
-	return answer{OK: true, Doc: &doc}
+func (s *Voter) readDocument(key string) response {
+	if _, _, err := s.confirmLeadership(); err != nil {
+		return response{Error: err.Error()}
+	}
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	doc := s.state.documents.Get(key)
+	return response{OK: true, Doc: &doc}
 }
 
-// confirm asks a majority whether this steward still leads, and tells the documents' version then and when it asked.
-func (s *Steward) confirm() (version uint64, at time.Time, err error) {
-	if _, other, ok := s.leads(); !ok {
+// confirmLeadership asks a majority whether this steward still leads, and tells the documents' version then and when it asked.
+func (s *Voter) confirmLeadership() (version uint64, at time.Time, err error) {
+	if _, other, ok := s.leaderClock(); !ok {
 		return 0, at, errors.New(other.Error)
 	}
 	at = time.Now()
 	if err := s.raft.VerifyLeader().Error(); err != nil {
 		return 0, at, err
 	}
-	if _, other, ok := s.leads(); !ok {
+	if _, other, ok := s.leaderClock(); !ok {
 		return 0, at, errors.New(other.Error)
 	}
-	s.table.mu.Lock()
-	defer s.table.mu.Unlock()
-	return s.table.docs.Version(), at, nil
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	return s.state.documents.Version(), at, nil
 }
 
-// Confirm tells the version of the documents that nothing was newer than at a time, by a majority; ok false: this steward does
+// ConfirmVersion tells the version of the documents that nothing was newer than at a time, by a majority; ok false: this steward does
 // not lead. It waits for the others, as long as an election takes.
-func (s *Steward) Confirm() (version uint64, at time.Time, ok bool) {
-	version, at, err := s.confirm()
+func (s *Voter) ConfirmVersion() (version uint64, at time.Time, ok bool) {
+	version, at, err := s.confirmLeadership()
 	return version, at, err == nil
 }
 
-// fetch answers with all documents, as old as they may be here.
-func (s *Steward) fetch(since uint64) answer {
-	s.table.mu.Lock()
-	defer s.table.mu.Unlock()
-	if s.table.docs.Version() <= since {
-		return answer{OK: true}
+// fetchDocuments answers with all documents, as old as they may be here.
+func (s *Voter) fetchDocuments(since uint64) response {
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	if s.state.documents.Version() <= since {
+		return response{OK: true}
 	}
-	state := s.table.docs.State()
-	return answer{OK: true, State: &state}
+	state := s.state.documents.Snapshot()
+	return response{OK: true, State: &state}
 }
