--- a/internal/fleet/consensus/set.go
+++ b/internal/fleet/consensus/set.go
@@ -11,57 +11,57 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// setKey is the document of who the stewards are to be.
-const setKey = "stewards/set"
+// voterSetKey is the document of who the stewards are to be.
+const voterSetKey = "stewards/set"
 
-// set is who the stewards are to be, by the operators' newest file.
-type set struct {
+// voterSet is who the stewards are to be, by the operators' newest file.
+type voterSet struct {
 	Revision uint64   `json:"revision"` // config_revision of the file that it was taken from
 	Names    []string `json:"names"`
 }
 
-// Reform takes over the stewards that the operators' file names now, with its revision. Whoever leads changes the set, one steward
+// SetVoters takes over the stewards that the operators' file names now, with its revision. Whoever leads changes the set, one steward
 // at a time, additions first; the newest revision that any leader has met counts, so that one on an older file changes nothing
 // back. Revision 0 changes nothing.
-func (s *Steward) Reform(revision uint64, stewards []Peer) {
-	want := set{Revision: revision}
-	s.layer.mu.Lock()
+func (s *Voter) SetVoters(revision uint64, stewards []Peer) {
+	want := voterSet{Revision: revision}
+	s.streams.mu.Lock()
 	for _, p := range stewards { // those that go are still to be reached until they have gone
-		s.layer.addrs[raft.ServerAddress(p.Name)] = p.Addr
+		s.streams.addresses[raft.ServerAddress(p.Name)] = p.Addr
 		want.Names = append(want.Names, p.Name)
 	}
-	s.layer.mu.Unlock()
+	s.streams.mu.Unlock()
 	slices.Sort(want.Names)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.want = want
+	s.wantedVoters = want
 }
 
-// reform brings the set to what is wanted while this steward leads, a step in each time that an election takes.
-func (s *Steward) reform() {
+// reconcileVoters brings the set to what is wanted while this steward leads, a step in each time that an election takes.
+func (s *Voter) reconcileVoters() {
 	for {
 		select {
-		case <-s.ending:
+		case <-s.shutdown:
 			return
-		case <-time.After(s.o.Election):
+		case <-time.After(s.options.ElectionTimeout):
 		}
-		if _, _, ok := s.leads(); ok {
-			if err := s.step(); err != nil {
-				s.say("steward: the set of stewards can't be changed: " + err.Error())
+		if _, _, ok := s.leaderClock(); ok {
+			if err := s.reconcileOnce(); err != nil {
+				s.log("steward: the set of stewards can't be changed: " + err.Error())
 			}
 		}
 	}
 }
 
-// step writes a newer file's set into the log, or makes the first change that the set in the log asks for.
-func (s *Steward) step() error {
+// reconcileOnce writes a newer file's set into the log, or makes the first change that the set in the log asks for.
+func (s *Voter) reconcileOnce() error {
 	s.mu.Lock()
-	want := s.want
+	want := s.wantedVoters
 	s.mu.Unlock()
-	s.table.mu.Lock()
-	doc := s.table.docs.Get(setKey)
-	s.table.mu.Unlock()
-	var now set
+	s.state.mu.Lock()
+	doc := s.state.documents.Get(voterSetKey)
+	s.state.mu.Unlock()
+	var now voterSet
 	if doc.Version > 0 {
 		if err := json.Unmarshal(doc.Value, &now); err != nil {
 			return err
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		a := s.decide(ask{Holder: s.o.Name, Put: &replication.Write{Key: setKey, Expect: doc.Version, Value: text}})
+		a := s.handle(request{Holder: s.options.Name, Put: &replication.Write{Key: voterSetKey, ExpectedVersion: doc.Version, Value: text}})
 		if a.Error != "" {
 			return fmt.Errorf("its document: %s", a.Error)
 		}
@@ -85,31 +85,31 @@
 	if err := f.Error(); err != nil {
 		return err
 	}
-	id, adds, ok := change(f.Configuration(), now.Names)
+	id, adds, ok := nextChange(f.Configuration(), now.Names)
 	if !ok {
 		return nil
 	}
-	s.layer.mu.Lock()
-	_, known := s.layer.addrs[raft.ServerAddress(id)]
-	s.layer.mu.Unlock()
+	s.streams.mu.Lock()
+	_, known := s.streams.addresses[raft.ServerAddress(id)]
+	s.streams.mu.Unlock()
 	switch {
 	case adds && !known:
 		return fmt.Errorf("this steward's file has no address of %s", id)
 	case adds:
-		s.say(fmt.Sprintf("steward: %s is added", id))
-		return s.raft.AddVoter(id, raft.ServerAddress(id), 0, changeWithin).Error()
+		s.log(fmt.Sprintf("steward: %s is added", id))
+		return s.raft.AddVoter(id, raft.ServerAddress(id), 0, membershipChangeTimeout).Error()
 	default:
-		s.say(fmt.Sprintf("steward: %s is removed", id))
-		return s.raft.RemoveServer(id, 0, changeWithin).Error()
+		s.log(fmt.Sprintf("steward: %s is removed", id))
+		return s.raft.RemoveServer(id, 0, membershipChangeTimeout).Error()
 	}
 }
 
-// changeWithin is how long one change may wait to be begun.
-const changeWithin = 10 * time.Second
+// membershipChangeTimeout is how long one change may wait to be begun.
+const membershipChangeTimeout = 10 * time.Second
 
-// change is the next one from the stewards that there are to those that are wanted; ok false: there is none. Additions go first, so
+// nextChange is the next one from the stewards that there are to those that are wanted; ok false: there is none. Additions go first, so
 // that the set never bears fewer losses than before.
-func change(now raft.Configuration, want []string) (id raft.ServerID, adds, ok bool) {
+func nextChange(now raft.Configuration, want []string) (id raft.ServerID, adds, ok bool) {
 	has := func(name string) bool {
 		return slices.ContainsFunc(now.Servers, func(s raft.Server) bool { return string(s.ID) == name })
 	}
--- a/internal/fleet/consensus/set_test.go
+++ b/internal/fleet/consensus/set_test.go
@@ -14,7 +14,7 @@
 func TestReform(t *testing.T) {
 	g := start(t, 3)
 	ctx := t.Context()
-	c := NewClients(1, "a", g.outside, 3*election)
+	c := NewClientPool(1, "a", g.outside, 3*election)
 	t.Cleanup(c.Close)
 	put := func(key string) {
 		t.Helper()
@@ -39,18 +39,18 @@
 		_ = ln.Close()
 	}
 	for i := 3; i < 5; i++ {
-		g.options = append(g.options, Options{Name: all[i].Name, Listen: all[i].Addr, Dir: t.TempDir(), Stewards: all, Join: true, Drift: 100 * time.Millisecond, Election: election})
+		g.options = append(g.options, Options{Name: all[i].Name, ListenAddr: all[i].Addr, Dir: t.TempDir(), Voters: all, Join: true, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: election})
 		g.stewards = append(g.stewards, nil)
 		g.run(t, i)
 	}
 	lead := g.leader(t)
-	g.stewards[lead].Reform(1, all)
+	g.stewards[lead].SetVoters(1, all)
 	names := func(n int, without string) {
 		t.Helper()
 		for range 1000 {
 			set, has := 0, false
 			for _, s := range g.stewards {
-				if s == nil || s.o.Name == without {
+				if s == nil || s.options.Name == without {
 					continue
 				}
 				f := s.raft.GetConfiguration()
@@ -82,15 +82,15 @@
 	}
 	for i, s := range g.stewards {
 		if i != gone {
-			s.Reform(2, rest)
+			s.SetVoters(2, rest)
 		}
 	}
-	g.stewards[gone].Reform(1, all) // on an older file
+	g.stewards[gone].SetVoters(1, all) // on an older file
 	names(4, all[gone].Name)
 	put("p/after")
 	g.end(gone)
 	g.end(lead) // three of four are left
-	c5 := NewClients(1, "b", all, 3*election)
+	c5 := NewClientPool(1, "b", all, 3*election)
 	t.Cleanup(c5.Close)
 	for range 100 {
 		if d, err := c5.Read(ctx, "p/before"); err == nil {
--- a/internal/fleet/consensus/steward_test.go
+++ b/internal/fleet/consensus/steward_test.go
@@ -21,7 +21,7 @@
 
 // group is a set of stewards of this process, each behind a relay of its own on every link.
 type group struct {
-	stewards []*Steward
+	stewards []*Voter
 	options  []Options
 	links    map[[2]int]*relay.Link // from steward i to steward j
 	outside  []Peer                 // as a pooler reaches them
@@ -40,7 +40,7 @@
 		_ = ln.Close()
 	}
 	for i := range n {
-		o := Options{Name: fmt.Sprint("s", i), Listen: addrs[i], Dir: t.TempDir(), Drift: 100 * time.Millisecond, Election: election}
+		o := Options{Name: fmt.Sprint("s", i), ListenAddr: addrs[i], Dir: t.TempDir(), MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: election}
 		for j := range n {
 			addr := addrs[j]
 			if i != j {
@@ -51,7 +51,7 @@
 				t.Cleanup(l.Close)
 				g.links[[2]int{i, j}], addr = l, l.Addr()
 			}
-			o.Stewards = append(o.Stewards, Peer{fmt.Sprint("s", j), addr})
+			o.Voters = append(o.Voters, Peer{fmt.Sprint("s", j), addr})
 		}
 		g.options = append(g.options, o)
 		g.outside = append(g.outside, Peer{o.Name, addrs[i]})
@@ -83,13 +83,13 @@
 }
 
 func (g *group) client(t *testing.T, holder string, stewards ...Peer) *Client {
-	c := &Client{Holder: holder, Stewards: stewards, Timeout: 3 * election}
+	c := &Client{Holder: holder, Voters: stewards, Timeout: 3 * election}
 	t.Cleanup(c.Close)
 	return c
 }
 
 // acquire asks until the stewards decide.
-func acquire(t *testing.T, c *Client, term time.Duration) (lease.Grant, bool) {
+func acquire(t *testing.T, c *Client, term time.Duration) (lease.Lease, bool) {
 	t.Helper()
 	for range 50 {
 		if g, ok, err := c.Acquire(t.Context(), "lists", term); err == nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	t.Fatal("the stewards never decide")
-	return lease.Grant{}, false
+	return lease.Lease{}, false
 }
 
 func (g *group) leader(t *testing.T) int {
@@ -106,7 +106,7 @@
 		for i, s := range g.stewards {
 			if s != nil {
 				s.mu.Lock()
-				leads := s.clock.Epoch != 0
+				leads := s.clock.RaftTerm != 0
 				s.mu.Unlock()
 				if leads {
 					return i
@@ -198,7 +198,7 @@
 // What is no request gets an error or a close, never a lease, and does not end the steward.
 func TestBadCallers(t *testing.T) {
 	g := start(t, 1)
-	for _, text := range []string{"X", "L\n", "L{}\n", "L{\"duty\":\"d\"}\n", "L" + string(make([]byte, 2*maxAsk)), "R\x00\x01garbage"} {
+	for _, text := range []string{"X", "L\n", "L{}\n", "L{\"duty\":\"d\"}\n", "L" + string(make([]byte, 2*maxRequestBytes)), "R\x00\x01garbage"} {
 		c, err := net.Dial("tcp", g.outside[0].Addr)
 		if err != nil {
 			t.Fatal(err)
@@ -209,7 +209,7 @@
 	if got, ok := acquire(t, g.client(t, "a", g.outside...), time.Minute); !ok {
 		t.Errorf("after bad callers: %+v", got)
 	}
-	if _, err := Start(Options{Name: "s", Listen: "127.0.0.1:0", Dir: "/dev/null/x", Stewards: g.outside, Election: election}); err == nil {
+	if _, err := Start(Options{Name: "s", ListenAddr: "127.0.0.1:0", Dir: "/dev/null/x", Voters: g.outside, ElectionTimeout: election}); err == nil {
 		t.Error("a steward starts without its folder")
 	}
 }
@@ -219,10 +219,10 @@
 func TestDocuments(t *testing.T) {
 	g := start(t, 3)
 	ctx := t.Context()
-	a, b := NewClients(2, "a", g.outside, 3*election), NewClients(2, "b", g.outside, 3*election)
+	a, b := NewClientPool(2, "a", g.outside, 3*election), NewClientPool(2, "b", g.outside, 3*election)
 	t.Cleanup(a.Close)
 	t.Cleanup(b.Close)
-	put := func(c *Clients, key string, expect uint64, value string, f replication.Fence) (version uint64, err error) {
+	put := func(c *ClientPool, key string, expect uint64, value string, f replication.Fence) (version uint64, err error) {
 		t.Helper()
 		for range 50 {
 			if version, err = c.Put(ctx, key, expect, []byte(value), f); err == nil || errors.Is(err, replication.ErrConflict) || errors.Is(err, replication.ErrFenced) {
@@ -236,22 +236,22 @@
 	if !ok {
 		t.Fatal("no lease")
 	}
-	v1, err := put(a, "p/x", 0, "1", replication.Fence{Duty: "lists", Token: grant.Token})
+	v1, err := put(a, "p/x", 0, "1", replication.Fence{Lease: "lists", Token: grant.Token})
 	if err != nil || v1 <= grant.Token {
 		t.Fatalf("version %d, %v", v1, err)
 	}
 	if _, err := put(b, "p/x", 0, "2", replication.Fence{}); !errors.Is(err, replication.ErrConflict) {
 		t.Errorf("over a version that was not read: %v", err)
 	}
-	if _, err := b.Put(ctx, "p/y", 0, make([]byte, replication.MaxValue+1), replication.Fence{}); !errors.Is(err, replication.ErrTooLarge) {
+	if _, err := b.Put(ctx, "p/y", 0, make([]byte, replication.MaxDocumentSize+1), replication.Fence{}); !errors.Is(err, replication.ErrTooLarge) {
 		t.Errorf("too large: %v", err)
 	}
-	largest := make([]byte, replication.MaxValue)
+	largest := make([]byte, replication.MaxDocumentSize)
 	if _, err := b.Put(ctx, "p/z", 0, largest, replication.Fence{}); err != nil {
 		t.Errorf("the largest: %v", err)
 	}
 	for { // a's term and the drift go by: its token stands no longer, though nobody else has the lease
-		if _, err := put(a, "p/fenced", 0, "x", replication.Fence{Duty: "lists", Token: grant.Token}); errors.Is(err, replication.ErrFenced) {
+		if _, err := put(a, "p/fenced", 0, "x", replication.Fence{Lease: "lists", Token: grant.Token}); errors.Is(err, replication.ErrFenced) {
 			break
 		} else if !errors.Is(err, replication.ErrConflict) && err != nil {
 			t.Fatal(err)
@@ -289,60 +289,60 @@
 		g.run(t, i)
 	}
 	read("all restarted from snapshots")
-	var state replication.State
+	var state replication.Snapshot
 	for range 500 { // of whichever steward is asked, which may not have caught up yet
 		if next, ok, err := a.Fetch(ctx, state.Version, false); err != nil {
 			t.Fatal(err)
 		} else if ok {
 			state = next
 		}
-		if state.Docs["p/x"].Version == v2 {
+		if state.Documents["p/x"].Version == v2 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if state.Docs["p/x"].Version != v2 || len(state.Docs["p/z"].Value) != len(largest) {
-		t.Errorf("fetched %d documents of version %d", len(state.Docs), state.Version)
+	if state.Documents["p/x"].Version != v2 || len(state.Documents["p/z"].Value) != len(largest) {
+		t.Errorf("fetched %d documents of version %d", len(state.Documents), state.Version)
 	}
 	if _, ok, err := a.Fetch(ctx, state.Version, true); ok || err != nil {
 		t.Errorf("nothing newer: %v %v", ok, err)
 	}
 	lead = g.leader(t)
-	if version, at, ok := g.stewards[lead].Confirm(); !ok || version != state.Version || time.Since(at) > time.Minute {
+	if version, at, ok := g.stewards[lead].ConfirmVersion(); !ok || version != state.Version || time.Since(at) > time.Minute {
 		t.Errorf("the leader confirms %d at %v: %v", version, at, ok)
 	}
-	if _, _, ok := g.stewards[(lead+1)%3].Confirm(); ok {
+	if _, _, ok := g.stewards[(lead+1)%3].ConfirmVersion(); ok {
 		t.Error("one that does not lead confirms")
 	}
 }
 
 // A snapshot from before there were documents is taken over: its leases stand, and there are no documents.
 func TestOldSnapshot(t *testing.T) {
-	var old lease.Table
-	want, _ := old.Apply(lease.Command{Duty: "d", Holder: "a", Term: time.Minute, Epoch: 1}, 7, 1)
+	var old lease.Lessor
+	want, _ := old.Apply(lease.Command{Name: "d", Holder: "a", Duration: time.Minute, RaftTerm: 1}, 7, 1)
 	text, err := old.MarshalJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := &table{changed: func(replication.State) {}}
-	if _, err := now.docs.Apply(replication.Write{Key: "k", Value: []byte("v")}, 3, &now.leases); err != nil {
+	now := &stateMachine{onDocumentsChanged: func(replication.Snapshot) {}}
+	if _, err := now.documents.Apply(replication.Write{Key: "k", Value: []byte("v")}, 3, &now.lessor); err != nil {
 		t.Fatal(err)
 	}
 	snap, err := now.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := &table{changed: func(replication.State) {}}
+	next := &stateMachine{onDocumentsChanged: func(replication.Snapshot) {}}
 	for _, c := range []struct {
 		text  []byte
 		token uint64
 		docs  int
-	}{{text, want.Token, 0}, {snap.(snapshot), 0, 1}, {text, want.Token, 0}} {
+	}{{text, want.Token, 0}, {snap.(encodedSnapshot), 0, 1}, {text, want.Token, 0}} {
 		if err := next.Restore(io.NopCloser(bytes.NewReader(c.text))); err != nil {
 			t.Fatal(err)
 		}
-		if _, token := next.leases.Holder("d"); token != c.token || len(next.docs.State().Docs) != c.docs {
-			t.Errorf("token %d, %d documents of %s", token, len(next.docs.State().Docs), c.text)
+		if _, token := next.lessor.Holder("d"); token != c.token || len(next.documents.Snapshot().Documents) != c.docs {
+			t.Errorf("token %d, %d documents of %s", token, len(next.documents.Snapshot().Documents), c.text)
 		}
 	}
 	for _, torn := range []string{"", "{", `{"table":{},"docs":{"version":1,"docs":[{"key":"a","version":2,"value":""}]}}`} {
@@ -350,7 +350,7 @@
 			t.Errorf("%q is restored", torn)
 		}
 	}
-	if _, token := next.leases.Holder("d"); token != want.Token {
+	if _, token := next.lessor.Holder("d"); token != want.Token {
 		t.Error("a snapshot that can't be read has changed the table")
 	}
 }
@@ -380,7 +380,7 @@
 		}
 	}()
 	p := Peer{"s", ln.Addr().String()}
-	c := &Client{Holder: "a", Stewards: []Peer{p, p, p}, Timeout: 10 * time.Second}
+	c := &Client{Holder: "a", Voters: []Peer{p, p, p}, Timeout: 10 * time.Second}
 	defer c.Close()
 	if _, err := c.Put(t.Context(), replication.Write{Key: "k"}); err == nil || errors.Is(err, replication.ErrConflict) {
 		t.Errorf("after a try that may have been taken: %v", err)
--- a/internal/fleet/consensus/table.go
+++ b/internal/fleet/consensus/table.go
@@ -19,102 +19,102 @@
 	Put *replication.Write `json:"Put,omitempty"`
 }
 
-// table is the leases and the documents as the engine's state machine.
-type table struct {
-	changed func(replication.State) // not nil; called with the lock
+// stateMachine is the leases and the documents as the engine's state machine.
+type stateMachine struct {
+	onDocumentsChanged func(replication.Snapshot) // not nil; called with the lock
 
-	mu     sync.Mutex // between the engine's goroutine, office and those that read
-	leases lease.Table
-	docs   replication.Docs
+	mu        sync.Mutex // between the engine's goroutine, office and those that read
+	lessor    lease.Lessor
+	documents replication.DocumentTable
 }
 
-func (t *table) Apply(l *raft.Log) any {
+func (t *stateMachine) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return answer{Error: "unreadable command in the log: " + err.Error()} // the same at every steward
+		return response{Error: "unreadable command in the log: " + err.Error()} // the same at every steward
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c.Put != nil {
-		return t.put(c, l.Index, l.Term)
+		return t.applyPut(c, l.Index, l.Term)
 	}
-	g, ok := t.leases.Apply(c.Command, l.Index, l.Term)
+	g, ok := t.lessor.Apply(c.Command, l.Index, l.Term)
 	if !ok && g.Holder == "" && !c.Release {
-		return answer{Grant: g, Error: "stamped in another term of office"}
+		return response{Lease: g, Error: "stamped in another term of office"}
 	}
-	return answer{OK: ok, Grant: g}
+	return response{OK: ok, Lease: g}
 }
 
-// put applies a document's write. The caller has the lock.
-func (t *table) put(c command, index, epoch uint64) answer {
-	if !t.leases.Pass(c.Now, c.Epoch, epoch) {
-		return answer{Error: "stamped in another term of office"}
+// applyPut applies a document's write. The caller has the lock.
+func (t *stateMachine) applyPut(c command, index, epoch uint64) response {
+	if !t.lessor.AdvanceTime(c.Now, c.RaftTerm, epoch) {
+		return response{Error: "stamped in another term of office"}
 	}
-	version, err := t.docs.Apply(*c.Put, index, &t.leases)
+	version, err := t.documents.Apply(*c.Put, index, &t.lessor)
 	if err != nil {
-		return answer{Refused: refusal(err), Why: err.Error()}
+		return response{Refused: refusalName(err), Reason: err.Error()}
 	}
-	t.changed(t.docs.State())
-	return answer{OK: true, Version: version}
+	t.onDocumentsChanged(t.documents.Snapshot())
+	return response{OK: true, Version: version}
 }
 
-// kept is a snapshot. One from before there were documents is a lease.Table's alone, without these keys.
-type kept struct {
-	Table json.RawMessage `json:"table"`
-	Docs  json.RawMessage `json:"docs"`
+// snapshotState is a snapshot. One from before there were documents is a lease.Table's alone, without these keys.
+type snapshotState struct {
+	Leases    json.RawMessage `json:"table"`
+	Documents json.RawMessage `json:"docs"`
 }
 
-func (t *table) Snapshot() (raft.FSMSnapshot, error) {
+func (t *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var k kept
+	var k snapshotState
 	var err, derr error
-	k.Table, err = t.leases.MarshalJSON()
-	k.Docs, derr = t.docs.MarshalJSON()
+	k.Leases, err = t.lessor.MarshalJSON()
+	k.Documents, derr = t.documents.MarshalJSON()
 	if err = errors.Join(err, derr); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(k)
-	return snapshot(text), err
+	return encodedSnapshot(text), err
 }
 
-// maxSnapshot is above what documents and leases take at their most, as JSON.
-const maxSnapshot = 1 << 24
+// maxSnapshotBytes is above what documents and leases take at their most, as JSON.
+const maxSnapshotBytes = 1 << 24
 
 // Restore takes a snapshot over, whole or not at all.
-func (t *table) Restore(r io.ReadCloser) error {
+func (t *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	text, err := io.ReadAll(io.LimitReader(r, maxSnapshot))
+	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes))
 	if err != nil {
 		return err
 	}
-	var k kept
+	var k snapshotState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return err
 	}
-	if k.Table == nil {
-		k = kept{Table: text, Docs: json.RawMessage("null")}
+	if k.Leases == nil {
+		k = snapshotState{Leases: text, Documents: json.RawMessage("null")}
 	}
-	var leases lease.Table
-	var docs replication.Docs
-	if err := errors.Join(leases.UnmarshalJSON(k.Table), docs.UnmarshalJSON(k.Docs)); err != nil {
+	var leases lease.Lessor
+	var docs replication.DocumentTable
+	if err := errors.Join(leases.UnmarshalJSON(k.Leases), docs.UnmarshalJSON(k.Documents)); err != nil {
 		return err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	leases.Drift = t.leases.Drift
-	t.leases, t.docs = leases, docs
-	t.changed(t.docs.State())
+	leases.MaxClockDrift = t.lessor.MaxClockDrift
+	t.lessor, t.documents = leases, docs
+	t.onDocumentsChanged(t.documents.Snapshot())
 	return nil
 }
 
-type snapshot []byte
+type encodedSnapshot []byte
 
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s encodedSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (snapshot) Release() {}
+func (encodedSnapshot) Release() {}
--- a/internal/fleet/discoveryleader/least_test.go
+++ b/internal/fleet/discoveryleader/least_test.go
@@ -4,21 +4,21 @@
 
 func TestLeast(t *testing.T) {
 	for _, c := range []struct {
-		least  Least
+		least  MinimumVersion
 		build  string
 		config uint64
 		want   bool
 	}{
-		{Least{}, "(devel)", 0, false},
-		{Least{Build: "v1.4.0"}, "v1.4.0", 0, false},
-		{Least{Build: "v1.4.0"}, "v1.10.0", 0, false},
-		{Least{Build: "v1.4.0"}, "v1.4.0-rc.1", 9, true},
-		{Least{Build: "v1.4.0"}, "(devel)", 9, true},
-		{Least{Config: 7}, "v1.4.0", 6, true},
-		{Least{Config: 7}, "v1.4.0", 7, false},
-		{Least{Build: "v1.4.0", Config: 7}, "v1.3.0", 8, true},
+		{MinimumVersion{}, "(devel)", 0, false},
+		{MinimumVersion{Build: "v1.4.0"}, "v1.4.0", 0, false},
+		{MinimumVersion{Build: "v1.4.0"}, "v1.10.0", 0, false},
+		{MinimumVersion{Build: "v1.4.0"}, "v1.4.0-rc.1", 9, true},
+		{MinimumVersion{Build: "v1.4.0"}, "(devel)", 9, true},
+		{MinimumVersion{ConfigRevision: 7}, "v1.4.0", 6, true},
+		{MinimumVersion{ConfigRevision: 7}, "v1.4.0", 7, false},
+		{MinimumVersion{Build: "v1.4.0", ConfigRevision: 7}, "v1.3.0", 8, true},
 	} {
-		if got := c.least.Bars(c.build, c.config); got != c.want {
+		if got := c.least.Excludes(c.build, c.config); got != c.want {
 			t.Errorf("%+v bars %s on %d: %v", c.least, c.build, c.config, got)
 		}
 	}
--- a/internal/fleet/distribution/call.go
+++ b/internal/fleet/distribution/call.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// refused is a call that was not taken.
-type refused struct{ refusal }
+// refusedError is a call that was not taken.
+type refusedError struct{ refusal }
 
-func (r refused) Error() string { return r.Why }
+func (r refusedError) Error() string { return r.Reason }
 
-// call opens a stream to a distributor. An error is of the network, refused, or of what it answered. Its answer has to come within the
+// openStream opens a stream to a distributor. An error is of the network, refused, or of what it answered. Its answer has to come within the
 // caller's patience: there are others to turn to.
-func call(ctx context.Context, dial Dialer, p Place, patience, beat time.Duration, count Counter, h hello) (net.Conn, *bufio.Reader, error) {
+func openStream(ctx context.Context, dial Dialer, p Endpoint, patience, beat time.Duration, count Counter, h hello) (net.Conn, *bufio.Reader, error) {
 	within, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	c, err := dial(within, p.Addr)
@@ -25,19 +25,19 @@
 		return nil, nil, err
 	}
 	stop := context.AfterFunc(within, func() { _ = c.Close() })
-	conn := living{c, tenths(beat, lostBeats), writeBeats * beat}
+	conn := timeoutConn{c, tenthsOfHeartbeat(beat, readTimeoutTenths), writeTimeoutHeartbeats * beat}
 	in := bufio.NewReaderSize(conn, 4<<10)
 	fail := func(err error) (net.Conn, *bufio.Reader, error) {
 		stop()
 		_ = c.Close()
 		return nil, nil, err
 	}
-	frame := sealJSON(kindHello, h)
+	frame := encodeJSONFrame(kindHello, h)
 	if _, err := conn.Write(frame); err != nil {
 		return fail(err)
 	}
 	count.Out(kindHello.String(), len(frame))
-	k, body, size, err := readFrame(in, mostUp)
+	k, body, size, err := readFrame(in, maxPoolerFrame)
 	if err != nil {
 		return fail(err)
 	}
@@ -47,11 +47,11 @@
 	case kindRefusal:
 		var r refusal
 		if err := json.Unmarshal(body, &r); err != nil {
-			return fail(fmt.Errorf("%w: %w", errFrame, err))
+			return fail(fmt.Errorf("%w: %w", errMalformedFrame, err))
 		}
-		return fail(refused{r})
+		return fail(refusedError{r})
 	default:
-		return fail(fmt.Errorf("%w: %s", errFrame, k))
+		return fail(fmt.Errorf("%w: %s", errMalformedFrame, k))
 	}
 	if !stop() { // its time is over, and the connection closed
 		return fail(within.Err())
@@ -59,10 +59,10 @@
 	return conn, in, nil
 }
 
-// kindOf is the kind of a sealed frame.
-func kindOf(frame []byte) kind {
+// frameKind is the kind of a sealed frame.
+func frameKind(frame []byte) frameKindID {
 	if _, used := binary.Uvarint(frame); used > 0 && used < len(frame) {
-		return kind(frame[used])
+		return frameKindID(frame[used])
 	}
 	return 0
 }
--- a/internal/fleet/distribution/directory.go
+++ b/internal/fleet/distribution/directory.go
@@ -4,78 +4,80 @@
 
 // directory is where each pooler's stream ends, as the other distributors tell. It is not safe for use by several goroutines.
 type directory struct {
-	at    map[string]string // by pooler: the distributor that told last that it came
-	links map[string]*told
+	distributorOf map[string]string // by pooler: the distributor that told last that it came
+	links         map[string]*distributorState
 }
 
-// told is what one other distributor has told.
-type told struct {
-	region  string
-	sum     Summary   // of its poolers
-	poolers int       // of those that at names it for
-	live    int       // links of it that are open here
-	lost    time.Time // when the last one ended
+// distributorState is what one other distributor has told.
+type distributorState struct {
+	region       string
+	summary      Summary   // of its poolers
+	poolerCount  int       // of those that at names it for
+	openLinks    int       // links of it that are open here
+	lastClosedAt time.Time // when the last one ended
 }
 
-func newDirectory() directory { return directory{at: map[string]string{}, links: map[string]*told{}} }
+func newDirectory() directory {
+	return directory{distributorOf: map[string]string{}, links: map[string]*distributorState{}}
+}
 
-// opened takes in that a distributor has called.
-func (d *directory) opened(name, region string) {
+// linkOpened takes in that a distributor has called.
+func (d *directory) linkOpened(name, region string) {
 	t := d.links[name]
 	if t == nil {
-		t = &told{}
+		t = &distributorState{}
 		d.links[name] = t
 	}
 	t.region = region
-	t.live++
+	t.openLinks++
 }
 
-// closed takes in that its link has ended. What it held is known for a while yet: its poolers are on their way elsewhere, and
+// linkClosed takes in that its link has ended. What it held is known for a while yet: its poolers are on their way elsewhere, and
 // shares that are dealt by the fleet's size must not grow for a link that was reset.
-func (d *directory) closed(name string, now time.Time) {
+func (d *directory) linkClosed(name string, now time.Time) {
 	if t := d.links[name]; t != nil {
-		t.live--
-		t.lost = now
+		t.openLinks--
+		t.lastClosedAt = now
 	}
 }
 
-// take takes in what a distributor tells.
-func (d *directory) take(name string, h holds) {
+// update takes in what a distributor tells.
+func (d *directory) update(name string, h holdings) {
 	t := d.links[name]
 	if t == nil {
 		return
 	}
-	if h.All {
+	if h.Complete {
 		d.forget(name)
 	}
-	for _, pooler := range h.Came {
-		if old, ok := d.at[pooler]; ok {
-			d.links[old].poolers--
+	for _, pooler := range h.Arrived {
+		if old, ok := d.distributorOf[pooler]; ok {
+			d.links[old].poolerCount--
 		}
-		d.at[pooler] = name
-		t.poolers++
+		d.distributorOf[pooler] = name
+		t.poolerCount++
 	}
-	for _, pooler := range h.Went {
-		if d.at[pooler] == name { // else it has come elsewhere already
-			delete(d.at, pooler)
-			t.poolers--
+	for _, pooler := range h.Departed {
+		if d.distributorOf[pooler] == name { // else it has come elsewhere already
+			delete(d.distributorOf, pooler)
+			t.poolerCount--
 		}
 	}
 }
 
 func (d *directory) forget(name string) {
-	for pooler, at := range d.at {
+	for pooler, at := range d.distributorOf {
 		if at == name {
-			delete(d.at, pooler)
+			delete(d.distributorOf, pooler)
 		}
 	}
-	d.links[name].poolers = 0
+	d.links[name].poolerCount = 0
 }
 
 // expire forgets what was told by distributors that have been gone for a while.
 func (d *directory) expire(now time.Time, after time.Duration) {
 	for name, t := range d.links {
-		if t.live == 0 && now.Sub(t.lost) >= after {
+		if t.openLinks == 0 && now.Sub(t.lastClosedAt) >= after {
 			d.forget(name)
 			delete(d.links, name)
 		}
@@ -85,7 +87,7 @@
 // alive are the distributors that are linked to here.
 func (d *directory) alive() (names []string) {
 	for name, t := range d.links {
-		if t.live > 0 {
+		if t.openLinks > 0 {
 			names = append(names, name)
 		}
 	}
@@ -95,8 +97,8 @@
 // load is how many streams the other distributors of a region hold, and how many of those distributors are alive.
 func (d *directory) load(region string) (streams, distributors int) {
 	for _, t := range d.links {
-		if t.region == region && t.live > 0 {
-			streams += t.poolers
+		if t.region == region && t.openLinks > 0 {
+			streams += t.poolerCount
 			distributors++
 		}
 	}
--- a/internal/fleet/distribution/distribution.go
+++ b/internal/fleet/distribution/distribution.go
@@ -19,22 +19,22 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Place is a distributor as a pooler knows it: its name among the poolers, the address of its streams, and its region.
-type Place struct{ Name, Addr, Region string }
-
-// Feed is a copy that the streams bring up to date: of the fleet's documents, or of the list of servers.
-type Feed struct {
-	Name      string
-	Copy      *replication.Copy
-	Rewritten bool // as shared.History.Rewritten
+// Endpoint is a distributor as a pooler knows it: its name among the poolers, the address of its streams, and its region.
+type Endpoint struct{ Name, Addr, Region string }
+
+// Resource is a copy that the streams bring up to date: of the fleet's documents, or of the list of servers.
+type Resource struct {
+	Name            string
+	Replica         *replication.Replica
+	FullReplacement bool // as shared.History.Rewritten
 }
 
 // Status is what a pooler tells of itself.
 type Status struct {
-	Build  string `json:"build,omitempty"`
-	Config string `json:"config,omitempty"`
-	Token  uint64 `json:"token,omitempty"` // of the list in force, as duty.Word
-	Seq    uint64 `json:"seq,omitempty"`
+	Build    string `json:"build,omitempty"`
+	Config   string `json:"config,omitempty"`
+	Token    uint64 `json:"token,omitempty"` // of the list in force, as duty.Word
+	Sequence uint64 `json:"seq,omitempty"`
 }
 
 // Dialer opens a connection; it fails once ctx ends.
@@ -51,18 +51,18 @@
 	Out(kind string, bytes int)
 }
 
-type uncounted struct{}
+type noopCounter struct{}
 
-func (uncounted) In(string, int)  {}
-func (uncounted) Out(string, int) {}
+func (noopCounter) In(string, int)  {}
+func (noopCounter) Out(string, int) {}
 
-// defaults fills in what options leave out.
-func defaults(dial *Dialer, count *Counter, log *func(string)) {
+// setDefaults fills in what options leave out.
+func setDefaults(dial *Dialer, count *Counter, log *func(string)) {
 	if *dial == nil {
 		*dial = dialTCP
 	}
 	if *count == nil {
-		*count = uncounted{}
+		*count = noopCounter{}
 	}
 	if *log == nil {
 		*log = func(string) {}
@@ -71,26 +71,26 @@
 
 // Every bound of time follows from the beat, a third of a lease's term: 1 s at the default term of 3 s.
 const (
-	// lostBeats without a byte end a stream, on either side, in tenths of a beat: two words may come late, or one be lost with
+	// readTimeoutTenths without a byte end a stream, on either side, in tenths of a beat: two words may come late, or one be lost with
 	// its connection's retransmission.
-	lostBeats = 25
-	// answerBeats is how long a distributor may take to answer a call, in tenths of a beat: twice as long after each turn in which none
+	readTimeoutTenths = 25
+	// answerTimeoutTenths is how long a distributor may take to answer a call, in tenths of a beat: twice as long after each turn in which none
 	// did, up to mostBeats beats.
-	answerBeats = 5
-	mostBeats   = 4
-	// writeBeats is how long a frame may take to be written, in beats: a reader that is slower is cut off.
-	writeBeats = 4
-	// behindBeats is how long a distributor may show an older version than the pooler has before it is left, in beats: one that
+	answerTimeoutTenths = 5
+	maxAnswerHeartbeats = 4
+	// writeTimeoutHeartbeats is how long a frame may take to be written, in beats: a reader that is slower is cut off.
+	writeTimeoutHeartbeats = 4
+	// maxLagHeartbeats is how long a distributor may show an older version than the pooler has before it is left, in beats: one that
 	// has just started catches up within a beat.
-	behindBeats = 3
-	// shunBeats is how long a distributor that was lost, or did not answer, is tried after all others, in beats.
-	shunBeats = 10
-	// homeBeats is how long a pooler stays at another than its first choice before it looks there again, in beats, from half of it to
+	maxLagHeartbeats = 3
+	// avoidHeartbeats is how long a distributor that was lost, or did not answer, is tried after all others, in beats.
+	avoidHeartbeats = 10
+	// preferredRetryHeartbeats is how long a pooler stays at another than its first choice before it looks there again, in beats, from half of it to
 	// one and a half by its seed: 5,000 poolers that all have been moved ask one every 6 ms.
-	homeBeats = 30
+	preferredRetryHeartbeats = 30
 )
 
-func tenths(beat time.Duration, n int) time.Duration { return beat * time.Duration(n) / 10 }
+func tenthsOfHeartbeat(beat time.Duration, n int) time.Duration { return beat * time.Duration(n) / 10 }
 
 // handlers are what hears the messages of each topic.
 type handlers struct {
@@ -108,8 +108,8 @@
 	h.byTopic[topic] = f
 }
 
-// hear gives a message to whom it concerns. One that nobody handles has no effect.
-func (h *handlers) hear(from, topic string, body []byte) {
+// dispatch gives a message to whom it concerns. One that nobody handles has no effect.
+func (h *handlers) dispatch(from, topic string, body []byte) {
 	h.mu.Lock()
 	f := h.byTopic[topic]
 	if i := strings.IndexByte(topic, '/'); f == nil && i >= 0 {
@@ -121,7 +121,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -131,24 +131,24 @@
 	}
 }
 
-// leastPace is how fast a peer must take what is longer than its buffers, in bytes a second: a whole copy of 5 MB within nine seconds.
-const leastPace = 1 << 20
+// minWriteRate is how fast a peer must take what is longer than its buffers, in bytes a second: a whole copy of 5 MB within nine seconds.
+const minWriteRate = 1 << 20
 
-// living is a connection that fails where its peer gives no byte for a while, or takes none.
-type living struct {
+// timeoutConn is a connection that fails where its peer gives no byte for a while, or takes none.
+type timeoutConn struct {
 	net.Conn
-	silent, blocked time.Duration
+	readTimeout, writeTimeout time.Duration
 }
 
-func (l living) Read(b []byte) (int, error) {
-	if err := l.SetReadDeadline(time.Now().Add(l.silent)); err != nil {
+func (l timeoutConn) Read(b []byte) (int, error) {
+	if err := l.SetReadDeadline(time.Now().Add(l.readTimeout)); err != nil {
 		return 0, err
 	}
 	return l.Conn.Read(b)
 }
 
-func (l living) Write(b []byte) (int, error) {
-	within := l.blocked + time.Duration(len(b))*(time.Second/leastPace)
+func (l timeoutConn) Write(b []byte) (int, error) {
+	within := l.writeTimeout + time.Duration(len(b))*(time.Second/minWriteRate)
 	if err := l.SetWriteDeadline(time.Now().Add(within)); err != nil {
 		return 0, err
 	}
--- a/internal/fleet/distribution/distribution_test.go
+++ b/internal/fleet/distribution/distribution_test.go
@@ -15,38 +15,38 @@
 	"threadsail/internal/fleet/replication"
 )
 
-const beat = time.Second
+const testHeartbeat = time.Second
 
 // fleet is distributors and poolers on one network. All distributors hold the same copy, as the stewards' log would have them.
 type fleet struct {
 	t            *testing.T
 	n            *network
-	places       []Place
+	places       []Endpoint
 	distributors map[string]*Distributor
-	copies       map[string]*replication.Copy // of distributors
+	copies       map[string]*replication.Replica // of distributors
 	poolers      map[string]*Subscriber
-	has          map[string]*replication.Copy // of poolers
-	docs         map[string]replication.Doc
+	has          map[string]*replication.Replica // of poolers
+	docs         map[string]replication.Document
 	version      uint64
 	apart        map[string]bool // distributors that have no news of the log
 	mu           sync.Mutex
 	written      map[uint64]written // every version
 	log          []string
-	counts       map[string]*tally // of distributors and poolers
+	counts       map[string]*frameTally // of distributors and poolers
 }
 
 // written is a version of the log.
 type written struct {
 	at   time.Time
-	docs map[string]replication.Doc
+	docs map[string]replication.Document
 }
 
 // newFleet starts distributors d0, d1, ..., dealt over ten zones, and these over regions r0, r1, ....
 func newFleet(t *testing.T, distributors, regions int) *fleet {
-	f := &fleet{t: t, n: newNetwork(), distributors: map[string]*Distributor{}, copies: map[string]*replication.Copy{}, poolers: map[string]*Subscriber{},
-		has: map[string]*replication.Copy{}, docs: map[string]replication.Doc{}, apart: map[string]bool{}, counts: map[string]*tally{}, written: map[uint64]written{}}
+	f := &fleet{t: t, n: newNetwork(), distributors: map[string]*Distributor{}, copies: map[string]*replication.Replica{}, poolers: map[string]*Subscriber{},
+		has: map[string]*replication.Replica{}, docs: map[string]replication.Document{}, apart: map[string]bool{}, counts: map[string]*frameTally{}, written: map[uint64]written{}}
 	for i := range distributors {
-		f.places = append(f.places, Place{fmt.Sprint("d", i), fmt.Sprint("d", i), fmt.Sprint("r", i%10%regions)})
+		f.places = append(f.places, Endpoint{fmt.Sprint("d", i), fmt.Sprint("d", i), fmt.Sprint("r", i%10%regions)})
 	}
 	for _, p := range f.places {
 		f.distribute(p)
@@ -73,12 +73,12 @@
 }
 
 // distribute starts a distributor with an empty copy, which catches up at once, as from the stewards.
-func (f *fleet) distribute(p Place) {
-	if f.copies[p.Name] = replication.NewCopy(replication.State{}); f.version > 0 {
-		f.copies[p.Name].Take(replication.State{Version: f.version, Docs: maps.Clone(f.docs)})
+func (f *fleet) distribute(p Endpoint) {
+	if f.copies[p.Name] = replication.NewReplica(replication.Snapshot{}); f.version > 0 {
+		f.copies[p.Name].Install(replication.Snapshot{Version: f.version, Documents: maps.Clone(f.docs)})
 	}
-	f.distributors[p.Name] = NewDistributor(f.n.listen(p.Name), DistributorOptions{Name: p.Name, Region: p.Region, All: f.places,
-		Feeds: []Feed{{Name: "shared", Copy: f.copies[p.Name]}}, Beat: beat, Dial: f.n.dialer(p.Name), Count: f.count(p.Name), Log: f.say})
+	f.distributors[p.Name] = NewDistributor(f.n.listen(p.Name), DistributorOptions{Name: p.Name, Region: p.Region, Distributors: f.places,
+		Resources: []Resource{{Name: "shared", Replica: f.copies[p.Name]}}, HeartbeatInterval: testHeartbeat, Dial: f.n.dialer(p.Name), Counter: f.count(p.Name), Log: f.say})
 }
 
 // kill ends a distributor.
@@ -91,14 +91,14 @@
 // join starts a pooler; of several, the spread follows from the number.
 func (f *fleet) join(i, of int, region string) string {
 	name := fmt.Sprint("n", i)
-	f.has[name] = replication.NewCopy(replication.State{})
+	f.has[name] = replication.NewReplica(replication.Snapshot{})
 	f.subscribe(name, region, float64(i)/float64(of))
 	return name
 }
 
 func (f *fleet) subscribe(name, region string, spread float64) {
-	f.poolers[name] = Subscribe(SubscriberOptions{Name: name, Region: region, Distributors: f.places, Feeds: []Feed{{Name: "shared", Copy: f.has[name]}}, Beat: beat,
-		Spread: spread, Dial: f.n.dialer(name), Count: f.count(name), Log: f.say})
+	f.poolers[name] = Subscribe(SubscriberOptions{Name: name, Region: region, Distributors: f.places, Resources: []Resource{{Name: "shared", Replica: f.has[name]}}, HeartbeatInterval: testHeartbeat,
+		JitterFraction: spread, Dial: f.n.dialer(name), Counter: f.count(name), Log: f.say})
 }
 
 // put writes a document, which all distributors have at once and confirm.
@@ -107,7 +107,7 @@
 	if f.docs = maps.Clone(f.docs); value == "" {
 		delete(f.docs, key)
 	} else {
-		f.docs[key] = replication.Doc{Key: key, Version: f.version, Value: []byte(value)}
+		f.docs[key] = replication.Document{Key: key, Version: f.version, Value: []byte(value)}
 	}
 	f.mu.Lock()
 	f.written[f.version] = written{time.Now(), f.docs}
@@ -119,7 +119,7 @@
 func (f *fleet) confirm() {
 	for name, c := range f.copies {
 		if !f.apart[name] {
-			c.Take(replication.State{Version: f.version, Docs: f.docs})
+			c.Install(replication.Snapshot{Version: f.version, Documents: f.docs})
 			c.Confirm(f.version, time.Now())
 		}
 	}
@@ -134,7 +134,7 @@
 	for name, c := range f.has {
 		if c.Version() != f.version && !slices.Contains(but, name) {
 			if late++; late < 4 {
-				f.t.Errorf("%s: %s at %q has version %d after %v, want %d", what, name, f.poolers[name].At(), c.Version(), d, f.version)
+				f.t.Errorf("%s: %s at %q has version %d after %v, want %d", what, name, f.poolers[name].Distributor(), c.Version(), d, f.version)
 			}
 		}
 	}
@@ -160,12 +160,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
 		defer f.end()
-		time.Sleep(3 * beat)
+		time.Sleep(3 * testHeartbeat)
 		for i := range 12 {
 			f.join(i, 12, "r0")
 		}
 		f.put("p/a", "1")
-		f.within(3*beat, "the join")
+		f.within(3*testHeartbeat, "the join")
 		f.put("p/b", "2")
 		f.within(10*time.Millisecond, "a change")
 		for name, p := range f.poolers {
@@ -174,17 +174,17 @@
 			}
 		}
 		f.confirm()
-		time.Sleep(2 * beat)
+		time.Sleep(2 * testHeartbeat)
 		for name, c := range f.has {
-			if age := time.Since(c.Confirmed()); age > 3*beat {
+			if age := time.Since(c.ConfirmedAt()); age > 3*testHeartbeat {
 				t.Errorf("%s was confirmed %v ago", name, age)
 			}
 		}
-		f.poolers["n3"].Show(Status{Build: "v2"})
-		time.Sleep(3 * beat)
+		f.poolers["n3"].SetStatus(Status{Build: "v2"})
+		time.Sleep(3 * testHeartbeat)
 		for name, d := range f.distributors {
 			own, all := d.Summary()
-			if own.Poolers != d.Streams() || all.Poolers != 12 || all.Behind != 0 || all.Oldest != f.version || all.Builds["v2"] != 1 || all.Builds[""] != 11 {
+			if own.Poolers != d.StreamCount() || all.Poolers != 12 || all.Lagging != 0 || all.OldestVersion != f.version || all.Builds["v2"] != 1 || all.Builds[""] != 11 {
 				t.Errorf("%s: %+v, of all %+v", name, own, all)
 			}
 		}
@@ -203,8 +203,8 @@
 		for name, d := range f.distributors {
 			d.Handle("t", note(name))
 		}
-		f.poolers["n0"].Cast("t", []byte("all"))
-		time.Sleep(beat)
+		f.poolers["n0"].Broadcast("t", []byte("all"))
+		time.Sleep(testHeartbeat)
 		for i := range 12 {
 			if err := f.poolers["n0"].Send(t.Context(), fmt.Sprint("n", i), "t", []byte("one")); err != nil {
 				t.Error(err)
@@ -213,14 +213,14 @@
 		if err := f.poolers["n0"].Send(t.Context(), "d1", "t", []byte("one")); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(beat) // two speakers have no order between them
+		time.Sleep(testHeartbeat) // two speakers have no order between them
 		if err := f.distributors["d1"].Send(t.Context(), "n7", "t", []byte("back")); err != nil {
 			t.Error(err)
 		}
 		if err := f.distributors["d1"].Send(t.Context(), "n99", "t", nil); err == nil {
 			t.Error("a pooler that there is not")
 		}
-		time.Sleep(beat)
+		time.Sleep(testHeartbeat)
 		mu.Lock()
 		defer mu.Unlock()
 		for i := range 12 {
@@ -260,8 +260,8 @@
 				}
 				all = append(all, "d0", "d2", "d3")
 				f.put("p/a", "1")
-				f.within(3*beat, "the join")
-				before := f.distributors["d1"].Streams()
+				f.within(3*testHeartbeat, "the join")
+				before := f.distributors["d1"].StreamCount()
 				lose.lose(f, all)
 				time.Sleep(200 * time.Millisecond)
 				f.put("p/b", "2")
@@ -269,8 +269,8 @@
 				f.put("p/b", "")
 				f.within(20*time.Millisecond, "by the others")
 				lose.heal(f, all)
-				time.Sleep(2 * homeBeats * beat)
-				if after := f.distributors["d1"].Streams(); before < 5 || after != before {
+				time.Sleep(2 * preferredRetryHeartbeats * testHeartbeat)
+				if after := f.distributors["d1"].StreamCount(); before < 5 || after != before {
 					t.Errorf("%d streams after its return, %d before", after, before)
 				}
 				f.put("p/c", "3")
@@ -286,15 +286,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := settled(t, 2, 1, 1)
 		defer f.end()
-		first := f.poolers["n0"].At()
+		first := f.poolers["n0"].Distributor()
 		f.kill(first)
 		f.rest(5)
 		f.n.mu.Lock()
 		f.n.slow = map[[2]string]time.Duration{{first, "n0"}: 300 * time.Millisecond}
 		f.n.mu.Unlock()
-		f.distribute(f.places[slices.IndexFunc(f.places, func(p Place) bool { return p.Name == first })])
-		f.rest(2 * homeBeats)
-		if at, n := f.poolers["n0"].At(), f.logged("has ended"); at != first || n != 1 {
+		f.distribute(f.places[slices.IndexFunc(f.places, func(p Endpoint) bool { return p.Name == first })])
+		f.rest(2 * preferredRetryHeartbeats)
+		if at, n := f.poolers["n0"].Distributor(), f.logged("has ended"); at != first || n != 1 {
 			t.Errorf("it is at %q; logged %q", at, f.log)
 		}
 	})
@@ -313,13 +313,13 @@
 
 // A frame that can't be read, of any bytes, ends in an error, and takes no more memory than came.
 func FuzzFrame(f *testing.F) {
-	f.Add(sealJSON(kindHello, hello{Protocol: 1, Name: "n"}))
-	f.Add(seal(kindMessage, named([]byte("x"), "to", "from", "topic")))
+	f.Add(encodeJSONFrame(kindHello, hello{Protocol: 1, Name: "n"}))
+	f.Add(encodeFrame(kindMessage, prependNames([]byte("x"), "to", "from", "topic")))
 	f.Add([]byte{0xff, 0xff, 0xff, 0x7f, 1})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		in := bufio.NewReader(bytes.NewReader(text))
 		for {
-			k, body, size, err := readFrame(in, mostUp)
+			k, body, size, err := readFrame(in, maxPoolerFrame)
 			if err != nil {
 				return
 			}
@@ -327,10 +327,10 @@
 				t.Errorf("%d bytes of %d", size, len(text))
 			}
 			var to, from, topic string
-			if rest, err := unnamed(body, &to, &from, &topic); err == nil && !bytes.Equal(named(rest, to, from, topic), body) {
+			if rest, err := splitNames(body, &to, &from, &topic); err == nil && !bytes.Equal(prependNames(rest, to, from, topic), body) {
 				t.Skip("a length in more bytes than it needs")
 			}
-			_, _ = advance(k, body, replication.State{Version: 3})
+			_, _ = nextSnapshot(k, body, replication.Snapshot{Version: 3})
 		}
 	})
 }
@@ -340,12 +340,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 1)
 		defer f.end()
-		time.Sleep(3 * beat)
+		time.Sleep(3 * testHeartbeat)
 		f.n.mu.Lock()
-		f.n.delay = beat // each way
+		f.n.delay = testHeartbeat // each way
 		f.n.mu.Unlock()
 		f.join(0, 1, "r0")
 		f.put("p/a", "1")
-		f.within(30*beat, "slow answers")
+		f.within(30*testHeartbeat, "slow answers")
 	})
 }
--- a/internal/fleet/distribution/distributor.go
+++ b/internal/fleet/distribution/distributor.go
@@ -17,100 +17,100 @@
 
 // DistributorOptions of a distributor.
 type DistributorOptions struct {
-	Name   string // among the poolers: a distributor is one itself
-	Region string
-	All    []Place // the distributors, this one among them or not
-	Feeds  []Feed
-	Beat   time.Duration
-	Dial   Dialer // nil: TCP
-	Count  Counter
-	Log    func(string)
+	Name              string // among the poolers: a distributor is one itself
+	Region            string
+	Distributors      []Endpoint // the distributors, this one among them or not
+	Resources         []Resource
+	HeartbeatInterval time.Duration
+	Dial              Dialer // nil: TCP
+	Counter           Counter
+	Log               func(string)
 }
 
 // Distributor is one running. It implements bus.Bus for its own process. It is safe for use by several goroutines.
 type Distributor struct {
 	handlers
-	o      DistributorOptions
-	ln     net.Listener
-	feeds  []*feed
-	whole  chan struct{} // tokens of the wholes under way
-	calls  chan struct{} // tokens of the connections that are no stream yet
-	cancel context.CancelFunc
-	ctx    context.Context
-	done   sync.WaitGroup
+	options       DistributorOptions
+	listener      net.Listener
+	resources     []*publishedResource
+	snapshotSlots chan struct{} // tokens of the wholes under way
+	pendingCalls  chan struct{} // tokens of the connections that are no stream yet
+	cancel        context.CancelFunc
+	ctx           context.Context
+	running       sync.WaitGroup
 
-	mu        sync.Mutex
-	streams   map[string]*stream // by pooler, and by distributor that has called
-	poolers   int                // of streams
-	links     map[string]*outbox // to other distributors, by name
-	dir       directory
-	admission admission
-	refused   map[string]bool // reasons that were logged
+	mu             sync.Mutex
+	streams        map[string]*stream // by pooler, and by distributor that has called
+	poolerCount    int                // of streams
+	links          map[string]*outbox // to other distributors, by name
+	directory      directory
+	admission      admission
+	loggedRefusals map[string]bool // reasons that were logged
 }
 
 // stream is a caller that has been taken.
 type stream struct {
 	hello
-	conn   net.Conn
-	out    *outbox
-	has    []uint64          // by feed: what was sent, or was there; the writer's alone
-	status Status            // guarded by Distributor.mu, as is force
-	force  map[string]uint64 // by feed: the version in force there
+	conn            net.Conn
+	outbox          *outbox
+	sentVersions    []uint64          // by feed: what was sent, or was there; the writer's alone
+	status          Status            // guarded by Distributor.mu, as is force
+	versionsInForce map[string]uint64 // by feed: the version in force there
 }
 
 var _ bus.Bus = (*Distributor)(nil)
 
 // NewDistributor takes callers from a listener, which it closes at its end, and calls the other distributors, until Close.
 func NewDistributor(ln net.Listener, o DistributorOptions) *Distributor {
-	defaults(&o.Dial, &o.Count, &o.Log)
-	d := &Distributor{o: o, ln: ln, whole: make(chan struct{}, wholes), calls: make(chan struct{}, mostCalls), streams: map[string]*stream{}, links: map[string]*outbox{}, dir: newDirectory(),
-		refused: map[string]bool{}}
+	setDefaults(&o.Dial, &o.Counter, &o.Log)
+	d := &Distributor{options: o, listener: ln, snapshotSlots: make(chan struct{}, maxSnapshotWrites), pendingCalls: make(chan struct{}, maxPendingCalls), streams: map[string]*stream{}, links: map[string]*outbox{}, directory: newDirectory(),
+		loggedRefusals: map[string]bool{}}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	for _, f := range o.Feeds {
-		kept := &feed{Feed: f, history: replication.History{Rewritten: f.Rewritten}}
-		kept.note()
-		d.feeds = append(d.feeds, kept)
-		d.done.Go(func() { kept.follow(d.ctx, d.news) })
+	for _, f := range o.Resources {
+		kept := &publishedResource{Resource: f, history: replication.History{FullReplacement: f.FullReplacement}}
+		kept.record()
+		d.resources = append(d.resources, kept)
+		d.running.Go(func() { kept.follow(d.ctx, d.wakeStreams) })
 	}
-	for _, p := range o.All {
+	for _, p := range o.Distributors {
 		if p.Name != o.Name {
-			d.done.Go(func() { d.link(p) })
+			d.running.Go(func() { d.maintainLink(p) })
 		}
 	}
-	d.done.Go(d.accept)
+	d.running.Go(d.accept)
 	return d
 }
 
 // Close ends all streams and waits for them.
 func (d *Distributor) Close() {
 	d.cancel()
-	_ = d.ln.Close()
-	d.done.Wait()
+	_ = d.listener.Close()
+	d.running.Wait()
 }
 
-// news has all streams look at the feeds.
-func (d *Distributor) news() {
+// wakeStreams has all streams look at the feeds.
+func (d *Distributor) wakeStreams() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.streams {
-		s.out.nudge()
+		s.outbox.wakeWriter()
 	}
 }
 
 func (d *Distributor) accept() {
 	for {
-		c, err := d.ln.Accept()
+		c, err := d.listener.Accept()
 		if err != nil {
 			if d.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			d.o.Log("distributor: accept: " + err.Error())
-			pause(d.ctx, d.o.Beat) // of descriptors, for want of which it failed, some may come free
+			d.options.Log("distributor: accept: " + err.Error())
+			sleep(d.ctx, d.options.HeartbeatInterval) // of descriptors, for want of which it failed, some may come free
 			continue
 		}
 		select {
-		case d.calls <- struct{}{}:
-			d.done.Go(func() { d.serve(c) })
+		case d.pendingCalls <- struct{}{}:
+			d.running.Go(func() { d.serve(c) })
 		default: // more than a whole fleet calls, and says nothing
 			_ = c.Close()
 		}
@@ -121,71 +121,71 @@
 func (d *Distributor) serve(c net.Conn) {
 	defer c.Close()
 	defer context.AfterFunc(d.ctx, func() { _ = c.Close() })()
-	conn := living{c, tenths(d.o.Beat, lostBeats), writeBeats * d.o.Beat}
+	conn := timeoutConn{c, tenthsOfHeartbeat(d.options.HeartbeatInterval, readTimeoutTenths), writeTimeoutHeartbeats * d.options.HeartbeatInterval}
 	in := bufio.NewReaderSize(conn, 4<<10)
-	k, body, size, err := readFrame(in, mostUp)
-	<-d.calls
+	k, body, size, err := readFrame(in, maxPoolerFrame)
+	<-d.pendingCalls
 	if err != nil || k != kindHello {
 		return // no peer of ours, or one that has gone
 	}
-	d.o.Count.In(k.String(), size)
+	d.options.Counter.In(k.String(), size)
 	var h hello
 	if err := json.Unmarshal(body, &h); err != nil {
-		d.refuse(conn, "", refusal{Why: "a call that can't be read: " + err.Error()})
+		d.refuse(conn, "", refusal{Reason: "a call that can't be read: " + err.Error()})
 		return
 	}
-	s := &stream{hello: h, conn: conn, has: make([]uint64, len(d.feeds)), status: h.Status, force: h.Has}
-	for i, f := range d.feeds {
-		s.has[i] = h.Has[f.Name]
+	s := &stream{hello: h, conn: conn, sentVersions: make([]uint64, len(d.resources)), status: h.Status, versionsInForce: h.Versions}
+	for i, f := range d.resources {
+		s.sentVersions[i] = h.Versions[f.Name]
 	}
-	s.out = newOutbox(mostBytes, func() {
-		d.o.Log(fmt.Sprintf("distributor: %s is cut off: too much waits for it", h.Name))
+	s.outbox = newOutbox(maxQueuedBytes, func() {
+		d.options.Log(fmt.Sprintf("distributor: %s is cut off: too much waits for it", h.Name))
 		_ = c.Close()
 	})
-	if no := d.enter(s); no != nil {
+	if no := d.addStream(s); no != nil {
 		d.refuse(conn, h.Name, *no)
 		return
 	}
-	defer d.leave(s)
+	defer d.removeStream(s)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		if err := d.write(s); err != nil {
+		if err := d.writeStream(s); err != nil {
 			_ = c.Close()
 		}
 	}()
-	err = d.read(in, s)
+	err = d.readStream(in, s)
 	_ = c.Close()
-	s.out.put(nil) // wakes the writer, whose next write fails
+	s.outbox.enqueue(nil) // wakes the writer, whose next write fails
 	<-written
-	if errors.Is(err, errFrame) || errors.Is(err, errLong) {
-		d.once(h.Name+": "+fault(err).Error(), h.Name, err.Error())
+	if errors.Is(err, errMalformedFrame) || errors.Is(err, errFrameTooLong) {
+		d.logRefusalOnce(h.Name+": "+faultKind(err).Error(), h.Name, err.Error())
 	}
 }
 
-// enter takes a caller in, or says why not.
-func (d *Distributor) enter(s *stream) *refusal {
-	if err := s.valid(); err != nil {
-		return &refusal{Why: err.Error()}
+// addStream takes a caller in, or says why not.
+func (d *Distributor) addStream(s *stream) *refusal {
+	if err := s.validate(); err != nil {
+		return &refusal{Reason: err.Error()}
 	}
-	if s.Distributor && !slices.ContainsFunc(d.o.All, func(p Place) bool { return p.Name == s.Name }) {
-		return &refusal{Why: "a distributor that is not among those named here"}
+	if s.Distributor && !slices.ContainsFunc(d.options.Distributors, func(p Endpoint) bool { return p.Name == s.Name }) {
+		return &refusal{Reason: "a distributor that is not among those named here"}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.streams[s.Name]
 	if !s.Distributor {
 		if old == nil {
-			if d.poolers >= mostStreams {
-				return &refusal{Why: "no descriptor is left", Full: true}
+			if d.poolerCount >= maxStreams {
+				return &refusal{Reason: "no descriptor is left", Full: true}
 			}
-			streams, others := d.dir.load(d.o.Region)
-			if bound := room(streams+d.poolers, others+1); d.poolers >= bound && !s.Insists {
-				return &refusal{Why: fmt.Sprintf("it holds %d streams, %d are its share", d.poolers, bound), Full: true}
+			streams, others := d.directory.load(d.options.Region)
+			if bound := streamLimit(streams+d.poolerCount, others+1); d.poolerCount >= bound && !s.Insists {
+				return &refusal{Reason: fmt.Sprintf("it holds %d streams, %d are its share", d.poolerCount, bound), Full: true}
 			}
 		}
 		if later := d.admission.admit(time.Now()); later > 0 {
-			return &refusal{Why: "too many call at once", Later: max(later.Milliseconds(), 1)}
+			return &refusal{Reason: "too many call at once", RetryAfterMillis: max(later.Milliseconds(), 1)}
 		}
 	}
 	if old != nil {
@@ -194,74 +194,74 @@
 	d.streams[s.Name] = s
 	switch {
 	case s.Distributor:
-		d.dir.opened(s.Name, s.Region)
+		d.directory.linkOpened(s.Name, s.Region)
 	case old == nil || old.Distributor:
-		d.poolers++
-		d.tell(holds{Came: []string{s.Name}})
+		d.poolerCount++
+		d.sendHoldings(holdings{Arrived: []string{s.Name}})
 	}
 	return nil
 }
 
-// leave ends a caller's stream, unless a newer one has its place.
-func (d *Distributor) leave(s *stream) {
+// removeStream ends a caller's stream, unless a newer one has its place.
+func (d *Distributor) removeStream(s *stream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s.Distributor {
-		d.dir.closed(s.Name, time.Now())
+		d.directory.linkClosed(s.Name, time.Now())
 	}
 	if d.streams[s.Name] != s {
 		return
 	}
 	delete(d.streams, s.Name)
 	if !s.Distributor {
-		d.poolers--
-		d.tell(holds{Went: []string{s.Name}})
+		d.poolerCount--
+		d.sendHoldings(holdings{Departed: []string{s.Name}})
 	}
 }
 
 func (d *Distributor) refuse(c net.Conn, name string, no refusal) {
-	frame := sealJSON(kindRefusal, no)
-	d.o.Count.Out(kindRefusal.String(), len(frame))
+	frame := encodeJSONFrame(kindRefusal, no)
+	d.options.Counter.Out(kindRefusal.String(), len(frame))
 	_, _ = c.Write(frame)
-	if !no.Full && no.Later == 0 {
-		d.once(no.Why, name, no.Why)
+	if !no.Full && no.RetryAfterMillis == 0 {
+		d.logRefusalOnce(no.Reason, name, no.Reason)
 	}
 }
 
-// once logs why a caller is refused, once for each reason.
-func (d *Distributor) once(reason, name, why string) {
+// logRefusalOnce logs why a caller is refused, once for each reason.
+func (d *Distributor) logRefusalOnce(reason, name, why string) {
 	d.mu.Lock()
-	said := d.refused[reason] || len(d.refused) >= 1024
-	d.refused[reason] = true
+	said := d.loggedRefusals[reason] || len(d.loggedRefusals) >= 1024
+	d.loggedRefusals[reason] = true
 	d.mu.Unlock()
 	if !said {
-		d.o.Log(fmt.Sprintf("distributor: %s is refused: %s", name, why))
+		d.options.Log(fmt.Sprintf("distributor: %s is refused: %s", name, why))
 	}
 }
 
-// read takes in what a caller says.
-func (d *Distributor) read(in *bufio.Reader, s *stream) error {
+// readStream takes in what a caller says.
+func (d *Distributor) readStream(in *bufio.Reader, s *stream) error {
 	for {
-		k, body, size, err := readFrame(in, d.most(s))
+		k, body, size, err := readFrame(in, d.maxFrameSize(s))
 		if err != nil {
 			return err
 		}
-		d.o.Count.In(k.String(), size)
+		d.options.Counter.In(k.String(), size)
 		switch {
-		case k == kindLive:
-			err = d.lives(s, body)
+		case k == kindHeartbeat:
+			err = d.handleHeartbeat(s, body)
 		case k == kindMessage:
-			err = d.message(s, body)
-		case k == kindCast:
-			err = d.casts(s, body)
-		case k == kindHolds && s.Distributor:
-			var h holds
+			err = d.handleMessage(s, body)
+		case k == kindBroadcast:
+			err = d.handleBroadcast(s, body)
+		case k == kindHoldings && s.Distributor:
+			var h holdings
 			if err = json.Unmarshal(body, &h); err != nil {
-				return fmt.Errorf("%w: %w", errFrame, err)
+				return fmt.Errorf("%w: %w", errMalformedFrame, err)
 			}
-			d.told(s.Name, h)
+			d.handleHoldings(s.Name, h)
 		default:
-			err = fmt.Errorf("%w: %s", errFrame, k)
+			err = fmt.Errorf("%w: %s", errMalformedFrame, k)
 		}
 		if err != nil {
 			return err
@@ -269,61 +269,61 @@
 	}
 }
 
-// most bounds what a caller may send: another distributor may hand on what was sent down to it.
-func (d *Distributor) most(s *stream) int {
+// maxFrameSize bounds what a caller may send: another distributor may hand on what was sent down to it.
+func (d *Distributor) maxFrameSize(s *stream) int {
 	if s.Distributor {
-		return mostDown
+		return maxDistributorFrame
 	}
-	return mostUp
+	return maxPoolerFrame
 }
 
-func (d *Distributor) lives(s *stream, body []byte) error {
+func (d *Distributor) handleHeartbeat(s *stream, body []byte) error {
 	if len(body) == 0 {
 		return nil
 	}
 	if s.Distributor {
 		var sum Summary
 		if err := json.Unmarshal(body, &sum); err != nil {
-			return fmt.Errorf("%w: %w", errFrame, err)
+			return fmt.Errorf("%w: %w", errMalformedFrame, err)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if t := d.dir.links[s.Name]; t != nil {
-			t.sum = sum
+		if t := d.directory.links[s.Name]; t != nil {
+			t.summary = sum
 		}
 		return nil
 	}
-	var l live
+	var l heartbeat
 	if err := json.Unmarshal(body, &l); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+		return fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s.status, s.force = l.Status, l.Has
+	s.status, s.versionsInForce = l.Status, l.Versions
 	return nil
 }
 
-// write gives a caller what it lacks, until the connection fails.
-func (d *Distributor) write(s *stream) error {
-	out := newFrames(s.conn, d.o.Count)
-	if err := out.send(seal(kindWelcome)); err != nil {
+// writeStream gives a caller what it lacks, until the connection fails.
+func (d *Distributor) writeStream(s *stream) error {
+	out := newFrameWriter(s.conn, d.options.Counter)
+	if err := out.writeFrames(encodeFrame(kindWelcome)); err != nil {
 		return err
 	}
-	beat := time.NewTicker(d.o.Beat)
+	beat := time.NewTicker(d.options.HeartbeatInterval)
 	defer beat.Stop()
 	for due := true; ; {
-		if err := out.send(s.out.take()...); err != nil {
+		if err := out.writeFrames(s.outbox.drain()...); err != nil {
 			return err
 		}
 		if !s.Distributor {
-			news, err := d.bring(s, out)
+			news, err := d.sendUpdates(s, out)
 			if err != nil {
 				return err
 			}
 			due = due || news
 		}
 		if due {
-			if err := out.send(sealJSON(kindWord, d.word())); err != nil {
+			if err := out.writeFrames(encodeJSONFrame(kindAnnouncement, d.announcement())); err != nil {
 				return err
 			}
 		}
@@ -333,7 +333,7 @@
 		select {
 		case <-d.ctx.Done():
 			return d.ctx.Err()
-		case <-s.out.wake:
+		case <-s.outbox.wake:
 			due = false
 		case <-beat.C:
 			due = true
@@ -341,37 +341,37 @@
 	}
 }
 
-// bring sends what a caller lacks of the feeds, and tells whether it lacked anything. Whole copies wait for their turn.
-func (d *Distributor) bring(s *stream, out frames) (news bool, err error) {
-	for i, f := range d.feeds {
-		k, frame, newest := f.since(s.has[i])
+// sendUpdates sends what a caller lacks of the feeds, and tells whether it lacked anything. Whole copies wait for their turn.
+func (d *Distributor) sendUpdates(s *stream, out frameWriter) (news bool, err error) {
+	for i, f := range d.resources {
+		k, frame, newest := f.frameSince(s.sentVersions[i])
 		if frame == nil {
 			continue
 		}
-		if k == kindWhole {
+		if k == kindSnapshot {
 			select {
-			case d.whole <- struct{}{}:
+			case d.snapshotSlots <- struct{}{}:
 			case <-d.ctx.Done():
 				return false, d.ctx.Err()
 			}
-			err = out.send(frame)
-			<-d.whole
+			err = out.writeFrames(frame)
+			<-d.snapshotSlots
 		} else {
-			err = out.send(frame)
+			err = out.writeFrames(frame)
 		}
 		if err != nil {
 			return false, err
 		}
-		s.has[i], news = newest, true
+		s.sentVersions[i], news = newest, true
 	}
 	return news, nil
 }
 
-func (d *Distributor) word() word {
-	w := word{Poolers: d.Size()}
+func (d *Distributor) announcement() announcement {
+	w := announcement{Poolers: d.Size()}
 	now := time.Now()
-	for _, f := range d.feeds {
-		w.Feeds = append(w.Feeds, f.word(now))
+	for _, f := range d.resources {
+		w.Resources = append(w.Resources, f.announcement(now))
 	}
 	return w
 }
--- a/internal/fleet/distribution/faults_test.go
+++ b/internal/fleet/distribution/faults_test.go
@@ -27,15 +27,15 @@
 // deltas.
 func TestSlowReader(t *testing.T) {
 	for what, cast := range map[string]func(d *Distributor, i int){
-		"bytes":  func(d *Distributor, i int) { d.Cast(fmt.Sprint("t", i%100), make([]byte, 64<<10)) },
-		"casts":  func(d *Distributor, i int) { d.Cast(fmt.Sprint("t", i), []byte("x")) },
+		"bytes":  func(d *Distributor, i int) { d.Broadcast(fmt.Sprint("t", i%100), make([]byte, 64<<10)) },
+		"casts":  func(d *Distributor, i int) { d.Broadcast(fmt.Sprint("t", i), []byte("x")) },
 		"frames": func(d *Distributor, i int) { _ = d.Send(t.Context(), "n5", "t", []byte("x")) },
 	} {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := settled(t, 3, 1, 30)
 				defer f.end()
-				slow := f.poolers["n5"].At()
+				slow := f.poolers["n5"].Distributor()
 				var heard atomic.Int64
 				f.poolers["n7"].Handle("t1", func(string, []byte) { heard.Add(1) })
 				was := f.counted(f.poolerNames()...)
@@ -90,16 +90,16 @@
 		asked, why := 0, (*refusal)(nil)
 		synctest.Test(t, func(*testing.T) {
 			begun := time.Now()
-			d := &Distributor{streams: map[string]*stream{}, dir: newDirectory()}
+			d := &Distributor{streams: map[string]*stream{}, directory: newDirectory()}
 			for ; len(due) > 0 && why == nil; asked++ {
 				at := heap.Pop(&due).(time.Duration)
 				time.Sleep(time.Until(begun.Add(at)))
-				no := d.enter(&stream{hello: hello{Protocol: protocol, Name: fmt.Sprint("n", asked)}})
+				no := d.addStream(&stream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", asked)}})
 				switch {
 				case no == nil:
 					took = append(took, at)
-				case no.Later > 0 && asked < 4*n:
-					heap.Push(&due, at+time.Duration(no.Later)*time.Millisecond+time.Duration(asked*7919%(late+1))*time.Microsecond)
+				case no.RetryAfterMillis > 0 && asked < 4*n:
+					heap.Push(&due, at+time.Duration(no.RetryAfterMillis)*time.Millisecond+time.Duration(asked*7919%(late+1))*time.Microsecond)
 				default:
 					why = no
 				}
@@ -109,13 +109,13 @@
 			rt.Fatalf("call %d of %d callers: %+v", asked, n, *why)
 		}
 		for i := range took {
-			for j := i + admitBurst; j < len(took); j += 17 {
-				if most := admitBurst + 1 + int((took[j]-took[i])/admitEach); j-i+1 > most {
+			for j := i + admissionBurst; j < len(took); j += 17 {
+				if most := admissionBurst + 1 + int((took[j]-took[i])/admissionInterval); j-i+1 > most {
 					rt.Fatalf("%d were taken within %v, %d may be", j-i+1, took[j]-took[i], most)
 				}
 			}
 		}
-		if most := last + time.Duration(n)*(admitEach+time.Duration(late)*time.Microsecond/100) + 100*time.Millisecond; took[n-1] > most {
+		if most := last + time.Duration(n)*(admissionInterval+time.Duration(late)*time.Microsecond/100) + 100*time.Millisecond; took[n-1] > most {
 			rt.Fatalf("the last of %d was taken after %v, want %v; the last had called after %v", n, took[n-1], most, last)
 		}
 	})
@@ -131,9 +131,9 @@
 		for i := range n {
 			f.join(i, n, "r0")
 		}
-		for at := time.Duration(0); at <= n*admitEach+100*time.Millisecond; at += 50 * time.Millisecond {
+		for at := time.Duration(0); at <= n*admissionInterval+100*time.Millisecond; at += 50 * time.Millisecond {
 			synctest.Wait()
-			if got, most := f.distributors["d0"].Streams(), admitBurst+int(at/admitEach); got > most {
+			if got, most := f.distributors["d0"].StreamCount(), admissionBurst+int(at/admissionInterval); got > most {
 				t.Errorf("%d streams after %v, %d may be", got, at, most)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -151,7 +151,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, rng := newFleet(t, distributors, 1), rand.New(rand.NewPCG(seed, 0))
 			defer f.end()
-			time.Sleep(2 * beat)
+			time.Sleep(2 * testHeartbeat)
 			tried := 0
 			join := func(n int) {
 				for ; n > 0; tried++ {
@@ -167,8 +167,8 @@
 				synctest.Wait()
 				sum, held := 0, []int{}
 				for _, d := range f.distributors {
-					held = append(held, d.Streams())
-					sum += d.Streams()
+					held = append(held, d.StreamCount())
+					sum += d.StreamCount()
 				}
 				if bound := (5*(most+4) + 4*fewest - 1) / (4 * fewest); sum != len(f.poolers) || slices.Max(held) > bound {
 					t.Errorf("after %s: %v streams of %d poolers, a quarter over the mean is %d", after, held, len(f.poolers), bound)
@@ -194,10 +194,10 @@
 					what = p.Name + " was lost"
 					f.kill(p.Name)
 				default:
-					what = fmt.Sprintf("%s stalled with %d", p.Name, d.Streams())
+					what = fmt.Sprintf("%s stalled with %d", p.Name, d.StreamCount())
 					all := append(f.poolerNames(), f.distributorNames()...)
 					f.n.part([]string{p.Name}, all, true)
-					time.Sleep(5 * beat)
+					time.Sleep(5 * testHeartbeat)
 					f.n.part([]string{p.Name}, all, false)
 					fewest = min(fewest, max(len(f.distributors)-1, 1))
 				}
@@ -210,7 +210,7 @@
 					f.distribute(p)
 				}
 			}
-			time.Sleep(2 * homeBeats * beat)
+			time.Sleep(2 * preferredRetryHeartbeats * testHeartbeat)
 			check("all are back")
 		})
 	}
@@ -223,8 +223,8 @@
 	go func() {
 		for last := uint64(0); ; {
 			changed := c.Changed()
-			confirmed := c.Confirmed()
-			s := c.State()
+			confirmed := c.ConfirmedAt()
+			s := c.Snapshot()
 			f.mu.Lock()
 			was := f.written[s.Version]
 			for version, w := range f.written {
@@ -233,15 +233,15 @@
 				}
 			}
 			f.mu.Unlock()
-			if s.Version < last || !maps.EqualFunc(s.Docs, was.docs, func(a, b replication.Doc) bool {
+			if s.Version < last || !maps.EqualFunc(s.Documents, was.docs, func(a, b replication.Document) bool {
 				return a.Key == b.Key && a.Version == b.Version && bytes.Equal(a.Value, b.Value)
 			}) {
-				f.t.Errorf("%s has version %d after %d, with %v, written was %v", name, s.Version, last, s.Docs, was.docs)
+				f.t.Errorf("%s has version %d after %d, with %v, written was %v", name, s.Version, last, s.Documents, was.docs)
 			}
 			last = s.Version
 			select {
 			case <-changed:
-			case <-time.After(beat / 3):
+			case <-time.After(testHeartbeat / 3):
 			case <-end:
 				return
 			}
@@ -333,8 +333,8 @@
 // A distributor that says what can't be is left, with its reason logged once however often the pooler comes back; the copy stands, and the
 // pooler has each change from another.
 func TestBadDistributor(t *testing.T) {
-	welcome := seal(kindWelcome)
-	text := func(k kind, feed, json string) []byte { return seal(k, named([]byte(json), feed)) }
+	welcome := encodeFrame(kindWelcome)
+	text := func(k frameKindID, feed, json string) []byte { return encodeFrame(k, prependNames([]byte(json), feed)) }
 	ended, refused := "the stream to x has ended", "x refuses this pooler: protocol 2"
 	for what, c := range map[string]struct {
 		says  [][]byte
@@ -344,12 +344,12 @@
 		"a delta that does not follow": {[][]byte{welcome, text(kindDelta, "shared", `{"since":1000000,"version":1000001}`)}, 0, ended},
 		"a delta with half a document": {[][]byte{welcome, text(kindDelta, "shared", `{"since":0,"version":1000001,"docs":[{"key":"p/x","version":1000000}]}`)}, 0, ended},
 		"a delta that can't be read":   {[][]byte{welcome, text(kindDelta, "shared", `{"since":0,"ver`)}, 0, ended},
-		"a whole that can't be read":   {[][]byte{welcome, text(kindWhole, "shared", `[]`)}, 0, ended},
-		"a frame over its bound":       {[][]byte{welcome, binary.AppendUvarint(nil, mostDown+1)}, 0, ended},
+		"a whole that can't be read":   {[][]byte{welcome, text(kindSnapshot, "shared", `[]`)}, 0, ended},
+		"a frame over its bound":       {[][]byte{welcome, binary.AppendUvarint(nil, maxDistributorFrame+1)}, 0, ended},
 		"an unknown feed":              {[][]byte{welcome, text(kindDelta, "other", `{"since":0,"version":1000001}`)}, 0, ended},
-		"an unknown kind":              {[][]byte{welcome, seal(99)}, 0, ended},
-		"a word that can't be read":    {[][]byte{welcome, seal(kindWord, []byte("{"))}, 0, ended},
-		"another protocol":             {[][]byte{sealJSON(kindRefusal, refusal{Why: "protocol 2, here it is 1"})}, 0, refused},
+		"an unknown kind":              {[][]byte{welcome, encodeFrame(99)}, 0, ended},
+		"a word that can't be read":    {[][]byte{welcome, encodeFrame(kindAnnouncement, []byte("{"))}, 0, ended},
+		"another protocol":             {[][]byte{encodeJSONFrame(kindRefusal, refusal{Reason: "protocol 2, here it is 1"})}, 0, refused},
 		"no such answer":               {[][]byte{[]byte("HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n400 Bad Request")}, 0, "x"},
 		"another log":                  {[][]byte{welcome}, 1, ended},
 	} {
@@ -358,8 +358,8 @@
 				f := newFleet(t, 2, 1)
 				defer f.end()
 				f.put("p/a", "1")
-				f.places = append(f.places, Place{"x", "x", "r9"})
-				time.Sleep(2 * beat)
+				f.places = append(f.places, Endpoint{"x", "x", "r9"})
+				time.Sleep(2 * testHeartbeat)
 				f.join(0, 1, "r9") // for which x is the first choice
 				f.watch("n0", t.Context().Done())
 				f.within(6*time.Second, "the join")
@@ -377,24 +377,24 @@
 						running.Go(func() {
 							defer conn.Close()
 							in := bufio.NewReader(conn)
-							if _, _, _, err := readFrame(in, mostUp); err != nil {
+							if _, _, _, err := readFrame(in, maxPoolerFrame); err != nil {
 								return
 							}
 							for _, frame := range c.says {
 								_, _ = conn.Write(frame)
 							}
 							running.Go(func() { _, _ = in.WriteTo(new(bytes.Buffer)) })
-							for err := error(nil); err == nil && c.words > 0; time.Sleep(beat) {
-								_, err = conn.Write(sealJSON(kindWord, word{1, []feedWord{{"shared", c.words, time.Now().UnixNano(), 0}}}))
+							for err := error(nil); err == nil && c.words > 0; time.Sleep(testHeartbeat) {
+								_, err = conn.Write(encodeJSONFrame(kindAnnouncement, announcement{1, []resourceAnnouncement{{"shared", c.words, time.Now().UnixNano(), 0}}}))
 							}
-							time.Sleep(beat)
+							time.Sleep(testHeartbeat)
 						})
 					}
 				})
 				for i := range 10 {
 					f.put("p/a", fmt.Sprint("change ", i))
 					f.within(6*time.Second, what)
-					f.rest(homeBeats)
+					f.rest(preferredRetryHeartbeats)
 				}
 				if n := f.logged(c.why); n != 1 || came < 4 {
 					t.Errorf("%d lines after %d calls: %q", n, came, f.log)
@@ -413,24 +413,24 @@
 // A pooler that says what can't be is refused or cut off, with its reason logged once however often it comes, and nobody hears it. What can't be
 // sent is refused to the part that would send it, and the stream stands.
 func TestBadPooler(t *testing.T) {
-	call := hello{Protocol: protocol, Name: "bad"}
-	long := strings.Repeat("n", mostName+1)
+	call := hello{Protocol: protocolVersion, Name: "bad"}
+	long := strings.Repeat("n", maxNameLength+1)
 	for what, c := range map[string]struct {
 		hello hello
 		says  []byte
 		why   string
 	}{
 		"another protocol":       {hello{Protocol: 2, Name: "bad"}, nil, "protocol 2, here it is 1"},
-		"no name":                {hello{Protocol: protocol}, nil, "empty or too long"},
-		"a long name":            {hello{Protocol: protocol, Name: long}, nil, "empty or too long"},
-		"speaks for another":     {call, seal(kindMessage, named([]byte("x"), "n0", "n1", "t")), "it speaks for n1"},
-		"casts for another":      {call, seal(kindCast, named([]byte("x"), "n1", "t")), "it speaks for n1"},
-		"a frame over its bound": {call, seal(kindMessage, make([]byte, mostUp)), "a frame over its bound"},
-		"an unknown kind":        {call, seal(99), "kind 99"},
-		"not its to tell":        {call, sealJSON(kindHolds, holds{All: true}), "holds"},
-		"can't be read":          {call, seal(kindLive, []byte("{")), "a frame that can't be read"},
-		"a link's can't be read": {hello{Protocol: protocol, Name: "d0", Distributor: true}, seal(kindHolds, []byte("{")), "a frame that can't be read"},
-		"a link of a stranger":   {hello{Protocol: protocol, Name: "bad", Distributor: true}, nil, "not among those named here"},
+		"no name":                {hello{Protocol: protocolVersion}, nil, "empty or too long"},
+		"a long name":            {hello{Protocol: protocolVersion, Name: long}, nil, "empty or too long"},
+		"speaks for another":     {call, encodeFrame(kindMessage, prependNames([]byte("x"), "n0", "n1", "t")), "it speaks for n1"},
+		"casts for another":      {call, encodeFrame(kindBroadcast, prependNames([]byte("x"), "n1", "t")), "it speaks for n1"},
+		"a frame over its bound": {call, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "a frame over its bound"},
+		"an unknown kind":        {call, encodeFrame(99), "kind 99"},
+		"not its to tell":        {call, encodeJSONFrame(kindHoldings, holdings{Complete: true}), "holds"},
+		"can't be read":          {call, encodeFrame(kindHeartbeat, []byte("{")), "a frame that can't be read"},
+		"a link's can't be read": {hello{Protocol: protocolVersion, Name: "d0", Distributor: true}, encodeFrame(kindHoldings, []byte("{")), "a frame that can't be read"},
+		"a link of a stranger":   {hello{Protocol: protocolVersion, Name: "bad", Distributor: true}, nil, "not among those named here"},
 	} {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -444,16 +444,16 @@
 					}
 					running := sync.WaitGroup{}
 					running.Go(func() {
-						if _, err := conn.Write(sealJSON(kindHello, c.hello)); err == nil && c.says != nil {
+						if _, err := conn.Write(encodeJSONFrame(kindHello, c.hello)); err == nil && c.says != nil {
 							_, _ = conn.Write(c.says)
 						}
 					})
-					time.Sleep(beat / 10)
+					time.Sleep(testHeartbeat / 10)
 					answer, _ := bufio.NewReader(conn).Peek(2)
-					if refused := kindOf(append(answer, 0)) == kindRefusal; refused != (c.says == nil) {
+					if refused := frameKind(append(answer, 0)) == kindRefusal; refused != (c.says == nil) {
 						t.Errorf("answered by %q", answer)
 					}
-					_ = conn.SetReadDeadline(time.Now().Add(beat / 10)) // fails once it has ended
+					_ = conn.SetReadDeadline(time.Now().Add(testHeartbeat / 10)) // fails once it has ended
 					_, err = bufio.NewReader(conn).WriteTo(new(bytes.Buffer))
 					if e, ok := err.(net.Error); ok && e.Timeout() {
 						t.Error("the connection stands")
@@ -473,11 +473,11 @@
 		for _, send := range []struct {
 			to, topic string
 			bytes     int
-		}{{"n1", "t", mostUp}, {"n1", "t", mostUp - 10}, {"n1", "", 1}, {"", "t", 1}, {long, "t", 1}, {"n1", long, 1}} {
+		}{{"n1", "t", maxPoolerFrame}, {"n1", "t", maxPoolerFrame - 10}, {"n1", "", 1}, {"", "t", 1}, {long, "t", 1}, {"n1", long, 1}} {
 			if err := f.poolers["n0"].Send(t.Context(), send.to, send.topic, make([]byte, send.bytes)); err == nil {
 				t.Errorf("%.9q, %.9q, %d bytes: taken", send.to, send.topic, send.bytes)
 			}
-			f.poolers["n0"].Cast(cmp.Or(send.topic, long), make([]byte, max(send.bytes, mostUp-10)))
+			f.poolers["n0"].Broadcast(cmp.Or(send.topic, long), make([]byte, max(send.bytes, maxPoolerFrame-10)))
 		}
 		f.rest(3)
 		if f.logged("has ended") > 0 {
--- a/internal/fleet/distribution/feed.go
+++ b/internal/fleet/distribution/feed.go
@@ -9,22 +9,22 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// feed is a Feed as a distributor tells it: deltas and wholes are made once for all streams that need the same one. It is safe for
+// publishedResource is a Feed as a distributor tells it: deltas and wholes are made once for all streams that need the same one. It is safe for
 // use by several goroutines.
-type feed struct {
-	Feed
+type publishedResource struct {
+	Resource
 
-	mu      sync.Mutex
-	history replication.History
-	deltas  map[uint64][]byte // frames to the newest version, by the version that they begin at
-	whole   []byte
+	mu            sync.Mutex
+	history       replication.History
+	deltaFrames   map[uint64][]byte // frames to the newest version, by the version that they begin at
+	snapshotFrame []byte
 }
 
 // follow notes each version of the copy, and tells of it, until ctx ends.
-func (f *feed) follow(ctx context.Context, news func()) {
+func (f *publishedResource) follow(ctx context.Context, news func()) {
 	for {
-		changed := f.Copy.Changed()
-		f.note()
+		changed := f.Replica.Changed()
+		f.record()
 		news()
 		select {
 		case <-ctx.Done():
@@ -34,52 +34,52 @@
 	}
 }
 
-func (f *feed) note() {
-	s := f.Copy.State()
+func (f *publishedResource) record() {
+	s := f.Replica.Snapshot()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s.Version > f.history.Version() {
-		f.history.Note(s)
-		f.deltas, f.whole = map[uint64][]byte{}, nil
+		f.history.Record(s)
+		f.deltaFrames, f.snapshotFrame = map[uint64][]byte{}, nil
 	}
 }
 
-// since is the frame that brings a copy of a version to the newest one; nil: it is not older.
-func (f *feed) since(version uint64) (k kind, frame []byte, newest uint64) {
+// frameSince is the frame that brings a copy of a version to the newest one; nil: it is not older.
+func (f *publishedResource) frameSince(version uint64) (k frameKindID, frame []byte, newest uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest = f.history.Version()
 	if version >= newest {
 		return 0, nil, newest
 	}
-	if frame := f.deltas[version]; frame != nil {
+	if frame := f.deltaFrames[version]; frame != nil {
 		return kindDelta, frame, newest
 	}
-	if d, ok := f.history.Since(version); ok {
-		frame = f.seal(kindDelta, d)
-		f.deltas[version] = frame
+	if d, ok := f.history.DeltaSince(version); ok {
+		frame = f.encodeFrame(kindDelta, d)
+		f.deltaFrames[version] = frame
 		return kindDelta, frame, newest
 	}
-	if f.whole == nil {
-		f.whole = f.seal(kindWhole, f.history.State())
+	if f.snapshotFrame == nil {
+		f.snapshotFrame = f.encodeFrame(kindSnapshot, f.history.Snapshot())
 	}
-	return kindWhole, f.whole, newest
+	return kindSnapshot, f.snapshotFrame, newest
 }
 
-func (f *feed) seal(k kind, v any) []byte {
+func (f *publishedResource) encodeFrame(k frameKindID, v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // documents are bytes
 	}
-	return seal(k, named(text, f.Name))
+	return encodeFrame(k, prependNames(text, f.Name))
 }
 
-// word is what confirms the feed's version now. The version is read after the time: as of that time nothing was newer.
-func (f *feed) word(now time.Time) feedWord {
-	at := f.Copy.Confirmed()
-	w := feedWord{Feed: f.Name, Version: f.Copy.Version()}
+// announcement is what confirms the feed's version now. The version is read after the time: as of that time nothing was newer.
+func (f *publishedResource) announcement(now time.Time) resourceAnnouncement {
+	at := f.Replica.ConfirmedAt()
+	w := resourceAnnouncement{Resource: f.Name, Version: f.Replica.Version()}
 	if !at.IsZero() {
-		w.AsOf, w.Age = at.UnixNano(), now.Sub(at)
+		w.ConfirmedAtUnixNano, w.Age = at.UnixNano(), now.Sub(at)
 	}
 	return w
 }
--- a/internal/fleet/distribution/frame.go
+++ b/internal/fleet/distribution/frame.go
@@ -13,29 +13,29 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// protocol is the version of what goes over a stream: a peer of another one is refused with a reason.
-const protocol = 1
+// protocolVersion is the version of what goes over a stream: a peer of another one is refused with a reason.
+const protocolVersion = 1
 
-// kind is the first byte of a frame, behind its length as a uvarint.
-type kind byte
+// frameKindID is the first byte of a frame, behind its length as a uvarint.
+type frameKindID byte
 
 const (
-	kindHello   kind = iota + 1 // up: who calls; JSON hello
-	kindWelcome                 // down: taken; no body
-	kindRefusal                 // down: not taken, and the connection ends; JSON refusal
-	kindLive                    // up, each beat: JSON live, between distributors JSON Summary; no body where nothing has changed
-	kindWord                    // down, each beat and at each change: JSON word
-	kindDelta                   // down: feed, JSON shared.Delta
-	kindWhole                   // down: feed, JSON shared.State
-	kindMessage                 // both ways: to, from, topic, body
-	kindCast                    // both ways: from, topic, body
-	kindHolds                   // from one distributor to another: JSON holds
+	kindHello        frameKindID = iota + 1 // up: who calls; JSON hello
+	kindWelcome                             // down: taken; no body
+	kindRefusal                             // down: not taken, and the connection ends; JSON refusal
+	kindHeartbeat                           // up, each beat: JSON live, between distributors JSON Summary; no body where nothing has changed
+	kindAnnouncement                        // down, each beat and at each change: JSON word
+	kindDelta                               // down: feed, JSON shared.Delta
+	kindSnapshot                            // down: feed, JSON shared.State
+	kindMessage                             // both ways: to, from, topic, body
+	kindBroadcast                           // both ways: from, topic, body
+	kindHoldings                            // from one distributor to another: JSON holds
 )
 
-var kindNames = [...]string{kindHello: "hello", kindWelcome: "welcome", kindRefusal: "refusal", kindLive: "live", kindWord: "word", kindDelta: "delta",
-	kindWhole: "whole", kindMessage: "message", kindCast: "cast", kindHolds: "holds"}
+var kindNames = [...]string{kindHello: "hello", kindWelcome: "welcome", kindRefusal: "refusal", kindHeartbeat: "live", kindAnnouncement: "word", kindDelta: "delta",
+	kindSnapshot: "whole", kindMessage: "message", kindBroadcast: "cast", kindHoldings: "holds"}
 
-func (k kind) String() string {
+func (k frameKindID) String() string {
 	if int(k) < len(kindNames) && kindNames[k] != "" {
 		return kindNames[k]
 	}
@@ -43,16 +43,16 @@
 }
 
 const (
-	// mostUp bounds a frame that a pooler may send: a document's largest value as JSON, as the stewards' ask.
-	mostUp = 128 << 10
-	// mostDown bounds one that a distributor may send: all documents as JSON, as the stewards' answer.
-	mostDown = 8 << 20
-	// mostName bounds names, regions, feeds and topics.
-	mostName = 128
-	// mostSent bounds the body of a message or cast of a pooler, so that its frame, with three names and their lengths, is within mostUp.
-	mostSent = mostUp - 3*(mostName+2) - 1
-	// grown is up to where a frame's bytes are allocated by its own word for its length; what is longer grows as it comes.
-	grown = 64 << 10
+	// maxPoolerFrame bounds a frame that a pooler may send: a document's largest value as JSON, as the stewards' ask.
+	maxPoolerFrame = 128 << 10
+	// maxDistributorFrame bounds one that a distributor may send: all documents as JSON, as the stewards' answer.
+	maxDistributorFrame = 8 << 20
+	// maxNameLength bounds names, regions, feeds and topics.
+	maxNameLength = 128
+	// maxMessageBody bounds the body of a message or cast of a pooler, so that its frame, with three names and their lengths, is within mostUp.
+	maxMessageBody = maxPoolerFrame - 3*(maxNameLength+2) - 1
+	// maxPreallocated is up to where a frame's bytes are allocated by its own word for its length; what is longer grows as it comes.
+	maxPreallocated = 64 << 10
 )
 
 // hello is a call.
@@ -61,7 +61,7 @@
 	Name        string            `json:"name"`
 	Region      string            `json:"region,omitempty"`
 	Distributor bool              `json:"distributor,omitempty"` // the call is a link's
-	Has         map[string]uint64 `json:"has,omitempty"`         // by feed: the version that the caller holds
+	Versions    map[string]uint64 `json:"has,omitempty"`         // by feed: the version that the caller holds
 	// Insists: the caller has been refused for room by all others; only the bound of descriptors may refuse it.
 	Insists bool   `json:"insists,omitempty"`
 	Status  Status `json:"status"`
@@ -69,52 +69,52 @@
 
 // refusal answers a call that is not taken.
 type refusal struct {
-	Why string `json:"why"`
-	// Later: the caller is to come again here after so many milliseconds; 0: it is to turn to another.
-	Later int64 `json:"later_ms,omitempty"`
+	Reason string `json:"why"`
+	// RetryAfterMillis: the caller is to come again here after so many milliseconds; 0: it is to turn to another.
+	RetryAfterMillis int64 `json:"later_ms,omitempty"`
 	// Full: there is room for it elsewhere.
 	Full bool `json:"full,omitempty"`
 }
 
-// live is what a pooler tells each beat.
-type live struct {
-	Has    map[string]uint64 `json:"has,omitempty"`
-	Status Status            `json:"status"`
+// heartbeat is what a pooler tells each beat.
+type heartbeat struct {
+	Versions map[string]uint64 `json:"has,omitempty"`
+	Status   Status            `json:"status"`
 }
 
-// word tells how new the distributor's feeds are, and how many poolers are held to be alive.
-type word struct {
-	Poolers int        `json:"n"`
-	Feeds   []feedWord `json:"f"`
+// announcement tells how new the distributor's feeds are, and how many poolers are held to be alive.
+type announcement struct {
+	Poolers   int                    `json:"n"`
+	Resources []resourceAnnouncement `json:"f"`
 }
 
-// feedWord tells that nothing newer than a version was known at a time, as shared.HeardAt reads it.
-type feedWord struct {
-	Feed    string        `json:"f"`
-	Version uint64        `json:"v"`
-	AsOf    int64         `json:"t"` // Unix time in ns; 0: never confirmed
-	Age     time.Duration `json:"a"`
+// resourceAnnouncement tells that nothing newer than a version was known at a time, as shared.HeardAt reads it.
+type resourceAnnouncement struct {
+	Resource            string        `json:"f"`
+	Version             uint64        `json:"v"`
+	ConfirmedAtUnixNano int64         `json:"t"` // Unix time in ns; 0: never confirmed
+	Age                 time.Duration `json:"a"`
 }
 
-// holds tells another distributor which poolers have come to this one and which have gone.
-type holds struct {
-	All  bool     `json:"all,omitempty"` // Came is all there are
-	Came []string `json:"came,omitempty"`
-	Went []string `json:"went,omitempty"`
+// holdings tells another distributor which poolers have come to this one and which have gone.
+type holdings struct {
+	Complete bool     `json:"all,omitempty"` // Came is all there are
+	Arrived  []string `json:"came,omitempty"`
+	Departed []string `json:"went,omitempty"`
 }
 
 var (
-	errFrame = errors.New("a frame that can't be read")
-	errLong  = errors.New("a frame over its bound")
+	errMalformedFrame = errors.New("a frame that can't be read")
+	errFrameTooLong   = errors.New("a frame over its bound")
 	// What a distributor alone can say that can't be.
-	errFollow = errors.New("a delta that does not follow")
-	errFeed   = errors.New("a feed that this pooler does not know")
-	errBehind = errors.New("it stays behind what this pooler has")
+	errDeltaGap        = errors.New("a delta that does not follow")
+	errUnknownResource = errors.New("a feed that this pooler does not know")
+	errDistributorLags = errors.New("it stays behind what this pooler has")
 )
 
-// fault is what about a peer can't be, without the versions and lengths that it comes with; err itself where it is none of these.
-func fault(err error) error {
-	for _, f := range []error{errFrame, errLong, errFollow, errFeed, errBehind} {
+// faultKind is what about a peer can't be, without the versions and lengths that it comes with; err itself where it is none of these.
+func faultKind(err error) error {
+	for _, f := range []error{errMalformedFrame, errFrameTooLong, errDeltaGap, errUnknownResource, errDistributorLags} {
 		if errors.Is(err, f) {
 			return f
 		}
@@ -122,8 +122,8 @@
 	return err
 }
 
-// seal puts a frame in the form that it has on a connection.
-func seal(k kind, parts ...[]byte) []byte {
+// encodeFrame puts a frame in the form that it has on a connection.
+func encodeFrame(k frameKindID, parts ...[]byte) []byte {
 	n := 1
 	for _, p := range parts {
 		n += len(p)
@@ -135,17 +135,17 @@
 	return out
 }
 
-// sealJSON seals a value whose type is of this package or of shared, which JSON can hold.
-func sealJSON(k kind, v any) []byte {
+// encodeJSONFrame seals a value whose type is of this package or of shared, which JSON can hold.
+func encodeJSONFrame(k frameKindID, v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	return seal(k, text)
+	return encodeFrame(k, text)
 }
 
-// named puts names before a body, each with its length as a uvarint.
-func named(body []byte, names ...string) []byte {
+// prependNames puts names before a body, each with its length as a uvarint.
+func prependNames(body []byte, names ...string) []byte {
 	var out []byte
 	for _, s := range names {
 		out = append(binary.AppendUvarint(out, uint64(len(s))), s...)
@@ -153,12 +153,12 @@
 	return append(out, body...)
 }
 
-// unnamed undoes named.
-func unnamed(text []byte, names ...*string) (body []byte, err error) {
+// splitNames undoes named.
+func splitNames(text []byte, names ...*string) (body []byte, err error) {
 	for _, s := range names {
 		n, used := binary.Uvarint(text)
-		if used <= 0 || n == 0 || n > mostName || n > uint64(len(text)-used) {
-			return nil, errFrame
+		if used <= 0 || n == 0 || n > maxNameLength || n > uint64(len(text)-used) {
+			return nil, errMalformedFrame
 		}
 		*s, text = string(text[used:used+int(n)]), text[used+int(n):]
 	}
@@ -166,50 +166,50 @@
 }
 
 // readFrame reads a frame of up to most bytes. size is what it took on the connection.
-func readFrame(in *bufio.Reader, most int) (k kind, body []byte, size int, err error) {
+func readFrame(in *bufio.Reader, most int) (k frameKindID, body []byte, size int, err error) {
 	n, err := binary.ReadUvarint(in)
 	switch {
 	case err != nil:
 		return 0, nil, 0, err
 	case n == 0:
-		return 0, nil, 0, errFrame
+		return 0, nil, 0, errMalformedFrame
 	case n > uint64(most):
-		return 0, nil, 0, fmt.Errorf("%w: %d bytes", errLong, n)
+		return 0, nil, 0, fmt.Errorf("%w: %d bytes", errFrameTooLong, n)
 	}
 	first, err := in.ReadByte()
 	if err != nil {
 		return 0, nil, 0, err
 	}
 	size = len(binary.AppendUvarint(nil, n)) + int(n)
-	if n--; n <= grown {
+	if n--; n <= maxPreallocated {
 		body = make([]byte, n)
 		_, err = io.ReadFull(in, body)
-		return kind(first), body, size, err
+		return frameKindID(first), body, size, err
 	}
 	var b bytes.Buffer
 	if _, err := io.CopyN(&b, in, int64(n)); err != nil {
 		return 0, nil, 0, err
 	}
-	return kind(first), b.Bytes(), size, nil
+	return frameKindID(first), b.Bytes(), size, nil
 }
 
-// valid refuses a call that can't be served.
-func (h hello) valid() error {
+// validate refuses a call that can't be served.
+func (h hello) validate() error {
 	switch {
-	case h.Protocol != protocol:
-		return fmt.Errorf("protocol %d, here it is %d", h.Protocol, protocol)
-	case h.Name == "" || len(h.Name) > mostName || len(h.Region) > mostName:
+	case h.Protocol != protocolVersion:
+		return fmt.Errorf("protocol %d, here it is %d", h.Protocol, protocolVersion)
+	case h.Name == "" || len(h.Name) > maxNameLength || len(h.Region) > maxNameLength:
 		return fmt.Errorf("name %.40q, region %.40q: empty or too long", h.Name, h.Region)
 	}
 	return nil
 }
 
-// advance is the state that a frame makes of a copy's; nil without an error: the copy has it.
-func advance(k kind, text []byte, s replication.State) (*replication.State, error) {
-	if k == kindWhole {
-		var next replication.State
+// nextSnapshot is the state that a frame makes of a copy's; nil without an error: the copy has it.
+func nextSnapshot(k frameKindID, text []byte, s replication.Snapshot) (*replication.Snapshot, error) {
+	if k == kindSnapshot {
+		var next replication.Snapshot
 		if err := json.Unmarshal(text, &next); err != nil {
-			return nil, fmt.Errorf("%w: %w", errFrame, err)
+			return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 		}
 		if next.Version <= s.Version {
 			return nil, nil
@@ -218,14 +218,14 @@
 	}
 	var d replication.Delta
 	if err := json.Unmarshal(text, &d); err != nil {
-		return nil, fmt.Errorf("%w: %w", errFrame, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	if d.Version <= s.Version {
 		return nil, nil
 	}
-	next, ok := d.On(s)
+	next, ok := d.ApplyTo(s)
 	if !ok {
-		return nil, fmt.Errorf("%w: from version %d to %d, on %d", errFollow, d.Since, d.Version, s.Version)
+		return nil, fmt.Errorf("%w: from version %d to %d, on %d", errDeltaGap, d.BaseVersion, d.Version, s.Version)
 	}
 	return &next, nil
 }
--- a/internal/fleet/distribution/link.go
+++ b/internal/fleet/distribution/link.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// link keeps a stream open to another distributor, by which this one tells it whom it holds and passes messages on.
-func (d *Distributor) link(p Place) {
+// maintainLink keeps a stream open to another distributor, by which this one tells it whom it holds and passes messages on.
+func (d *Distributor) maintainLink(p Endpoint) {
 	for d.ctx.Err() == nil {
-		if err := d.linked(p); err != nil && d.ctx.Err() == nil {
-			d.once("link: "+err.Error(), p.Name, "link: "+err.Error())
+		if err := d.serveLink(p); err != nil && d.ctx.Err() == nil {
+			d.logRefusalOnce("link: "+err.Error(), p.Name, "link: "+err.Error())
 		}
-		pause(d.ctx, d.o.Beat)
+		sleep(d.ctx, d.options.HeartbeatInterval)
 		d.mu.Lock()
-		d.dir.expire(time.Now(), shunBeats*d.o.Beat)
+		d.directory.expire(time.Now(), avoidHeartbeats*d.options.HeartbeatInterval)
 		d.mu.Unlock()
 	}
 }
 
-func (d *Distributor) linked(p Place) error {
-	conn, in, err := call(d.ctx, d.o.Dial, p, tenths(d.o.Beat, answerBeats), d.o.Beat, d.o.Count, hello{Protocol: protocol, Name: d.o.Name, Region: d.o.Region, Distributor: true})
-	var no refused
+func (d *Distributor) serveLink(p Endpoint) error {
+	conn, in, err := openStream(d.ctx, d.options.Dial, p, tenthsOfHeartbeat(d.options.HeartbeatInterval, answerTimeoutTenths), d.options.HeartbeatInterval, d.options.Counter, hello{Protocol: protocolVersion, Name: d.options.Name, Region: d.options.Region, Distributor: true})
+	var no refusedError
 	switch {
 	case errors.As(err, &no):
 		return err
@@ -31,16 +31,16 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(d.ctx, func() { _ = conn.Close() })()
-	out := newOutbox(mostLinked, func() { _ = conn.Close() })
+	out := newOutbox(maxLinkQueuedBytes, func() { _ = conn.Close() })
 	d.mu.Lock()
-	all := holds{All: true}
+	all := holdings{Complete: true}
 	for name, s := range d.streams {
 		if !s.Distributor {
-			all.Came = append(all.Came, name)
+			all.Arrived = append(all.Arrived, name)
 		}
 	}
-	slices.Sort(all.Came)
-	out.put(sealJSON(kindHolds, all))
+	slices.Sort(all.Arrived)
+	out.enqueue(encodeJSONFrame(kindHoldings, all))
 	d.links[p.Name] = out
 	d.mu.Unlock()
 	defer func() {
@@ -52,21 +52,21 @@
 	}()
 	go func() { // the words that come back tell that it lives
 		for {
-			k, _, size, err := readFrame(in, mostDown)
+			k, _, size, err := readFrame(in, maxDistributorFrame)
 			if err != nil {
 				_ = conn.Close()
-				out.put(nil)
+				out.enqueue(nil)
 				return
 			}
-			d.o.Count.In(k.String(), size)
+			d.options.Counter.In(k.String(), size)
 		}
 	}()
-	w := newFrames(conn, d.o.Count)
-	beat := time.NewTicker(d.o.Beat)
+	w := newFrameWriter(conn, d.options.Counter)
+	beat := time.NewTicker(d.options.HeartbeatInterval)
 	defer beat.Stop()
 	told := ""
 	for {
-		if w.send(out.take()...) != nil || w.Flush() != nil {
+		if w.writeFrames(out.drain()...) != nil || w.Flush() != nil {
 			return nil
 		}
 		select {
@@ -75,27 +75,27 @@
 		case <-out.wake:
 		case <-beat.C:
 			var frame []byte
-			frame, told = d.livesOn(told)
-			out.put(frame)
+			frame, told = d.heartbeatFrame(told)
+			out.enqueue(frame)
 		}
 	}
 }
 
-// tell tells all other distributors. The caller has the lock.
-func (d *Distributor) tell(h holds) {
-	frame := sealJSON(kindHolds, h)
+// sendHoldings tells all other distributors. The caller has the lock.
+func (d *Distributor) sendHoldings(h holdings) {
+	frame := encodeJSONFrame(kindHoldings, h)
 	for _, out := range d.links {
-		out.put(frame)
+		out.enqueue(frame)
 	}
 }
 
-// told takes in whom another distributor holds. A pooler that has come there has left here, whatever its old stream says.
-func (d *Distributor) told(name string, h holds) {
+// handleHoldings takes in whom another distributor holds. A pooler that has come there has left here, whatever its old stream says.
+func (d *Distributor) handleHoldings(name string, h holdings) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.dir.take(name, h)
-	for _, pooler := range h.Came {
-		if s := d.streams[pooler]; s != nil && !s.Distributor && !h.All {
+	d.directory.update(name, h)
+	for _, pooler := range h.Arrived {
+		if s := d.streams[pooler]; s != nil && !s.Distributor && !h.Complete {
 			_ = s.conn.Close()
 		}
 	}
--- a/internal/fleet/distribution/net_test.go
+++ b/internal/fleet/distribution/net_test.go
@@ -76,7 +76,7 @@
 
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{Name: l.name} }
 
-var errNobody = errors.New("nobody listens")
+var errNoListener = errors.New("nobody listens")
 
 // dialer calls from a name.
 func (n *network) dialer(from string) Dialer {
@@ -88,7 +88,7 @@
 		l := n.listeners[to]
 		n.mu.Unlock()
 		if l == nil {
-			return nil, errNobody
+			return nil, errNoListener
 		}
 		mine, here := net.Pipe()
 		there, theirs := net.Pipe()
@@ -105,7 +105,7 @@
 		case <-l.ended:
 			_ = mine.Close()
 			_ = theirs.Close()
-			return nil, errNobody
+			return nil, errNoListener
 		}
 	}
 }
--- a/internal/fleet/distribution/outbox.go
+++ b/internal/fleet/distribution/outbox.go
@@ -9,49 +9,49 @@
 
 // The bounds of what may wait for a reader. Beyond them it is cut off: what the feeds hold it gets by version when it comes again.
 const (
-	mostQueued = 512 // frames, in their order
-	mostCasts  = 1024
-	// mostBytes of queued frames and casts: a whole list of servers among them.
-	mostBytes = 4 << 20
-	// mostLinked is the same between two distributors, where one stands for hundreds of poolers.
-	mostLinked = 32 << 20
+	maxQueuedFrames     = 512 // frames, in their order
+	maxQueuedBroadcasts = 1024
+	// maxQueuedBytes of queued frames and casts: a whole list of servers among them.
+	maxQueuedBytes = 4 << 20
+	// maxLinkQueuedBytes is the same between two distributors, where one stands for hundreds of poolers.
+	maxLinkQueuedBytes = 32 << 20
 )
 
 // outbox is what waits for a stream's writer: frames in order, and the newest cast of each topic and speaker. It is safe for use by several goroutines.
 type outbox struct {
-	wake chan struct{}
-	most int // bytes
+	wake     chan struct{}
+	maxBytes int // bytes
 
-	mu     sync.Mutex
-	queue  [][]byte
-	casts  map[string][]byte
-	order  []string // of casts
-	bytes  int
-	closed bool
-	over   func() // called once, when a bound is passed; it must not wait
+	mu             sync.Mutex
+	queue          [][]byte
+	broadcasts     map[string][]byte
+	broadcastOrder []string // of casts
+	bytes          int
+	closed         bool
+	onOverflow     func() // called once, when a bound is passed; it must not wait
 }
 
 func newOutbox(most int, over func()) *outbox {
-	return &outbox{wake: make(chan struct{}, 1), most: most, casts: map[string][]byte{}, over: over}
+	return &outbox{wake: make(chan struct{}, 1), maxBytes: most, broadcasts: map[string][]byte{}, onOverflow: over}
 }
 
-// put queues a frame; ok false: the reader is cut off.
-func (o *outbox) put(frame []byte) (ok bool) {
+// enqueue queues a frame; ok false: the reader is cut off.
+func (o *outbox) enqueue(frame []byte) (ok bool) {
 	return o.add(func() {
 		o.queue = append(o.queue, frame)
 		o.bytes += len(frame)
 	})
 }
 
-// cast puts a frame in the place of one with the same key that still waits.
-func (o *outbox) cast(key string, frame []byte) (ok bool) {
+// enqueueBroadcast puts a frame in the place of one with the same key that still waits.
+func (o *outbox) enqueueBroadcast(key string, frame []byte) (ok bool) {
 	return o.add(func() {
-		if old, waits := o.casts[key]; waits {
+		if old, waits := o.broadcasts[key]; waits {
 			o.bytes -= len(old)
 		} else {
-			o.order = append(o.order, key)
+			o.broadcastOrder = append(o.broadcastOrder, key)
 		}
-		o.casts[key] = frame
+		o.broadcasts[key] = frame
 		o.bytes += len(frame)
 	})
 }
@@ -63,55 +63,55 @@
 		return false
 	}
 	in()
-	o.closed = o.bytes > o.most || len(o.queue) > mostQueued && o.most < mostLinked || len(o.casts) > mostCasts && o.most < mostLinked
+	o.closed = o.bytes > o.maxBytes || len(o.queue) > maxQueuedFrames && o.maxBytes < maxLinkQueuedBytes || len(o.broadcasts) > maxQueuedBroadcasts && o.maxBytes < maxLinkQueuedBytes
 	over := o.closed
 	o.mu.Unlock()
 	if over {
-		o.over()
+		o.onOverflow()
 		return false
 	}
-	o.nudge()
+	o.wakeWriter()
 	return true
 }
 
-// nudge has the writer look for what is new.
-func (o *outbox) nudge() {
+// wakeWriter has the writer look for what is new.
+func (o *outbox) wakeWriter() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take is all that waits, the queue first.
-func (o *outbox) take() [][]byte {
+// drain is all that waits, the queue first.
+func (o *outbox) drain() [][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := o.queue
-	for _, key := range o.order {
-		out = append(out, o.casts[key])
+	for _, key := range o.broadcastOrder {
+		out = append(out, o.broadcasts[key])
 	}
-	o.queue, o.order, o.bytes = nil, nil, 0
-	clear(o.casts)
+	o.queue, o.broadcastOrder, o.bytes = nil, nil, 0
+	clear(o.broadcasts)
 	return out
 }
 
-// frames writes sealed frames to a connection, and counts them. It is not safe for use by several goroutines.
-type frames struct {
+// frameWriter writes sealed frames to a connection, and counts them. It is not safe for use by several goroutines.
+type frameWriter struct {
 	*bufio.Writer
-	count Counter
+	counter Counter
 }
 
-func newFrames(w io.Writer, count Counter) frames {
-	return frames{bufio.NewWriterSize(w, 4<<10), count}
+func newFrameWriter(w io.Writer, count Counter) frameWriter {
+	return frameWriter{bufio.NewWriterSize(w, 4<<10), count}
 }
 
-// send writes frames in their order. An empty one, which no peer sends, tells that the connection has ended.
-func (f frames) send(all ...[]byte) error {
+// writeFrames writes frames in their order. An empty one, which no peer sends, tells that the connection has ended.
+func (f frameWriter) writeFrames(all ...[]byte) error {
 	for _, frame := range all {
 		if len(frame) == 0 {
 			return net.ErrClosed
 		}
-		f.count.Out(kindOf(frame).String(), len(frame))
+		f.counter.Out(frameKind(frame).String(), len(frame))
 		if _, err := f.Write(frame); err != nil {
 			return err
 		}
--- a/internal/fleet/distribution/scale_test.go
+++ b/internal/fleet/distribution/scale_test.go
@@ -29,8 +29,8 @@
 	os.Exit(m.Run())
 }
 
-// tally counts what the streams of one end carry. It is safe for use by several goroutines.
-type tally struct {
+// frameTally counts what the streams of one end carry. It is safe for use by several goroutines.
+type frameTally struct {
 	mu sync.Mutex
 	by amounts
 }
@@ -38,10 +38,10 @@
 // amounts are frames and bytes, by direction and kind: "in word".
 type amounts map[string][2]float64
 
-func (c *tally) In(kind string, bytes int)  { c.add("in "+kind, bytes) }
-func (c *tally) Out(kind string, bytes int) { c.add("out "+kind, bytes) }
+func (c *frameTally) In(kind string, bytes int)  { c.add("in "+kind, bytes) }
+func (c *frameTally) Out(kind string, bytes int) { c.add("out "+kind, bytes) }
 
-func (c *tally) add(what string, bytes int) {
+func (c *frameTally) add(what string, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.by[what]
@@ -77,9 +77,9 @@
 }
 
 // count is the tally of a name, which goes on where it starts again.
-func (f *fleet) count(name string) *tally {
+func (f *fleet) count(name string) *frameTally {
 	if f.counts[name] == nil {
-		f.counts[name] = &tally{by: amounts{}}
+		f.counts[name] = &frameTally{by: amounts{}}
 	}
 	return f.counts[name]
 }
@@ -100,14 +100,14 @@
 func settled(t *testing.T, distributors, regions, poolers int) *fleet {
 	f := newFleet(t, distributors, regions)
 	for i := range 40 {
-		f.docs[fmt.Sprint("p/", i)] = replication.Doc{Key: fmt.Sprint("p/", i), Version: 1, Value: make([]byte, 500)}
+		f.docs[fmt.Sprint("p/", i)] = replication.Document{Key: fmt.Sprint("p/", i), Version: 1, Value: make([]byte, 500)}
 	}
 	f.put("p/first", "1")
-	time.Sleep(3 * beat)
+	time.Sleep(3 * testHeartbeat)
 	for i := range poolers {
 		f.join(i, poolers, fmt.Sprint("r", i%10%regions))
 	}
-	time.Sleep(beat / 2)
+	time.Sleep(testHeartbeat / 2)
 	f.rest(5)
 	f.within(0, "the join")
 	return f
@@ -117,7 +117,7 @@
 func (f *fleet) rest(beats int) {
 	for range beats {
 		f.confirm()
-		time.Sleep(beat)
+		time.Sleep(testHeartbeat)
 	}
 	synctest.Wait()
 }
@@ -143,12 +143,12 @@
 func (f *fleet) restart(name string, kept bool) {
 	s := f.poolers[name]
 	s.Close()
-	state := replication.State{}
+	state := replication.Snapshot{}
 	if kept {
-		state = f.has[name].State()
+		state = f.has[name].Snapshot()
 	}
-	f.has[name] = replication.NewCopy(state)
-	f.subscribe(name, s.o.Region, s.o.Spread)
+	f.has[name] = replication.NewReplica(state)
+	f.subscribe(name, s.options.Region, s.options.JitterFraction)
 }
 
 // What a pooler's stream carries, at rest, for a change and for a restart, does not grow with the fleet; what a distributor carries is that of its
@@ -195,7 +195,7 @@
 				t.Errorf("a pooler's beat is of %v frames, %v bytes", frames, bytes)
 			}
 			for name, carried := range each {
-				streams := float64(f.distributors[name].Streams())
+				streams := float64(f.distributors[name].StreamCount())
 				for direction, other := range map[string]string{"out": "in", "in": "out"} {
 					_, got := carried.sum(direction)
 					_, down := rest.sum(other)
@@ -219,10 +219,10 @@
 				was, wasOthers := f.counted(poolers[0]), f.counted(others...)
 				_, link, _ := during(func() {
 					f.restart(poolers[0], kept)
-					time.Sleep(beat / 4)
+					time.Sleep(testHeartbeat / 4)
 					f.rest(3)
 					f.confirm()
-					time.Sleep(3 * beat / 4)
+					time.Sleep(3 * testHeartbeat / 4)
 				})
 				got := f.counted(poolers[0]).plus(was, -1).plus(beatOf, -4)
 				rest := f.counted(others...).plus(wasOthers, -1).plus(beatOf, -4*(n-1))
@@ -274,8 +274,8 @@
 			f.within(6*time.Second, "outside the zone", in...)
 			f.rest(30)
 			for name, c := range f.has {
-				inside, age := slices.Contains(in, name), time.Since(c.Confirmed())
-				if inside != (c.Version() < f.version) || inside != (age > 30*beat) || !inside && age > 3*beat {
+				inside, age := slices.Contains(in, name), time.Since(c.ConfirmedAt())
+				if inside != (c.Version() < f.version) || inside != (age > 30*testHeartbeat) || !inside && age > 3*testHeartbeat {
 					f.t.Errorf("%s, inside %v: version %d, confirmed %v ago", name, inside, c.Version(), age)
 				}
 			}
@@ -292,7 +292,7 @@
 		f.rest(10)
 		f.put("p/a", "alone")
 		for name, c := range f.has {
-			if age := time.Since(c.Confirmed()); age < 10*beat || c.Version() == 0 {
+			if age := time.Since(c.ConfirmedAt()); age < 10*testHeartbeat || c.Version() == 0 {
 				f.t.Errorf("%s: version %d, confirmed %v ago", name, c.Version(), age)
 			}
 		}
--- a/internal/fleet/gossip/bus_test.go
+++ b/internal/fleet/gossip/bus_test.go
@@ -30,7 +30,7 @@
 	if got := <-heard; got != "n0>0 to itself" {
 		t.Error(got)
 	}
-	if err := f.members[0].Bus().Send(t.Context(), "nobody", "t", nil); !errors.Is(err, bus.ErrUnknown) {
+	if err := f.members[0].Bus().Send(t.Context(), "nobody", "t", nil); !errors.Is(err, bus.ErrUnknownMember) {
 		t.Errorf("to nobody: %v", err)
 	}
 	over, end := context.WithCancel(t.Context())
@@ -39,7 +39,7 @@
 		t.Errorf("with an ended context: %v", err)
 	}
 	for i := range 20 {
-		f.members[1].Bus().Cast("t", fmt.Append(nil, i))
+		f.members[1].Bus().Broadcast("t", fmt.Append(nil, i))
 	}
 	for last := map[string]bool{}; !last["n1>0 19"] || !last["n1>2 19"]; {
 		last[<-heard] = true
@@ -50,20 +50,20 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	sealed, _ := seal("n1", "t", []byte("body"))
+	sealed, _ := encodeMessage("n1", "t", []byte("body"))
 	f.Add(sealed)
-	f.Add([]byte{busMark, 200, 1})
+	f.Add([]byte{busMessageMarker, 200, 1})
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		from, topic, body, err := open(text)
+		from, topic, body, err := decodeMessage(text)
 		if err != nil {
 			return
 		}
-		again, err := seal(from, topic, body)
+		again, err := encodeMessage(from, topic, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f2, t2, b2, err := open(again)
+		f2, t2, b2, err := decodeMessage(again)
 		if err != nil || f2 != from || t2 != topic || !bytes.Equal(b2, body) {
 			t.Errorf("%q %q %q becomes %q %q %q, %v", from, topic, body, f2, t2, b2, err)
 		}
--- a/internal/fleet/gossip/count_test.go
+++ b/internal/fleet/gossip/count_test.go
@@ -14,7 +14,7 @@
 // streams, and the list duty's.
 func TestTraffic(t *testing.T) {
 	var counters [2]traffic.Counter
-	var members [2]*Peers
+	var members [2]*Node
 	var addrs [2]string
 	for i := range addrs {
 		ln, err := relay.ListenBoth("127.0.0.1:1", 0)
@@ -26,7 +26,7 @@
 	}
 	for i := range members {
 		p, err := Start(Options{Name: "n" + string(rune('0'+i)), Listen: addrs[i], Peers: []Peer{{"n0", addrs[0]}, {"n1", addrs[1]}},
-			Heard: func([]byte) {}, Traffic: &counters[i]}, Meta{})
+			OnMessage: func([]byte) {}, Traffic: &counters[i]}, Meta{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,8 +39,8 @@
 	if err := members[0].Bus().Send(ctx, "n1", "part/ask", []byte(strings.Repeat("x", 300))); err != nil {
 		t.Fatal(err)
 	}
-	members[0].Bus().Cast("part/word", []byte("y"))
-	members[0].Tell("lists", []byte(`{"kind":"word","word":{}}`), time.Now().Add(time.Minute))
+	members[0].Bus().Broadcast("part/word", []byte("y"))
+	members[0].Broadcast("lists", []byte(`{"kind":"word","word":{}}`), time.Now().Add(time.Minute))
 	of := func(i int, kind string) (c traffic.Count) {
 		for _, c := range counters[i].Snapshot() {
 			if c.Kind == kind {
--- a/internal/fleet/gossip/log.go
+++ b/internal/fleet/gossip/log.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// lines gives memberlist's lines of warnings and errors to a function; it tells every probe at a lower level.
-type lines func(string)
+// logWriter gives memberlist's lines of warnings and errors to a function; it tells every probe at a lower level.
+type logWriter func(string)
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if strings.Contains(text, "[WARN]") || strings.Contains(text, "[ERR]") {
 		l(text)
--- a/internal/fleet/gossip/peers_test.go
+++ b/internal/fleet/gossip/peers_test.go
@@ -12,7 +12,7 @@
 
 // fleet is some members of this process, each reached by each other through a relay of its own.
 type fleet struct {
-	members []*Peers
+	members []*Node
 	heard   []chan string
 	links   map[[2]int]*relay.Link
 }
@@ -31,7 +31,7 @@
 	}
 	for i := range n {
 		heard := make(chan string, 1000)
-		o := Options{Name: fmt.Sprint("n", i), Listen: addrs[i], Heard: func(text []byte) { heard <- string(text) }}
+		o := Options{Name: fmt.Sprint("n", i), Listen: addrs[i], OnMessage: func(text []byte) { heard <- string(text) }}
 		for j := range n {
 			if i == j {
 				continue
@@ -79,10 +79,10 @@
 func TestMembership(t *testing.T) {
 	f := start(t, 3)
 	until(t, "all know all", f.all(3))
-	if f.members[0].Tell("lists", []byte("late"), time.Now()) {
+	if f.members[0].Broadcast("lists", []byte("late"), time.Now()) {
 		t.Error("a word was told after its time")
 	}
-	f.members[0].Tell("lists", []byte("word"), time.Now().Add(time.Minute))
+	f.members[0].Broadcast("lists", []byte("word"), time.Now().Add(time.Minute))
 	for i := 1; i < 3; i++ {
 		if got := <-f.heard[i]; got != "word" {
 			t.Errorf("member %d hears %q", i, got)
@@ -94,13 +94,13 @@
 	if got := <-f.heard[2]; got != "to you" {
 		t.Errorf("member 2 hears %q", got)
 	}
-	if err := f.members[1].Send("nobody", nil); !errors.Is(err, ErrUnknown) {
+	if err := f.members[1].Send("nobody", nil); !errors.Is(err, ErrUnknownMember) {
 		t.Errorf("to nobody: %v", err)
 	}
-	f.members[2].Show(Meta{Build: "b2", Token: 7, Seq: 3})
+	f.members[2].SetMeta(Meta{Build: "b2", Token: 7, Sequence: 3})
 	until(t, "versions are told", func() bool {
 		m := f.members[0].Members()
-		return len(m) == 3 && m[2].Meta == Meta{Build: "b2", Token: 7, Seq: 3}
+		return len(m) == 3 && m[2].Meta == Meta{Build: "b2", Token: 7, Sequence: 3}
 	})
 	set := func(fault relay.Fault) {
 		for link, l := range f.links {
@@ -122,11 +122,11 @@
 	m := f.members[0]
 	for i := range 20 {
 		m.mu.Lock()
-		m.meta, m.news = Meta{Build: fmt.Sprint("b", i)}, false
+		m.meta, m.metaChanged = Meta{Build: fmt.Sprint("b", i)}, false
 		m.mu.Unlock()
-		m.tell()
+		m.publishMeta()
 		m.mu.Lock()
-		again := m.news
+		again := m.metaChanged
 		m.mu.Unlock()
 		if again {
 			t.Errorf("news %d is to be told again", i)
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -18,201 +18,203 @@
 	"time"
 )
 
-// Duty names a duty: "lists", "round/GROUP", "warm/SERVER".
-type Duty string
+// Name names a duty: "lists", "round/GROUP", "warm/SERVER".
+type Name string
 
-// Grant is a lease as the stewards committed it.
-type Grant struct {
-	Duty   Duty          `json:"Duty"`
-	Holder string        `json:"Holder"` // the pooler's instance id
-	Token  uint64        `json:"Token"`  // fencing token: the log index of the command that gave the lease to this holder
-	Term   time.Duration `json:"Term"`   // from the holder's asking
+// Lease is a lease as the stewards committed it.
+type Lease struct {
+	Name     Name          `json:"Duty"`
+	Holder   string        `json:"Holder"` // the pooler's instance id
+	Token    uint64        `json:"Token"`  // fencing token: the log index of the command that gave the lease to this holder
+	Duration time.Duration `json:"Term"`   // from the holder's asking
 }
 
 // Command is what a pooler proposes to the stewards, as their leader stamps it.
 type Command struct {
-	Release bool          `json:"Release"` // give the lease up, once the holder has stopped acting (Holder.Lost); else acquire or renew it
-	Duty    Duty          `json:"Duty"`
-	Holder  string        `json:"Holder"`
-	Term    time.Duration `json:"Term"`
-	Now     time.Duration `json:"Now"`   // the table's time at the leader, taken after the pooler asked (Clock.At)
-	Epoch   uint64        `json:"Epoch"` // the leader's term of office at the stamp
+	Release  bool          `json:"Release"` // give the lease up, once the holder has stopped acting (Holder.Lost); else acquire or renew it
+	Name     Name          `json:"Duty"`
+	Holder   string        `json:"Holder"`
+	Duration time.Duration `json:"Term"`
+	Now      time.Duration `json:"Now"`   // the table's time at the leader, taken after the pooler asked (Clock.At)
+	RaftTerm uint64        `json:"Epoch"` // the leader's term of office at the stamp
 }
 
 // Clock is how one leader tells the table's time: from the latest time that it found there when it came to office, on by
 // its own monotonic clock. The table's time therefore never runs ahead of real time, and stands still without a leader:
 // a lease may last longer than its term, never shorter. Each term of office has its own clock.
 type Clock struct {
-	Epoch      uint64
-	base, from time.Duration
+	RaftTerm               uint64
+	lessorTime, leaderTime time.Duration
 }
 
-// Lead begins a term of office at mono, a time on the leader's monotonic clock. The caller owes that all commands of
+// StartClock begins a term of office at mono, a time on the leader's monotonic clock. The caller owes that all commands of
 // earlier epochs have been applied (a barrier).
-func (t *Table) Lead(epoch uint64, mono time.Duration) Clock {
-	return Clock{Epoch: epoch, base: t.latest, from: mono}
+func (t *Lessor) StartClock(epoch uint64, mono time.Duration) Clock {
+	return Clock{RaftTerm: epoch, lessorTime: t.latestTime, leaderTime: mono}
 }
 
 // At is the table's time at mono.
-func (c Clock) At(mono time.Duration) time.Duration { return c.base + mono - c.from }
+func (c Clock) At(mono time.Duration) time.Duration { return c.lessorTime + mono - c.leaderTime }
 
 // entry is one duty's lease. Invariant: Token is that of the command that gave it to Holder; renewals keep it.
 type entry struct {
-	Holder  string        `json:"Holder"`
-	Token   uint64        `json:"Token"`
-	Expires time.Duration `json:"Expires"`
+	Holder    string        `json:"Holder"`
+	Token     uint64        `json:"Token"`
+	ExpiresAt time.Duration `json:"Expires"`
 }
 
-// Table is the stewards' state. The zero Table holds no lease. Drift is the most by which two monotonic clocks may differ
+// Lessor is the stewards' state. The zero Table holds no lease. Drift is the most by which two monotonic clocks may differ
 // over a term, from the operators' file; a lease is given to another only after its term and the drift are over.
-type Table struct {
-	Drift  time.Duration
-	leases map[Duty]entry
-	latest time.Duration // the latest stamp applied: time never goes back in the table
+type Lessor struct {
+	MaxClockDrift time.Duration
+	leases        map[Name]entry
+	latestTime    time.Duration // the latest stamp applied: time never goes back in the table
 }
 
 // Apply carries out a command committed at a log index in an epoch, and returns the lease that is in force for its duty
 // afterwards; ok tells whether the command's holder has it. A command stamped in another epoch than it was committed in
 // changes nothing: its leader's clock had stopped counting.
-func (t *Table) Apply(c Command, index, epoch uint64) (g Grant, ok bool) {
+func (t *Lessor) Apply(c Command, index, epoch uint64) (g Lease, ok bool) {
 	if t.leases == nil {
-		t.leases = map[Duty]entry{}
+		t.leases = map[Name]entry{}
 	}
-	if c.Epoch != epoch {
-		return Grant{Duty: c.Duty}, false
+	if c.RaftTerm != epoch {
+		return Lease{Name: c.Name}, false
 	}
-	t.latest = max(t.latest, c.Now)
-	now := t.latest
-	e, held := t.leases[c.Duty]
-	free := !held || now >= e.Expires+t.Drift
+	t.latestTime = max(t.latestTime, c.Now)
+	now := t.latestTime
+	e, held := t.leases[c.Name]
+	free := !held || now >= e.ExpiresAt+t.MaxClockDrift
 	switch {
 	case c.Release:
 		if held && e.Holder == c.Holder {
-			delete(t.leases, c.Duty)
+			delete(t.leases, c.Name)
 		}
-		return Grant{Duty: c.Duty}, false
+		return Lease{Name: c.Name}, false
 	case !free && e.Holder != c.Holder: // another holds it
-		return Grant{Duty: c.Duty, Holder: e.Holder, Token: e.Token, Term: e.Expires - now}, false
+		return Lease{Name: c.Name, Holder: e.Holder, Token: e.Token, Duration: e.ExpiresAt - now}, false
 	case free:
 		e.Token = index // a new holder, or the same after its lease had run out: a new token
 	}
-	e.Holder, e.Expires = c.Holder, max(e.Expires, now+c.Term)
-	t.leases[c.Duty] = e
-	return Grant{Duty: c.Duty, Holder: c.Holder, Token: e.Token, Term: c.Term}, true
+	e.Holder, e.ExpiresAt = c.Holder, max(e.ExpiresAt, now+c.Duration)
+	t.leases[c.Name] = e
+	return Lease{Name: c.Name, Holder: c.Holder, Token: e.Token, Duration: c.Duration}, true
 }
 
-// Pass moves the table's time on to a stamp of a command of another kind, and tells whether the stamp counts: not in another
+// AdvanceTime moves the table's time on to a stamp of a command of another kind, and tells whether the stamp counts: not in another
 // epoch than the command was committed in.
-func (t *Table) Pass(now time.Duration, stamped, epoch uint64) bool {
+func (t *Lessor) AdvanceTime(now time.Duration, stamped, epoch uint64) bool {
 	if stamped != epoch {
 		return false
 	}
-	t.latest = max(t.latest, now)
+	t.latestTime = max(t.latestTime, now)
 	return true
 }
 
-// Denied tells whether an ask for a duty at now can only be denied: another holds it. A leader that has applied all that came
+// WouldDeny tells whether an ask for a duty at now can only be denied: another holds it. A leader that has applied all that came
 // before its office may answer so by itself, as a denial that is out of date delays but grants nothing.
-func (t *Table) Denied(d Duty, holder string, now time.Duration) (g Grant, denied bool) {
-	now = max(now, t.latest)
+func (t *Lessor) WouldDeny(d Name, holder string, now time.Duration) (g Lease, denied bool) {
+	now = max(now, t.latestTime)
 	e, held := t.leases[d]
-	if !held || e.Holder == holder || now >= e.Expires+t.Drift {
-		return Grant{}, false
+	if !held || e.Holder == holder || now >= e.ExpiresAt+t.MaxClockDrift {
+		return Lease{}, false
 	}
-	return Grant{Duty: d, Holder: e.Holder, Token: e.Token, Term: e.Expires - now}, true
+	return Lease{Name: d, Holder: e.Holder, Token: e.Token, Duration: e.ExpiresAt - now}, true
 }
 
-// saved is a Table as a snapshot keeps it.
-type saved struct {
-	Latest time.Duration  `json:"Latest"`
-	Leases map[Duty]entry `json:"Leases"`
+// lessorSnapshot is a Table as a snapshot keeps it.
+type lessorSnapshot struct {
+	LatestTime time.Duration  `json:"Latest"`
+	Leases     map[Name]entry `json:"Leases"`
 }
 
 // MarshalJSON gives the state for a snapshot; Drift is the operators' and not part of it.
-func (t *Table) MarshalJSON() ([]byte, error) { return json.Marshal(saved{t.latest, t.leases}) }
+func (t *Lessor) MarshalJSON() ([]byte, error) {
+	return json.Marshal(lessorSnapshot{t.latestTime, t.leases})
+}
 
 // UnmarshalJSON takes a snapshot's state over; a text that can't be read changes nothing.
-func (t *Table) UnmarshalJSON(text []byte) error {
-	var s saved
+func (t *Lessor) UnmarshalJSON(text []byte) error {
+	var s lessorSnapshot
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
-	t.latest, t.leases = s.Latest, s.Leases
+	t.latestTime, t.leases = s.LatestTime, s.Leases
 	return nil
 }
 
 // Holder of the duty, and its token, as the table stands; "" if none holds it at the table's latest time.
-func (t *Table) Holder(d Duty) (string, uint64) {
+func (t *Lessor) Holder(d Name) (string, uint64) {
 	e, ok := t.leases[d]
-	if !ok || t.latest >= e.Expires+t.Drift {
+	if !ok || t.latestTime >= e.ExpiresAt+t.MaxClockDrift {
 		return "", 0
 	}
 	return e.Holder, e.Token
 }
 
-// Holder is one pooler's own lease of one duty. Times are on the pooler's monotonic clock, as durations since any origin
+// LocalLease is one pooler's own lease of one duty. Times are on the pooler's monotonic clock, as durations since any origin
 // it keeps. The zero Holder holds nothing.
-type Holder struct {
-	Drift time.Duration // as in the Table
-	asked time.Duration // of the request that was granted last
-	grant Grant
-	until time.Duration // acting ends here: asked + term - drift
-	has   bool
+type LocalLease struct {
+	MaxClockDrift time.Duration // as in the Table
+	requestedAt   time.Duration // of the request that was granted last
+	lease         Lease
+	renewDeadline time.Duration // acting ends here: asked + term - drift
+	granted       bool
 }
 
-// Granted takes the stewards' answer to a request that was sent at asked. The term is counted from the asking, not the
+// HandleResponse takes the stewards' answer to a request that was sent at asked. The term is counted from the asking, not the
 // answer, so that a slow answer shortens the lease instead of stretching it; an answer that was overtaken by a newer one
 // changes nothing.
-func (h *Holder) Granted(asked time.Duration, g Grant, ok bool) {
+func (h *LocalLease) HandleResponse(asked time.Duration, g Lease, ok bool) {
 	switch {
-	case asked < h.asked || ok && g.Token < h.grant.Token:
+	case asked < h.requestedAt || ok && g.Token < h.lease.Token:
 	case !ok:
-		h.has = false
+		h.granted = false
 	default:
-		h.asked, h.grant, h.has = asked, g, true
-		h.until = asked + g.Term - h.Drift
+		h.requestedAt, h.lease, h.granted = asked, g, true
+		h.renewDeadline = asked + g.Duration - h.MaxClockDrift
 	}
 }
 
-// MayAct tells whether the duty may be carried out at now, and with which token.
-func (h *Holder) MayAct(now time.Duration) (token uint64, ok bool) {
-	if !h.has || now >= h.until {
+// ValidToken tells whether the duty may be carried out at now, and with which token.
+func (h *LocalLease) ValidToken(now time.Duration) (token uint64, ok bool) {
+	if !h.granted || now >= h.renewDeadline {
 		return 0, false
 	}
-	return h.grant.Token, true
+	return h.lease.Token, true
 }
 
-// Until is when acting must stop; 0 while nothing is held.
-func (h *Holder) Until() time.Duration {
-	if !h.has {
+// RenewDeadline is when acting must stop; 0 while nothing is held.
+func (h *LocalLease) RenewDeadline() time.Duration {
+	if !h.granted {
 		return 0
 	}
-	return h.until
+	return h.renewDeadline
 }
 
 // RenewAt is when to ask again: a third of the term in, so that two answers may be lost before acting must stop.
-func (h *Holder) RenewAt() time.Duration { return h.asked + h.grant.Term/3 }
+func (h *LocalLease) RenewAt() time.Duration { return h.requestedAt + h.lease.Duration/3 }
 
-// Lost drops the lease at once: the pooler stalled, was cut off, or is shutting down.
-func (h *Holder) Lost() { h.has = false }
+// Drop drops the lease at once: the pooler stalled, was cut off, or is shutting down.
+func (h *LocalLease) Drop() { h.granted = false }
 
 // Fence keeps the newest token seen for each duty by a receiver of its acts. The zero Fence admits everything once.
-type Fence struct{ seen map[Duty]uint64 }
+type Fence struct{ newestToken map[Name]uint64 }
 
 // Admit tells whether an act with token may be taken, and remembers the token if it is the newest.
-func (f *Fence) Admit(d Duty, token uint64) bool {
-	if f.seen == nil {
-		f.seen = map[Duty]uint64{}
+func (f *Fence) Admit(d Name, token uint64) bool {
+	if f.newestToken == nil {
+		f.newestToken = map[Name]uint64{}
 	}
-	if token < f.seen[d] {
+	if token < f.newestToken[d] {
 		return false
 	}
-	f.seen[d] = token
+	f.newestToken[d] = token
 	return true
 }
 
-// Alone tells a pooler whether to carry out a duty itself, within its share, as without leases: no holder has been heard
+// ShouldActAlone tells a pooler whether to carry out a duty itself, within its share, as without leases: no holder has been heard
 // of since heard (a time on its monotonic clock) for a term and a backoff that its own seed spreads over a term.
-func Alone(now, heard, term time.Duration, spread float64) bool {
+func ShouldActAlone(now, heard, term time.Duration, spread float64) bool {
 	return now >= heard+term+time.Duration(spread*float64(term))
 }
--- a/internal/fleet/lists_test.go
+++ b/internal/fleet/lists_test.go
@@ -17,20 +17,20 @@
 func TestListsOfManyHolders(t *testing.T) {
 	type entry struct{ ID, HostPort string }
 	rapid.Check(t, func(t *rapid.T) {
-		holders := []*lists{newLists(), newLists(), newLists()}
-		distributor := replication.History{Rewritten: true}
-		var versions []replication.State // as the distributor had them
+		holders := []*serverListReplica{newServerListReplica(), newServerListReplica(), newServerListReplica()}
+		distributor := replication.History{FullReplacement: true}
+		var versions []replication.Snapshot // as the distributor had them
 		want := map[uint64]map[string]string{}
-		w := discoveryleader.Word{Token: 5}
+		w := discoveryleader.Announcement{Token: 5}
 		holder := 0
 		for range rapid.IntRange(1, 25).Draw(t, "lists") {
 			if rapid.IntRange(0, 3).Draw(t, "another holder") == 0 {
 				holder = rapid.IntRange(0, 2).Draw(t, "holder")
-				w = discoveryleader.Word{Token: w.Token + 7}
+				w = discoveryleader.Announcement{Token: w.Token + 7}
 			}
-			w.Seq++
+			w.Sequence++
 			w.Holder = fmt.Sprint("h", holder)
-			in, servers := listText{Revision: w.Seq, Complete: true}, map[string]string{}
+			in, servers := encodedList{Revision: w.Sequence, Complete: true}, map[string]string{}
 			for i := range 5 {
 				if addr := rapid.IntRange(0, 2).Draw(t, "address"); addr > 0 {
 					e := entry{fmt.Sprint("s", i), fmt.Sprint("a", addr)}
@@ -40,19 +40,19 @@
 				}
 			}
 			text, _ := json.Marshal(in)
-			if err := holders[holder].hand(w, text); err != nil {
+			if err := holders[holder].publish(w, text); err != nil {
 				t.Fatal(err)
 			}
-			s := holders[holder].copy.State()
+			s := holders[holder].replica.Snapshot()
 			want[s.Version] = servers
 			for i, other := range holders { // some hear of it
 				if i != holder && rapid.Bool().Draw(t, "heard") {
-					other.copy.Take(s)
+					other.replica.Install(s)
 				}
 			}
 			if rapid.Bool().Draw(t, "noted") {
-				distributor.Note(s)
-				versions = append(versions, distributor.State())
+				distributor.Record(s)
+				versions = append(versions, distributor.Snapshot())
 			}
 		}
 		if len(versions) == 0 {
@@ -60,19 +60,19 @@
 		}
 		newest := versions[len(versions)-1]
 		for _, v := range versions[:len(versions)-1] {
-			d, ok := distributor.Since(v.Version)
+			d, ok := distributor.DeltaSince(v.Version)
 			if !ok {
 				t.Fatalf("no delta since %d, which was noted", v.Version)
 			}
-			got, ok := d.On(v)
+			got, ok := d.ApplyTo(v)
 			if !ok {
 				t.Fatalf("%+v does not follow %d", d, v.Version)
 			}
-			word, text, err := listOf(got)
-			if err != nil || versionOf(word) != newest.Version {
+			word, text, err := decodeList(got)
+			if err != nil || announcementVersion(word) != newest.Version {
 				t.Fatalf("%+v, %v", word, err)
 			}
-			var list listText
+			var list encodedList
 			if err := json.Unmarshal(text, &list); err != nil {
 				t.Fatal(err)
 			}
@@ -86,7 +86,7 @@
 				t.Fatalf("from %d: %v, want %v", v.Version, servers, want[newest.Version])
 			}
 		}
-		if _, ok := distributor.Since(newest.Version - 1); ok && versions[max(len(versions)-2, 0)].Version != newest.Version-1 {
+		if _, ok := distributor.DeltaSince(newest.Version - 1); ok && versions[max(len(versions)-2, 0)].Version != newest.Version-1 {
 			t.Errorf("a delta since a version that was not noted")
 		}
 	})
@@ -94,24 +94,24 @@
 
 // What is no list of a word, or no list at all, is not handed on and not told.
 func TestListsThatCantBeRead(t *testing.T) {
-	l := newLists()
+	l := newServerListReplica()
 	for _, text := range []string{"", "{", `{"members":[{"host_port":"a"}]}`, `{"members":[3]}`} {
-		if err := l.hand(discoveryleader.Word{Token: 1, Seq: 1}, []byte(text)); err == nil || l.copy.Version() > 0 {
-			t.Errorf("%q: %v, version %d", text, err, l.copy.Version())
+		if err := l.publish(discoveryleader.Announcement{Token: 1, Sequence: 1}, []byte(text)); err == nil || l.replica.Version() > 0 {
+			t.Errorf("%q: %v, version %d", text, err, l.replica.Version())
 		}
 	}
-	if err := l.hand(discoveryleader.Word{Token: 1, Seq: 1}, []byte(`{"complete":true,"members":[{"id":"a"}]}`)); err != nil {
+	if err := l.publish(discoveryleader.Announcement{Token: 1, Sequence: 1}, []byte(`{"complete":true,"members":[{"id":"a"}]}`)); err != nil {
 		t.Fatal(err)
 	}
-	s := l.copy.State()
-	if _, _, err := listOf(s); err != nil {
+	s := l.replica.Snapshot()
+	if _, _, err := decodeList(s); err != nil {
 		t.Error(err)
 	}
 	s.Version++
-	if _, _, err := listOf(s); err == nil {
+	if _, _, err := decodeList(s); err == nil {
 		t.Error("a list under another word's version")
 	}
-	if _, _, err := listOf(replication.State{Version: 3}); err == nil {
+	if _, _, err := decodeList(replication.Snapshot{Version: 3}); err == nil {
 		t.Error("a list without a head")
 	}
 }
--- a/internal/fleet/outlier/fleet_test.go
+++ b/internal/fleet/outlier/fleet_test.go
@@ -24,7 +24,7 @@
 // pooler is a pooler as the part sees one: it sends reads to the servers of one group, leaves a server after two failures or
 // by the fleet's word, and then tries it each three seconds.
 type pooler struct {
-	*Part
+	*Component
 	name     string
 	idle     atomic.Bool
 	suspects atomic.Int32
@@ -39,12 +39,12 @@
 	sent     map[string][]time.Time // to servers that were bad for it
 }
 
-func (p *pooler) Verdict(server string, bad bool) {
+func (p *pooler) SetEjected(server string, bad bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told[server] = bad
 }
-func (p *pooler) Suspect(int)               { p.suspects.Add(1) }
+func (p *pooler) ReportPrimaryDown(int)     { p.suspects.Add(1) }
 func (p *pooler) Members() map[int][]string { return map[int][]string{0: {"a", "b", "c", "d"}} }
 
 // left tells whether the pooler leaves a server by the fleet's word.
@@ -112,13 +112,13 @@
 
 func (r *rig) begin(i int, rest time.Duration, bad func(server string) bool) {
 	p := &pooler{name: fmt.Sprint("n", i), rest: rest, bad: bad, told: map[string]bool{}, tried: map[string]time.Time{}, failed: map[string]int{}, sent: map[string][]time.Time{}}
-	p.Part = New(testRules, fmt.Sprint("z", i%3), p)
+	p.Component = New(testRules, fmt.Sprint("z", i%3), p)
 	r.poolers[i] = p
 	ctx, cancel := context.WithCancel(r.ctx)
 	p.stop = cancel
 	b := r.net.Join(p.name)
 	r.running.Go(func() {
-		_ = p.Run(ctx, fleet.Ground{Bus: b, Log: zerolog.Nop(), Journal: func(a audit.Record) {
+		_ = p.Run(ctx, fleet.Runtime{Bus: b, Log: zerolog.Nop(), Audit: func(a audit.Record) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			a.At = time.Now().UnixNano()
@@ -142,7 +142,7 @@
 	for _, p := range r.poolers {
 		p.mu.Lock()
 		for _, a := range p.record {
-			if a.Act == audit.VerdictBegun && a.Server == server {
+			if a.Act == audit.EjectionBegun && a.Server == server {
 				n++
 			}
 		}
@@ -192,7 +192,7 @@
 		r.begin(n-1, time.Hour, func(string) bool { return false }) // sees nothing at all
 		set := func(v bool) { mu.Lock(); ill = v; mu.Unlock() }
 		time.Sleep(5 * time.Second)
-		if _, casts := r.net.Said(); casts > 0 {
+		if _, casts := r.net.MessageCounts(); casts > 0 {
 			t.Errorf("%d datagrams in a calm", casts)
 		}
 		set(true)
@@ -209,16 +209,16 @@
 			t.Errorf("%v requests a second go to b while it is left", rate)
 		}
 		set(false)
-		back := within(t, testRules.MostStale(n), "all use b", func() bool { return r.leavers("b") == 0 })
+		back := within(t, testRules.MaxStaleEjection(n), "all use b", func() bool { return r.leavers("b") == 0 })
 		for _, s := range []string{"a", "c", "d"} {
 			if k := r.convicted(s); k > 0 {
 				t.Errorf("%s was convicted %d times", s, k)
 			}
 		}
 		time.Sleep(30 * time.Second)
-		_, before := r.net.Said()
+		_, before := r.net.MessageCounts()
 		time.Sleep(5 * time.Second)
-		if _, casts := r.net.Said(); casts > before {
+		if _, casts := r.net.MessageCounts(); casts > before {
 			t.Errorf("%d datagrams after it", casts-before)
 		}
 		t.Logf("left by all in %v, %d requests to it in the 20 s after, used by all again in %v, %d datagrams in all", took, after, back, before)
@@ -242,7 +242,7 @@
 			if oneZone {
 				return i%3 == 0 && s == "a"
 			}
-			return i < testRules.Observers-2 && s == "a" // the liar is one more
+			return i < testRules.MinObservers-2 && s == "a" // the liar is one more
 		}
 		synctest.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
@@ -252,8 +252,8 @@
 				defer mu.Unlock()
 				return !healed && hurt(i, s)
 			})
-			r.net.Delay(0, jitter)
-			r.net.Drop(drop, twice)
+			r.net.SetDelay(0, jitter)
+			r.net.SetLoss(drop, twice)
 			tale := r.net.Join("liar")
 			if oneZone {
 				tale.Stop() // two zones would complain
@@ -272,10 +272,10 @@
 					r.poolers[i].stop()
 					r.begin(i, rest, func(s string) bool { mu.Lock(); defer mu.Unlock(); return !healed && hurt(i, s) })
 				}
-				r.net.Cut(side, rest2, k >= 6 && k < 15)
+				r.net.SetCut(side, rest2, k >= 6 && k < 15)
 				if !oneZone {
-					tale.Cast(topic, Report{Born: 1, Seq: uint64(k + 1), At: time.Now().UnixNano(), Room: fmt.Sprint("z", liar), Seen: 100,
-						Lines: []Line{{Server: "a", Failed: 1 << 20}, {Server: "b", Failed: 6}, {Server: "c", Slow: 6}, {Server: "d", Lost: true}}}.encode())
+					tale.Broadcast(topicReport, Report{StartedAt: 1, Sequence: uint64(k + 1), SentAt: time.Now().UnixNano(), Zone: fmt.Sprint("z", liar), ServersSeen: 100,
+						Lines: []Line{{Server: "a", Failed: 1 << 20}, {Server: "b", Failed: 6}, {Server: "c", Slow: 6}, {Server: "d", LostPrimary: true}}}.encode())
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
@@ -305,11 +305,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			was := testRules
 			defer func() { testRules = was }()
-			testRules.Term = time.Second
+			testRules.BaseEjectionTime = time.Second
 			good := time.Now().Add(ill)
 			r := start(t, n, uint64(n), 100*time.Millisecond, func(_ int, s string) bool { return s == "c" && time.Now().Before(good) })
-			r.net.Delay(0, jitter)
-			r.net.Drop(drop, drop)
+			r.net.SetDelay(0, jitter)
+			r.net.SetLoss(drop, drop)
 			time.Sleep(ill)
 			var here, there []string
 			for i, p := range r.poolers {
@@ -319,8 +319,8 @@
 					there = append(there, p.name)
 				}
 			}
-			r.net.Cut(here, there, true)
-			time.Sleep(testRules.MostStale(n) + tick)
+			r.net.SetCut(here, there, true)
+			time.Sleep(testRules.MaxStaleEjection(n) + evaluationInterval)
 			if k := r.leavers("c"); k > 0 {
 				t.Errorf("%d of %d still leave c", k, n)
 			}
@@ -356,7 +356,7 @@
 			mu.Lock()
 			cut = v
 			mu.Unlock()
-			r.net.Cut(here, there, v)
+			r.net.SetCut(here, there, v)
 		}
 		set(true)
 		within(t, 10*time.Second, "the one side leaves b", func() bool { return r.leavers("b") == far })
@@ -365,12 +365,12 @@
 			t.Errorf("%d leave b, with %d on that side", k, far)
 		}
 		set(false)
-		took := within(t, testRules.MostStale(n), "all use b", func() bool { return r.leavers("b") == 0 })
+		took := within(t, testRules.MaxStaleEjection(n), "all use b", func() bool { return r.leavers("b") == 0 })
 		t.Logf("one verdict %v after the heal", took)
 		mu.Lock() // and where the server stays bad for the few
 		cut = true
 		mu.Unlock()
-		r.net.Cut(here, there, false)
+		r.net.SetCut(here, there, false)
 		time.Sleep(20 * time.Second)
 		if k := r.leavers("b"); k > 0 {
 			t.Errorf("%d of %d leave b, which is good for most", k, n)
@@ -435,12 +435,12 @@
 			for _, p := range r.poolers[:lost] {
 				p.LostPrimary("a")
 			}
-			time.Sleep(span + life(5) + time.Second)
+			time.Sleep(evidenceSpan + reportLifetime(5) + time.Second)
 			var heard []int32
 			for _, p := range r.poolers {
 				heard = append(heard, p.suspects.Load())
 			}
-			if told := slices.Min(heard) > 0; told != (lost >= testRules.Observers) || slices.Max(heard) > 6 { // once a second
+			if told := slices.Min(heard) > 0; told != (lost >= testRules.MinObservers) || slices.Max(heard) > 6 { // once a second
 				t.Errorf("%d of 5 have lost it: told %v times", lost, heard)
 			}
 		})
@@ -455,6 +455,6 @@
 		for _, p := range r.poolers {
 			p.idle.Store(true)
 		}
-		within(t, testRules.Term*5/4+span+time.Second, "all use d", func() bool { return r.leavers("d") == 0 })
+		within(t, testRules.BaseEjectionTime*5/4+evidenceSpan+time.Second, "all use d", func() bool { return r.leavers("d") == 0 })
 	})
 }
--- a/internal/fleet/outlier/report.go
+++ b/internal/fleet/outlier/report.go
@@ -15,15 +15,15 @@
 
 // Line is what an observer has seen of one server within its span.
 type Line struct {
-	Server string `json:"s"`
-	Good   uint32 `json:"g,omitempty"`
-	Failed uint32 `json:"f,omitempty"`
-	Slow   uint32 `json:"w,omitempty"`
-	Lost   bool   `json:"l,omitempty"` // it was a group's primary and lost that place
+	Server      string `json:"s"`
+	Good        uint32 `json:"g,omitempty"`
+	Failed      uint32 `json:"f,omitempty"`
+	Slow        uint32 `json:"w,omitempty"`
+	LostPrimary bool   `json:"l,omitempty"` // it was a group's primary and lost that place
 }
 
-// ratio is the share of the attempts that the server failed or was slow at.
-func (l Line) ratio() float64 {
+// failureRate is the share of the attempts that the server failed or was slow at.
+func (l Line) failureRate() float64 {
 	bad := float64(l.Failed) + float64(l.Slow)
 	if bad == 0 {
 		return 0
@@ -32,41 +32,43 @@
 }
 
 // complains tells whether the line says that the server is bad.
-func (l Line) complains() bool { return l.ratio() >= badShare }
+func (l Line) complains() bool { return l.failureRate() >= failureThreshold }
 
-// speaks tells whether the line is news by itself; any other is told only as an answer to one.
-func (l Line) speaks() bool { return l.complains() || l.Lost }
+// isNewsworthy tells whether the line is news by itself; any other is told only as an answer to one.
+func (l Line) isNewsworthy() bool { return l.complains() || l.LostPrimary }
 
 // weight is how much the line counts: what it rests on, up to the most that one observer may say.
 func (l Line) weight() float64 {
-	n := min(l.Good, recent) + min(l.Failed, recent) + min(l.Slow, recent)
-	return float64(min(n, recent))
+	n := min(l.Good, maxRecentAttempts) + min(l.Failed, maxRecentAttempts) + min(l.Slow, maxRecentAttempts)
+	return float64(min(n, maxRecentAttempts))
 }
 
 // Report is all that an observer says, whole: a newer one takes the place of the one before it, so that reports may be lost,
 // come twice or overtake each other. Who said it is told by the bus.
 type Report struct {
-	Born int64  `json:"b"` // Unix ns of the observer's start: a restarted one is another, whose numbers begin anew
-	Seq  uint64 `json:"n"`
-	At   int64  `json:"t"` // Unix ns
-	Room string `json:"r"` // the observer's zone
-	// Seen is the number of servers that it has evidence of, and Ill how many of them it complains of, told or not.
-	Seen int `json:"e"`
-	Ill  int `json:"i,omitempty"`
-	// Bad of its last All attempts, up to recent at each server, failed or were slow, at servers told and others.
-	Bad   int    `json:"d,omitempty"`
-	All   int    `json:"a,omitempty"`
-	Lines []Line `json:"l,omitempty"`
+	StartedAt int64  `json:"b"` // Unix ns of the observer's start: a restarted one is another, whose numbers begin anew
+	Sequence  uint64 `json:"n"`
+	SentAt    int64  `json:"t"` // Unix ns
+	Zone      string `json:"r"` // the observer's zone
+	// ServersSeen is the number of servers that it has evidence of, and Ill how many of them it complains of, told or not.
+	ServersSeen int `json:"e"`
+	Complaints  int `json:"i,omitempty"`
+	// FailedAttempts of its last All attempts, up to recent at each server, failed or were slow, at servers told and others.
+	FailedAttempts int    `json:"d,omitempty"`
+	Attempts       int    `json:"a,omitempty"`
+	Lines          []Line `json:"l,omitempty"`
 	// Tenants are lines on tenants: Failed stands for a tenant's own part of the observer's requests, Good for that of all others.
 	Tenants []Line `json:"h,omitempty"`
 }
 
 // before tells whether r is older than o.
-func (r Report) before(o Report) bool { return r.Born < o.Born || r.Born == o.Born && r.Seq < o.Seq }
+func (r Report) before(o Report) bool {
+	return r.StartedAt < o.StartedAt || r.StartedAt == o.StartedAt && r.Sequence < o.Sequence
+}
 
-// elsewhere is the share of the observer's attempts at all servers but one that failed or were slow; ok: there were any.
-func (r Report) elsewhere(l Line) (share float64, ok bool) {
-	bad, all := float64(r.Bad)-float64(l.Failed)-float64(l.Slow), float64(r.All)-float64(l.Good)-float64(l.Failed)-float64(l.Slow)
+// failureShareElsewhere is the share of the observer's attempts at all servers but one that failed or were slow; ok: there were any.
+func (r Report) failureShareElsewhere(l Line) (share float64, ok bool) {
+	bad, all := float64(r.FailedAttempts)-float64(l.Failed)-float64(l.Slow), float64(r.Attempts)-float64(l.Good)-float64(l.Failed)-float64(l.Slow)
 	if all < 1 || bad < 0 {
 		return 0, false
 	}
@@ -100,7 +102,7 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Report{}, fmt.Errorf("verdict: a report can't be read: %w", err)
 	}
-	if len(r.Tenants) > maxTold || len(r.Lines) > maxLines || len(r.Room) > maxName || r.Seen < 0 || r.Ill < 0 || r.Bad < 0 || r.Bad > r.All || r.Ill > r.Seen || len(r.Lines) > r.Seen {
+	if len(r.Tenants) > maxReportedTenants || len(r.Lines) > maxLines || len(r.Zone) > maxName || r.ServersSeen < 0 || r.Complaints < 0 || r.FailedAttempts < 0 || r.FailedAttempts > r.Attempts || r.Complaints > r.ServersSeen || len(r.Lines) > r.ServersSeen {
 		return Report{}, errors.New("verdict: a report's numbers don't fit each other")
 	}
 	for _, lines := range [][]Line{r.Lines, r.Tenants} {
@@ -112,7 +114,7 @@
 			seen[l.Server] = true
 		}
 	}
-	if ill(r.Lines) > r.Ill {
+	if countComplaints(r.Lines) > r.Complaints {
 		return Report{}, errors.New("verdict: a report complains of more servers than it says")
 	}
 	return r, nil
--- a/internal/fleet/outlier/standing.go
+++ b/internal/fleet/outlier/standing.go
@@ -6,67 +6,67 @@
 	"time"
 )
 
-// verdict is one server's standing with this pooler.
-type verdict struct {
-	since       time.Time // enough evidence has stood from then on; zero: there is not enough
-	from, until time.Time // of the verdict in force, or the last one
-	on          bool
-	times       int // verdicts in a row
-	finding     Finding
+// ejection is one server's standing with this pooler.
+type ejection struct {
+	evidenceSince    time.Time // enough evidence has stood from then on; zero: there is not enough
+	startedAt, until time.Time // of the verdict in force, or the last one
+	active           bool
+	consecutive      int // verdicts in a row
+	finding          Finding
 }
 
 // change is a verdict that begins, is renewed or ends.
 type change struct {
 	server string
 	what   string
-	verdict
+	ejection
 }
 
 // What a change tells.
 const (
-	began       = "convicted"
-	renewed     = "renewed"
-	acquit      = "acquitted"
-	over        = "over"
-	rememberFor = time.Minute // a verdict that ended so long ago makes the next one a first one
+	changeBegun   = "convicted"
+	changeRenewed = "renewed"
+	changeCleared = "acquitted"
+	changeExpired = "over"
+	rememberFor   = time.Minute // a verdict that ended so long ago makes the next one a first one
 )
 
-// verdicts are those of this pooler, by server. The caller holds its mutex.
-type verdicts map[string]*verdict
+// ejections are those of this pooler, by server. The caller holds its mutex.
+type ejections map[string]*ejection
 
-// step takes in what the evidence says now, and returns what has changed, by server. A verdict begins once enough evidence has
+// update takes in what the evidence says now, and returns what has changed, by server. A verdict begins once enough evidence has
 // stood for hold, lasts for its term, a longer one each time, and ends before where an appeal has been heard.
-func (vs verdicts) step(now time.Time, r Rules, found map[string]Finding, spread float64) (out []change) {
+func (vs ejections) update(now time.Time, r Settings, found map[string]Finding, spread float64) (out []change) {
 	for server, f := range found {
-		if vs[server] == nil && r.convicts(f, false) && len(vs) < maxServers {
-			vs[server] = &verdict{}
+		if vs[server] == nil && r.shouldEject(f, false) && len(vs) < maxServers {
+			vs[server] = &ejection{}
 		}
 	}
 	for server, v := range vs {
 		f := found[server]
-		enough := r.convicts(f, v.on)
+		enough := r.shouldEject(f, v.active)
 		switch {
 		case !enough:
-			v.since = time.Time{}
-		case v.since.IsZero():
-			v.since = now
+			v.evidenceSince = time.Time{}
+		case v.evidenceSince.IsZero():
+			v.evidenceSince = now
 		}
 		what := ""
 		switch {
-		case v.on && r.acquits(f):
-			v.on, v.until, what = false, now, acquit
-		case v.on && now.Before(v.until):
-		case enough && now.Sub(v.since) >= hold:
-			if what = began; v.on {
-				what = renewed
+		case v.active && r.shouldClear(f):
+			v.active, v.until, what = false, now, changeCleared
+		case v.active && now.Before(v.until):
+		case enough && now.Sub(v.evidenceSince) >= confirmationDelay:
+			if what = changeBegun; v.active {
+				what = changeRenewed
 			} else if now.Sub(v.until) >= rememberFor {
-				v.times = 0
+				v.consecutive = 0
 			}
-			v.on, v.times, v.from, v.finding = true, min(v.times+1, longest), now, f
-			v.until = now.Add(time.Duration(float64(v.times) * float64(r.Term) * (1 + spread/4)))
-		case v.on:
-			v.on, what = false, over
-		case v.since.IsZero() && now.Sub(v.until) >= rememberFor:
+			v.active, v.consecutive, v.startedAt, v.finding = true, min(v.consecutive+1, maxEjectionMultiplier), now, f
+			v.until = now.Add(time.Duration(float64(v.consecutive) * float64(r.BaseEjectionTime) * (1 + spread/4)))
+		case v.active:
+			v.active, what = false, changeExpired
+		case v.evidenceSince.IsZero() && now.Sub(v.until) >= rememberFor:
 			delete(vs, server)
 		}
 		if what != "" {
@@ -77,5 +77,5 @@
 	return out
 }
 
-// bad tells whether a verdict on a server is in force.
-func (vs verdicts) bad(server string) bool { return vs[server] != nil && vs[server].on }
+// isEjected tells whether a verdict on a server is in force.
+func (vs ejections) isEjected(server string) bool { return vs[server] != nil && vs[server].active }
--- a/internal/fleet/outlier/verdict_test.go
+++ b/internal/fleet/outlier/verdict_test.go
@@ -12,19 +12,19 @@
 	"threadsail/internal/dispatch"
 )
 
-var testRules = Rules{Observers: 3, Rooms: 2, Share: 0.5, Term: 5 * time.Second}
+var testRules = Settings{MinObservers: 3, MinZones: 2, MaxEjectedShare: 0.5, BaseEjectionTime: 5 * time.Second}
 
 // said is a drawn report: what an honest observer could count, or anything that can be read.
 func said(t *rapid.T, servers []string) Report {
-	r := Report{Born: int64(rapid.IntRange(1, 3).Draw(t, "born")), Seq: uint64(rapid.IntRange(1, 5).Draw(t, "seq")),
-		Room: rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "room"), Seen: len(servers)}
+	r := Report{StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "born")), Sequence: uint64(rapid.IntRange(1, 5).Draw(t, "seq")),
+		Zone: rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "room"), ServersSeen: len(servers)}
 	for _, s := range servers {
 		if n := rapid.IntRange(0, 3).Draw(t, "said"); n > 0 {
 			r.Lines = append(r.Lines, Line{Server: s, Good: uint32(rapid.IntRange(0, 9).Draw(t, "good")),
-				Failed: uint32(rapid.IntRange(0, 9).Draw(t, "failed")), Slow: uint32(rapid.IntRange(0, 9).Draw(t, "slow")), Lost: n == 3})
+				Failed: uint32(rapid.IntRange(0, 9).Draw(t, "failed")), Slow: uint32(rapid.IntRange(0, 9).Draw(t, "slow")), LostPrimary: n == 3})
 		}
 	}
-	r.Ill = ill(r.Lines)
+	r.Complaints = countComplaints(r.Lines)
 	return r
 }
 
@@ -41,35 +41,35 @@
 		newest := map[string]Report{}
 		for range rapid.IntRange(0, 20).Draw(t, "messages") {
 			m := msg{rapid.SampledFrom([]string{"n1", "n2", "n3", "n4"}).Draw(t, "from"), said(t, []string{"a", "b"})}
-			if slices.ContainsFunc(sent, func(o msg) bool { return o.from == m.from && o.Born == m.Born && o.Seq == m.Seq }) {
+			if slices.ContainsFunc(sent, func(o msg) bool { return o.from == m.from && o.StartedAt == m.StartedAt && o.Sequence == m.Sequence }) {
 				continue // an observer never says two things under one number
 			}
-			m.At = now.UnixNano()
+			m.SentAt = now.UnixNano()
 			if sent = append(sent, m); newest[m.from].before(m.Report) {
 				newest[m.from] = m.Report
 			}
 		}
 		boards := [2]board{}
 		for i := range boards {
-			boards[i].heard = map[string]entry{}
+			boards[i].reports = map[string]boardEntry{}
 			order := rapid.Permutation(append(slices.Clone(sent), sent...)).Draw(t, "order")
 			for _, m := range order {
-				boards[i].take(now, m.from, m.Report, time.Second)
+				boards[i].add(now, m.from, m.Report, time.Second)
 			}
-			for from, e := range boards[i].heard {
+			for from, e := range boards[i].reports {
 				if d := cmp.Diff(newest[from], e.Report); d != "" {
 					t.Fatalf("%s: %s", from, d)
 				}
 			}
-			if len(boards[i].heard) != len(newest) {
-				t.Fatalf("%d observers, want %d", len(boards[i].heard), len(newest))
+			if len(boards[i].reports) != len(newest) {
+				t.Fatalf("%d observers, want %d", len(boards[i].reports), len(newest))
 			}
 		}
-		if d := cmp.Diff(fmt.Sprint(weigh(boards[0].voices(now))), fmt.Sprint(weigh(boards[1].voices(now)))); d != "" {
+		if d := cmp.Diff(fmt.Sprint(aggregateServers(boards[0].current(now))), fmt.Sprint(aggregateServers(boards[1].current(now)))); d != "" {
 			t.Fatal(d)
 		}
 		for i := range boards { // and all of it is over at its end
-			if v := boards[i].voices(now.Add(time.Second)); len(v) > 0 {
+			if v := boards[i].current(now.Add(time.Second)); len(v) > 0 {
 				t.Fatalf("%d reports count after their life", len(v))
 			}
 		}
@@ -82,28 +82,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		servers := []string{"a", "b", "c"}
 		few := rapid.Bool().Draw(t, "few")
-		var voices []voice
+		var voices []observerReport
 		liars := rapid.IntRange(0, 8).Draw(t, "liars")
 		if few {
-			liars = min(liars, testRules.Observers-1)
+			liars = min(liars, testRules.MinObservers-1)
 		}
 		for i := range liars {
 			r := said(t, servers)
 			if !few {
-				r.Room = "z1"
+				r.Zone = "z1"
 			}
-			r.Ill, r.Seen = 0, 100 // it hides how much it complains
-			voices = append(voices, voice{fmt.Sprint("liar", i), r})
+			r.Complaints, r.ServersSeen = 0, 100 // it hides how much it complains
+			voices = append(voices, observerReport{fmt.Sprint("liar", i), r})
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "honest") {
-			r := Report{Room: rapid.SampledFrom([]string{"z1", "z2"}).Draw(t, "room"), Seen: 3}
+			r := Report{Zone: rapid.SampledFrom([]string{"z1", "z2"}).Draw(t, "room"), ServersSeen: 3}
 			for _, s := range servers {
 				r.Lines = append(r.Lines, Line{Server: s, Good: uint32(rapid.IntRange(0, 2).Draw(t, "good"))})
 			}
-			voices = append(voices, voice{fmt.Sprint("n", i), r})
+			voices = append(voices, observerReport{fmt.Sprint("n", i), r})
 		}
-		for s, f := range weigh(voices) {
-			if testRules.convicts(f, false) || testRules.primaryLost(f) {
+		for s, f := range aggregateServers(voices) {
+			if testRules.shouldEject(f, false) || testRules.primaryIsLost(f) {
 				t.Fatalf("%s is convicted: %v", s, f)
 			}
 		}
@@ -112,28 +112,28 @@
 
 // Many liars in many rooms weigh no more than as many honest observers.
 func TestMajority(t *testing.T) {
-	var voices []voice
+	var voices []observerReport
 	for i := range 10 {
 		l := Line{Server: "a", Failed: 1 << 31, Slow: 1 << 31}
 		if i >= 5 {
-			l = Line{Server: "a", Good: recent}
+			l = Line{Server: "a", Good: maxRecentAttempts}
 		}
-		voices = append(voices, voice{fmt.Sprint("n", i), Report{Room: fmt.Sprint("z", i), Seen: 10, Lines: []Line{l}}})
+		voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 10, Lines: []Line{l}}})
 	}
-	if f := weigh(voices)["a"]; testRules.convicts(f, false) || f.against != f.inFavour {
-		t.Errorf("%v, %v against %v", f, f.against, f.inFavour)
+	if f := aggregateServers(voices)["a"]; testRules.shouldEject(f, false) || f.weightAgainst != f.weightFor {
+		t.Errorf("%v, %v against %v", f, f.weightAgainst, f.weightFor)
 	}
 }
 
 // An observer that complains of most of what it sees has a bad link: its complaints count for nothing, its good answers do.
 func TestDoubtful(t *testing.T) {
-	var voices []voice
+	var voices []observerReport
 	for i := range 4 {
-		voices = append(voices, voice{fmt.Sprint("n", i), Report{Room: fmt.Sprint("z", i), Seen: 3, Ill: 2,
+		voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 3, Complaints: 2,
 			Lines: []Line{{Server: "a", Failed: 3}, {Server: "b", Failed: 3}, {Server: "c", Good: 3}}}})
 	}
-	found := weigh(voices)
-	if f := found["a"]; f.Accusers > 0 || testRules.convicts(f, false) {
+	found := aggregateServers(voices)
+	if f := found["a"]; f.Accusers > 0 || testRules.shouldEject(f, false) {
 		t.Errorf("a: %v", f)
 	}
 	if f := found["c"]; f.Others != 4 {
@@ -156,13 +156,13 @@
 		{Line{Failed: 2}, 2, 2, true},    // nothing else is seen
 		{Line{Failed: 6}, 20, 20, false}, // nothing else is any better
 	} {
-		var voices []voice
+		var voices []observerReport
 		for i := range 3 {
 			c.line.Server = "a"
-			voices = append(voices, voice{fmt.Sprint("n", i), Report{Room: fmt.Sprint("z", i), Seen: 4, Ill: 1, Bad: c.bad, All: c.all, Lines: []Line{c.line}}})
+			voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 4, Complaints: 1, FailedAttempts: c.bad, Attempts: c.all, Lines: []Line{c.line}}})
 		}
-		voices = append(voices, voice{"liar", Report{Seen: 4, Bad: 1 << 30, All: 1 << 30}})
-		if f := weigh(voices)["a"]; testRules.convicts(f, false) != c.want {
+		voices = append(voices, observerReport{"liar", Report{ServersSeen: 4, FailedAttempts: 1 << 30, Attempts: 1 << 30}})
+		if f := aggregateServers(voices)["a"]; testRules.shouldEject(f, false) != c.want {
 			t.Errorf("%+v, %d of %d: convicted %v", c.line, c.bad, c.all, !c.want)
 		}
 	}
@@ -174,13 +174,13 @@
 		f             Finding
 		against, good bool // is said
 	}{
-		{Finding{Accusers: 12, against: 70}, true, false},
-		{Finding{Accusers: 11, against: 70}, false, false},
-		{Finding{Accusers: 12, against: 70, Others: 8, inFavour: 40}, false, false},
-		{Finding{Accusers: 4, against: 20, Others: 12, inFavour: 40}, false, true},
-		{Finding{Accusers: 40, against: 200, Others: 60, inFavour: 300}, false, false},
+		{Finding{Accusers: 12, weightAgainst: 70}, true, false},
+		{Finding{Accusers: 11, weightAgainst: 70}, false, false},
+		{Finding{Accusers: 12, weightAgainst: 70, Others: 8, weightFor: 40}, false, false},
+		{Finding{Accusers: 4, weightAgainst: 20, Others: 12, weightFor: 40}, false, true},
+		{Finding{Accusers: 40, weightAgainst: 200, Others: 60, weightFor: 300}, false, false},
 	} {
-		if testRules.said(c.f, true) != c.against || testRules.said(c.f, false) != c.good {
+		if testRules.sufficientlyReported(c.f, true) != c.against || testRules.sufficientlyReported(c.f, false) != c.good {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -190,18 +190,18 @@
 func TestLeave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := testRules
-		r.Share = rapid.Float64Range(0, 1).Draw(t, "share")
+		r.MaxEjectedShare = rapid.Float64Range(0, 1).Draw(t, "share")
 		members := rapid.SliceOfN(rapid.StringMatching("[a-f]"), 0, 8).Draw(t, "members")
 		bad := map[string]bool{}
 		for _, m := range members {
 			bad[m] = rapid.Bool().Draw(t, "bad")
 		}
-		left := r.leave(members, func(m string) bool { return bad[m] })
+		left := r.selectEjected(members, func(m string) bool { return bad[m] })
 		n := len(slices.Compact(slices.Sorted(slices.Values(members))))
-		if n > 0 && len(left) >= n || float64(len(left)) > r.Share*float64(n) {
+		if n > 0 && len(left) >= n || float64(len(left)) > r.MaxEjectedShare*float64(n) {
 			t.Fatalf("%d of %d are left", len(left), n)
 		}
-		if other := r.leave(rapid.Permutation(members).Draw(t, "order"), func(m string) bool { return bad[m] }); !slices.Equal(left, other) {
+		if other := r.selectEjected(rapid.Permutation(members).Draw(t, "order"), func(m string) bool { return bad[m] }); !slices.Equal(left, other) {
 			t.Fatalf("%v and %v", left, other)
 		}
 		for _, m := range left {
@@ -214,35 +214,35 @@
 
 // A verdict needs evidence that stands, lasts for its term, longer each time, ends by an appeal, and is forgotten.
 func TestStanding(t *testing.T) {
-	vs, now := verdicts{}, time.Unix(1000, 0)
-	against := Finding{Server: "a", Accusers: 3, Rooms: 2, Failed: 9, against: 9}
+	vs, now := ejections{}, time.Unix(1000, 0)
+	against := Finding{Server: "a", Accusers: 3, Zones: 2, Failed: 9, weightAgainst: 9}
 	for _, c := range []struct {
 		after time.Duration
 		f     Finding
 		want  string
 	}{
 		{0, against, ""},
-		{hold - 1, against, ""},
+		{confirmationDelay - 1, against, ""},
 		{0, Finding{}, ""}, // it did not stand
 		{0, against, ""},
-		{hold, against, began},
-		{testRules.Term - 1, Finding{}, ""}, // nobody knows better
-		{1, Finding{}, over},
+		{confirmationDelay, against, changeBegun},
+		{testRules.BaseEjectionTime - 1, Finding{}, ""}, // nobody knows better
+		{1, Finding{}, changeExpired},
 		{0, against, ""},
-		{hold, against, began},
-		{2*testRules.Term - 1, against, ""},
-		{1, against, renewed},
-		{time.Second, Finding{Others: 1, inFavour: 9}, ""},
-		{time.Second, Finding{Others: 2, inFavour: 9, against: 9}, ""},
-		{time.Second, Finding{Others: 2, inFavour: 10, against: 9}, acquit},
+		{confirmationDelay, against, changeBegun},
+		{2*testRules.BaseEjectionTime - 1, against, ""},
+		{1, against, changeRenewed},
+		{time.Second, Finding{Others: 1, weightFor: 9}, ""},
+		{time.Second, Finding{Others: 2, weightFor: 9, weightAgainst: 9}, ""},
+		{time.Second, Finding{Others: 2, weightFor: 10, weightAgainst: 9}, changeCleared},
 		{0, against, ""},
-		{hold, against, began},
-		{longest * testRules.Term, Finding{}, over},
+		{confirmationDelay, against, changeBegun},
+		{maxEjectionMultiplier * testRules.BaseEjectionTime, Finding{}, changeExpired},
 		{rememberFor, Finding{}, ""},
 	} {
 		now = now.Add(c.after)
 		got := ""
-		for _, ch := range vs.step(now, testRules, map[string]Finding{"a": c.f}, 0) {
+		for _, ch := range vs.update(now, testRules, map[string]Finding{"a": c.f}, 0) {
 			got = ch.what
 		}
 		if got != c.want {
@@ -256,21 +256,21 @@
 
 // Whatever comes, the state keeps to its bounds.
 func TestBounded(t *testing.T) {
-	now, b, o, vs := time.Unix(1000, 0), board{heard: map[string]entry{}}, newOwn(), verdicts{}
+	now, b, o, vs := time.Unix(1000, 0), board{reports: map[string]boardEntry{}}, newLocalEvidence(), ejections{}
 	for i := range 3 * maxObservers {
-		b.take(now, fmt.Sprint(i), Report{Born: 1, Seq: 1, At: now.UnixNano()}, time.Second)
-		o.saw(now, fmt.Sprint(i), i, Failed, 0)
-		o.lostPrimary(now, fmt.Sprint(i))
-		vs.step(now, testRules, map[string]Finding{fmt.Sprint(i): {Accusers: 3, Rooms: 2, Failed: 6, against: 1}}, 0)
+		b.add(now, fmt.Sprint(i), Report{StartedAt: 1, Sequence: 1, SentAt: now.UnixNano()}, time.Second)
+		o.observe(now, fmt.Sprint(i), i, Failed, 0)
+		o.recordLostPrimary(now, fmt.Sprint(i))
+		vs.update(now, testRules, map[string]Finding{fmt.Sprint(i): {Accusers: 3, Zones: 2, Failed: 6, weightAgainst: 1}}, 0)
 	}
-	if len(b.heard) > maxObservers || len(o.servers) > maxServers || len(o.lost) > maxLost || len(vs) > maxServers {
-		t.Errorf("%d reports, %d servers, %d lost, %d verdicts", len(b.heard), len(o.servers), len(o.lost), len(vs))
+	if len(b.reports) > maxObservers || len(o.servers) > maxServers || len(o.lostPrimaries) > maxLostPrimaries || len(vs) > maxServers {
+		t.Errorf("%d reports, %d servers, %d lost, %d verdicts", len(b.reports), len(o.servers), len(o.lostPrimaries), len(vs))
 	}
 	now = now.Add(forgetAfter + time.Second) // and what is old makes way
-	if !b.take(now, "new", Report{Born: 1, Seq: 1, At: now.UnixNano()}, time.Second) || len(b.heard) != 1 {
-		t.Errorf("%d reports are known after all have been forgotten", len(b.heard))
+	if !b.add(now, "new", Report{StartedAt: 1, Sequence: 1, SentAt: now.UnixNano()}, time.Second) || len(b.reports) != 1 {
+		t.Errorf("%d reports are known after all have been forgotten", len(b.reports))
 	}
-	o.saw(now, "new", 0, Good, 0)
+	o.observe(now, "new", 0, Good, 0)
 	if l, _ := o.lines(now); len(l) != 1 || l[0].Server != "new" {
 		t.Errorf("%v", l)
 	}
@@ -283,21 +283,21 @@
 		age  time.Duration
 		ok   bool
 		ends time.Duration
-	}{{0, true, life}, {skew, true, life}, {-time.Hour, true, life}, {life + skew, true, 0}, {life + skew + 1, false, 0}, {skew + life/2, true, life / 2}} {
-		b := board{heard: map[string]entry{}}
-		if ok := b.take(now, "n", Report{Born: 1, Seq: 1, At: now.Add(-c.age).UnixNano()}, life); ok != c.ok || ok && !b.heard["n"].ends.Equal(now.Add(c.ends)) {
-			t.Errorf("%v old: %v, counts until %v", c.age, ok, b.heard["n"].ends.Sub(now))
+	}{{0, true, life}, {maxClockSkew, true, life}, {-time.Hour, true, life}, {life + maxClockSkew, true, 0}, {life + maxClockSkew + 1, false, 0}, {maxClockSkew + life/2, true, life / 2}} {
+		b := board{reports: map[string]boardEntry{}}
+		if ok := b.add(now, "n", Report{StartedAt: 1, Sequence: 1, SentAt: now.Add(-c.age).UnixNano()}, life); ok != c.ok || ok && !b.reports["n"].expiresAt.Equal(now.Add(c.ends)) {
+			t.Errorf("%v old: %v, counts until %v", c.age, ok, b.reports["n"].expiresAt.Sub(now))
 		}
 	}
 }
 
 // A slow server is told from slow requests, from one slow answer, and from a slow day at all servers.
 func TestSlow(t *testing.T) {
-	o, now := newOwn(), time.Unix(1000, 0)
+	o, now := newLocalEvidence(), time.Unix(1000, 0)
 	see := func(server string, class int, took time.Duration, n int) {
 		for range n {
 			now = now.Add(100 * time.Millisecond)
-			o.saw(now, server, class, Good, took)
+			o.observe(now, server, class, Good, took)
 		}
 	}
 	for range 20 {
@@ -307,52 +307,52 @@
 		see("b", 1, 400*time.Millisecond, 1)
 	}
 	see("a", 0, 300*time.Millisecond, 1)
-	if l := o.line(now, "a", span); l.complains() || l.Slow != 1 {
+	if l := o.line(now, "a", evidenceSpan); l.complains() || l.Slow != 1 {
 		t.Errorf("one slow answer: %+v", l)
 	}
 	see("b", 0, 10*time.Millisecond, 5)
 	see("a", 0, 300*time.Millisecond, 5)
-	if l := o.line(now, "a", span); !l.complains() {
+	if l := o.line(now, "a", evidenceSpan); !l.complains() {
 		t.Errorf("a slow server: %+v", l)
 	}
 	for range 60 { // and it does not become the measure
 		see("a", 0, 300*time.Millisecond, 1)
 		see("b", 0, 10*time.Millisecond, 1)
 	}
-	if l := o.line(now, "a", span); !l.complains() {
+	if l := o.line(now, "a", evidenceSpan); !l.complains() {
 		t.Errorf("a server that stays slow: %+v", l)
 	}
 	for range 80 { // which follows the day
 		see("a", 0, 300*time.Millisecond, 1)
 		see("b", 0, 300*time.Millisecond, 1)
 	}
-	if l := o.line(now, "a", span); l.complains() {
+	if l := o.line(now, "a", evidenceSpan); l.complains() {
 		t.Errorf("all are slow: %+v", l)
 	}
-	o.saw(now, "b", 0, Silent, 200*time.Millisecond)
-	if l := o.line(now, "b", span); l.Failed > 0 {
+	o.observe(now, "b", 0, Silent, 200*time.Millisecond)
+	if l := o.line(now, "b", evidenceSpan); l.Failed > 0 {
 		t.Errorf("a hurried client: %+v", l)
 	}
-	o.saw(now, "b", 0, Silent, 2*time.Second)
-	if l := o.line(now, "b", span); l.Failed != leavesAt || l.Good > 0 {
+	o.observe(now, "b", 0, Silent, 2*time.Second)
+	if l := o.line(now, "b", evidenceSpan); l.Failed != consecutiveFailures || l.Good > 0 {
 		t.Errorf("silence: %+v", l)
 	}
-	see("b", 0, 10*time.Millisecond, recent)
-	o.saw(now, "b", 0, Failed, 0)
-	if l := o.line(now, "b", span); l.complains() || l.Good == 0 {
+	see("b", 0, 10*time.Millisecond, maxRecentAttempts)
+	o.observe(now, "b", 0, Failed, 0)
+	if l := o.line(now, "b", evidenceSpan); l.complains() || l.Good == 0 {
 		t.Errorf("one failure: %+v", l)
 	}
-	o.saw(now, "b", 0, Failed, 0)
-	if l := o.line(now, "b", span); l.Good > 0 || l.Failed != 2 {
+	o.observe(now, "b", 0, Failed, 0)
+	if l := o.line(now, "b", evidenceSpan); l.Good > 0 || l.Failed != 2 {
 		t.Errorf("a second in a row: %+v", l)
 	}
-	alone := newOwn()
+	alone := newLocalEvidence()
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		alone.saw(now, "a", 0, Good, 10*time.Millisecond)
+		alone.observe(now, "a", 0, Good, 10*time.Millisecond)
 	}
-	alone.saw(now, "a", 0, Good, time.Second)
-	if l := alone.line(now, "a", span); l.Slow > 0 {
+	alone.observe(now, "a", 0, Good, time.Second)
+	if l := alone.line(now, "a", evidenceSpan); l.Slow > 0 {
 		t.Errorf("a server alone is compared with nothing: %+v", l)
 	}
 }
@@ -363,12 +363,12 @@
 		at   int // poolers where it is
 		want bool
 	}{{2, false}, {4, false}, {7, true}} {
-		var each [9]tenants
-		hot := verdicts{}
-		now, voices := time.Unix(1000, 0), []voice(nil)
+		var each [9]tenantCounts
+		hot := ejections{}
+		now, voices := time.Unix(1000, 0), []observerReport(nil)
 		step := func(busy bool) {
-			now = now.Add(span / 4)
-			told := accused(voices, func(v voice) []Line { return v.Tenants })
+			now = now.Add(evidenceSpan / 4)
+			told := complainedAbout(voices, func(v observerReport) []Line { return v.Tenants })
 			voices = voices[:0]
 			for i := range each {
 				for k := range 10 {
@@ -376,22 +376,22 @@
 					if busy && i < c.at && k > 2 {
 						tenant = "big"
 					}
-					each[i].saw(now, tenant)
+					each[i].observe(now, tenant)
 				}
-				voices = append(voices, voice{fmt.Sprint("n", i), Report{Room: fmt.Sprint("z", i%3), Tenants: each[i].lines(now, told)}})
+				voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i%3), Tenants: each[i].lines(now, told)}})
 			}
-			hot.step(now, testRules, weighTenants(voices), 0)
+			hot.update(now, testRules, aggregateTenants(voices), 0)
 		}
 		for range 12 {
 			step(true)
 		}
-		if hot.bad("big") != c.want || len(hot) > 1 {
-			t.Errorf("at %d of 9: hot %v, %d verdicts", c.at, hot.bad("big"), len(hot))
+		if hot.isEjected("big") != c.want || len(hot) > 1 {
+			t.Errorf("at %d of 9: hot %v, %d verdicts", c.at, hot.isEjected("big"), len(hot))
 		}
 		for range 30 {
 			step(false)
 		}
-		if hot.bad("big") {
+		if hot.isEjected("big") {
 			t.Error("a tenant that asks nothing any more is still hot")
 		}
 	}
@@ -405,7 +405,7 @@
 			servers = append(servers, fmt.Sprint(rapid.StringOfN(rapid.RuneFrom([]rune("ab-")), 0, 90, -1).Draw(t, "name"), i))
 		}
 		r := said(t, servers)
-		r.Seen = max(r.Seen, len(r.Lines))
+		r.ServersSeen = max(r.ServersSeen, len(r.Lines))
 		text := r.encode()
 		got, err := decode(text)
 		if err != nil || len(text) > maxReport {
@@ -426,19 +426,19 @@
 func TestMaySend(t *testing.T) {
 	for _, c := range []struct {
 		left, trying bool
-		of           map[string]Kind
-		want         dispatch.Sending
+		of           map[string]Outcome
+		want         dispatch.SendDecision
 	}{
-		{true, false, map[string]Kind{"b": Good}, dispatch.Elsewhere},
-		{false, false, map[string]Kind{"b": Good}, dispatch.Send},
-		{true, true, map[string]Kind{"b": Good}, dispatch.Send},
+		{true, false, map[string]Outcome{"b": Good}, dispatch.SendElsewhere},
+		{false, false, map[string]Outcome{"b": Good}, dispatch.Send},
+		{true, true, map[string]Outcome{"b": Good}, dispatch.Send},
 		{true, false, nil, dispatch.Send},
-		{true, false, map[string]Kind{"b": Failed}, dispatch.Send},
-		{true, false, map[string]Kind{"b": Good, "a": Failed}, dispatch.Elsewhere},
-		{true, false, map[string]Kind{"b": Good, "a": Good}, dispatch.Send},
+		{true, false, map[string]Outcome{"b": Failed}, dispatch.Send},
+		{true, false, map[string]Outcome{"b": Good, "a": Failed}, dispatch.SendElsewhere},
+		{true, false, map[string]Outcome{"b": Good, "a": Good}, dispatch.Send},
 	} {
 		p := New(testRules, "z1", nil)
-		p.left["a"], p.trying["a"], p.others["a"] = c.left, c.trying, []string{"b"}
+		p.ejected["a"], p.probing["a"], p.alternatives["a"] = c.left, c.trying, []string{"b"}
 		for server, kind := range c.of {
 			p.Observe(server, 0, kind, 0)
 			p.Observe(server, 0, kind, 0)
@@ -452,18 +452,18 @@
 // A pooler speaks when it complains or is asked, at its own pace, and once more to take back what it said.
 func TestSay(t *testing.T) {
 	p, now := New(testRules, "z1", nil), time.Unix(1000, 0)
-	ill := Report{Seen: 2, Ill: 1, Lines: []Line{{Server: "a", Failed: 2}, {Server: "b", Good: 1}}}
-	well := Report{Seen: 2, Lines: []Line{{Server: "a", Good: 2}, {Server: "b", Good: 1}}}
+	ill := Report{ServersSeen: 2, Complaints: 1, Lines: []Line{{Server: "a", Failed: 2}, {Server: "b", Good: 1}}}
+	well := Report{ServersSeen: 2, Lines: []Line{{Server: "a", Good: 2}, {Server: "b", Good: 1}}}
 	for i, c := range []struct {
 		after   time.Duration
 		r       Report
 		accused map[string]bool
 		lines   int // -1: says nothing
-	}{{0, well, nil, -1}, {0, ill, nil, 1}, {leastEvery / 2, ill, nil, -1}, {leastEvery, well, nil, 0}, {2 * leastEvery, well, nil, -1},
-		{0, well, map[string]bool{"b": true}, 1}, {2 * leastEvery, well, map[string]bool{"c": true}, -1}, {2 * leastEvery, well, nil, -1}} {
+	}{{0, well, nil, -1}, {0, ill, nil, 1}, {minReportInterval / 2, ill, nil, -1}, {minReportInterval, well, nil, 0}, {2 * minReportInterval, well, nil, -1},
+		{0, well, map[string]bool{"b": true}, 1}, {2 * minReportInterval, well, map[string]bool{"c": true}, -1}, {2 * minReportInterval, well, nil, -1}} {
 		now = now.Add(c.after)
 		c.r.Lines = slices.Clone(c.r.Lines)
-		text, lines := p.say(now, c.r, c.accused, nil, 5), -1
+		text, lines := p.dueReport(now, c.r, c.accused, nil, 5), -1
 		if text != nil {
 			r, err := decode(text)
 			if lines = len(r.Lines); err != nil {
@@ -477,7 +477,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add((&Report{Born: 1, Seq: 2, At: 3, Room: "z1", Seen: 2, Ill: 1, Lines: []Line{{Server: "a", Failed: 3, Lost: true}, {Server: "b", Good: 1}}}).encode())
+	f.Add((&Report{StartedAt: 1, Sequence: 2, SentAt: 3, Zone: "z1", ServersSeen: 2, Complaints: 1, Lines: []Line{{Server: "a", Failed: 3, LostPrimary: true}, {Server: "b", Good: 1}}}).encode())
 	f.Add([]byte(`{"e":1,"l":[{"s":"a"},{"s":"a"}]}`))
 	f.Add([]byte(`{"e":1,"i":-1}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -485,14 +485,14 @@
 		if err != nil {
 			return
 		}
-		if len(r.Lines) > maxLines || ill(r.Lines) > r.Ill || r.Ill > r.Seen {
+		if len(r.Lines) > maxLines || countComplaints(r.Lines) > r.Complaints || r.Complaints > r.ServersSeen {
 			t.Errorf("%+v", r)
 		}
 		if again, err := decode(r.encode()); err != nil || len(again.Lines) > len(r.Lines) {
 			t.Errorf("%+v: %v", again, err)
 		}
-		for s, f := range weigh([]voice{{"n", r}}) {
-			if testRules.convicts(f, false) {
+		for s, f := range aggregateServers([]observerReport{{"n", r}}) {
+			if testRules.shouldEject(f, false) {
 				t.Errorf("%s is convicted by one", s)
 			}
 		}
--- a/internal/fleet/purge/answercache/answers.go
+++ b/internal/fleet/purge/answercache/answers.go
@@ -14,33 +14,33 @@
 }
 
 type entry struct {
-	answer any
-	asked  int64
-	size   int
+	answer      any
+	requestedAt int64
+	size        int
 }
 
-// overhead is about what the library and this package hold beside an answer's and its key's own bytes.
-const overhead = 256
+// entryOverhead is about what the library and this package hold beside an answer's and its key's own bytes.
+const entryOverhead = 256
 
-// share of all bytes that one answer may take at most: a few large ones must not drive out all others.
-const share = 16
+// maxEntryShare of all bytes that one answer may take at most: a few large ones must not drive out all others.
+const maxEntryShare = 16
 
 // Cache is safe for use by several goroutines.
 type Cache struct {
-	most    uint64
-	entries *otter.Cache[Key, entry]
+	maxBytes uint64
+	entries  *otter.Cache[Key, entry]
 }
 
 // New is a cache of at most so many bytes.
 func New(most uint64) *Cache {
-	return &Cache{most: most, entries: otter.Must(&otter.Options[Key, entry]{MaximumWeight: most, Executor: func(f func()) { f() }, // the bound holds at once
-		Weigher: func(k Key, e entry) uint32 { return uint32(len(k.Statement) + e.size + overhead) }})}
+	return &Cache{maxBytes: most, entries: otter.Must(&otter.Options[Key, entry]{MaximumWeight: most, Executor: func(f func()) { f() }, // the bound holds at once
+		Weigher: func(k Key, e entry) uint32 { return uint32(len(k.Statement) + e.size + entryOverhead) }})}
 }
 
 // Get finds an answer that was asked for at since or later. An older one is let go.
 func (c *Cache) Get(k Key, since int64) (answer any, ok bool) {
 	e, ok := c.entries.GetIfPresent(k)
-	if ok && e.asked < since {
+	if ok && e.requestedAt < since {
 		c.entries.Invalidate(k)
 		return nil, false
 	}
@@ -49,11 +49,11 @@
 
 // Put keeps an answer of size bytes that was asked for at a time, unless it is too large or the one there was asked for later.
 func (c *Cache) Put(k Key, answer any, size int, asked int64) {
-	if uint64(len(k.Statement)+size+overhead) > c.most/share {
+	if uint64(len(k.Statement)+size+entryOverhead) > c.maxBytes/maxEntryShare {
 		return
 	}
 	c.entries.Compute(k, func(old entry, found bool) (entry, otter.ComputeOp) {
-		if found && old.asked >= asked {
+		if found && old.requestedAt >= asked {
 			return old, otter.CancelOp
 		}
 		return entry{answer, asked, size}, otter.WriteOp
--- a/internal/fleet/purge/edge.go
+++ b/internal/fleet/purge/edge.go
@@ -21,31 +21,31 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// mostFired is how many purges an edge remembers that it has noted: a year of ten a day.
-const mostFired = 4096
+// maxRememberedPurges is how many purges an edge remembers that it has noted: a year of ten a day.
+const maxRememberedPurges = 4096
 
 // Edge is one pooler's. It is safe for use by several goroutines and never waits.
 type Edge struct {
-	site string
-	view replication.View
-	note func(e Event, now int64) // of a purge that happens here; must not wait or call back
-	wall func() int64             // Unix ns
-	from time.Time                // of its monotonic time
+	site      string
+	view      replication.View
+	onPurge   func(e Event, now int64) // of a purge that happens here; must not wait or call back
+	wall      func() int64             // Unix ns
+	startedAt time.Time                // of its monotonic time
 
-	mu     sync.Mutex
-	clock  clock
-	others int // other poolers that are held to be alive
+	mu           sync.Mutex
+	clock        clockComparison
+	otherPoolers int // other poolers that are held to be alive
 	// The timetable is of a version of the copy, or a later one.
-	version uint64
-	docs    []replication.Doc
-	table   *Timetable
-	why     error
-	events  []Event // of the table, within span
-	span    [2]int64
-	first   int64 // purges before it are none of this edge's
-	fired   map[string]bool
-	order   []string      // of fired, the oldest first
-	floor   map[int]int64 // the generation: the last purge's instant, by cluster; it only grows
+	version      uint64
+	documents    []replication.Document
+	timetable    *Timetable
+	timetableErr error
+	events       []Event // of the table, within span
+	eventSpan    [2]int64
+	firstPurgeAt int64 // purges before it are none of this edge's
+	fired        map[string]bool
+	firedOrder   []string      // of fired, the oldest first
+	lastPurgeAt  map[int]int64 // the generation: the last purge's instant, by cluster; it only grows
 }
 
 // History is what an edge has noted in earlier processes, by its journal.
@@ -56,26 +56,26 @@
 
 // NewEdge is an edge of a site. note is called for each purge, once by all processes that share the history.
 func NewEdge(site string, v replication.View, h History, note func(e Event, now int64)) *Edge {
-	e := &Edge{site: site, view: v, note: note, wall: func() int64 { return time.Now().UnixNano() }, from: time.Now(),
-		fired: map[string]bool{}, floor: map[int]int64{}}
-	e.first = h.Since
-	if e.first == 0 {
-		e.first = e.wall()
+	e := &Edge{site: site, view: v, onPurge: note, wall: func() int64 { return time.Now().UnixNano() }, startedAt: time.Now(),
+		fired: map[string]bool{}, lastPurgeAt: map[int]int64{}}
+	e.firstPurgeAt = h.Since
+	if e.firstPurgeAt == 0 {
+		e.firstPurgeAt = e.wall()
 	}
 	for _, id := range h.Fired {
 		e.remember(id)
 	}
-	e.Take()
+	e.Refresh()
 	return e
 }
 
-// Take takes in the documents as the copy now has them. Documents that can't be used leave the edge without a timetable; a change of
+// Refresh takes in the documents as the copy now has them. Documents that can't be used leave the edge without a timetable; a change of
 // other parts' documents costs next to nothing.
-func (e *Edge) Take() {
+func (e *Edge) Refresh() {
 	version := e.view.Version() // of the copy, before it is read: it may be newer then
-	docs := e.view.Under(prefix)
+	docs := e.view.List(keyPrefix)
 	e.mu.Lock()
-	same := e.docs != nil && slices.EqualFunc(e.docs, docs, func(a, b replication.Doc) bool { return a.Key == b.Key && a.Version == b.Version })
+	same := e.documents != nil && slices.EqualFunc(e.documents, docs, func(a, b replication.Document) bool { return a.Key == b.Key && a.Version == b.Version })
 	if same {
 		e.version = version
 	}
@@ -83,7 +83,7 @@
 	if same {
 		return
 	}
-	plan, orders, err := read(docs)
+	plan, orders, err := parseDocuments(docs)
 	var t *Timetable
 	switch {
 	case err != nil:
@@ -94,35 +94,35 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.version, e.docs, e.table, e.why, e.span = version, docs, t, err, [2]int64{}
+	e.version, e.documents, e.timetable, e.timetableErr, e.eventSpan = version, docs, t, err, [2]int64{}
 }
 
-// Why is what keeps the edge from having a timetable; nil: it has one.
-func (e *Edge) Why() error {
+// Err is what keeps the edge from having a timetable; nil: it has one.
+func (e *Edge) Err() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.why
+	return e.timetableErr
 }
 
-// Measured takes in a reading of another pooler's clock, as in clock.measured.
-func (e *Edge) Measured(peer string, asked, got, sent, heard int64, took time.Duration) {
+// AddClockReading takes in a reading of another pooler's clock, as in clock.measured.
+func (e *Edge) AddClockReading(peer string, asked, got, sent, heard int64, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.clock.measured(peer, asked, got, sent, heard, took, time.Since(e.from))
+	e.clock.add(peer, asked, got, sent, heard, took, time.Since(e.startedAt))
 }
 
-// Others takes in how many other poolers are alive.
-func (e *Edge) Others(n int) {
+// SetOtherPoolers takes in how many other poolers are alive.
+func (e *Edge) SetOtherPoolers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.others = n
+	e.otherPoolers = n
 }
 
-// Compared tells whether the clock was compared with enough others.
-func (e *Edge) Compared() bool {
+// ClockCompared tells whether the clock was compared with enough others.
+func (e *Edge) ClockCompared() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.clock.measures) >= max(min(enough, e.others), 1)
+	return len(e.clock.measurements) >= max(min(minPeers, e.otherPoolers), 1)
 }
 
 // Reason is why an edge does not answer from its cache.
@@ -130,11 +130,11 @@
 
 // The reasons.
 const (
-	May      Reason = iota // it may
-	NoPlan                 // no plan is in force here, or the plan's time is over
-	Unheard                // the copy of the documents was not confirmed for too long
-	OffClock               // the clock disagrees with most others, or was not compared with enough
-	Reasons                // how many there are
+	Allowed        Reason = iota // it may
+	NoPlan                       // no plan is in force here, or the plan's time is over
+	ReplicaStale                 // the copy of the documents was not confirmed for too long
+	ClockUntrusted               // the clock disagrees with most others, or was not compared with enough
+	ReasonCount                  // how many there are
 )
 
 func (r Reason) String() string {
@@ -148,87 +148,87 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.wall()
-	if e.table == nil || now < e.table.from || now >= e.table.until {
+	if e.timetable == nil || now < e.timetable.knownFrom || now >= e.timetable.until {
 		return 0, NoPlan
 	}
-	if !e.trusts(now) {
-		return 0, OffClock
+	if !e.trustsClock(now) {
+		return 0, ClockUntrusted
 	}
 	if e.stale() {
-		return 0, Unheard
+		return 0, ReplicaStale
 	}
 	e.fire(now)
-	e.floor[cluster] = max(e.floor[cluster], e.last(now, cluster))
-	return e.floor[cluster] + int64(e.table.bounds.Guard+e.table.bounds.Settle), May
+	e.lastPurgeAt[cluster] = max(e.lastPurgeAt[cluster], e.lastPurge(now, cluster))
+	return e.lastPurgeAt[cluster] + int64(e.timetable.bounds.Guard+e.timetable.bounds.Settle), Allowed
 }
 
-// Fill tells whether an answer that was asked for some time ago, and has just come, may be kept; asked is when that was, by
+// MayStore tells whether an answer that was asked for some time ago, and has just come, may be kept; asked is when that was, by
 // this clock. One that was under way across a purge is dropped.
-func (e *Edge) Fill(cluster int, ago time.Duration) (asked int64, ok bool) {
+func (e *Edge) MayStore(cluster int, ago time.Duration) (asked int64, ok bool) {
 	since, why := e.Current(cluster)
 	asked = e.wall() - int64(ago)
-	return asked, why == May && asked >= since
+	return asked, why == Allowed && asked >= since
 }
 
-// Agrees tells whether this clock is right for a guard, and reads it.
-func (e *Edge) Agrees(guard time.Duration) (now int64, ok bool) {
+// ClockAgrees tells whether this clock is right for a guard, and reads it.
+func (e *Edge) ClockAgrees(guard time.Duration) (now int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now = e.wall()
-	off, ok := e.clock.off(now, time.Since(e.from), e.others, true)
+	off, ok := e.clock.offsetBound(now, time.Since(e.startedAt), e.otherPoolers, true)
 	return now, ok && off <= guard/2
 }
 
-// trusts tells whether this clock agrees with most others within half a guard, by what was measured and may have come since.
-func (e *Edge) trusts(now int64) bool {
-	off, ok := e.clock.off(now, time.Since(e.from), e.others, true)
-	return ok && off <= e.table.bounds.Guard/2
+// trustsClock tells whether this clock agrees with most others within half a guard, by what was measured and may have come since.
+func (e *Edge) trustsClock(now int64) bool {
+	off, ok := e.clock.offsetBound(now, time.Since(e.startedAt), e.otherPoolers, true)
+	return ok && off <= e.timetable.bounds.Guard/2
 }
 
 // stale tells whether the documents may have changed without this edge's knowledge for longer than an order waits. The copy may
 // have been brought up to date and confirmed just now, and its documents not be taken in yet: when it was confirmed is read first.
 func (e *Edge) stale() bool {
-	at := e.view.Confirmed() // the zero time is older than any
-	return time.Since(at) > e.table.bounds.Confirm || e.view.Version() > e.version
+	at := e.view.ConfirmedAt() // the zero time is older than any
+	return time.Since(at) > e.timetable.bounds.MaxReplicaAge || e.view.Version() > e.version
 }
 
-// last is the instant of the last purge of a cluster that may have come by now: by a clock that is ahead by a guard it has.
-func (e *Edge) last(now int64, cluster int) int64 {
-	e.look(now)
+// lastPurge is the instant of the last purge of a cluster that may have come by now: by a clock that is ahead by a guard it has.
+func (e *Edge) lastPurge(now int64, cluster int) int64 {
+	e.loadEvents(now)
 	for _, ev := range slices.Backward(e.events) {
-		if ev.At <= now+int64(e.table.bounds.Guard) && (ev.Cluster == All || ev.Cluster == cluster) {
+		if ev.At <= now+int64(e.timetable.bounds.Guard) && (ev.Cluster == AllClusters || ev.Cluster == cluster) {
 			return ev.At
 		}
 	}
 	return 0
 }
 
-// look has the events at hand around now.
-func (e *Edge) look(now int64) {
+// loadEvents has the events at hand around now.
+func (e *Edge) loadEvents(now int64) {
 	const ahead, fresh = int64(48 * time.Hour), int64(24 * time.Hour)
-	if e.span[0] <= now-int64(remembered) && now <= e.span[1]-fresh {
+	if e.eventSpan[0] <= now-int64(eventRetention) && now <= e.eventSpan[1]-fresh {
 		return
 	}
-	e.span = [2]int64{now - int64(remembered+24*time.Hour), now + ahead}
-	e.events = e.table.Between(e.span[0], e.span[1])
+	e.eventSpan = [2]int64{now - int64(eventRetention+24*time.Hour), now + ahead}
+	e.events = e.timetable.Between(e.eventSpan[0], e.eventSpan[1])
 }
 
-// Due notes the purges that are due, and tells when to look again: at the next purge, in a second at the latest, as clocks and
+// FireDue notes the purges that are due, and tells when to look again: at the next purge, in a second at the latest, as clocks and
 // documents change. A cut-off edge goes by its own clock; one whose clock disagrees with others waits until it is mended, and
 // serves nothing from its cache meanwhile.
-func (e *Edge) Due() (again time.Duration) {
+func (e *Edge) FireDue() (again time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	const most = time.Second
-	if e.table == nil {
+	if e.timetable == nil {
 		return most
 	}
 	now := e.wall()
-	off, measured := e.clock.off(now, time.Since(e.from), e.others, false)
+	off, measured := e.clock.offsetBound(now, time.Since(e.startedAt), e.otherPoolers, false)
 	switch {
-	case measured && off > e.table.bounds.Guard/2:
+	case measured && off > e.timetable.bounds.Guard/2:
 		return most
-	case !measured && time.Since(e.from) < e.table.bounds.Confirm: // it has just started: others may yet be heard
+	case !measured && time.Since(e.startedAt) < e.timetable.bounds.MaxReplicaAge: // it has just started: others may yet be heard
 		return most
 	}
 	e.fire(now)
@@ -242,11 +242,11 @@
 
 // fire notes each purge up to now that was not noted yet, from the edge's beginning on but no further back than is remembered.
 func (e *Edge) fire(now int64) {
-	e.look(now)
+	e.loadEvents(now)
 	for _, ev := range e.events {
-		if ev.At > max(e.first-1, now-int64(remembered)) && ev.At <= now && !e.fired[ev.ID] {
+		if ev.At > max(e.firstPurgeAt-1, now-int64(eventRetention)) && ev.At <= now && !e.fired[ev.ID] {
 			e.remember(ev.ID)
-			e.note(ev, now)
+			e.onPurge(ev, now)
 		}
 	}
 }
@@ -256,8 +256,8 @@
 		return
 	}
 	e.fired[id] = true
-	if e.order = append(e.order, id); len(e.order) > mostFired {
-		delete(e.fired, e.order[0])
-		e.order = e.order[1:]
+	if e.firedOrder = append(e.firedOrder, id); len(e.firedOrder) > maxRememberedPurges {
+		delete(e.fired, e.firedOrder[0])
+		e.firedOrder = e.firedOrder[1:]
 	}
 }
