--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -19,14 +19,14 @@
 type lone struct {
 	*Edge
 	view  *replicationtest.View
-	reg   *replicationtest.Register
+	reg   *replicationtest.Cluster
 	skew  time.Duration
 	noted []string
 }
 
 func newLone(t *testing.T, p Proposal, h History) *lone {
 	l := &lone{reg: replicationtest.New(drift)}
-	value, err := p.plan(nil, time.Now().Add(-bounds.reach()).UnixNano()) // in force now
+	value, err := p.encodePlan(nil, time.Now().Add(-bounds.reach()).UnixNano()) // in force now
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,9 +39,9 @@
 }
 
 func (l *lone) compare() {
-	for i := range enough {
+	for i := range minPeers {
 		at := time.Now().UnixNano()
-		l.Measured(fmt.Sprint("m", i), l.wall(), at, at, l.wall(), 0)
+		l.AddClockReading(fmt.Sprint("m", i), l.wall(), at, at, l.wall(), 0)
 	}
 }
 
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	version := l.put(t, orderPrefix+o.Name, 0, value)
-	l.Take()
+	l.Refresh()
 	return version
 }
 
@@ -78,14 +78,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLone(t, closing(1, 10), History{})
 		time.Sleep(time.Minute)
-		l.want(t, "before", 0, May)
-		asked, ok := l.Fill(0, 0)
+		l.want(t, "before", 0, Allowed)
+		asked, ok := l.MayStore(0, 0)
 		if !ok {
 			t.Error("nothing may be kept")
 		}
 		time.Sleep(20 * time.Minute) // no timer runs
 		l.compare()
-		if since := l.want(t, "after", 0, May); asked >= since {
+		if since := l.want(t, "after", 0, Allowed); asked >= since {
 			t.Error("an answer from before the close may be given")
 		}
 		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.noted, want) {
@@ -100,7 +100,7 @@
 		l := newLone(t, closing(1, 10), History{})
 		at := time.Date(2000, 1, 1, 0, 10, 0, 0, time.UTC)
 		sleepTo := func(d time.Duration) { time.Sleep(time.Until(at.Add(d))); l.compare() }
-		given := func() bool { since, why := l.Current(0); return why == May && l.wall() > since }
+		given := func() bool { since, why := l.Current(0); return why == Allowed && l.wall() > since }
 		sleepTo(-bounds.Guard - time.Millisecond)
 		if !given() {
 			t.Error("nothing is given a guard before")
@@ -110,14 +110,14 @@
 				t.Errorf("given %v behind the instant", d)
 			}
 		}
-		if _, ok := l.Fill(0, 0); ok {
+		if _, ok := l.MayStore(0, 0); ok {
 			t.Error("kept while replicas may answer from before")
 		}
 		sleepTo(time.Second)
-		if _, ok := l.Fill(0, time.Second); ok {
+		if _, ok := l.MayStore(0, time.Second); ok {
 			t.Error("kept though it was asked for before the purge")
 		}
-		if _, ok := l.Fill(0, time.Second-bounds.Guard-bounds.Settle); !ok {
+		if _, ok := l.MayStore(0, time.Second-bounds.Guard-bounds.Settle); !ok {
 			t.Error("not kept though it was asked for behind the purge")
 		}
 	})
@@ -130,25 +130,25 @@
 		l := newLone(t, closing(1, 10), History{})
 		time.Sleep(11 * time.Minute)
 		l.compare()
-		l.want(t, "right", 0, May)
+		l.want(t, "right", 0, Allowed)
 		l.skew = -5 * time.Minute
-		l.want(t, "set back", 0, OffClock)
-		l.Due()
+		l.want(t, "set back", 0, ClockUntrusted)
+		l.FireDue()
 		l.skew = 24 * time.Hour
-		l.want(t, "a day ahead", 0, OffClock)
-		l.Due()
+		l.want(t, "a day ahead", 0, ClockUntrusted)
+		l.FireDue()
 		l.compare() // the others say so too
-		l.want(t, "a day ahead, compared", 0, OffClock)
-		l.Due()
+		l.want(t, "a day ahead, compared", 0, ClockUntrusted)
+		l.FireDue()
 		l.skew = 0
-		l.want(t, "mended", 0, May)
+		l.want(t, "mended", 0, Allowed)
 		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.noted, want) {
 			t.Errorf("noted %q, want %q", l.noted, want)
 		}
 		l.skew = -bounds.Guard / 4 // within what is trusted
-		l.want(t, "a little back", 0, May)
+		l.want(t, "a little back", 0, Allowed)
 		time.Sleep(time.Hour)
-		l.want(t, "not compared for an hour", 0, OffClock)
+		l.want(t, "not compared for an hour", 0, ClockUntrusted)
 	})
 }
 
@@ -158,16 +158,16 @@
 		l := newLone(t, closing(1, 10), History{})
 		time.Sleep(time.Minute)
 		l.compare()
-		l.view.Cut(true)
-		time.Sleep(bounds.Confirm)
-		l.want(t, "as old as it may be", 0, May)
+		l.view.SetPartitioned(true)
+		time.Sleep(bounds.MaxReplicaAge)
+		l.want(t, "as old as it may be", 0, Allowed)
 		time.Sleep(time.Millisecond)
-		l.want(t, "older", 0, Unheard)
+		l.want(t, "older", 0, ReplicaStale)
 		l.put(t, "other/doc", 0, []byte("1"))
-		l.view.Cut(false)
-		l.want(t, "newer than what was taken in", 0, Unheard)
-		l.Take()
-		l.want(t, "taken in", 0, May)
+		l.view.SetPartitioned(false)
+		l.want(t, "newer than what was taken in", 0, ReplicaStale)
+		l.Refresh()
+		l.want(t, "taken in", 0, Allowed)
 	})
 }
 
@@ -178,23 +178,23 @@
 		time.Sleep(time.Minute)
 		l.compare()
 		two, at := 2, time.Now().Add(time.Minute).UnixNano()
-		version := l.order(t, Order{Name: "x", At: at, Cluster: &two})
-		l.order(t, Order{Name: "y", At: at, Site: "b"})
+		version := l.order(t, Order{Name: "x", EffectiveAt: at, Cluster: &two})
+		l.order(t, Order{Name: "y", EffectiveAt: at, Site: "b"})
 		time.Sleep(2 * time.Minute)
 		l.compare()
 		margin := int64(bounds.Guard + bounds.Settle)
-		if since := l.want(t, "its cluster", 2, May); since != at+margin {
+		if since := l.want(t, "its cluster", 2, Allowed); since != at+margin {
 			t.Errorf("since %d, want %d", since, at+margin)
 		}
-		if since := l.want(t, "another cluster", 1, May); since >= at {
+		if since := l.want(t, "another cluster", 1, Allowed); since >= at {
 			t.Error("another cluster is purged")
 		}
 		if want := []string{"plan 1", "order x"}; !slices.Equal(l.noted, want) {
 			t.Errorf("noted %q, want %q", l.noted, want)
 		}
 		l.put(t, orderPrefix+"x", version, nil)
-		l.Take()
-		if since := l.want(t, "forgotten", 2, May); since != at+margin {
+		l.Refresh()
+		if since := l.want(t, "forgotten", 2, Allowed); since != at+margin {
 			t.Errorf("the generation fell to %d", since)
 		}
 	})
@@ -204,11 +204,11 @@
 // order takes effect, though its writer's clock is behind.
 func TestReach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := closing(1, 59, Wish{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
-		p.Bounds.Lead = 2 * time.Second
+		p := closing(1, 59, RequestedOrder{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
+		p.Bounds.WriteLead = 2 * time.Second
 		l := newLone(t, p, History{})
 		time.Sleep(time.Minute)
-		w, _, err := p.next(l.view.Under("purge/"), time.Now().Add(-bounds.Guard).UnixNano())
+		w, _, err := p.nextWrite(l.view.List("purge/"), time.Now().Add(-bounds.Guard).UnixNano())
 		var o Order
 		if err == nil {
 			err = json.Unmarshal(w.value, &o)
@@ -216,14 +216,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(p.Bounds.Lead)
+		time.Sleep(p.Bounds.WriteLead)
 		l.compare()
-		l.view.Cut(true)
+		l.view.SetPartitioned(true)
 		l.put(t, w.key, 0, w.value)
-		time.Sleep(time.Until(time.Unix(0, o.At)))
-		l.want(t, "as the copy's age just allows", 0, May)
+		time.Sleep(time.Until(time.Unix(0, o.EffectiveAt)))
+		l.want(t, "as the copy's age just allows", 0, Allowed)
 		time.Sleep(time.Nanosecond)
-		l.want(t, "when the order takes effect", 0, Unheard)
+		l.want(t, "when the order takes effect", 0, ReplicaStale)
 	})
 }
 
@@ -233,7 +233,7 @@
 		since := time.Now().Add(-time.Hour).UnixNano()
 		l := newLone(t, closing(1, 10), History{Since: since, Fired: []string{"plan 1"}})
 		time.Sleep(20 * time.Minute)
-		l.Due()
+		l.FireDue()
 		if want := []string{"close a 2000-01-01 00:10"}; !slices.Equal(l.noted, want) {
 			t.Errorf("noted %q, want %q", l.noted, want)
 		}
@@ -243,7 +243,7 @@
 // A plan is refused by an edge whose site it lacks, or whose zone data differ from its writer's.
 func TestPlanThatCantBeUsed(t *testing.T) {
 	p := closing(1, 10)
-	value, err := p.plan(nil, time.Now().UnixNano())
+	value, err := p.encodePlan(nil, time.Now().UnixNano())
 	var plan Plan
 	if err == nil {
 		err = json.Unmarshal(value, &plan)
@@ -257,7 +257,7 @@
 	if _, err := newTimetable("c", &plan, nil); err == nil || !strings.Contains(err.Error(), "no site") {
 		t.Errorf("a site that is missing: %v", err)
 	}
-	plan.Zones["UTC"]++
+	plan.ZoneDigests["UTC"]++
 	if _, err := newTimetable("a", &plan, nil); err == nil || !strings.Contains(err.Error(), "rules of UTC") {
 		t.Errorf("other rules: %v", err)
 	}
@@ -266,22 +266,24 @@
 // A plan takes effect a reach later; until then, and for whoever comes late, the one before it holds.
 func TestPlansOneAfterAnother(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).UnixNano()
-	doc := func(w *write) []replication.Doc { return []replication.Doc{{Key: w.key, Version: 1, Value: w.value}} }
-	first, _, err := closing(1, 10).next(nil, now)
-	if err != nil || first == nil || first.expect != 0 {
+	doc := func(w *documentWrite) []replication.Document {
+		return []replication.Document{{Key: w.key, Version: 1, Value: w.value}}
+	}
+	first, _, err := closing(1, 10).nextWrite(nil, now)
+	if err != nil || first == nil || first.expectedVersion != 0 {
 		t.Fatalf("%+v %v", first, err)
 	}
-	if w, _, err := closing(1, 10).next(doc(first), now); w != nil || err != nil {
+	if w, _, err := closing(1, 10).nextWrite(doc(first), now); w != nil || err != nil {
 		t.Errorf("written twice: %+v %v", w, err)
 	}
-	if _, _, err := closing(1, 11).next(doc(first), now); err != errTwoPlans {
+	if _, _, err := closing(1, 11).nextWrite(doc(first), now); err != errConflictingPlan {
 		t.Errorf("two plans of one revision: %v", err)
 	}
-	if w, again, _ := closing(2, 11).next(doc(first), now); w != nil || again <= 0 {
+	if w, again, _ := closing(2, 11).nextWrite(doc(first), now); w != nil || again <= 0 {
 		t.Error("a plan takes the place of one that is not in force yet")
 	}
 	later := now + int64(time.Hour)
-	second, _, err := closing(2, 70).next(doc(first), later)
+	second, _, err := closing(2, 70).nextWrite(doc(first), later)
 	if err == nil && second == nil {
 		t.Fatal("a newer plan is not written")
 	}
@@ -289,7 +291,7 @@
 	if err = json.Unmarshal(second.value, &plan); err != nil {
 		t.Fatal(err)
 	}
-	if plan.At != later+int64(bounds.reach()) || plan.Was == nil || plan.Was.Was != nil || second.expect != 1 {
+	if plan.EffectiveAt != later+int64(bounds.reach()) || plan.Previous == nil || plan.Previous.Previous != nil || second.expectedVersion != 1 {
 		t.Errorf("%+v", plan)
 	}
 	table, err := newTimetable("a", &plan, nil)
@@ -303,33 +305,33 @@
 	if want := []string{"plan 1", "close a 2026-12-02 00:10", "plan 2", "close a 2026-12-02 01:10"}; !slices.Equal(ids, want) {
 		t.Errorf("%q, want %q", ids, want)
 	}
-	wish := Wish{Name: "w", Issued: time.Unix(0, later)}
-	if w, _, _ := closing(1, 10, wish).next(doc(second), later); w == nil || w.key != orderPrefix+"w" {
+	wish := RequestedOrder{Name: "w", Issued: time.Unix(0, later)}
+	if w, _, _ := closing(1, 10, wish).nextWrite(doc(second), later); w == nil || w.key != orderPrefix+"w" {
 		t.Errorf("an order is not written: %+v", w)
 	}
-	if w, _, _ := closing(1, 10, wish).next(doc(second), later+int64(freshWish)+1); w != nil {
+	if w, _, _ := closing(1, 10, wish).nextWrite(doc(second), later+int64(orderFreshness)+1); w != nil {
 		t.Errorf("an old order is written: %+v", w)
 	}
-	old := replication.Doc{Key: orderPrefix + "w", Version: 7, Value: []byte(`{"name":"w","at":1}`)}
-	if w, _, _ := closing(1, 10, wish).next(append(doc(second), old), later); w == nil || w.value != nil || w.expect != 7 {
+	old := replication.Document{Key: orderPrefix + "w", Version: 7, Value: []byte(`{"name":"w","at":1}`)}
+	if w, _, _ := closing(1, 10, wish).nextWrite(append(doc(second), old), later); w == nil || w.value != nil || w.expectedVersion != 7 {
 		t.Errorf("an order of long ago stays: %+v", w)
 	}
 }
 
 // Only reads that the operators named, that any member may answer and that leave nothing behind are kept.
 func TestCacheable(t *testing.T) {
-	c := New("a", Proposal{}).Cached(1<<20, []string{"any", "bounded"}, func(c int) policy.Class { return classes[c] }, nil)
+	c := New("a", Proposal{}).NewCacheGuard(1<<20, []string{"any", "bounded"}, func(c int) policy.Class { return classes[c] }, nil)
 	for _, k := range []struct {
 		r    dispatch.Request
 		want bool
 	}{
-		{dispatch.Request{Class: 0, Form: "f", Text: "SELECT 1"}, true},
-		{dispatch.Request{Class: 1, Form: "f", Text: "SELECT 1"}, false}, // bounded in age
-		{dispatch.Request{Class: 2, Form: "f", Text: "SELECT 1"}, false}, // not named
-		{dispatch.Request{Class: 3, Form: "f", Text: "SELECT 1"}, false}, // may leave something behind
-		{dispatch.Request{Class: 0, Form: "f", Text: "SELECT 1", Keyed: true}, false},
-		{dispatch.Request{Class: 0, Form: "f", Text: "SELECT 1", After: 1}, false},
-		{dispatch.Request{Class: 0, Text: "SELECT 1"}, false}, // its front says that it may not be another's
+		{dispatch.Request{Class: 0, CacheVariant: "f", Statement: "SELECT 1"}, true},
+		{dispatch.Request{Class: 1, CacheVariant: "f", Statement: "SELECT 1"}, false}, // bounded in age
+		{dispatch.Request{Class: 2, CacheVariant: "f", Statement: "SELECT 1"}, false}, // not named
+		{dispatch.Request{Class: 3, CacheVariant: "f", Statement: "SELECT 1"}, false}, // may leave something behind
+		{dispatch.Request{Class: 0, CacheVariant: "f", Statement: "SELECT 1", HasIdempotencyKey: true}, false},
+		{dispatch.Request{Class: 0, CacheVariant: "f", Statement: "SELECT 1", SessionCommitAt: 1}, false},
+		{dispatch.Request{Class: 0, Statement: "SELECT 1"}, false}, // its front says that it may not be another's
 	} {
 		if _, ok := c.cacheable(&k.r); ok != k.want {
 			t.Errorf("%+v: %v", k.r, ok)
@@ -338,38 +340,38 @@
 }
 
 func TestClockByMajority(t *testing.T) {
-	var c clock
+	var c clockComparison
 	at, mono := int64(1e18), time.Hour
 	measure := func(peer string, ahead, round time.Duration) {
 		theirs := at - int64(ahead) + int64(round/2)
-		c.measured(peer, at, theirs, theirs, at+int64(round), round, mono+round)
+		c.add(peer, at, theirs, theirs, at+int64(round), round, mono+round)
 		at += int64(round)
 		mono += round
 	}
-	if _, ok := c.off(at, mono, 5, true); ok {
+	if _, ok := c.offsetBound(at, mono, 5, true); ok {
 		t.Error("nothing measured")
 	}
 	measure("a", time.Millisecond, 0)
 	measure("b", -2*time.Millisecond, 0)
-	if _, ok := c.off(at, mono, 5, true); ok {
+	if _, ok := c.offsetBound(at, mono, 5, true); ok {
 		t.Error("two are no majority of five others")
 	}
-	if off, ok := c.off(at, mono, 2, true); !ok || off != 2*time.Millisecond {
+	if off, ok := c.offsetBound(at, mono, 2, true); !ok || off != 2*time.Millisecond {
 		t.Errorf("of two others: %v %v", off, ok)
 	}
 	measure("liar", time.Hour, 0)
-	if off, ok := c.off(at, mono, 5, true); !ok || off != 2*time.Millisecond {
+	if off, ok := c.offsetBound(at, mono, 5, true); !ok || off != 2*time.Millisecond {
 		t.Errorf("with a liar: %v %v", off, ok)
 	}
 	measure("a", 0, time.Second) // a slow round says less than the one before
-	if off, _ := c.off(at, mono, 5, false); off != 2*time.Millisecond {
+	if off, _ := c.offsetBound(at, mono, 5, false); off != 2*time.Millisecond {
 		t.Errorf("behind a slow round: %v", off)
 	}
 	measure("a", time.Minute, time.Second) // but one that gainsays it counts
-	if off, _ := c.off(at, mono, 5, false); off < 59*time.Second {
+	if off, _ := c.offsetBound(at, mono, 5, false); off < 59*time.Second {
 		t.Errorf("the peer's clock moved: %v", off)
 	}
-	if off, _ := c.off(at+int64(time.Second), mono, 2, false); off < time.Second-2*time.Millisecond {
+	if off, _ := c.offsetBound(at+int64(time.Second), mono, 2, false); off < time.Second-2*time.Millisecond {
 		t.Errorf("this clock stepped by a second: %v", off)
 	}
 }
@@ -377,13 +379,13 @@
 // A document that holds anything is refused, or gives a timetable whose events are in order and within what was asked for.
 func FuzzPlan(f *testing.F) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).UnixNano()
-	value, err := closing(1, 70).plan(nil, now)
+	value, err := closing(1, 70).encodePlan(nil, now)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(value, []byte(`{"name":"x","at":1,"cluster":2}`))
 	f.Fuzz(func(t *testing.T, plan, order []byte) {
-		p, orders, err := read([]replication.Doc{{Key: planKey, Value: plan}, {Key: orderPrefix + "x", Value: order}})
+		p, orders, err := parseDocuments([]replication.Document{{Key: planKey, Value: plan}, {Key: orderPrefix + "x", Value: order}})
 		if err != nil {
 			return
 		}
--- a/internal/fleet/purge/part.go
+++ b/internal/fleet/purge/part.go
@@ -15,62 +15,62 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// duty is held by whoever writes plans and orders, while it does.
-const duty lease.Duty = "purges"
+// writerLease is held by whoever writes plans and orders, while it does.
+const writerLease lease.Name = "purges"
 
-const timeTopic = "purge/time"
+const topicTime = "purge/time"
 
 const (
-	firstRounds  = 100 * time.Millisecond // between readings of other clocks until there are enough
-	slowestRound = 5 * time.Second        // and at most later, however old copies may be
-	answering    = 8                      // readings for others under way at once; further ones are asked for again
-	reportEvery  = time.Minute            // of what the caches did
+	initialComparisonInterval = 100 * time.Millisecond // between readings of other clocks until there are enough
+	maxComparisonInterval     = 5 * time.Second        // and at most later, however old copies may be
+	maxConcurrentAnswers      = 8                      // readings for others under way at once; further ones are asked for again
+	reportInterval            = time.Minute            // of what the caches did
 )
 
-// Part is the purges at one pooler: fleet.Part. What its fields say is fixed before Run.
-type Part struct {
-	Site    string
-	Journal string        // the file of the pooler's acts; empty: purges of earlier processes are not known of
-	Keep    int           // files put aside beside it
-	Term    time.Duration // of leases
+// Component is the purges at one pooler: fleet.Part. What its fields say is fixed before Run.
+type Component struct {
+	Site         string
+	Journal      string        // the file of the pooler's acts; empty: purges of earlier processes are not known of
+	KeptJournals int           // files put aside beside it
+	Term         time.Duration // of leases
 
-	edge     atomic.Pointer[Edge] // nil before Run
-	proposed chan struct{}
-	woken    chan struct{} // the documents have changed
+	edge             atomic.Pointer[Edge] // nil before Run
+	proposalChanged  chan struct{}
+	documentsChanged chan struct{} // the documents have changed
 
 	mu       sync.Mutex
 	proposal Proposal
-	fronts   []*Cached
+	guards   []*CacheGuard
 
-	g     fleet.Ground
-	wall  func() int64 // nil: the machine's
-	asks  sync.Map     // of readings under way, by their numbers
-	asked atomic.Uint64
-	slots chan struct{} // of readings for others
+	runtime         fleet.Runtime
+	wall            func() int64 // nil: the machine's
+	pendingReadings sync.Map     // of readings under way, by their numbers
+	lastReading     atomic.Uint64
+	answerSlots     chan struct{} // of readings for others
 }
 
-var _ fleet.Part = (*Part)(nil)
+var _ fleet.Component = (*Component)(nil)
 
 // New is a part that proposes what its operators' file says.
-func New(site string, p Proposal) *Part {
-	return &Part{Site: site, proposal: p, proposed: make(chan struct{}, 1), woken: make(chan struct{}, 1), slots: make(chan struct{}, answering)}
+func New(site string, p Proposal) *Component {
+	return &Component{Site: site, proposal: p, proposalChanged: make(chan struct{}, 1), documentsChanged: make(chan struct{}, 1), answerSlots: make(chan struct{}, maxConcurrentAnswers)}
 }
 
 // Propose takes in another proposal, as of a file that was read again.
-func (p *Part) Propose(next Proposal) {
+func (p *Component) Propose(next Proposal) {
 	p.mu.Lock()
 	p.proposal = next
 	p.mu.Unlock()
-	wake(p.proposed)
+	notify(p.proposalChanged)
 }
 
-func (p *Part) wish() Proposal {
+func (p *Component) currentProposal() Proposal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.proposal
 }
 
-func wake(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -78,20 +78,20 @@
 }
 
 // Run is documented with fleet.Part.
-func (p *Part) Run(ctx context.Context, g fleet.Ground) error {
-	p.g = g
-	history, err := ReadHistory(p.Journal, p.Keep)
+func (p *Component) Run(ctx context.Context, g fleet.Runtime) error {
+	p.runtime = g
+	history, err := ReadHistory(p.Journal, p.KeptJournals)
 	if err != nil { // it may note purges again, and answers as ever
 		g.Log.Error().Err(err).Msg("purge: the journal can't be read")
 	}
-	edge := NewEdge(p.Site, g.View, history, p.fired)
+	edge := NewEdge(p.Site, g.View, history, p.handlePurge)
 	if p.wall != nil {
 		edge.wall = p.wall
 	}
-	g.Bus.Handle(timeTopic, func(from string, body []byte) { p.heard(ctx, edge, from, body) })
+	g.Bus.Handle(topicTime, func(from string, body []byte) { p.handleReading(ctx, edge, from, body) })
 	p.edge.Store(edge)
 	var running sync.WaitGroup
-	for _, run := range []func(context.Context, *Edge){p.follow, p.compare, p.purge, p.propose, p.report} {
+	for _, run := range []func(context.Context, *Edge){p.followDocuments, p.compareClocks, p.firePurges, p.propose, p.report} {
 		running.Go(func() { run(ctx, edge) })
 	}
 	running.Wait()
@@ -99,28 +99,28 @@
 	return nil
 }
 
-// fired notes a purge and empties the caches. What they hold would not be given any more in any case.
-func (p *Part) fired(e Event, now int64) {
-	p.g.Journal(audit.Record{Act: audit.Purged, Purge: e.ID, Due: e.At})
-	p.g.Log.Info().Str("purge", e.ID).Int64("due_ns", e.At).Int64("at_ns", now).Msg("purged")
+// handlePurge notes a purge and empties the caches. What they hold would not be given any more in any case.
+func (p *Component) handlePurge(e Event, now int64) {
+	p.runtime.Audit(audit.Record{Act: audit.Purged, Purge: e.ID, Due: e.At})
+	p.runtime.Log.Info().Str("purge", e.ID).Int64("due_ns", e.At).Int64("at_ns", now).Msg("purged")
 	p.mu.Lock()
-	fronts := slices.Clone(p.fronts)
+	fronts := slices.Clone(p.guards)
 	p.mu.Unlock()
 	for _, c := range fronts {
-		c.cache.Drop(e.Cluster, e.Cluster == All)
+		c.cache.Drop(e.Cluster, e.Cluster == AllClusters)
 	}
 }
 
-// follow takes each newer version of the documents in.
-func (p *Part) follow(ctx context.Context, e *Edge) {
+// followDocuments takes each newer version of the documents in.
+func (p *Component) followDocuments(ctx context.Context, e *Edge) {
 	said := ""
 	for ctx.Err() == nil {
-		changed := p.g.View.Changed()
-		e.Take()
-		wake(p.woken)
-		if err := e.Why(); err != nil && err.Error() != said {
+		changed := p.runtime.View.Changed()
+		e.Refresh()
+		notify(p.documentsChanged)
+		if err := e.Err(); err != nil && err.Error() != said {
 			said = err.Error()
-			p.g.Log.Warn().Err(err).Msg("purge: nothing is answered from the cache")
+			p.runtime.Log.Warn().Err(err).Msg("purge: nothing is answered from the cache")
 		} else if err == nil {
 			said = ""
 		}
@@ -131,74 +131,74 @@
 	}
 }
 
-// purge notes purges as they come.
-func (p *Part) purge(ctx context.Context, e *Edge) {
+// firePurges notes purges as they come.
+func (p *Component) firePurges(ctx context.Context, e *Edge) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-p.woken:
-		case <-time.After(e.Due()):
+		case <-p.documentsChanged:
+		case <-time.After(e.FireDue()):
 		}
 	}
 }
 
 // report tells now and then, and at the end, what the caches did.
-func (p *Part) report(ctx context.Context, _ *Edge) {
+func (p *Component) report(ctx context.Context, _ *Edge) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(reportEvery):
+		case <-time.After(reportInterval):
 		}
 		p.mu.Lock()
-		for _, c := range p.fronts {
-			p.g.Log.Info().Stringer("answers", c).Msg("purge: cache")
+		for _, c := range p.guards {
+			p.runtime.Log.Info().Stringer("answers", c).Msg("purge: cache")
 		}
 		p.mu.Unlock()
 	}
 }
 
-// reading is what two poolers say to compare their clocks.
-type reading struct {
-	Number uint64 `json:"number"`
-	Asks   bool   `json:"asks,omitempty"`
-	Got    int64  `json:"got,omitempty"`  // Unix ns, by the one that was asked
-	Sent   int64  `json:"sent,omitempty"` // likewise
+// clockReading is what two poolers say to compare their clocks.
+type clockReading struct {
+	Number     uint64 `json:"number"`
+	IsRequest  bool   `json:"asks,omitempty"`
+	ReceivedAt int64  `json:"got,omitempty"`  // Unix ns, by the one that was asked
+	SentAt     int64  `json:"sent,omitempty"` // likewise
 }
 
-// ask is a reading under way.
-type ask struct {
-	peer  string
-	asked int64
-	began time.Time
+// pendingReading is a reading under way.
+type pendingReading struct {
+	peer      string
+	sentAt    int64
+	startedAt time.Time
 }
 
-// compare asks another pooler for its clock again and again: often until enough are known, then four times in the age that a
+// compareClocks asks another pooler for its clock again and again: often until enough are known, then four times in the age that a
 // copy of the documents may have.
-func (p *Part) compare(ctx context.Context, e *Edge) {
+func (p *Component) compareClocks(ctx context.Context, e *Edge) {
 	for ctx.Err() == nil {
-		others := slices.DeleteFunc(p.g.Bus.Members(), func(m string) bool { return m == p.g.Bus.Self() })
-		e.Others(len(others))
+		others := slices.DeleteFunc(p.runtime.Bus.Members(), func(m string) bool { return m == p.runtime.Bus.Self() })
+		e.SetOtherPoolers(len(others))
 		if len(others) > 0 {
 			peer := others[rand.IntN(len(others))]
-			number := p.asked.Add(1)
-			text, err := json.Marshal(reading{Number: number, Asks: true})
+			number := p.lastReading.Add(1)
+			text, err := json.Marshal(clockReading{Number: number, IsRequest: true})
 			if err != nil {
 				panic(err) // two plain fields
 			}
-			p.asks.Store(number, ask{peer, e.wall(), time.Now()})
+			p.pendingReadings.Store(number, pendingReading{peer, e.wall(), time.Now()})
 			p.send(ctx, peer, text)
 		}
-		pause := firstRounds
-		if e.Compared() {
-			pause = min(max(p.bounds().Confirm/4, firstRounds), slowestRound)
+		pause := initialComparisonInterval
+		if e.ClockCompared() {
+			pause = min(max(p.bounds().MaxReplicaAge/4, initialComparisonInterval), maxComparisonInterval)
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		p.asks.Range(func(n, a any) bool { // the answers are lost
-			if time.Since(a.(ask).began) > slowestRound {
-				p.asks.Delete(n)
+		p.pendingReadings.Range(func(n, a any) bool { // the answers are lost
+			if time.Since(a.(pendingReading).startedAt) > maxComparisonInterval {
+				p.pendingReadings.Delete(n)
 			}
 			return true
 		})
@@ -206,42 +206,42 @@
 }
 
 // bounds are the fleet's, or this pooler's own while it knows of none.
-func (p *Part) bounds() Bounds {
-	if plan, _, err := read(p.g.View.Under(prefix)); err == nil && plan != nil {
+func (p *Component) bounds() Bounds {
+	if plan, _, err := parseDocuments(p.runtime.View.List(keyPrefix)); err == nil && plan != nil {
 		return plan.Bounds
 	}
-	return p.wish().Bounds
+	return p.currentProposal().Bounds
 }
 
-func (p *Part) send(ctx context.Context, to string, text []byte) {
+func (p *Component) send(ctx context.Context, to string, text []byte) {
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if err := p.g.Bus.Send(call, to, timeTopic, text); err != nil && ctx.Err() == nil {
-		p.g.Log.Debug().Err(err).Str("to", to).Msg("purge: clocks can't be compared")
+	if err := p.runtime.Bus.Send(call, to, topicTime, text); err != nil && ctx.Err() == nil {
+		p.runtime.Log.Debug().Err(err).Str("to", to).Msg("purge: clocks can't be compared")
 	}
 }
 
-// heard takes in what another pooler says of clocks.
-func (p *Part) heard(ctx context.Context, e *Edge, from string, body []byte) {
+// handleReading takes in what another pooler says of clocks.
+func (p *Component) handleReading(ctx context.Context, e *Edge, from string, body []byte) {
 	now := e.wall()
-	var r reading
+	var r clockReading
 	if json.Unmarshal(body, &r) != nil {
 		return
 	}
-	if !r.Asks {
-		if a, ok := p.asks.LoadAndDelete(r.Number); ok && a.(ask).peer == from {
-			e.Measured(from, a.(ask).asked, r.Got, r.Sent, now, time.Since(a.(ask).began))
+	if !r.IsRequest {
+		if a, ok := p.pendingReadings.LoadAndDelete(r.Number); ok && a.(pendingReading).peer == from {
+			e.AddClockReading(from, a.(pendingReading).sentAt, r.ReceivedAt, r.SentAt, now, time.Since(a.(pendingReading).startedAt))
 		}
 		return
 	}
 	select {
-	case p.slots <- struct{}{}:
+	case p.answerSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-p.slots }()
-		text, err := json.Marshal(reading{Number: r.Number, Got: now, Sent: e.wall()})
+		defer func() { <-p.answerSlots }()
+		text, err := json.Marshal(clockReading{Number: r.Number, ReceivedAt: now, SentAt: e.wall()})
 		if err != nil {
 			panic(err) // three plain fields
 		}
@@ -250,17 +250,17 @@
 }
 
 // propose writes what the documents lack of the file.
-func (p *Part) propose(ctx context.Context, e *Edge) {
+func (p *Component) propose(ctx context.Context, e *Edge) {
 	said := ""
 	for ctx.Err() == nil {
-		changed := p.g.View.Changed()
-		w, again, err := p.lacking(e)
+		changed := p.runtime.View.Changed()
+		w, again, err := p.missingWrite(e)
 		if err != nil && err.Error() != said {
 			said = err.Error()
-			p.g.Log.Error().Err(err).Msg("purge: the file's plan is not taken")
+			p.runtime.Log.Error().Err(err).Msg("purge: the file's plan is not taken")
 		}
 		if w != nil {
-			p.write(ctx, e)
+			p.writeMissing(ctx, e)
 			again = p.Term
 		}
 		var timer <-chan time.Time
@@ -271,29 +271,29 @@
 		case <-ctx.Done():
 		case <-timer:
 		case <-changed:
-		case <-p.proposed:
+		case <-p.proposalChanged:
 			said = ""
 		}
 	}
 }
 
-// lacking is what this pooler's copy lacks of the file. Until the copy is confirmed and the clock compared there is nothing to
+// missingWrite is what this pooler's copy lacks of the file. Until the copy is confirmed and the clock compared there is nothing to
 // go by.
-func (p *Part) lacking(e *Edge) (w *write, again time.Duration, err error) {
-	wish := p.wish()
+func (p *Component) missingWrite(e *Edge) (w *documentWrite, again time.Duration, err error) {
+	wish := p.currentProposal()
 	if wish.Revision == 0 && len(wish.Orders) == 0 {
 		return nil, 0, nil
 	}
-	now, ok := e.Agrees(p.bounds().Guard)
-	if !ok || p.g.View.Confirmed().IsZero() {
-		return nil, firstRounds, nil
+	now, ok := e.ClockAgrees(p.bounds().Guard)
+	if !ok || p.runtime.View.ConfirmedAt().IsZero() {
+		return nil, initialComparisonInterval, nil
 	}
-	return wish.next(p.g.View.Under(prefix), now)
+	return wish.nextWrite(p.runtime.View.List(keyPrefix), now)
 }
 
-// write stands for the duty and writes all that is lacking. A write that may yet be applied is given up together with the lease
+// writeMissing stands for the duty and writes all that is lacking. A write that may yet be applied is given up together with the lease
 // that it names, so that it is applied within Bounds.Lead or not at all.
-func (p *Part) write(ctx context.Context, e *Edge) {
+func (p *Component) writeMissing(ctx context.Context, e *Edge) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	select { // of many that start with one file the first writes, and the others find it written
@@ -301,12 +301,12 @@
 		return
 	case <-time.After(rand.N(p.Term)):
 	}
-	if w, _, err := p.lacking(e); w == nil || err != nil {
+	if w, _, err := p.missingWrite(e); w == nil || err != nil {
 		return
 	}
-	tenure := p.g.Stand(ctx, duty)
+	tenure := p.runtime.Campaign(ctx, writerLease)
 	for {
-		won, changed := tenure.Changed(), p.g.View.Changed()
+		won, changed := tenure.Changed(), p.runtime.View.Changed()
 		if _, _, ok := tenure.Token(); ok {
 			break
 		}
@@ -315,56 +315,56 @@
 			return
 		case <-won:
 		case <-changed:
-			if w, _, err := p.lacking(e); w == nil || err != nil {
+			if w, _, err := p.missingWrite(e); w == nil || err != nil {
 				return
 			}
 		}
 	}
 	for {
-		docs, err := p.docs(ctx)
+		docs, err := p.proposalDocuments(ctx)
 		token, _, ok := tenure.Token()
-		now, agrees := e.Agrees(p.bounds().Guard) // last: an instant is counted from here on
+		now, agrees := e.ClockAgrees(p.bounds().Guard) // last: an instant is counted from here on
 		if !ok || !agrees {
 			return
 		}
-		var w *write
+		var w *documentWrite
 		if err == nil {
-			w, _, err = p.wish().next(docs, now)
+			w, _, err = p.currentProposal().nextWrite(docs, now)
 		}
 		if err != nil || w == nil {
-			p.failed(err)
+			p.logWriteFailure(err)
 			return
 		}
 		call, done := context.WithTimeout(ctx, p.Term)
-		_, err = p.g.Store.Put(call, w.key, w.expect, w.value, replication.Fence{Duty: duty, Token: token})
+		_, err = p.runtime.Store.Put(call, w.key, w.expectedVersion, w.value, replication.Fence{Lease: writerLease, Token: token})
 		done()
 		if err != nil {
-			p.failed(err)
+			p.logWriteFailure(err)
 			return
 		}
-		p.g.Log.Info().Str("document", w.key).Msg("purge: written")
+		p.runtime.Log.Info().Str("document", w.key).Msg("purge: written")
 	}
 }
 
-func (p *Part) failed(err error) {
+func (p *Component) logWriteFailure(err error) {
 	if err != nil {
-		p.g.Log.Warn().Err(err).Msg("purge: not written")
+		p.runtime.Log.Warn().Err(err).Msg("purge: not written")
 	}
 }
 
-// docs are the documents that a proposal may change, as the stewards have them.
-func (p *Part) docs(ctx context.Context) (docs []replication.Doc, err error) {
+// proposalDocuments are the documents that a proposal may change, as the stewards have them.
+func (p *Component) proposalDocuments(ctx context.Context) (docs []replication.Document, err error) {
 	keys := map[string]bool{planKey: true}
-	for _, o := range p.wish().Orders {
+	for _, o := range p.currentProposal().Orders {
 		keys[orderPrefix+o.Name] = true
 	}
-	for _, d := range p.g.View.Under(orderPrefix) {
+	for _, d := range p.runtime.View.List(orderPrefix) {
 		keys[d.Key] = true
 	}
 	call, cancel := context.WithTimeout(ctx, p.Term)
 	defer cancel()
 	for key := range keys {
-		d, err := p.g.Store.Read(call, key)
+		d, err := p.runtime.Store.Read(call, key)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/fleet/purge/purge_test.go
+++ b/internal/fleet/purge/purge_test.go
@@ -34,7 +34,7 @@
 )
 
 // The register applies a write at once or never: a lead would hide what the rest of the reach is for.
-var bounds = Bounds{Guard: 400 * time.Millisecond, Confirm: 5 * time.Second, Settle: 200 * time.Millisecond}
+var bounds = Bounds{Guard: 400 * time.Millisecond, MaxReplicaAge: 5 * time.Second, Settle: 200 * time.Millisecond}
 
 // given is an answer as a client got it, in true time.
 type given struct {
@@ -54,8 +54,8 @@
 	view       *replicationtest.View
 	way        *replicationtest.Client
 	cut        bool
-	part       *Part
-	cache      *Cached
+	part       *Component
+	cache      *CacheGuard
 	end        context.CancelFunc
 	ended      chan struct{}
 }
@@ -64,7 +64,7 @@
 type world struct {
 	t     *testing.T
 	net   *bustest.Network
-	reg   *replicationtest.Register
+	reg   *replicationtest.Cluster
 	dir   string
 	edges []*testEdge
 	seen  *replicationtest.View
@@ -76,12 +76,12 @@
 
 func newWorld(t *testing.T, sites ...string) *world {
 	w := &world{t: t, net: bustest.New(1), reg: replicationtest.New(drift), dir: t.TempDir(), plans: map[uint64]Plan{}}
-	w.net.Delay(0, 20*time.Millisecond)
+	w.net.SetDelay(0, 20*time.Millisecond)
 	w.seen = w.reg.View()
 	go func() {
 		for t.Context().Err() == nil {
 			changed := w.seen.Changed()
-			if p, _, err := read(w.seen.Under(prefix)); err == nil && p != nil {
+			if p, _, err := parseDocuments(w.seen.List(keyPrefix)); err == nil && p != nil {
 				w.mu.Lock()
 				w.plans[p.Revision] = *p
 				w.mu.Unlock()
@@ -106,18 +106,18 @@
 		e.w.t.Fatal(err)
 	}
 	e.part = New(e.site, p)
-	e.part.Term, e.part.Journal, e.part.Keep = term, e.journal, 1
+	e.part.Term, e.part.Journal, e.part.KeptJournals = term, e.journal, 1
 	e.part.wall = func() int64 { return time.Now().UnixNano() + e.skew.Load() }
 	if e.first == 0 {
 		e.first = e.part.wall()
 	}
-	e.cache = e.part.Cached(1<<20, []string{"any"}, func(c int) policy.Class { return classes[c] }, func(a any) (any, int, bool) { return a, 8, true })
+	e.cache = e.part.NewCacheGuard(1<<20, []string{"any"}, func(c int) policy.Class { return classes[c] }, func(a any) (any, int, bool) { return a, 8, true })
 	ctx, cancel := context.WithCancel(e.w.t.Context())
-	g := fleet.Ground{Bus: e.w.net.Join(e.name), View: e.view, Store: e.way, Log: zerolog.Nop(),
-		Stand: func(ctx context.Context, d lease.Duty) replication.Tenure {
-			return e.way.Stand(ctx, d, replication.Terms{Term: term, Drift: drift})
+	g := fleet.Runtime{Bus: e.w.net.Join(e.name), View: e.view, Store: e.way, Log: zerolog.Nop(),
+		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
+			return e.way.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift})
 		},
-		Journal: func(r audit.Record) {
+		Audit: func(r audit.Record) {
 			if ctx.Err() != nil { // a request that was under way
 				return
 			}
@@ -126,7 +126,7 @@
 				e.w.t.Error(err)
 			}
 		}}
-	g.Journal(audit.Record{Act: audit.Started})
+	g.Audit(audit.Record{Act: audit.Started})
 	e.end, e.ended = cancel, make(chan struct{})
 	go func() {
 		_ = e.part.Run(ctx, g)
@@ -146,19 +146,19 @@
 // isolate cuts the edge off from all others and the stewards, or heals that.
 func (e *testEdge) isolate(cut bool) {
 	e.cut = cut
-	e.w.net.Isolate(e.name, cut)
-	e.way.Cut(cut)
-	e.view.Cut(cut)
+	e.w.net.SetIsolated(e.name, cut)
+	e.way.SetPartitioned(cut)
+	e.view.SetPartitioned(cut)
 }
 
-var classes = []policy.Class{{Name: "any"}, {Name: "bounded", Need: policy.NeedBounded}, {Name: "other"}, {Name: "any", Effect: policy.Unsafe}}
+var classes = []policy.Class{{Name: "any"}, {Name: "bounded", Access: policy.ReadBounded}, {Name: "other"}, {Name: "any", Idempotency: policy.NotIdempotent}}
 
 // ask is one request: from the cache, or from a server that takes a while, whose data lag by up to Settle.
 func (e *testEdge) ask(cluster int, there, back, lag time.Duration) {
 	if e.end == nil {
 		return
 	}
-	r := &dispatch.Request{Class: 0, Group: cluster, Form: "f", Text: "SELECT 1"}
+	r := &dispatch.Request{Class: 0, Group: cluster, CacheVariant: "f", Statement: "SELECT 1"}
 	cache, now := e.cache, time.Now()
 	if a := cache.Admit(0, r); a.Answer != nil {
 		e.w.got(given{now.UnixNano(), a.Answer.(int64), true, e, cluster})
@@ -168,7 +168,7 @@
 		time.Sleep(there)
 		data := time.Now().Add(-lag).UnixNano()
 		time.Sleep(back)
-		cache.Ended(0, r, dispatch.Ending{Served: true, Answer: data, Arrived: time.Duration(now.UnixNano()), Ending: time.Duration(time.Now().UnixNano())})
+		cache.RequestEnded(0, r, dispatch.FinalAnswer{Served: true, Answer: data, ArrivedAt: time.Duration(now.UnixNano()), EndedAt: time.Duration(time.Now().UnixNano())})
 		e.w.got(given{time.Now().UnixNano(), data, false, e, cluster})
 	}()
 }
@@ -181,24 +181,24 @@
 
 // purges are all of a site's in true time, by the plans that were in force one after another.
 func (w *world) purges(site string) (out []Event) {
-	_, orders, _ := read(w.seen.Under(prefix))
+	_, orders, _ := parseDocuments(w.seen.List(keyPrefix))
 	end := time.Now().UnixNano()
 	revisions := slices.Sorted(maps.Keys(w.plans))
 	for i, rev := range revisions {
 		p, to := w.plans[rev], end
 		if i+1 < len(revisions) {
-			to = min(to, w.plans[revisions[i+1]].At-1)
+			to = min(to, w.plans[revisions[i+1]].EffectiveAt-1)
 		}
-		p.Was = nil
+		p.Previous = nil
 		t, err := newTimetable(site, &p, nil)
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		out = append(out, t.Between(p.At-1, to)...)
+		out = append(out, t.Between(p.EffectiveAt-1, to)...)
 	}
 	for _, o := range orders {
 		if o.Site == "" || o.Site == site {
-			e := Event{ID: "order " + o.Name, At: o.At, Cluster: All}
+			e := Event{ID: "order " + o.Name, At: o.EffectiveAt, Cluster: AllClusters}
 			if o.Cluster != nil {
 				e.Cluster = *o.Cluster
 			}
@@ -216,7 +216,7 @@
 		purges := w.purges(e.site)
 		for _, g := range w.given {
 			for _, p := range purges {
-				if g.edge == e && g.cached && p.At <= g.at && g.data < p.At && (p.Cluster == All || p.Cluster == g.cluster) {
+				if g.edge == e && g.cached && p.At <= g.at && g.data < p.At && (p.Cluster == AllClusters || p.Cluster == g.cluster) {
 					faults = append(faults, fmt.Sprintf("%s: an answer as of %v at %v, behind %s", e.name, time.Unix(0, g.data).UTC(), time.Unix(0, g.at).UTC(), p.ID))
 				}
 			}
@@ -231,7 +231,7 @@
 				faults = append(faults, fmt.Sprintf("%s: %s was noted twice", e.name, id))
 			}
 		}
-		plan, orders, _ := read(w.seen.Under(prefix))
+		plan, orders, _ := parseDocuments(w.seen.List(keyPrefix))
 		if plan == nil || e.end == nil {
 			continue
 		}
@@ -262,7 +262,7 @@
 }
 
 // closing is a proposal by which all sites close at so many minutes past midnight, when the test's time begins.
-func closing(revision uint64, minutes int, orders ...Wish) Proposal {
+func closing(revision uint64, minutes int, orders ...RequestedOrder) Proposal {
 	at := fmt.Sprintf("%02d:%02d", minutes/60, minutes%60)
 	every := map[string]string{}
 	for _, d := range []string{"sunday", "monday", "tuesday", "wednesday", "thursday", "friday", "saturday"} {
@@ -285,7 +285,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, "a", "a", "a", "b", "b")
 			minute := func(n int) int { return 1 + n%4 }
-			revision, orders := uint64(1), []Wish(nil)
+			revision, orders := uint64(1), []RequestedOrder(nil)
 			proposal := func(n int) Proposal { return closing(revision, minute(n), orders...) }
 			now := proposal(how[0])
 			for i, e := range w.edges {
@@ -330,7 +330,7 @@
 						e.part.Propose(now)
 					}
 				case act < 56:
-					o := Wish{Name: fmt.Sprint("o", i), Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
+					o := RequestedOrder{Name: fmt.Sprint("o", i), Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
 					if n/32%2 == 0 {
 						c := n / 64 % 2
 						o.Cluster = &c
--- a/internal/fleet/quota/bucket.go
+++ b/internal/fleet/quota/bucket.go
@@ -13,70 +13,72 @@
 // What the bound rests on: level never grows but by time, at the rate in force at that time. A larger slice raises the depth,
 // not the level; a smaller one spills what is above its depth.
 type bucket struct {
-	limit   config.Limit
-	safe    float64 // tokens a second for good: the limit's reserve, by the fleet's size
-	slice   float64 // tokens a second until
-	until   time.Time
-	level   float64
-	at      time.Time // of level
-	waiting bool      // it was found short, and has not been taken from since
-	tried   float64   // wants since the last ask
-	before  float64   // wants a second, between the asks before that
-	told    float64   // the want that the holder was told last
+	limit          config.Limit
+	safeRate       float64 // tokens a second for good: the limit's reserve, by the fleet's size
+	quotaRate      float64 // tokens a second until
+	quotaUntil     time.Time
+	level          float64
+	levelAt        time.Time // of level
+	waiting        bool      // it was found short, and has not been taken from since
+	demand         float64   // wants since the last ask
+	previousDemand float64   // wants a second, between the asks before that
+	reportedDemand float64   // the want that the holder was told last
 }
 
-// paced limits are on what comes as a herd after a failure: there poolers must not all have a token put by.
-func paced(on string) bool { return on != config.LimitRequests }
+// isPaced limits are on what comes as a herd after a failure: there poolers must not all have a token put by.
+func isPaced(on string) bool { return on != config.LimitRequests }
 
 func newBucket(l config.Limit, fleet int, now time.Time) *bucket {
-	b := &bucket{limit: l, at: now}
-	b.size(fleet)
-	b.level = b.depth(b.safe)
-	if paced(l.On) {
+	b := &bucket{limit: l, levelAt: now}
+	b.setFleetSize(fleet)
+	b.level = b.depth(b.safeRate)
+	if isPaced(l.On) {
 		b.level *= rand.Float64()
 	}
 	return b
 }
 
-// size sets the safe share: the reserve in equal parts.
-func (b *bucket) size(fleet int) { b.safe = b.limit.Reserve * b.limit.Rate / float64(max(fleet, 1)) }
+// setFleetSize sets the safe share: the reserve in equal parts.
+func (b *bucket) setFleetSize(fleet int) {
+	b.safeRate = b.limit.Reserve * b.limit.Rate / float64(max(fleet, 1))
+}
 
 // depth is how many tokens may be put by at a rate: its part of the limit's burst, and never under one, or none could pass.
 func (b *bucket) depth(rate float64) float64 { return max(1, b.limit.Burst*rate/b.limit.Rate) }
 
 // rate is what is in force at now.
 func (b *bucket) rate(now time.Time) float64 {
-	if now.Before(b.until) {
-		return b.safe + b.slice
+	if now.Before(b.quotaUntil) {
+		return b.safeRate + b.quotaRate
 	}
-	return b.safe
+	return b.safeRate
 }
 
-// fill brings the level up to now. Up to the slice's end it is filled and spilt at one rate, from there on at the safe one.
-func (b *bucket) fill(now time.Time) {
+// refill brings the level up to now. Up to the slice's end it is filled and spilt at one rate, from there on at the safe one.
+func (b *bucket) refill(now time.Time) {
 	step := func(to time.Time, rate float64) {
-		if d := to.Sub(b.at); d > 0 {
+		if d := to.Sub(b.levelAt); d > 0 {
 			b.level += rate * d.Seconds()
-			b.at = to
+			b.levelAt = to
 		}
 		b.level = min(b.level, b.depth(rate))
 	}
-	if b.at.Before(b.until) {
-		end := b.until
+	if b.levelAt.Before(b.quotaUntil) {
+		end := b.quotaUntil
 		if now.Before(end) {
 			end = now
 		}
-		step(end, b.safe+b.slice)
+		step(end, b.safeRate+b.quotaRate)
 	}
-	if !now.Before(b.until) {
-		step(now, b.safe)
+	if !now.Before(b.quotaUntil) {
+		step(now, b.safeRate)
 	}
 }
 
-// give puts a slice in force.
-func (b *bucket) give(now time.Time, slice float64, until time.Time) {
-	b.fill(now)
-	b.slice, b.until = slice, until
+// applyQuota puts a slice in force.
+func (b *bucket) applyQuota(now time.Time, slice float64, until time.Time) {
+	b.refill(now)
+	b.quotaRate, b.quotaUntil = slice, until
 	b.level = min(b.level, b.depth(b.rate(now)))
 }
 
@@ -84,10 +86,10 @@
 // a single token gives it after a part of its time drawn anew: a herd that sets out at one instant would find one token in
 // each of its buckets.
 func (b *bucket) take(now time.Time, tokens float64) (after time.Duration, ok bool) {
-	b.fill(now)
-	b.tried += tokens
+	b.refill(now)
+	b.demand += tokens
 	rate := b.rate(now)
-	if paced(b.limit.On) && !b.waiting && b.level >= 1 && b.depth(rate) == 1 {
+	if isPaced(b.limit.On) && !b.waiting && b.level >= 1 && b.depth(rate) == 1 {
 		b.level = rand.Float64()
 	}
 	if b.level >= 1 {
@@ -98,29 +100,29 @@
 	return time.Duration((1 - b.level) / rate * float64(time.Second)), false
 }
 
-// spare gives back a token that was taken and not used.
-func (b *bucket) spare(now time.Time) {
-	b.fill(now)
+// refund gives back a token that was taken and not used.
+func (b *bucket) refund(now time.Time) {
+	b.refill(now)
 	b.level = min(b.level+1, b.depth(b.rate(now)))
 }
 
-// want is the demand to tell the holder, in units a second, over what the safe share bears: the more of this span and the one
+// excessDemand is the demand to tell the holder, in units a second, over what the safe share bears: the more of this span and the one
 // before it, with a quarter on top so that a demand that grows is met. next begins a new span; a bucket without wants asks for
 // nothing from the second span on.
-func (b *bucket) want(span time.Duration, next bool) float64 {
-	now := b.tried / max(span, leastSpan).Seconds()
-	w := 1.25*max(now, b.before) - b.safe
+func (b *bucket) excessDemand(span time.Duration, next bool) float64 {
+	now := b.demand / max(span, minDemandSpan).Seconds()
+	w := 1.25*max(now, b.previousDemand) - b.safeRate
 	if next {
-		b.tried, b.before = 0, now
+		b.demand, b.previousDemand = 0, now
 	}
 	return min(max(w, 0), b.limit.Rate)
 }
 
-// leastSpan bounds what one want right behind an ask can stand for: ten a second.
-const leastSpan = 100 * time.Millisecond
+// minDemandSpan bounds what one want right behind an ask can stand for: ten a second.
+const minDemandSpan = 100 * time.Millisecond
 
 // idle tells that a bucket made anew would be the same: full, no slice, no wants.
 func (b *bucket) idle(now time.Time) bool {
-	b.fill(now)
-	return !now.Before(b.until) && b.tried == 0 && b.before == 0 && b.level >= b.depth(b.safe)
+	b.refill(now)
+	return !now.Before(b.quotaUntil) && b.demand == 0 && b.previousDemand == 0 && b.level >= b.depth(b.safeRate)
 }
--- a/internal/fleet/quota/dealer.go
+++ b/internal/fleet/quota/dealer.go
@@ -10,68 +10,70 @@
 	"threadsail/internal/config"
 )
 
-// Dealer is the holder's side, for one token: a holder that comes to office again begins anew. It is safe for use by several
+// Allocator is the holder's side, for one token: a holder that comes to office again begins anew. It is safe for use by several
 // goroutines; its mutex guards all that is below it.
 //
 // What holds: for each key the sum over poolers of the largest slice that may be in force there, by any answer that was sent
 // or told of and is not known to be superseded or over, is at most the limit's rate less its reserve.
-type Dealer struct {
+type Allocator struct {
 	token uint64
 	term  time.Duration
 	drift time.Duration
 
-	mu       sync.Mutex
-	fleet    int
-	set      config.Limits
-	learning time.Time                     // until then slices of earlier holders may be in force that nobody told of
-	told     map[string]bool               // poolers that have told what they hold, while learning
-	accounts map[string]*account           // by pooler
-	wants    map[string]map[string]float64 // by key, then by pooler
-	holders  map[string]map[string]bool    // by key, the poolers that may hold some
+	mu            sync.Mutex
+	fleetSize     int
+	limits        config.Limits
+	learningUntil time.Time                     // until then slices of earlier holders may be in force that nobody told of
+	reported      map[string]bool               // poolers that have told what they hold, while learning
+	accounts      map[string]*account           // by pooler
+	wants         map[string]map[string]float64 // by key, then by pooler
+	holders       map[string]map[string]bool    // by key, the poolers that may hold some
 }
 
 // account is what one pooler may hold.
 type account struct {
-	instance string
-	last     uint64 // the newest ask answered
-	heard    time.Time
-	deals    []deal
-	wants    map[string]float64
+	instance      string
+	lastNumber    uint64 // the newest ask answered
+	lastRequestAt time.Time
+	allocations   []allocation
+	wants         map[string]float64
 }
 
-// deal is an answer, or what a pooler told of an earlier holder's (number 0), until when it may be in force.
-type deal struct {
+// allocation is an answer, or what a pooler told of an earlier holder's (number 0), until when it may be in force.
+type allocation struct {
 	number uint64
 	until  time.Time
-	slices map[string]float64
+	quotas map[string]float64
 }
 
-// NewDealer begins a term of office. Slices of holders before it were asked for before now, and so are over a term and a
+// NewAllocator begins a term of office. Slices of holders before it were asked for before now, and so are over a term and a
 // drift from now.
-func NewDealer(token uint64, term, drift time.Duration, fleet int, set config.Limits) *Dealer {
-	return &Dealer{token: token, term: term, drift: drift, fleet: fleet, set: set, learning: time.Now().Add(term + drift),
-		told: map[string]bool{}, accounts: map[string]*account{}, wants: map[string]map[string]float64{}, holders: map[string]map[string]bool{}}
+func NewAllocator(token uint64, term, drift time.Duration, fleet int, set config.Limits) *Allocator {
+	return &Allocator{token: token, term: term, drift: drift, fleetSize: fleet, limits: set, learningUntil: time.Now().Add(term + drift),
+		reported: map[string]bool{}, accounts: map[string]*account{}, wants: map[string]map[string]float64{}, holders: map[string]map[string]bool{}}
 }
 
-// Set takes over a newer set of limits: slices by the old one shrink as their poolers ask again.
-func (d *Dealer) Set(set config.Limits) {
+// SetLimits takes over a newer set of limits: slices by the old one shrink as their poolers ask again.
+func (d *Allocator) SetLimits(set config.Limits) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.set = set
+	d.limits = set
 }
 
 // Learning tells that it only deals what poolers hold already.
-func (d *Dealer) Learning() bool {
+func (d *Allocator) Learning() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.learns(time.Now())
+	return d.isLearning(time.Now())
 }
 
-// learns is over when every earlier slice is, or when as many poolers as there are have told of theirs.
-func (d *Dealer) learns(now time.Time) bool { return now.Before(d.learning) && len(d.told) < d.fleet }
+// isLearning is over when every earlier slice is, or when as many poolers as there are have told of theirs.
+func (d *Allocator) isLearning(now time.Time) bool {
+	return now.Before(d.learningUntil) && len(d.reported) < d.fleetSize
+}
 
-// Deal answers a pooler's ask. ok is false for one that was overtaken by a later one.
-func (d *Dealer) Deal(from string, a Ask) (g Grant, ok bool) {
+// Allocate answers a pooler's ask. ok is false for one that was overtaken by a later one.
+func (d *Allocator) Allocate(from string, a Request) (g Grant, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -81,46 +83,46 @@
 		d.accounts[from] = p
 	}
 	if p.instance != a.Instance { // what the process before it held may be in force for as long as it is not known to be gone
-		p.instance, p.last = a.Instance, 0
-		for i := range p.deals {
-			p.deals[i].number = never
+		p.instance, p.lastNumber = a.Instance, 0
+		for i := range p.allocations {
+			p.allocations[i].number = supersededNever
 		}
 	}
-	if a.Number <= p.last {
+	if a.Number <= p.lastNumber {
 		return Grant{}, false
 	}
-	p.last, p.heard = a.Number, now
-	if a.Have > 0 { // answers before that one are out of force for good, as is all that was told
-		p.deals = slices.DeleteFunc(p.deals, func(o deal) bool { return o.number < a.Have })
+	p.lastNumber, p.lastRequestAt = a.Number, now
+	if a.AppliedNumber > 0 { // answers before that one are out of force for good, as is all that was told
+		p.allocations = slices.DeleteFunc(p.allocations, func(o allocation) bool { return o.number < a.AppliedNumber })
 	} else if len(a.Held) > 0 {
-		d.enter(from, p, deal{until: now.Add(d.term + d.drift), slices: a.Held})
+		d.recordAllocation(from, p, allocation{until: now.Add(d.term + d.drift), quotas: a.Held})
 	}
-	learns := d.learns(now)
+	learns := d.isLearning(now)
 	if learns {
-		d.told[from] = true
+		d.reported[from] = true
 	}
-	d.wish(from, p, a.Wants)
-	g = Grant{Token: d.token, Number: a.Number, Term: d.term, Slices: map[string]float64{}}
+	d.setWants(from, p, a.Wants)
+	g = Grant{Token: d.token, Number: a.Number, Term: d.term, Quotas: map[string]float64{}}
 	for key, want := range a.Wants {
-		slice := min(d.fair(key, from, now), d.free(key, from, now))
+		slice := min(d.fairShare(key, from, now), d.unallocated(key, from, now))
 		if learns {
 			slice = min(slice, a.Held[key], want)
-			if a.Have > 0 { // it goes by an answer of this holder's already, which was within what it held
-				slice = min(want, p.inForce(a.Have, key))
+			if a.AppliedNumber > 0 { // it goes by an answer of this holder's already, which was within what it held
+				slice = min(want, p.quotaInForce(a.AppliedNumber, key))
 			}
 		}
 		if slice > 0 {
-			g.Slices[key] = slice
+			g.Quotas[key] = slice
 		}
 	}
-	d.enter(from, p, deal{a.Number, now.Add(d.term + d.drift), g.Slices})
+	d.recordAllocation(from, p, allocation{a.Number, now.Add(d.term + d.drift), g.Quotas})
 	return g, true
 }
 
-// enter puts a deal on an account.
-func (d *Dealer) enter(from string, p *account, o deal) {
-	p.deals = append(p.deals, o)
-	for key := range o.slices {
+// recordAllocation puts a deal on an account.
+func (d *Allocator) recordAllocation(from string, p *account, o allocation) {
+	p.allocations = append(p.allocations, o)
+	for key := range o.quotas {
 		if d.holders[key] == nil {
 			d.holders[key] = map[string]bool{}
 		}
@@ -128,30 +130,30 @@
 	}
 }
 
-// never is no ask's number: what a process before this one held goes by its end alone.
-const never = ^uint64(0)
+// supersededNever is no ask's number: what a process before this one held goes by its end alone.
+const supersededNever = ^uint64(0)
 
-// inForce is the slice by the answer that a pooler goes by.
-func (p *account) inForce(number uint64, key string) float64 {
-	for _, o := range p.deals {
+// quotaInForce is the slice by the answer that a pooler goes by.
+func (p *account) quotaInForce(number uint64, key string) float64 {
+	for _, o := range p.allocations {
 		if o.number == number {
-			return o.slices[key]
+			return o.quotas[key]
 		}
 	}
 	return 0
 }
 
-// most is the largest slice of a key that may be in force at a pooler.
-func (p *account) most(key string, now time.Time) (most float64) {
-	p.deals = slices.DeleteFunc(p.deals, func(o deal) bool { return !now.Before(o.until) })
-	for _, o := range p.deals {
-		most = max(most, o.slices[key])
+// maxQuota is the largest slice of a key that may be in force at a pooler.
+func (p *account) maxQuota(key string, now time.Time) (most float64) {
+	p.allocations = slices.DeleteFunc(p.allocations, func(o allocation) bool { return !now.Before(o.until) })
+	for _, o := range p.allocations {
+		most = max(most, o.quotas[key])
 	}
 	return most
 }
 
-// wish notes what a pooler wants now, in place of what it wanted before.
-func (d *Dealer) wish(from string, p *account, wants map[string]float64) {
+// setWants notes what a pooler wants now, in place of what it wanted before.
+func (d *Allocator) setWants(from string, p *account, wants map[string]float64) {
 	for key := range p.wants {
 		if delete(d.wants[key], from); len(d.wants[key]) == 0 {
 			delete(d.wants, key)
@@ -166,10 +168,10 @@
 	}
 }
 
-// cap is what may be dealt of a key: the limit without its reserve.
-func (d *Dealer) cap(key string) float64 {
+// allocatable is what may be dealt of a key: the limit without its reserve.
+func (d *Allocator) allocatable(key string) float64 {
 	name, _, _ := strings.Cut(key, "/")
-	for _, l := range d.set.List {
+	for _, l := range d.limits.List {
 		if l.Name == name {
 			return l.Rate * (1 - l.Reserve)
 		}
@@ -177,11 +179,11 @@
 	return 0
 }
 
-// free is what no other pooler may hold of a key.
-func (d *Dealer) free(key, from string, now time.Time) float64 {
-	left := d.cap(key)
+// unallocated is what no other pooler may hold of a key.
+func (d *Allocator) unallocated(key, from string, now time.Time) float64 {
+	left := d.allocatable(key)
 	for name := range d.holders[key] {
-		most := d.accounts[name].most(key, now)
+		most := d.accounts[name].maxQuota(key, now)
 		if most == 0 {
 			if delete(d.holders[key], name); len(d.holders[key]) == 0 {
 				delete(d.holders, key)
@@ -193,18 +195,18 @@
 	return max(left, 0)
 }
 
-// fair is a pooler's max-min fair part of a key: nobody can have more but from one who has no more. Where all have what they
+// fairShare is a pooler's max-min fair part of a key: nobody can have more but from one who has no more. Where all have what they
 // want, half of what is left goes to them in equal parts, as wants come unevenly; the other half is for who wants next, whom
 // the others' slices would keep waiting. Who has not asked for a term wants nothing.
-func (d *Dealer) fair(key, from string, now time.Time) float64 {
+func (d *Allocator) fairShare(key, from string, now time.Time) float64 {
 	var wants []float64
 	for name, want := range d.wants[key] {
-		if now.Sub(d.accounts[name].heard) < d.term {
+		if now.Sub(d.accounts[name].lastRequestAt) < d.term {
 			wants = append(wants, want)
 		}
 	}
-	total, want := d.cap(key), d.wants[key][from]
-	if l := level(total, wants); want > l || !math.IsInf(l, 1) {
+	total, want := d.allocatable(key), d.wants[key][from]
+	if l := waterLevel(total, wants); want > l || !math.IsInf(l, 1) {
 		return min(want, l)
 	}
 	for _, w := range wants {
@@ -213,8 +215,8 @@
 	return want + total/2/float64(len(wants))
 }
 
-// level is the water level of max-min fairness: each gets its want or this, whichever is less.
-func level(total float64, wants []float64) float64 {
+// waterLevel is the water level of max-min fairness: each gets its want or this, whichever is less.
+func waterLevel(total float64, wants []float64) float64 {
 	slices.Sort(wants)
 	for i, want := range wants {
 		part := total / float64(len(wants)-i)
--- a/internal/fleet/quota/guard_test.go
+++ b/internal/fleet/quota/guard_test.go
@@ -12,20 +12,20 @@
 
 func TestGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		taker := NewTaker("a/1", term, 10, config.Limits{Revision: 1, List: []config.Limit{
+		taker := NewClient("a/1", term, 10, config.Limits{Revision: 1, List: []config.Limit{
 			{Name: "all", On: config.LimitRequests, Rate: 100, Burst: 80, Reserve: 0.5},
 			{Name: "tenant", On: config.LimitRequests, Tenants: true, Rate: 10, Reserve: 0.5},
 			{Name: "cold", On: config.LimitCold, Rate: 100, Burst: 40, Reserve: 0.5},
 			{Name: "dials", On: config.LimitConnections, Rate: 10, Reserve: 0.5},
 			{Name: "probes", On: config.LimitProbes, Rate: 10, Reserve: 0.5},
 		}})
-		classes := []policy.Class{{Name: "any"}, {Name: "own", Need: policy.NeedSession}}
-		set := policy.Settings{RetryAfter: true, MaxRetryAfter: 300 * time.Millisecond, ColdFrom: 0.5, ColdFor: 10 * time.Second}
+		classes := []policy.Class{{Name: "any"}, {Name: "own", Access: policy.ReadSession}}
+		set := policy.Settings{RetryAfterSupported: true, MaxRetryAfter: 300 * time.Millisecond, SlowStartCapacity: 0.5, SlowStartDuration: 10 * time.Second}
 		g := NewGuard(taker, func(i int) policy.Class { return classes[i] }, func() policy.Settings { return set })
 		admit := func(want bool, class int, key string, group int) {
 			t.Helper()
 			a := g.Admit(0, &dispatch.Request{Class: class, Key: key, Group: group})
-			if a.Refuse == want || want == false && a.After != 300*time.Millisecond {
+			if a.Reject == want || want == false && a.RetryAfter != 300*time.Millisecond {
 				t.Errorf("class %d, key %q, group %d: %+v", class, key, group, a)
 			}
 		}
@@ -35,12 +35,12 @@
 		admit(true, 0, "x", 1) // no sessions there: its group is
 		admit(false, 0, "y", 1)
 		now := 100 * time.Second
-		g.Listed("s", now-time.Second)
+		g.ServerListed("s", now-time.Second)
 		r := &dispatch.Request{}
-		if r.Waited = true; g.MaySend(now, r, "s") != dispatch.Send {
+		if r.WaitedForConnection = true; g.MaySend(now, r, "s") != dispatch.Send {
 			t.Error("an attempt is stopped behind its connection, whose token it has")
 		}
-		if r.Waited = false; g.MaySend(now, r, "warm") != dispatch.Send {
+		if r.WaitedForConnection = false; g.MaySend(now, r, "warm") != dispatch.Send {
 			t.Error("nothing is sent to a warm server")
 		}
 		sent, dialled, probed := 0, 0, 0
@@ -70,7 +70,7 @@
 		admit(true, 1, "z", 1)
 		admit(false, 1, "z", 1)
 		set.MaxRetryAfter = 200 * time.Millisecond // settings that come under way hold
-		if a := g.Admit(0, &dispatch.Request{Class: 1, Key: "z"}); a.After != set.MaxRetryAfter {
+		if a := g.Admit(0, &dispatch.Request{Class: 1, Key: "z"}); a.RetryAfter != set.MaxRetryAfter {
 			t.Errorf("%+v, want the new time", a)
 		}
 	})
--- a/internal/fleet/quota/load_test.go
+++ b/internal/fleet/quota/load_test.go
@@ -21,7 +21,7 @@
 	const step = 10 * time.Millisecond
 	tried, taken = make([]float64, tenants), make([]float64, tenants)
 	w = &world{net: bustest.New(1), register: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
-	w.net.Delay(time.Millisecond, time.Millisecond)
+	w.net.SetDelay(time.Millisecond, time.Millisecond)
 	for i := range size {
 		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
 	}
@@ -97,14 +97,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			const length = 4 * time.Second
 			_, _, w := load(t, size, 3, 0, length, func(pooler, tenant int) int { return 9000 / size }) // 900 a second of a limit of 200
-			sends, casts := w.net.Said()
+			sends, casts := w.net.MessageCounts()
 			sizes[size] = float64(sends) / length.Seconds() / float64(size)
 			t.Logf("%d poolers: %.1f messages a second each, %.0f bytes; %.1f datagrams of the holder's a second for each",
 				size, sizes[size], float64(w.bytes.Load())/length.Seconds()/float64(size), float64(casts)/length.Seconds()/float64(size))
 		})
 	}
 	for size, n := range sizes {
-		if n > 2*(1/leastGap.Seconds()) || size > 30 && n > 1.5*sizes[30] {
+		if n > 2*(1/minRequestGap.Seconds()) || size > 30 && n > 1.5*sizes[30] {
 			t.Errorf("%d poolers say %.1f messages a second each", size, n)
 		}
 	}
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -23,23 +23,23 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// Duty is the holder's.
-const Duty lease.Duty = "quota"
+// LeaseName is the holder's.
+const LeaseName lease.Name = "quota"
 
 // Bounds of what is kept and said.
 const (
-	mostBuckets = 4096 // keys of limits at one pooler
-	mostAsked   = 256  // keys in one ask: the most wanted come first
-	askedKept   = 16   // asks whose answers may still come
+	maxBuckets         = 4096 // keys of limits at one pooler
+	maxRequestedKeys   = 256  // keys in one ask: the most wanted come first
+	maxPendingRequests = 16   // asks whose answers may still come
 )
 
-// Ask is what a pooler tells the holder: how much it wants over its safe share, and which answer it goes by.
-type Ask struct {
-	Instance string             `json:"instance"` // tells a pooler's processes apart: one that was restarted holds nothing
-	Number   uint64             `json:"number"`
-	Have     uint64             `json:"have,omitempty"` // the ask whose answer is in force; answers to earlier ones never will be
-	Held     map[string]float64 `json:"held,omitempty"` // of an older holder, still in force
-	Wants    map[string]float64 `json:"wants,omitempty"`
+// Request is what a pooler tells the holder: how much it wants over its safe share, and which answer it goes by.
+type Request struct {
+	Instance      string             `json:"instance"` // tells a pooler's processes apart: one that was restarted holds nothing
+	Number        uint64             `json:"number"`
+	AppliedNumber uint64             `json:"have,omitempty"` // the ask whose answer is in force; answers to earlier ones never will be
+	Held          map[string]float64 `json:"held,omitempty"` // of an older holder, still in force
+	Wants         map[string]float64 `json:"wants,omitempty"`
 }
 
 // Grant answers an ask: all that the pooler holds from now on, until its asking and the term. A key that it omits holds none.
@@ -47,5 +47,5 @@
 	Token  uint64             `json:"token"`
 	Number uint64             `json:"number"` // of the ask
 	Term   time.Duration      `json:"term_ns"`
-	Slices map[string]float64 `json:"slices,omitempty"`
+	Quotas map[string]float64 `json:"slices,omitempty"`
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -109,7 +109,7 @@
 type node struct {
 	name    string
 	bus     *stalled
-	part    *Part
+	part    *Component
 	steward *replicationtest.Client
 	end     context.CancelFunc
 	starts  int
@@ -119,7 +119,7 @@
 // world is a fleet in a bubble.
 type world struct {
 	net      *bustest.Network
-	register *replicationtest.Register
+	register *replicationtest.Cluster
 	nodes    []*node
 	rng      *rand.Rand
 	running  sync.WaitGroup
@@ -132,13 +132,13 @@
 	instance := fmt.Sprint(n.name, "/", n.starts)
 	n.bus = &stalled{Bus: w.net.Join(n.name), skew: time.Duration(w.rng.Int64N(int64(drift))), said: &w.bytes}
 	n.steward = w.register.Client(instance)
-	n.part = New(Options{Instance: instance, Term: term, Drift: drift, Fleet: len(w.nodes), Limits: limits})
+	n.part = New(Options{Instance: instance, Term: term, Drift: drift, FleetSize: len(w.nodes), Limits: limits})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.end = cancel
 	steward, spread := n.steward, w.rng.Float64()
-	ground := fleet.Ground{Bus: n.bus, View: w.register.View(), Store: steward, Log: zerolog.Nop(), Journal: func(audit.Record) {},
-		Stand: func(ctx context.Context, d lease.Duty) replication.Tenure {
-			return steward.Stand(ctx, d, replication.Terms{Term: term, Drift: drift, Spread: spread})
+	ground := fleet.Runtime{Bus: n.bus, View: w.register.View(), Store: steward, Log: zerolog.Nop(), Audit: func(audit.Record) {},
+		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
+			return steward.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: spread})
 		}}
 	part := n.part
 	w.running.Go(func() { _ = part.Run(ctx, ground) })
@@ -156,7 +156,7 @@
 	for _, n := range w.nodes {
 		if n.part != nil {
 			n.part.mu.Lock()
-			deals := n.part.dealer != nil
+			deals := n.part.allocator != nil
 			n.part.mu.Unlock()
 			if deals {
 				return n
@@ -175,7 +175,7 @@
 
 func play(seed uint64, size int, length time.Duration, faults []fault) (err error) {
 	w := &world{net: bustest.New(seed), register: replicationtest.New(drift), rng: rand.New(rand.NewPCG(seed, 7))}
-	w.net.Delay(2*time.Millisecond, 4*time.Millisecond)
+	w.net.SetDelay(2*time.Millisecond, 4*time.Millisecond)
 	for i := range size {
 		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
 	}
@@ -226,14 +226,14 @@
 						got++
 					}
 				}
-				n.part.Taker.mu.Lock()
+				n.part.Client.mu.Lock()
 				if b := n.part.buckets[l.Name+"/k"]; b != nil {
 					rates[i] += b.rate(time.Now())
 					if n.demand[i] > 0 {
 						wanted[i] += b.rate(time.Now())
 					}
 				}
-				n.part.Taker.mu.Unlock()
+				n.part.Client.mu.Unlock()
 			}
 			if rates[i] > l.Rate*(1+1e-9) {
 				return fmt.Errorf("at %v %s: rates of %.2f a second are in force, the limit is %v", now, l.Name, rates[i], l.Rate)
@@ -263,8 +263,8 @@
 	}
 	switch f.What {
 	case "cut":
-		w.net.Isolate(n.name, true)
-		return func() { w.net.Isolate(n.name, false) }
+		w.net.SetIsolated(n.name, true)
+		return func() { w.net.SetIsolated(n.name, false) }
 	case "half":
 		var left, right []string
 		for i, n := range w.nodes {
@@ -274,31 +274,31 @@
 				right = append(right, n.name)
 			}
 		}
-		w.net.Cut(left, right, true)
-		return func() { w.net.Cut(left, right, false) }
+		w.net.SetCut(left, right, true)
+		return func() { w.net.SetCut(left, right, false) }
 	case "one way": // it hears nobody
 		for _, o := range w.nodes {
-			w.net.OneWay(o.name, n.name, true)
+			w.net.SetOneWayCut(o.name, n.name, true)
 		}
 		return func() {
 			for _, o := range w.nodes {
-				w.net.OneWay(o.name, n.name, false)
+				w.net.SetOneWayCut(o.name, n.name, false)
 			}
 		}
 	case "no stewards":
 		steward := n.steward
-		steward.Cut(true)
-		return func() { steward.Cut(false) }
+		steward.SetPartitioned(true)
+		return func() { steward.SetPartitioned(false) }
 	case "stall":
 		b := n.bus
 		b.stop()
 		return b.cont
 	case "slow":
-		w.net.Delay(100*time.Millisecond, 500*time.Millisecond)
-		return func() { w.net.Delay(2*time.Millisecond, 4*time.Millisecond) }
+		w.net.SetDelay(100*time.Millisecond, 500*time.Millisecond)
+		return func() { w.net.SetDelay(2*time.Millisecond, 4*time.Millisecond) }
 	case "loss":
-		w.net.Drop(0.5, 0.2)
-		return func() { w.net.Drop(0, 0) }
+		w.net.SetLoss(0.5, 0.2)
+		return func() { w.net.SetLoss(0, 0) }
 	default: // "kill"
 		if n.part == nil {
 			return func() {}
@@ -368,7 +368,7 @@
 		{10, []float64{1, 20, 20, 2}, 3.5},
 		{10, []float64{0, 12}, 10},
 	} {
-		if got := level(c.total, slices.Clone(c.wants)); got != c.want {
+		if got := waterLevel(c.total, slices.Clone(c.wants)); got != c.want {
 			t.Errorf("%v among %v: %v, want %v", c.total, c.wants, got, c.want)
 		}
 	}
@@ -379,34 +379,34 @@
 func TestRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := limits.List[0]
-		p := NewTaker("a/1", term, 10, limits)
+		p := NewClient("a/1", term, 10, limits)
 		ask := func() uint64 {
 			p.Take(l, "k", 1)
-			a, _, _ := p.Ask()
+			a, _, _ := p.NextRequest()
 			return a.Number
 		}
 		grant := func(token, number uint64) Grant {
-			return Grant{Token: token, Number: number, Term: term, Slices: map[string]float64{"hot/k": 50}}
+			return Grant{Token: token, Number: number, Term: term, Quotas: map[string]float64{"hot/k": 50}}
 		}
-		rate := func() float64 { return p.Figures().Rate["hot"] }
-		p.Hear("h", 7)
+		rate := func() float64 { return p.Metrics().Rate["hot"] }
+		p.ObserveLeader("h", 7)
 		first := ask()
 		time.Sleep(term / 2)
 		second := ask()
-		if p.Granted("g", grant(6, second)) || rate() != 5 {
+		if p.ApplyGrant("g", grant(6, second)) || rate() != 5 {
 			t.Error("took an older holder's answer")
 		}
-		if !p.Granted("h", grant(7, second)) || rate() != 55 {
+		if !p.ApplyGrant("h", grant(7, second)) || rate() != 55 {
 			t.Errorf("an answer was refused, or gives %v", rate())
 		}
-		if p.Granted("h", grant(7, first)) {
+		if p.ApplyGrant("h", grant(7, first)) {
 			t.Error("took an answer that was overtaken")
 		}
-		if a, _, _ := p.Ask(); a.Have != second {
-			t.Errorf("goes by the answer to ask %d and tells %d", second, a.Have)
+		if a, _, _ := p.NextRequest(); a.AppliedNumber != second {
+			t.Errorf("goes by the answer to ask %d and tells %d", second, a.AppliedNumber)
 		}
-		p.Hear("i", 8)
-		if a, _, _ := p.Ask(); a.Have != 0 || a.Held["hot/k"] != 50 {
+		p.ObserveLeader("i", 8)
+		if a, _, _ := p.NextRequest(); a.AppliedNumber != 0 || a.Held["hot/k"] != 50 {
 			t.Errorf("tells the next holder %+v", a)
 		}
 		time.Sleep(term - time.Millisecond)
@@ -419,7 +419,7 @@
 			t.Error("a slice goes on")
 		}
 		time.Sleep(term)
-		if p.Granted("i", grant(8, late)) {
+		if p.ApplyGrant("i", grant(8, late)) {
 			t.Error("took an answer that was over")
 		}
 	})
@@ -429,17 +429,17 @@
 // or all earlier slices are over.
 func TestLearning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := NewDealer(9, term, drift, 3, limits)
+		d := NewAllocator(9, term, drift, 3, limits)
 		deal := func(from string, number uint64, held, want float64) float64 {
-			a := Ask{Instance: from, Number: number, Wants: map[string]float64{"hot/k": want}}
+			a := Request{Instance: from, Number: number, Wants: map[string]float64{"hot/k": want}}
 			if held > 0 {
 				a.Held = map[string]float64{"hot/k": held}
 			}
-			g, ok := d.Deal(from, a)
+			g, ok := d.Allocate(from, a)
 			if !ok {
 				t.Errorf("%s: ask %d refused", from, number)
 			}
-			return g.Slices["hot/k"]
+			return g.Quotas["hot/k"]
 		}
 		if got := deal("a", 1, 100, 30); got != 30 {
 			t.Errorf("a holds 100 and wants 30: %v", got)
@@ -447,7 +447,7 @@
 		if got := deal("b", 1, 0, 500); got != 0 {
 			t.Errorf("b holds none: %v", got)
 		}
-		if _, ok := d.Deal("a", Ask{Instance: "a", Number: 1}); ok {
+		if _, ok := d.Allocate("a", Request{Instance: "a", Number: 1}); ok {
 			t.Error("answered an ask twice")
 		}
 		if got := deal("c", 1, 10, 10); got != 10 || d.Learning() {
@@ -460,7 +460,7 @@
 		if got := deal("b", 3, 0, 500); got != 150 {
 			t.Errorf("b, once all are over: %v", got)
 		}
-		if e := NewDealer(10, term, drift, 3, limits); !e.Learning() {
+		if e := NewAllocator(10, term, drift, 3, limits); !e.Learning() {
 			t.Error("a new holder does not learn")
 		} else if time.Sleep(term + drift); e.Learning() {
 			t.Error("learns after all is over")
@@ -484,7 +484,7 @@
 				rate = 0
 				for _, n := range w.nodes {
 					n.part.Take(n.part.Limits().List[0], "k", 1)
-					rate += n.part.Figures().Rate["hot"]
+					rate += n.part.Metrics().Rate["hot"]
 				}
 			}
 			return rate
--- a/internal/fleet/replication/bring.go
+++ b/internal/fleet/replication/bring.go
@@ -13,261 +13,261 @@
 
 // The topics by which copies are brought, each behind the copy's name and a slash.
 const (
-	topicWord  = "/word"  // to all: the newest version, by the leading steward's process
-	topicWant  = "/want"  // to one: its documents, if they are newer
-	topicState = "/state" // back: them; or nothing, if they are not
+	topicAnnouncement = "/word"  // to all: the newest version, by the leading steward's process
+	topicFetch        = "/want"  // to one: its documents, if they are newer
+	topicSnapshot     = "/state" // back: them; or nothing, if they are not
 )
 
 const (
-	fetchEach  = 5 * time.Millisecond   // spreads the fetches of a fleet after a change, so much for each pooler
-	fetchWait  = 500 * time.Millisecond // for an answer, before another is asked
-	gives      = 4                      // states on their way to others at once; more askers ask another
-	wordEach   = 50 * time.Millisecond  // between two words at the least: each is a datagram to everybody
-	silentFor  = 5                      // beats without a word: a steward is asked
-	stewardAsk = 2 * time.Second
+	fetchSpreadPerMember    = 5 * time.Millisecond   // spreads the fetches of a fleet after a change, so much for each pooler
+	memberFetchTimeout      = 500 * time.Millisecond // for an answer, before another is asked
+	maxTransfers            = 4                      // states on their way to others at once; more askers ask another
+	minAnnouncementInterval = 50 * time.Millisecond  // between two words at the least: each is a datagram to everybody
+	maxSilentHeartbeats     = 5                      // beats without a word: a steward is asked
+	voterFetchTimeout       = 2 * time.Second
 )
 
-// word tells that nothing newer than a version was known to a majority of the stewards at a time.
-type word struct {
-	Version uint64        `json:"version"`
-	AsOf    int64         `json:"as_of_ns"`        // Unix time, of the speaker's clock
-	Age     time.Duration `json:"age_ns"`          // since then, on the speaker's monotonic clock as it spoke
-	Delta   *Delta        `json:"delta,omitempty"` // what has changed lately, if it is small
+// announcement tells that nothing newer than a version was known to a majority of the stewards at a time.
+type announcement struct {
+	Version             uint64        `json:"version"`
+	ConfirmedAtUnixNano int64         `json:"as_of_ns"`        // Unix time, of the speaker's clock
+	Age                 time.Duration `json:"age_ns"`          // since then, on the speaker's monotonic clock as it spoke
+	Delta               *Delta        `json:"delta,omitempty"` // what has changed lately, if it is small
 }
 
-// HeardAt is the time that a word is about, on this process's clock: the older of what the two clocks say (all machines read one,
+// ConfirmationTime is the time that a word is about, on this process's clock: the older of what the two clocks say (all machines read one,
 // so that a word that was long on its way, or spoken by one that had stalled, is as old as it is) and what the speaker counted
 // (so that a clock here that was set back makes nothing young). A clock here that runs behind by D can make a delayed word too
 // young by D at the most. asOf is Unix time in ns of the speaker's clock, age what the speaker's monotonic clock counted since.
-func HeardAt(now time.Time, asOf int64, age time.Duration) time.Time {
+func ConfirmationTime(now time.Time, asOf int64, age time.Duration) time.Time {
 	return now.Add(-max(now.Sub(time.Unix(0, asOf)), age, 0))
 }
 
-// Stewards are asked for documents where nobody else has them.
-type Stewards interface {
+// SnapshotFetcher are asked for documents where nobody else has them.
+type SnapshotFetcher interface {
 	// Fetch asks for all documents, if they are newer than a version; newer tells whether they are. With sure it asks the
 	// leader, which tells what nothing was newer than, without it any.
-	Fetch(ctx context.Context, since uint64, sure bool) (s State, newer bool, err error)
+	Fetch(ctx context.Context, since uint64, sure bool) (s Snapshot, newer bool, err error)
 }
 
-// Bringing is what a copy is brought by.
-type Bringing struct {
-	Name     string // of the copy, among those on the bus; empty: "shared"
-	Bus      bus.Bus
-	Copy     *Copy
-	Stewards Stewards // nil: there are none to ask
+// ReplicatorOptions is what a copy is brought by.
+type ReplicatorOptions struct {
+	Name    string // of the copy, among those on the bus; empty: "shared"
+	Bus     bus.Bus
+	Replica *Replica
+	Voters  SnapshotFetcher // nil: there are none to ask
 	// Confirm is the steward of this process, if it is one: as steward.Steward.Confirm; of another copy, whoever writes it. nil: it is none.
-	Confirm func() (version uint64, at time.Time, ok bool)
-	Beat    time.Duration // between words: a third of a lease's term
-	Spread  float64       // from 0 up to 1, by the pooler's own seed
-	Log     func(string)
+	Confirm           func() (version uint64, at time.Time, ok bool)
+	HeartbeatInterval time.Duration // between words: a third of a lease's term
+	JitterFraction    float64       // from 0 up to 1, by the pooler's own seed
+	Log               func(string)
 }
 
-// bringer is a Bringing under way.
-type bringer struct {
-	Bringing
-	giving chan struct{}
-	news   chan struct{} // a word came
+// Replicator is a Bringing under way.
+type Replicator struct {
+	ReplicatorOptions
+	transferSlots  chan struct{}
+	newerAnnounced chan struct{} // a word came
 
-	mu     sync.Mutex
-	newest word // by version, then age
-	at     time.Time
-	from   string
-	heard  time.Time // of any word
-	said   bool      // that the copy is foreign
-	came   chan struct{}
+	mu                 sync.Mutex
+	newest             announcement // by version, then age
+	newestConfirmedAt  time.Time
+	newestFrom         string
+	lastAnnouncementAt time.Time // of any word
+	foreignLogged      bool      // that the copy is foreign
+	snapshotReceived   chan struct{}
 }
 
-// Bring keeps a copy as new as what can be reached, until ctx ends: by words of the leading steward's process, fetched from any
+// StartReplicator keeps a copy as new as what can be reached, until ctx ends: by words of the leading steward's process, fetched from any
 // pooler that has it, and from the stewards themselves as the last resort. It returns at once.
-func Bring(ctx context.Context, o Bringing) {
+func StartReplicator(ctx context.Context, o ReplicatorOptions) {
 	if o.Name == "" {
 		o.Name = "shared"
 	}
-	b := &bringer{Bringing: o, giving: make(chan struct{}, gives), news: make(chan struct{}, 1), heard: time.Now(), came: make(chan struct{}, 1)}
-	o.Bus.Handle(o.Name+topicWord, b.word)
-	o.Bus.Handle(o.Name+topicWant, b.wanted)
-	o.Bus.Handle(o.Name+topicState, b.state)
+	b := &Replicator{ReplicatorOptions: o, transferSlots: make(chan struct{}, maxTransfers), newerAnnounced: make(chan struct{}, 1), lastAnnouncementAt: time.Now(), snapshotReceived: make(chan struct{}, 1)}
+	o.Bus.Handle(o.Name+topicAnnouncement, b.handleAnnouncement)
+	o.Bus.Handle(o.Name+topicFetch, b.handleFetch)
+	o.Bus.Handle(o.Name+topicSnapshot, b.handleSnapshot)
 	if o.Confirm != nil {
-		go b.speak(ctx)
+		go b.announce(ctx)
 	}
-	go b.fetch(ctx)
+	go b.catchUp(ctx)
 }
 
-// speak tells all what is newest, each beat and at each change, while this process's steward leads. What has changed since the beat
+// announce tells all what is newest, each beat and at each change, while this process's steward leads. What has changed since the beat
 // before goes with the words, so that a datagram that is lost is made up for by the next one.
-func (b *bringer) speak(ctx context.Context) {
-	var spoken []State // one a beat, the newest last
+func (b *Replicator) announce(ctx context.Context) {
+	var spoken []Snapshot // one a beat, the newest last
 	beat := time.Time{}
 	for {
-		changed := b.Copy.Changed()
+		changed := b.Replica.Changed()
 		if version, at, ok := b.Confirm(); ok {
-			b.take(word{Version: version}, at, "")
-			state := b.Copy.State() // of the log, though it may be newer than what is confirmed
-			w := word{Version: version, AsOf: at.UnixNano()}
+			b.observe(announcement{Version: version}, at, "")
+			state := b.Replica.Snapshot() // of the log, though it may be newer than what is confirmed
+			w := announcement{Version: version, ConfirmedAtUnixNano: at.UnixNano()}
 			if len(spoken) > 0 {
-				if d, ok := deltaOf(spoken[0], state); ok {
+				if d, ok := diffSnapshots(spoken[0], state); ok {
 					w.Delta = &d
 				}
 			}
-			if time.Since(beat) >= b.Beat {
+			if time.Since(beat) >= b.HeartbeatInterval {
 				beat, spoken = time.Now(), append(spoken[max(len(spoken)-1, 0):], state)
 			}
 			w.Age = time.Since(at)
 			if text, err := json.Marshal(w); err == nil {
-				b.Bus.Cast(b.Name+topicWord, text)
+				b.Bus.Broadcast(b.Name+topicAnnouncement, text)
 			}
 		}
-		pause(ctx, wordEach)
+		sleep(ctx, minAnnouncementInterval)
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-time.After(b.Beat - wordEach):
+		case <-time.After(b.HeartbeatInterval - minAnnouncementInterval):
 		}
 	}
 }
 
-func (b *bringer) word(from string, body []byte) {
-	var w word
+func (b *Replicator) handleAnnouncement(from string, body []byte) {
+	var w announcement
 	if err := json.Unmarshal(body, &w); err != nil {
 		b.Log("shared: a word that can't be read: " + err.Error())
 		return
 	}
-	at := HeardAt(time.Now(), w.AsOf, w.Age)
+	at := ConfirmationTime(time.Now(), w.ConfirmedAtUnixNano, w.Age)
 	if w.Delta != nil {
-		if next, ok := w.Delta.On(b.Copy.State()); ok {
-			b.Copy.Take(next)
+		if next, ok := w.Delta.ApplyTo(b.Replica.Snapshot()); ok {
+			b.Replica.Install(next)
 		}
 	}
-	b.take(w, at, from)
+	b.observe(w, at, from)
 }
 
-// take notes a word, and confirms the copy by the newest there is.
-func (b *bringer) take(w word, at time.Time, from string) {
+// observe notes a word, and confirms the copy by the newest there is.
+func (b *Replicator) observe(w announcement, at time.Time, from string) {
 	b.mu.Lock()
-	b.heard = time.Now()
-	if w.Version > b.newest.Version || w.Version == b.newest.Version && at.After(b.at) {
-		b.newest, b.at, b.from = w, at, from
+	b.lastAnnouncementAt = time.Now()
+	if w.Version > b.newest.Version || w.Version == b.newest.Version && at.After(b.newestConfirmedAt) {
+		b.newest, b.newestConfirmedAt, b.newestFrom = w, at, from
 	}
-	w, at = b.newest, b.at
+	w, at = b.newest, b.newestConfirmedAt
 	b.mu.Unlock()
-	if !b.Copy.Confirm(w.Version, at) {
-		b.foreign(w)
+	if !b.Replica.Confirm(w.Version, at) {
+		b.logForeignReplica(w)
 	}
-	if w.Version > b.Copy.Version() {
+	if w.Version > b.Replica.Version() {
 		select {
-		case b.news <- struct{}{}:
+		case b.newerAnnounced <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// foreign says, once, that this copy is of a log that the stewards don't have any more. Clocks that differ by more than a word takes
+// logForeignReplica says, once, that this copy is of a log that the stewards don't have any more. Clocks that differ by more than a word takes
 // can say so of a word that was overtaken; it is the word's that then counts for nothing.
-func (b *bringer) foreign(w word) {
+func (b *Replicator) logForeignReplica(w announcement) {
 	b.mu.Lock()
-	said := b.said
-	b.said = true
+	said := b.foreignLogged
+	b.foreignLogged = true
 	b.mu.Unlock()
 	if !said {
-		b.Log(fmt.Sprintf("shared: the stewards tell of version %d, this copy is at %d already: if their log has begun anew, stop this pooler, empty shared.dir and start it", w.Version, b.Copy.Version()))
+		b.Log(fmt.Sprintf("shared: the stewards tell of version %d, this copy is at %d already: if their log has begun anew, stop this pooler, empty shared.dir and start it", w.Version, b.Replica.Version()))
 	}
 }
 
-// wanted gives another pooler the documents, if they are newer than its own.
-func (b *bringer) wanted(from string, body []byte) {
+// handleFetch gives another pooler the documents, if they are newer than its own.
+func (b *Replicator) handleFetch(from string, body []byte) {
 	var since uint64
 	if err := json.Unmarshal(body, &since); err != nil {
 		return
 	}
 	select {
-	case b.giving <- struct{}{}:
+	case b.transferSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-b.giving }()
+		defer func() { <-b.transferSlots }()
 		var text []byte
-		if s := b.Copy.State(); s.Version > since {
+		if s := b.Replica.Snapshot(); s.Version > since {
 			var err error
 			if text, err = json.Marshal(s); err != nil {
 				b.Log("shared: " + err.Error())
 				return
 			}
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), stewardAsk)
+		ctx, cancel := context.WithTimeout(context.Background(), voterFetchTimeout)
 		defer cancel()
-		_ = b.Bus.Send(ctx, from, b.Name+topicState, text) // it asks another
+		_ = b.Bus.Send(ctx, from, b.Name+topicSnapshot, text) // it asks another
 	}()
 }
 
-// state takes documents in: whole, and only if they are newer.
-func (b *bringer) state(_ string, body []byte) {
+// handleSnapshot takes documents in: whole, and only if they are newer.
+func (b *Replicator) handleSnapshot(_ string, body []byte) {
 	if len(body) > 0 {
-		var s State
+		var s Snapshot
 		if err := json.Unmarshal(body, &s); err != nil {
 			b.Log("shared: documents that can't be read: " + err.Error())
 			return
 		}
-		b.put(s)
+		b.install(s)
 	}
 	select {
-	case b.came <- struct{}{}:
+	case b.snapshotReceived <- struct{}{}:
 	default:
 	}
 }
 
-func (b *bringer) put(s State) {
-	b.Copy.Take(s)
+func (b *Replicator) install(s Snapshot) {
+	b.Replica.Install(s)
 	b.mu.Lock()
-	w, at := b.newest, b.at
+	w, at := b.newest, b.newestConfirmedAt
 	b.mu.Unlock()
-	b.Copy.Confirm(w.Version, at)
+	b.Replica.Confirm(w.Version, at)
 }
 
-// fetch brings the copy up to the newest word's version: from any pooler, then from the one that spoke, then from a steward. In a
+// catchUp brings the copy up to the newest word's version: from any pooler, then from the one that spoke, then from a steward. In a
 // silence of five beats it asks the stewards by itself.
-func (b *bringer) fetch(ctx context.Context) {
+func (b *Replicator) catchUp(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.news:
-		case <-time.After(silentFor*b.Beat + time.Duration(b.Spread*float64(b.Beat))):
+		case <-b.newerAnnounced:
+		case <-time.After(maxSilentHeartbeats*b.HeartbeatInterval + time.Duration(b.JitterFraction*float64(b.HeartbeatInterval))):
 			b.mu.Lock()
-			silent := time.Since(b.heard) >= silentFor*b.Beat
+			silent := time.Since(b.lastAnnouncementAt) >= maxSilentHeartbeats*b.HeartbeatInterval
 			b.mu.Unlock()
-			if silent && b.Stewards != nil {
-				b.fromStewards(ctx)
+			if silent && b.Voters != nil {
+				b.fetchFromVoters(ctx)
 			}
 			continue
 		}
-		pause(ctx, time.Duration(b.Spread*float64(fetchEach)*float64(b.Bus.Size())))
+		sleep(ctx, time.Duration(b.JitterFraction*float64(fetchSpreadPerMember)*float64(b.Bus.Size())))
 		for try := 0; ctx.Err() == nil; try++ {
 			b.mu.Lock()
-			want, from := b.newest.Version, b.from
+			want, from := b.newest.Version, b.newestFrom
 			b.mu.Unlock()
-			if b.Copy.Version() >= want {
+			if b.Replica.Version() >= want {
 				break
 			}
 			switch {
 			case try%3 == 0:
-				b.fromPooler(ctx, b.any())
+				b.fetchFromMember(ctx, b.randomMember())
 			case try%3 == 1:
-				b.fromPooler(ctx, from)
-			case b.Stewards != nil:
-				b.fromStewards(ctx)
-				pause(ctx, b.Beat)
+				b.fetchFromMember(ctx, from)
+			case b.Voters != nil:
+				b.fetchFromVoters(ctx)
+				sleep(ctx, b.HeartbeatInterval)
 			default:
-				pause(ctx, b.Beat)
+				sleep(ctx, b.HeartbeatInterval)
 			}
 		}
 	}
 }
 
-// any is another member, drawn at random; "" if there is none.
-func (b *bringer) any() (name string) {
+// randomMember is another member, drawn at random; "" if there is none.
+func (b *Replicator) randomMember() (name string) {
 	n := 0
 	for _, m := range b.Bus.Members() {
 		if m != b.Bus.Self() {
@@ -279,54 +279,54 @@
 	return name
 }
 
-func (b *bringer) fromPooler(ctx context.Context, name string) {
+func (b *Replicator) fetchFromMember(ctx context.Context, name string) {
 	if name == "" {
 		return
 	}
 	select {
-	case <-b.came: // a late answer to another
+	case <-b.snapshotReceived: // a late answer to another
 	default:
 	}
-	text, err := json.Marshal(b.Copy.Version())
+	text, err := json.Marshal(b.Replica.Version())
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, fetchWait)
+	ctx, cancel := context.WithTimeout(ctx, memberFetchTimeout)
 	defer cancel()
-	if b.Bus.Send(ctx, name, b.Name+topicWant, text) != nil {
+	if b.Bus.Send(ctx, name, b.Name+topicFetch, text) != nil {
 		return
 	}
 	select {
-	case <-b.came:
+	case <-b.snapshotReceived:
 	case <-ctx.Done():
 	}
 }
 
-// fromStewards asks the leader, whose answer confirms, or any if there is none.
-func (b *bringer) fromStewards(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, stewardAsk)
+// fetchFromVoters asks the leader, whose answer confirms, or any if there is none.
+func (b *Replicator) fetchFromVoters(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, voterFetchTimeout)
 	defer cancel()
 	asked := time.Now()
-	s, newer, err := b.Stewards.Fetch(ctx, b.Copy.Version(), true)
+	s, newer, err := b.Voters.Fetch(ctx, b.Replica.Version(), true)
 	sure := err == nil
 	if !sure {
-		s, newer, err = b.Stewards.Fetch(ctx, b.Copy.Version(), false)
+		s, newer, err = b.Voters.Fetch(ctx, b.Replica.Version(), false)
 	}
 	if err != nil {
 		b.Log("shared: the documents can't be had: " + err.Error())
 		return
 	}
-	version := b.Copy.Version()
+	version := b.Replica.Version()
 	if newer {
-		b.put(s)
+		b.install(s)
 		version = s.Version
 	}
 	if sure {
-		b.take(word{Version: version}, asked, "")
+		b.observe(announcement{Version: version}, asked, "")
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/fleet/replication/bring_test.go
+++ b/internal/fleet/replication/bring_test.go
@@ -16,17 +16,17 @@
 // source is the stewards, as bringing needs them.
 type source struct {
 	mu    sync.Mutex
-	state replication.State
+	state replication.Snapshot
 	out   bool
 	asked int
 }
 
-func (s *source) Fetch(_ context.Context, since uint64, _ bool) (replication.State, bool, error) {
+func (s *source) Fetch(_ context.Context, since uint64, _ bool) (replication.Snapshot, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked++
 	if s.out {
-		return replication.State{}, false, errors.New("out")
+		return replication.Snapshot{}, false, errors.New("out")
 	}
 	return s.state, s.state.Version > since, nil
 }
@@ -38,35 +38,35 @@
 	synctest.Test(t, func(t *testing.T) {
 		const beat = time.Second
 		n := bustest.New(7)
-		n.Delay(time.Millisecond, 5*time.Millisecond)
-		n.Drop(0.2, 0.2)
+		n.SetDelay(time.Millisecond, 5*time.Millisecond)
+		n.SetLoss(0.2, 0.2)
 		stewards, cut := &source{}, &source{out: true}
 		ctx, end := context.WithCancel(t.Context())
-		var copies []*replication.Copy
+		var copies []*replication.Replica
 		for i := range 12 {
-			c := replication.NewCopy(replication.State{})
+			c := replication.NewReplica(replication.Snapshot{})
 			copies = append(copies, c)
-			o := replication.Bringing{Bus: n.Join(fmt.Sprint("n", i)), Copy: c, Stewards: stewards, Beat: beat, Spread: float64(i) / 12, Log: func(string) {}}
+			o := replication.ReplicatorOptions{Bus: n.Join(fmt.Sprint("n", i)), Replica: c, Voters: stewards, HeartbeatInterval: beat, JitterFraction: float64(i) / 12, Log: func(string) {}}
 			if i == 0 {
 				o.Confirm = func() (uint64, time.Time, bool) { return c.Version(), time.Now(), true }
 			}
 			if i == 11 {
-				o.Stewards = cut
+				o.Voters = cut
 			}
-			replication.Bring(ctx, o)
+			replication.StartReplicator(ctx, o)
 		}
 		change := func(version uint64) {
-			s := replication.State{Version: version, Docs: map[string]replication.Doc{"p/a": {Key: "p/a", Version: version, Value: []byte("x")}}}
+			s := replication.Snapshot{Version: version, Documents: map[string]replication.Document{"p/a": {Key: "p/a", Version: version, Value: []byte("x")}}}
 			stewards.mu.Lock()
 			stewards.state = s
 			stewards.mu.Unlock()
-			copies[0].Take(s)
+			copies[0].Install(s)
 		}
-		are := func(what string, version uint64, whom ...*replication.Copy) {
+		are := func(what string, version uint64, whom ...*replication.Replica) {
 			t.Helper()
 			for i, c := range whom {
-				if d, _ := c.Get("p/a"); c.Version() != version || d.Version != version || time.Since(c.Confirmed()) > 5*beat {
-					t.Errorf("%s: copy %d is at %d, confirmed %v ago", what, i, c.Version(), time.Since(c.Confirmed()))
+				if d, _ := c.Get("p/a"); c.Version() != version || d.Version != version || time.Since(c.ConfirmedAt()) > 5*beat {
+					t.Errorf("%s: copy %d is at %d, confirmed %v ago", what, i, c.Version(), time.Since(c.ConfirmedAt()))
 				}
 			}
 		}
@@ -76,18 +76,18 @@
 		if stewards.asked > 0 {
 			t.Errorf("the stewards were asked %d times", stewards.asked)
 		}
-		n.Isolate("n10", true)
-		n.Isolate("n11", true)
+		n.SetIsolated("n10", true)
+		n.SetIsolated("n11", true)
 		since := time.Now()
 		time.Sleep(beat)
 		change(9)
 		time.Sleep(8 * beat)
 		are("in a cut", 9, copies[:11]...)
-		if c := copies[11]; c.Version() != 5 || c.Confirmed().After(since) {
-			t.Errorf("cut off from all: version %d, confirmed %v after the cut", c.Version(), c.Confirmed().Sub(since))
+		if c := copies[11]; c.Version() != 5 || c.ConfirmedAt().After(since) {
+			t.Errorf("cut off from all: version %d, confirmed %v after the cut", c.Version(), c.ConfirmedAt().Sub(since))
 		}
-		n.Isolate("n10", false)
-		n.Isolate("n11", false)
+		n.SetIsolated("n10", false)
+		n.SetIsolated("n11", false)
 		time.Sleep(5 * beat)
 		are("healed", 9, copies...)
 		end()
--- a/internal/fleet/replication/copy.go
+++ b/internal/fleet/replication/copy.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Copy is a pooler's copy of the documents. It is safe for use by several goroutines. What holds: its documents are those of one
+// Replica is a pooler's copy of the documents. It is safe for use by several goroutines. What holds: its documents are those of one
 // version, and the version never falls.
-type Copy struct {
-	mu        sync.Mutex
-	state     State
-	taken     time.Time // when state came; the zero time: it was begun with
-	confirmed time.Time
-	changed   chan struct{}
+type Replica struct {
+	mu          sync.Mutex
+	snapshot    Snapshot
+	installedAt time.Time // when state came; the zero time: it was begun with
+	confirmedAt time.Time
+	changed     chan struct{}
 }
 
-var _ View = (*Copy)(nil)
+var _ View = (*Replica)(nil)
 
-// NewCopy is a copy that begins with what is known already: of the disk, or nothing.
-func NewCopy(s State) *Copy { return &Copy{state: s, changed: make(chan struct{})} }
+// NewReplica is a copy that begins with what is known already: of the disk, or nothing.
+func NewReplica(s Snapshot) *Replica { return &Replica{snapshot: s, changed: make(chan struct{})} }
 
-// Take puts documents in force if they are newer than those here, and tells whether they were.
-func (c *Copy) Take(s State) bool {
+// Install puts documents in force if they are newer than those here, and tells whether they were.
+func (c *Replica) Install(s Snapshot) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Version <= c.state.Version {
+	if s.Version <= c.snapshot.Version {
 		return false
 	}
-	c.state, c.taken = s, time.Now()
+	c.snapshot, c.installedAt = s, time.Now()
 	close(c.changed)
 	c.changed = make(chan struct{})
 	return true
@@ -36,46 +36,46 @@
 // Confirm takes in that at a time nothing newer than a version was in the log. It confirms the copy only if that is what the
 // copy holds: one that is behind may hold anything. ok false: the copy held a newer version before that time already, so it is of
 // another log, which has been lost; nothing that is said of this one confirms it.
-func (c *Copy) Confirm(version uint64, at time.Time) (ok bool) {
+func (c *Replica) Confirm(version uint64, at time.Time) (ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version < c.state.Version && at.After(c.taken) {
+	if version < c.snapshot.Version && at.After(c.installedAt) {
 		return false
 	}
-	if version <= c.state.Version && at.After(c.confirmed) {
-		c.confirmed = at
+	if version <= c.snapshot.Version && at.After(c.confirmedAt) {
+		c.confirmedAt = at
 	}
 	return true
 }
 
-// State is all that the copy holds, of one version.
-func (c *Copy) State() State {
+// Snapshot is all that the copy holds, of one version.
+func (c *Replica) Snapshot() Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state
+	return c.snapshot
 }
 
 // Get is documented with View.
-func (c *Copy) Get(key string) (Doc, bool) {
-	d, ok := c.State().Docs[key]
+func (c *Replica) Get(key string) (Document, bool) {
+	d, ok := c.Snapshot().Documents[key]
 	return d, ok
 }
 
-// Under is documented with View.
-func (c *Copy) Under(prefix string) []Doc { return c.State().Under(prefix) }
+// List is documented with View.
+func (c *Replica) List(prefix string) []Document { return c.Snapshot().List(prefix) }
 
 // Version is documented with View.
-func (c *Copy) Version() uint64 { return c.State().Version }
+func (c *Replica) Version() uint64 { return c.Snapshot().Version }
 
-// Confirmed is documented with View.
-func (c *Copy) Confirmed() time.Time {
+// ConfirmedAt is documented with View.
+func (c *Replica) ConfirmedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.confirmed
+	return c.confirmedAt
 }
 
 // Changed is documented with View.
-func (c *Copy) Changed() <-chan struct{} {
+func (c *Replica) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
--- a/internal/fleet/replication/disk.go
+++ b/internal/fleet/replication/disk.go
@@ -15,29 +15,29 @@
 // The copy on disk is one file: a mark, the length of what follows and its CRC-32C, both little-endian, then one JSON object. It is
 // written beside the old one and takes its name once it is whole and on the disk: a crash leaves the old one or the new one.
 const (
-	copyName = "documents"
-	copyMark = "tsdocs1\n"
-	copyHead = len(copyMark) + 8
+	snapshotFileName       = "documents"
+	snapshotFileMagic      = "tsdocs1\n"
+	snapshotFileHeaderSize = len(snapshotFileMagic) + 8
 )
 
 // ErrDamaged tells that the copy on disk is not what was written.
 var ErrDamaged = errors.New("shared: the copy on disk is damaged")
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-type onDisk struct {
-	AsOf  time.Time `json:"as_of"`
-	State State     `json:"state"`
+type snapshotFile struct {
+	ConfirmedAt time.Time `json:"as_of"`
+	Snapshot    Snapshot  `json:"state"`
 }
 
-// Save writes a copy into a folder; asOf is when it was last confirmed, the zero time if never. After an error the copy that was
+// SaveSnapshot writes a copy into a folder; asOf is when it was last confirmed, the zero time if never. After an error the copy that was
 // there stands.
-func Save(dir string, s State, asOf time.Time) (err error) {
-	text, err := encodeCopy(s, asOf)
+func SaveSnapshot(dir string, s Snapshot, asOf time.Time) (err error) {
+	text, err := encodeSnapshotFile(s, asOf)
 	if err != nil {
 		return err
 	}
-	file, err := os.CreateTemp(dir, copyName+".*")
+	file, err := os.CreateTemp(dir, snapshotFileName+".*")
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	if err = file.Close(); err != nil {
 		return err
 	}
-	if err = os.Rename(file.Name(), filepath.Join(dir, copyName)); err != nil {
+	if err = os.Rename(file.Name(), filepath.Join(dir, snapshotFileName)); err != nil {
 		return err
 	}
 	return syncDir(dir)
@@ -72,47 +72,47 @@
 	return d.Sync()
 }
 
-func encodeCopy(s State, asOf time.Time) ([]byte, error) {
-	text, err := json.Marshal(onDisk{asOf, s})
+func encodeSnapshotFile(s Snapshot, asOf time.Time) ([]byte, error) {
+	text, err := json.Marshal(snapshotFile{asOf, s})
 	if err != nil {
 		return nil, err
 	}
-	b := append(make([]byte, 0, copyHead+len(text)), copyMark...)
+	b := append(make([]byte, 0, snapshotFileHeaderSize+len(text)), snapshotFileMagic...)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(text, castagnoli))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(text, castagnoliTable))
 	return append(b, text...), nil
 }
 
-// Load reads the copy in a folder; without one it is empty. One that was damaged is ErrDamaged, and stays as it is. What a crash
+// LoadSnapshot reads the copy in a folder; without one it is empty. One that was damaged is ErrDamaged, and stays as it is. What a crash
 // left half-written is removed.
-func Load(dir string) (s State, asOf time.Time, err error) {
-	if left, err := filepath.Glob(filepath.Join(dir, copyName+".*")); err == nil {
+func LoadSnapshot(dir string) (s Snapshot, asOf time.Time, err error) {
+	if left, err := filepath.Glob(filepath.Join(dir, snapshotFileName+".*")); err == nil {
 		for _, name := range left {
 			_ = os.Remove(name)
 		}
 	}
-	b, err := os.ReadFile(filepath.Join(dir, copyName))
+	b, err := os.ReadFile(filepath.Join(dir, snapshotFileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return State{}, asOf, nil
+		return Snapshot{}, asOf, nil
 	}
 	if err != nil {
-		return State{}, asOf, err
+		return Snapshot{}, asOf, err
 	}
-	return decodeCopy(b)
+	return decodeSnapshotFile(b)
 }
 
-func decodeCopy(b []byte) (s State, asOf time.Time, err error) {
-	if len(b) < copyHead || string(b[:len(copyMark)]) != copyMark {
+func decodeSnapshotFile(b []byte) (s Snapshot, asOf time.Time, err error) {
+	if len(b) < snapshotFileHeaderSize || string(b[:len(snapshotFileMagic)]) != snapshotFileMagic {
 		return s, asOf, ErrDamaged
 	}
-	size, sum := binary.LittleEndian.Uint32(b[len(copyMark):]), binary.LittleEndian.Uint32(b[len(copyMark)+4:])
-	text := b[copyHead:]
-	if uint64(len(text)) != uint64(size) || crc32.Checksum(text, castagnoli) != sum {
+	size, sum := binary.LittleEndian.Uint32(b[len(snapshotFileMagic):]), binary.LittleEndian.Uint32(b[len(snapshotFileMagic)+4:])
+	text := b[snapshotFileHeaderSize:]
+	if uint64(len(text)) != uint64(size) || crc32.Checksum(text, castagnoliTable) != sum {
 		return s, asOf, ErrDamaged
 	}
-	var d onDisk
+	var d snapshotFile
 	if err := json.Unmarshal(text, &d); err != nil {
 		return s, asOf, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return d.State, d.AsOf, nil
+	return d.Snapshot, d.ConfirmedAt, nil
 }
--- a/internal/fleet/replication/keep.go
+++ b/internal/fleet/replication/keep.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	// saveAgain is how long after a write that failed the copy is written again: a disk that is full may have room later.
-	saveAgain = time.Second
-	// saveAge is how often a copy that has not changed is written for its age alone.
-	saveAge = time.Minute
+	// saveRetryInterval is how long after a write that failed the copy is written again: a disk that is full may have room later.
+	saveRetryInterval = time.Second
+	// confirmationSaveInterval is how often a copy that has not changed is written for its age alone.
+	confirmationSaveInterval = time.Minute
 )
 
-// Keeper keeps a pooler's copy on its disk, the newest one, on a goroutine of its own: a disk that is slow or full delays and
+// Persister keeps a pooler's copy on its disk, the newest one, on a goroutine of its own: a disk that is slow or full delays and
 // harms nothing else. It is safe for use by several goroutines.
-type Keeper struct {
-	dir string
-	c   *Copy
+type Persister struct {
+	dir     string
+	replica *Replica
 
-	mu      sync.Mutex
-	version uint64 // on the disk
-	failing error
+	mu           sync.Mutex
+	savedVersion uint64 // on the disk
+	saveErr      error
 }
 
-// Keep begins with what the folder holds, and writes the copy there until ctx ends. told hears when the copy can't be written,
+// StartPersister begins with what the folder holds, and writes the copy there until ctx ends. told hears when the copy can't be written,
 // with the error, and when it can again, with nil.
-func Keep(ctx context.Context, dir string, c *Copy, told func(error)) *Keeper {
-	k := &Keeper{dir: dir, c: c, version: c.Version()}
+func StartPersister(ctx context.Context, dir string, c *Replica, told func(error)) *Persister {
+	k := &Persister{dir: dir, replica: c, savedVersion: c.Version()}
 	go k.run(ctx, told)
 	return k
 }
 
-// Kept is the version on the disk, and why no newer one can be written; nil: nothing hinders it.
-func (k *Keeper) Kept() (version uint64, failing error) {
+// Saved is the version on the disk, and why no newer one can be written; nil: nothing hinders it.
+func (k *Persister) Saved() (version uint64, failing error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.version, k.failing
+	return k.savedVersion, k.saveErr
 }
 
-func (k *Keeper) run(ctx context.Context, told func(error)) {
+func (k *Persister) run(ctx context.Context, told func(error)) {
 	aged := time.Now()
 	for {
-		changed := k.c.Changed()
-		state, confirmed := k.c.State(), k.c.Confirmed()
-		version, failing := k.Kept()
-		wait := saveAge
-		if state.Version > version || time.Since(aged) >= saveAge && confirmed.After(aged) {
+		changed := k.replica.Changed()
+		state, confirmed := k.replica.Snapshot(), k.replica.ConfirmedAt()
+		version, failing := k.Saved()
+		wait := confirmationSaveInterval
+		if state.Version > version || time.Since(aged) >= confirmationSaveInterval && confirmed.After(aged) {
 			aged = time.Now()
-			err := Save(k.dir, state, confirmed)
+			err := SaveSnapshot(k.dir, state, confirmed)
 			k.mu.Lock()
-			if k.failing = err; err == nil {
-				k.version = state.Version
+			if k.saveErr = err; err == nil {
+				k.savedVersion = state.Version
 			}
 			k.mu.Unlock()
 			if (err != nil) != (failing != nil) {
@@ -60,7 +60,7 @@
 			failing = err
 		}
 		if failing != nil {
-			changed, wait = nil, saveAgain
+			changed, wait = nil, saveRetryInterval
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/fleet/replication/replicationtest/sharedtest.go
+++ b/internal/fleet/replication/replicationtest/sharedtest.go
@@ -16,70 +16,70 @@
 // ErrUnreachable is what a pooler gets that is cut off, or whose answer is lost. It decides nothing either way.
 var ErrUnreachable = errors.New("sharedtest: no steward answered")
 
-// Register is what a set of stewards decides. It is safe for use by several goroutines.
-type Register struct {
-	mu     sync.Mutex
-	start  time.Time
-	index  uint64
-	docs   replication.Docs
-	leases lease.Table
-	views  []*View
+// Cluster is what a set of stewards decides. It is safe for use by several goroutines.
+type Cluster struct {
+	mu        sync.Mutex
+	startedAt time.Time
+	index     uint64
+	documents replication.DocumentTable
+	leases    lease.Lessor
+	views     []*View
 }
 
 // New is an empty register; drift is lease.Table's.
-func New(drift time.Duration) *Register {
-	return &Register{start: time.Now(), leases: lease.Table{Drift: drift}}
+func New(drift time.Duration) *Cluster {
+	return &Cluster{startedAt: time.Now(), leases: lease.Lessor{MaxClockDrift: drift}}
 }
 
-// step is the next entry of the log. The caller has the lock.
-func (r *Register) step() (index uint64, now time.Duration) {
+// nextEntry is the next entry of the log. The caller has the lock.
+func (r *Cluster) nextEntry() (index uint64, now time.Duration) {
 	r.index++
-	now = time.Since(r.start)
-	r.leases.Pass(now, 1, 1)
+	now = time.Since(r.startedAt)
+	r.leases.AdvanceTime(now, 1, 1)
 	return r.index, now
 }
 
 // Client is one pooler's way to the register. It implements shared.Store and shared.Asker.
 type Client struct {
-	r      *Register
-	holder string
+	cluster *Cluster
+	holder  string
 
-	mu   sync.Mutex
-	cut  bool
-	lose int // answers to lose
+	mu            sync.Mutex
+	partitioned   bool
+	answersToLose int // answers to lose
 }
 
 var (
-	_ replication.Store = (*Client)(nil)
-	_ replication.Asker = (*Client)(nil)
+	_ replication.Store       = (*Client)(nil)
+	_ replication.LeaseClient = (*Client)(nil)
 )
 
 // Client is a pooler's way to the register, by the name that it holds leases under.
-func (r *Register) Client(holder string) *Client { return &Client{r: r, holder: holder} }
+func (r *Cluster) Client(holder string) *Client { return &Client{cluster: r, holder: holder} }
 
-// Cut has every call fail without effect from now on, once its context ends; or heals that.
-func (c *Client) Cut(cut bool) {
+// SetPartitioned has every call fail without effect from now on, once its context ends; or heals that.
+func (c *Client) SetPartitioned(cut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.partitioned = cut
 }
 
-// Lose loses the answers to the next n calls that reach the register: they take effect, and the caller gets an error.
-func (c *Client) Lose(n int) {
+// LoseAnswers loses the answers to the next n calls that reach the register: they take effect, and the caller gets an error.
+func (c *Client) LoseAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lose = n
+	c.answersToLose = n
 }
 
-// Stand is as in fleet.Ground.
-func (c *Client) Stand(ctx context.Context, d lease.Duty, t replication.Terms) replication.Tenure {
-	return replication.Stand(ctx, c, d, t)
+// Campaign is as in fleet.Ground.
+func (c *Client) Campaign(ctx context.Context, d lease.Name, t replication.CandidateOptions) replication.Leadership {
+	return replication.Campaign(ctx, c, d, t)
 }
 
 // call does something at the register, unless the way is cut.
 func (c *Client) call(ctx context.Context, do func()) error {
 	c.mu.Lock()
-	cut := c.cut
+	cut := c.partitioned
 	c.mu.Unlock()
 	if cut {
 		select {
@@ -91,13 +91,13 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	c.r.mu.Lock()
+	c.cluster.mu.Lock()
 	do()
-	c.r.mu.Unlock()
+	c.cluster.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lose > 0 {
-		c.lose--
+	if c.answersToLose > 0 {
+		c.answersToLose--
 		return ErrUnreachable
 	}
 	return nil
@@ -107,10 +107,10 @@
 func (c *Client) Put(ctx context.Context, key string, expect uint64, value []byte, f replication.Fence) (version uint64, err error) {
 	var refused error
 	err = c.call(ctx, func() {
-		index, _ := c.r.step()
-		version, refused = c.r.docs.Apply(replication.Write{Key: key, Expect: expect, Value: value, Fence: f}, index, &c.r.leases)
+		index, _ := c.cluster.nextEntry()
+		version, refused = c.cluster.documents.Apply(replication.Write{Key: key, ExpectedVersion: expect, Value: value, Fence: f}, index, &c.cluster.leases)
 		if refused == nil {
-			c.r.spread()
+			c.cluster.distribute()
 		}
 	})
 	if err == nil {
@@ -123,45 +123,45 @@
 }
 
 // Read is documented with shared.Store.
-func (c *Client) Read(ctx context.Context, key string) (d replication.Doc, err error) {
-	err = c.call(ctx, func() { d = c.r.docs.Get(key) })
+func (c *Client) Read(ctx context.Context, key string) (d replication.Document, err error) {
+	err = c.call(ctx, func() { d = c.cluster.documents.Get(key) })
 	return d, err
 }
 
 // Acquire is documented with shared.Asker.
-func (c *Client) Acquire(ctx context.Context, d lease.Duty, term time.Duration) (g lease.Grant, ok bool, err error) {
+func (c *Client) Acquire(ctx context.Context, d lease.Name, term time.Duration) (g lease.Lease, ok bool, err error) {
 	err = c.call(ctx, func() {
-		index, now := c.r.step()
-		g, ok = c.r.leases.Apply(lease.Command{Duty: d, Holder: c.holder, Term: term, Now: now, Epoch: 1}, index, 1)
+		index, now := c.cluster.nextEntry()
+		g, ok = c.cluster.leases.Apply(lease.Command{Name: d, Holder: c.holder, Duration: term, Now: now, RaftTerm: 1}, index, 1)
 	})
 	return g, ok && err == nil, err
 }
 
 // Release is documented with shared.Asker.
-func (c *Client) Release(ctx context.Context, d lease.Duty) error {
+func (c *Client) Release(ctx context.Context, d lease.Name) error {
 	return c.call(ctx, func() {
-		index, now := c.r.step()
-		c.r.leases.Apply(lease.Command{Release: true, Duty: d, Holder: c.holder, Now: now, Epoch: 1}, index, 1)
+		index, now := c.cluster.nextEntry()
+		c.cluster.leases.Apply(lease.Command{Release: true, Name: d, Holder: c.holder, Now: now, RaftTerm: 1}, index, 1)
 	})
 }
 
 // View is a pooler's copy, which follows the register at once while it is not cut off or delayed.
 type View struct {
-	*replication.Copy
-	r *Register
+	*replication.Replica
+	cluster *Cluster
 
-	mu    sync.Mutex
-	cut   bool
-	delay time.Duration
+	mu          sync.Mutex
+	partitioned bool
+	delay       time.Duration
 }
 
 var _ replication.View = (*View)(nil)
 
 // View is a new copy that holds what the register holds.
-func (r *Register) View() *View {
+func (r *Cluster) View() *View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := &View{Copy: replication.NewCopy(r.docs.State()), r: r}
+	v := &View{Replica: replication.NewReplica(r.documents.Snapshot()), cluster: r}
 	r.views = append(r.views, v)
 	return v
 }
@@ -169,67 +169,67 @@
 // Restart is a copy as a pooler has it that starts from its disk while it is cut off: what v held, and not confirmed. v follows
 // no longer.
 func (v *View) Restart() *View {
-	v.Cut(true)
-	v.r.mu.Lock()
-	defer v.r.mu.Unlock()
-	next := &View{Copy: replication.NewCopy(v.State()), r: v.r, cut: true}
-	v.r.views = append(v.r.views, next)
+	v.SetPartitioned(true)
+	v.cluster.mu.Lock()
+	defer v.cluster.mu.Unlock()
+	next := &View{Replica: replication.NewReplica(v.Snapshot()), cluster: v.cluster, partitioned: true}
+	v.cluster.views = append(v.cluster.views, next)
 	return next
 }
 
-// Cut cuts the copy off, so that it grows old, or heals that: it then holds what the register holds.
-func (v *View) Cut(cut bool) {
-	v.Confirmed() // as of now, before the cut
+// SetPartitioned cuts the copy off, so that it grows old, or heals that: it then holds what the register holds.
+func (v *View) SetPartitioned(cut bool) {
+	v.ConfirmedAt() // as of now, before the cut
 	v.mu.Lock()
-	v.cut = cut
+	v.partitioned = cut
 	v.mu.Unlock()
 	if !cut {
-		v.r.mu.Lock()
-		state := v.r.docs.State()
-		v.r.mu.Unlock()
-		v.Take(state)
-		v.Confirmed()
+		v.cluster.mu.Lock()
+		state := v.cluster.documents.Snapshot()
+		v.cluster.mu.Unlock()
+		v.Install(state)
+		v.ConfirmedAt()
 	}
 }
 
-// Delay has each change come so much later.
-func (v *View) Delay(d time.Duration) {
+// SetDelay has each change come so much later.
+func (v *View) SetDelay(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.delay = d
 }
 
-// spread gives all copies what the register holds. The caller has the lock.
-func (r *Register) spread() {
-	state := r.docs.State()
+// distribute gives all copies what the register holds. The caller has the lock.
+func (r *Cluster) distribute() {
+	state := r.documents.Snapshot()
 	for _, v := range r.views {
 		v.mu.Lock()
-		cut, delay := v.cut, v.delay
+		cut, delay := v.partitioned, v.delay
 		v.mu.Unlock()
 		switch {
 		case cut:
 		case delay == 0:
-			v.Take(state)
+			v.Install(state)
 		default:
 			time.AfterFunc(delay, func() {
 				v.mu.Lock()
-				cut := v.cut
+				cut := v.partitioned
 				v.mu.Unlock()
 				if !cut {
-					v.Take(state)
+					v.Install(state)
 				}
 			})
 		}
 	}
 }
 
-// Confirmed is documented with shared.View: of a copy that is not cut off, now, less its delay.
-func (v *View) Confirmed() time.Time {
+// ConfirmedAt is documented with shared.View: of a copy that is not cut off, now, less its delay.
+func (v *View) ConfirmedAt() time.Time {
 	v.mu.Lock()
-	cut, delay := v.cut, v.delay
+	cut, delay := v.partitioned, v.delay
 	v.mu.Unlock()
 	if !cut {
 		v.Confirm(v.Version(), time.Now().Add(-delay))
 	}
-	return v.Copy.Confirmed()
+	return v.Replica.ConfirmedAt()
 }
--- a/internal/fleet/replication/shared.go
+++ b/internal/fleet/replication/shared.go
@@ -14,10 +14,10 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// MaxValue bounds one document, and MaxDocs how many there are: they are read by every pooler whole.
+// MaxDocumentSize bounds one document, and MaxDocs how many there are: they are read by every pooler whole.
 const (
-	MaxValue = 64 << 10
-	MaxDocs  = 1024
+	MaxDocumentSize = 64 << 10
+	MaxDocuments    = 1024
 )
 
 // What Put can say. Any other error decides nothing either way: the value may have been taken, or may be yet.
@@ -27,8 +27,8 @@
 	ErrTooLarge = errors.New("shared: the document is too large, or there are too many")
 )
 
-// Doc is a document. Version 0 stands for one that does not exist; a deleted one keeps none.
-type Doc struct {
+// Document is a document. Version 0 stands for one that does not exist; a deleted one keeps none.
+type Document struct {
 	Key     string `json:"key"`     // "PART/NAME"
 	Version uint64 `json:"version"` // the log index of the write that made it so
 	Value   []byte `json:"value"`
@@ -37,7 +37,7 @@
 // Fence ties a write to a lease: it is refused unless the table holds the duty with this token when the write is applied.
 // The zero Fence ties it to none.
 type Fence struct {
-	Duty  lease.Duty `json:"duty,omitempty"`
+	Lease lease.Name `json:"duty,omitempty"`
 	Token uint64     `json:"token,omitempty"`
 }
 
@@ -47,24 +47,24 @@
 	// returns is in the log of a majority.
 	Put(ctx context.Context, key string, expect uint64, value []byte, f Fence) (version uint64, err error)
 	// Read asks the leading steward, so that it misses no write that had returned before: slower than View, and fails in a cut.
-	Read(ctx context.Context, key string) (Doc, error)
+	Read(ctx context.Context, key string) (Document, error)
 }
 
 // View is a pooler's own copy. It is safe for use by several goroutines, and never waits.
 type View interface {
-	Get(key string) (Doc, bool)
-	Under(prefix string) []Doc // by key
+	Get(key string) (Document, bool)
+	List(prefix string) []Document // by key
 	// Version is the log index that the copy is as of; 0: it holds nothing yet.
 	Version() uint64
-	// Confirmed is when a steward or another pooler last said that nothing newer was known, on this process's clock; the zero
+	// ConfirmedAt is when a steward or another pooler last said that nothing newer was known, on this process's clock; the zero
 	// time: not since its start, whatever the copy on disk holds.
-	Confirmed() time.Time
+	ConfirmedAt() time.Time
 	// Changed is closed at the next change of any document; ask for it before reading.
 	Changed() <-chan struct{}
 }
 
-// Tenure is a duty that this pooler stands for. It is safe for use by several goroutines, and never waits.
-type Tenure interface {
+// Leadership is a duty that this pooler stands for. It is safe for use by several goroutines, and never waits.
+type Leadership interface {
 	// Token is the fencing token while this pooler may act, and until when.
 	Token() (token uint64, until time.Time, ok bool)
 	Changed() <-chan struct{} // closed when the duty is won or lost
--- a/internal/fleet/replication/shared_test.go
+++ b/internal/fleet/replication/shared_test.go
@@ -22,9 +22,9 @@
 // version is the document's, versions only grow, and a refused write changes nothing.
 func TestDocsApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var docs replication.Docs
-		leases := lease.Table{Drift: 10}
-		model := map[string]replication.Doc{}
+		var docs replication.DocumentTable
+		leases := lease.Lessor{MaxClockDrift: 10}
+		model := map[string]replication.Document{}
 		var index uint64
 		var now, expires time.Duration
 		var holder string
@@ -34,25 +34,25 @@
 			now += time.Duration(rapid.IntRange(0, 30).Draw(t, "pause"))
 			if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
 				who := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who")
-				g, ok := leases.Apply(lease.Command{Duty: "d", Holder: who, Term: 50, Now: now, Epoch: 1}, index, 1)
+				g, ok := leases.Apply(lease.Command{Name: "d", Holder: who, Duration: 50, Now: now, RaftTerm: 1}, index, 1)
 				if ok {
 					holder, token, expires = who, g.Token, now+50
 				}
 				continue
 			}
-			leases.Pass(now, 1, 1)
+			leases.AdvanceTime(now, 1, 1)
 			key := rapid.SampledFrom([]string{"p/a", "p/b", "q"}).Draw(t, "key")
-			w := replication.Write{Key: key, Value: []byte(rapid.String().Draw(t, "value")), Expect: model[key].Version}
+			w := replication.Write{Key: key, Value: []byte(rapid.String().Draw(t, "value")), ExpectedVersion: model[key].Version}
 			if rapid.Bool().Draw(t, "other version") {
-				w.Expect = uint64(rapid.IntRange(0, int(index)).Draw(t, "expect"))
+				w.ExpectedVersion = uint64(rapid.IntRange(0, int(index)).Draw(t, "expect"))
 			}
 			if rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
 				w.Value = nil
 			}
 			if rapid.Bool().Draw(t, "fenced") {
-				w.Fence = replication.Fence{Duty: "d", Token: token - min(token, uint64(rapid.IntRange(0, 1).Draw(t, "old")))}
+				w.Fence = replication.Fence{Lease: "d", Token: token - min(token, uint64(rapid.IntRange(0, 1).Draw(t, "old")))}
 			}
-			before := docs.State()
+			before := docs.Snapshot()
 			version, err := docs.Apply(w, index, &leases)
 			stands := w.Fence == replication.Fence{} || holder != "" && w.Fence.Token == token && token != 0 && now < expires+10
 			switch {
@@ -60,22 +60,22 @@
 				if !errors.Is(err, replication.ErrFenced) {
 					t.Fatalf("fence %+v, token %d until %d+10, at %d: %v", w.Fence, token, expires, now, err)
 				}
-			case w.Expect != model[key].Version:
+			case w.ExpectedVersion != model[key].Version:
 				if !errors.Is(err, replication.ErrConflict) {
-					t.Fatalf("expected %d of %d: %v", w.Expect, model[key].Version, err)
+					t.Fatalf("expected %d of %d: %v", w.ExpectedVersion, model[key].Version, err)
 				}
 			case err != nil || version != index || docs.Version() != index:
 				t.Fatalf("version %d at index %d, %v", version, index, err)
 			case w.Value == nil:
 				delete(model, key)
 			default:
-				model[key] = replication.Doc{Key: key, Version: index, Value: w.Value}
+				model[key] = replication.Document{Key: key, Version: index, Value: w.Value}
 			}
 			if err != nil && docs.Version() != before.Version {
 				t.Fatal("a refused write has changed the version")
 			}
-			if len(docs.State().Docs) != len(model) {
-				t.Fatalf("%v, want %v", docs.State(), model)
+			if len(docs.Snapshot().Documents) != len(model) {
+				t.Fatalf("%v, want %v", docs.Snapshot(), model)
 			}
 			for k, want := range model {
 				if got := docs.Get(k); got.Version != want.Version || !bytes.Equal(got.Value, want.Value) {
@@ -84,7 +84,7 @@
 			}
 			if rapid.IntRange(0, 5).Draw(t, "restore") == 0 {
 				text, err := json.Marshal(&docs)
-				var next replication.Docs
+				var next replication.DocumentTable
 				if err == nil {
 					err = json.Unmarshal(text, &next)
 				}
@@ -98,27 +98,27 @@
 }
 
 func TestBounds(t *testing.T) {
-	var docs replication.Docs
+	var docs replication.DocumentTable
 	put := func(key string, bytes int) error {
-		_, err := docs.Apply(replication.Write{Key: key, Value: make([]byte, bytes)}, docs.Version()+1, &lease.Table{})
+		_, err := docs.Apply(replication.Write{Key: key, Value: make([]byte, bytes)}, docs.Version()+1, &lease.Lessor{})
 		return err
 	}
-	if err := put("big", replication.MaxValue+1); !errors.Is(err, replication.ErrTooLarge) {
+	if err := put("big", replication.MaxDocumentSize+1); !errors.Is(err, replication.ErrTooLarge) {
 		t.Error(err)
 	}
 	if err := put("", 1); !errors.Is(err, replication.ErrTooLarge) {
 		t.Error(err)
 	}
 	n := 0
-	for ; put(fmt.Sprint(n), replication.MaxValue) == nil; n++ {
+	for ; put(fmt.Sprint(n), replication.MaxDocumentSize) == nil; n++ {
 	}
-	if n != replication.MaxTotal/replication.MaxValue-1 { // keys take some of the last one's room
+	if n != replication.MaxTotalSize/replication.MaxDocumentSize-1 { // keys take some of the last one's room
 		t.Errorf("%d largest documents fit", n)
 	}
-	docs = replication.Docs{}
+	docs = replication.DocumentTable{}
 	for n = 0; put(fmt.Sprint(n), 1) == nil; n++ {
 	}
-	if n != replication.MaxDocs {
+	if n != replication.MaxDocuments {
 		t.Errorf("%d documents fit", n)
 	}
 }
@@ -129,11 +129,11 @@
 	f.Add([]byte(`{"version":1,"docs":[{"key":"a","version":2,"value":"eA=="}]}`))
 	f.Add([]byte(`{"version":3,"docs":[{"key":"a","version":2,"value":"eA=="},{"key":"a","version":3,"value":""}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var s, again replication.State
+		var s, again replication.Snapshot
 		if json.Unmarshal(text, &s) != nil {
 			return
 		}
-		for k, d := range s.Docs {
+		for k, d := range s.Documents {
 			if k != d.Key || d.Version == 0 || d.Version > s.Version || d.Value == nil {
 				t.Errorf("%+v in version %d", d, s.Version)
 			}
@@ -142,7 +142,7 @@
 		if err == nil {
 			err = json.Unmarshal(out, &again)
 		}
-		if err != nil || again.Version != s.Version || len(again.Docs) != len(s.Docs) {
+		if err != nil || again.Version != s.Version || len(again.Documents) != len(s.Documents) {
 			t.Errorf("%s becomes %s, %v", text, out, err)
 		}
 	})
@@ -159,7 +159,7 @@
 			r := replicationtest.New(drift)
 			type pooler struct {
 				*replicationtest.Client
-				replication.Tenure
+				replication.Leadership
 				end context.CancelFunc
 				cut bool
 			}
@@ -169,7 +169,7 @@
 				starts++
 				c := r.Client(fmt.Sprint("n", i, "/", starts)) // a restarted pooler does not own what the one before it held
 				ctx, end := context.WithCancel(t.Context())
-				return &pooler{Client: c, end: end, Tenure: c.Stand(ctx, "d", replication.Terms{Term: term, Drift: drift, Spread: float64(i) / 3})}
+				return &pooler{Client: c, end: end, Leadership: c.Campaign(ctx, "d", replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: float64(i) / 3})}
 			}
 			for i := range 3 {
 				all = append(all, enter(i))
@@ -184,9 +184,9 @@
 				switch x / 3 {
 				case 0:
 					all[i].cut = !all[i].cut
-					all[i].Cut(all[i].cut)
+					all[i].SetPartitioned(all[i].cut)
 				case 1:
-					all[i].Lose(2)
+					all[i].LoseAnswers(2)
 				case 2:
 					all[i].end()
 					all[i] = enter(i)
@@ -217,7 +217,7 @@
 				}
 			}
 			for _, p := range all {
-				p.Cut(false)
+				p.SetPartitioned(false)
 				p.end()
 			}
 			time.Sleep(2 * term)
@@ -236,43 +236,43 @@
 		r := replicationtest.New(100 * time.Millisecond)
 		c := r.Client("a")
 		ctx, end := context.WithCancel(t.Context())
-		tenure := replication.Stand(ctx, c, "d", replication.Terms{Term: 3 * time.Second, Drift: 100 * time.Millisecond})
+		tenure := replication.Campaign(ctx, c, "d", replication.CandidateOptions{LeaseTerm: 3 * time.Second, MaxClockDrift: 100 * time.Millisecond})
 		<-tenure.Changed()
 		token, until, ok := tenure.Token()
-		if _, err := c.Put(ctx, "p/a", 0, []byte("1"), replication.Fence{Duty: "d", Token: token}); err != nil || !ok {
+		if _, err := c.Put(ctx, "p/a", 0, []byte("1"), replication.Fence{Lease: "d", Token: token}); err != nil || !ok {
 			t.Error(ok, err)
 		}
-		c.Cut(true)
+		c.SetPartitioned(true)
 		lost := tenure.Changed()
 		<-lost
 		if _, _, ok := tenure.Token(); ok || time.Now().Before(until) {
 			t.Errorf("acts: %v, %v before its end", ok, time.Until(until))
 		}
-		c.Cut(false)
-		if _, err := c.Put(ctx, "p/a", 1, []byte("1"), replication.Fence{Duty: "d", Token: token + 9}); !errors.Is(err, replication.ErrFenced) {
+		c.SetPartitioned(false)
+		if _, err := c.Put(ctx, "p/a", 1, []byte("1"), replication.Fence{Lease: "d", Token: token + 9}); !errors.Is(err, replication.ErrFenced) {
 			t.Error(err)
 		}
 		<-tenure.Changed()
 		end()
-		<-tenure.Ended()
+		<-tenure.Done()
 		if _, ok, err := r.Client("b").Acquire(t.Context(), "d", time.Second); !ok || err != nil {
 			t.Errorf("given up, the duty is not free at once: %v", err)
 		}
 	})
 }
 
-// deaf asks the stewards, which hear it, and does not hear them from some time on.
-type deaf struct {
-	replication.Asker
+// unansweredLeases asks the stewards, which hear it, and does not hear them from some time on.
+type unansweredLeases struct {
+	replication.LeaseClient
 	since time.Time
 }
 
-var errUnheard = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (d deaf) Acquire(ctx context.Context, duty lease.Duty, term time.Duration) (lease.Grant, bool, error) {
-	g, ok, err := d.Asker.Acquire(ctx, duty, term)
+func (d unansweredLeases) Acquire(ctx context.Context, duty lease.Name, term time.Duration) (lease.Lease, bool, error) {
+	g, ok, err := d.LeaseClient.Acquire(ctx, duty, term)
 	if time.Now().After(d.since) {
-		return lease.Grant{}, false, errUnheard
+		return lease.Lease{}, false, errNoAnswer
 	}
 	return g, ok, err
 }
@@ -283,10 +283,10 @@
 		const term, drift = 3 * time.Second, 100 * time.Millisecond
 		r := replicationtest.New(drift)
 		ctx, end := context.WithCancel(t.Context())
-		terms := replication.Terms{Term: term, Drift: drift}
-		first := replication.Stand(ctx, deaf{r.Client("a"), time.Now().Add(2 * term)}, "d", terms)
+		terms := replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift}
+		first := replication.Campaign(ctx, unansweredLeases{r.Client("a"), time.Now().Add(2 * term)}, "d", terms)
 		<-first.Changed()
-		second := replication.Stand(ctx, r.Client("b"), "d", terms)
+		second := replication.Campaign(ctx, r.Client("b"), "d", terms)
 		lost := first.Changed()
 		<-lost
 		select {
@@ -295,8 +295,8 @@
 			t.Error("nobody else has the duty two terms after the deaf one has stopped")
 		}
 		end()
-		<-first.Ended()
-		<-second.Ended()
+		<-first.Done()
+		<-second.Done()
 	})
 }
 
@@ -310,22 +310,22 @@
 			t.Fatal(err)
 		}
 		<-news
-		v.Cut(true)
+		v.SetPartitioned(true)
 		at := time.Now()
 		time.Sleep(time.Minute)
 		if _, err := c.Put(t.Context(), "p/a", 0, []byte("y"), replication.Fence{}); err != nil {
 			t.Fatal(err)
 		}
-		if len(v.Under("p/")) != 1 || !v.Confirmed().Equal(at) {
-			t.Errorf("in a cut: %v, confirmed %v, want %v", v.Under("p/"), v.Confirmed(), at)
+		if len(v.List("p/")) != 1 || !v.ConfirmedAt().Equal(at) {
+			t.Errorf("in a cut: %v, confirmed %v, want %v", v.List("p/"), v.ConfirmedAt(), at)
 		}
 		w := v.Restart()
-		if len(w.Under("p/")) != 1 || !w.Confirmed().IsZero() {
-			t.Errorf("restarted in a cut: %v, confirmed %v", w.Under("p/"), w.Confirmed())
+		if len(w.List("p/")) != 1 || !w.ConfirmedAt().IsZero() {
+			t.Errorf("restarted in a cut: %v, confirmed %v", w.List("p/"), w.ConfirmedAt())
 		}
-		w.Cut(false)
-		if got := w.Under("p/"); len(got) != 2 || got[0].Key != "p/a" || !w.Confirmed().Equal(time.Now()) || w.Version() != 2 {
-			t.Errorf("healed: %v, confirmed %v", got, w.Confirmed())
+		w.SetPartitioned(false)
+		if got := w.List("p/"); len(got) != 2 || got[0].Key != "p/a" || !w.ConfirmedAt().Equal(time.Now()) || w.Version() != 2 {
+			t.Errorf("healed: %v, confirmed %v", got, w.ConfirmedAt())
 		}
 	})
 }
--- a/internal/fleet/replication/tenure.go
+++ b/internal/fleet/replication/tenure.go
@@ -8,62 +8,62 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// Asker asks the stewards for leases, for one pooler. It is safe for use by several goroutines.
-type Asker interface {
-	Acquire(ctx context.Context, d lease.Duty, term time.Duration) (lease.Grant, bool, error)
-	Release(ctx context.Context, d lease.Duty) error
+// LeaseClient asks the stewards for leases, for one pooler. It is safe for use by several goroutines.
+type LeaseClient interface {
+	Acquire(ctx context.Context, d lease.Name, term time.Duration) (lease.Lease, bool, error)
+	Release(ctx context.Context, d lease.Name) error
 }
 
-var _ Tenure = (*Standing)(nil)
+var _ Leadership = (*Candidate)(nil)
 
-// Terms is how a pooler stands for a duty.
-type Terms struct {
-	Term   time.Duration // of the lease
-	Drift  time.Duration // as in lease.Table
-	Spread float64       // from 0 up to 1, by the pooler's own seed: when it asks, among all
+// CandidateOptions is how a pooler stands for a duty.
+type CandidateOptions struct {
+	LeaseTerm      time.Duration // of the lease
+	MaxClockDrift  time.Duration // as in lease.Table
+	JitterFraction float64       // from 0 up to 1, by the pooler's own seed: when it asks, among all
 }
 
-// Stand stands for a duty until ctx ends, and then gives it up.
-func Stand(ctx context.Context, ask Asker, d lease.Duty, t Terms) *Standing {
-	s := &Standing{ask: ask, duty: d, terms: t, start: time.Now(), changed: make(chan struct{}), ended: make(chan struct{}), silent: -1}
-	s.holder.Drift = t.Drift
+// Campaign stands for a duty until ctx ends, and then gives it up.
+func Campaign(ctx context.Context, ask LeaseClient, d lease.Name, t CandidateOptions) *Candidate {
+	s := &Candidate{leases: ask, leaseName: d, options: t, startedAt: time.Now(), changed: make(chan struct{}), done: make(chan struct{}), unansweredSince: -1}
+	s.holder.MaxClockDrift = t.MaxClockDrift
 	go s.run(ctx)
 	return s
 }
 
-// Standing is a Tenure under way. Its clock is monotonic, from start on.
-type Standing struct {
-	ask   Asker
-	duty  lease.Duty
-	terms Terms
-	start time.Time
-	ended chan struct{}
+// Candidate is a Tenure under way. Its clock is monotonic, from start on.
+type Candidate struct {
+	leases    LeaseClient
+	leaseName lease.Name
+	options   CandidateOptions
+	startedAt time.Time
+	done      chan struct{}
 
-	mu      sync.Mutex
-	holder  lease.Holder
-	silent  time.Duration // the ask since which nothing was answered; below 0: the last one was
-	acts    bool          // as was last told by changed
-	changed chan struct{}
-	lapse   *time.Timer
+	mu              sync.Mutex
+	holder          lease.LocalLease
+	unansweredSince time.Duration // the ask since which nothing was answered; below 0: the last one was
+	leading         bool          // as was last told by changed
+	changed         chan struct{}
+	expiryTimer     *time.Timer
 }
 
 // run asks, and asks again, one ask at a time.
-func (s *Standing) run(ctx context.Context) {
-	defer close(s.ended)
+func (s *Candidate) run(ctx context.Context) {
+	defer close(s.done)
 	for ctx.Err() == nil {
-		asked := time.Since(s.start)
-		call, cancel := context.WithTimeout(ctx, s.terms.Term/4) // so that a renewal can be tried twice
-		g, ok, err := s.ask.Acquire(call, s.duty, s.terms.Term)
+		asked := time.Since(s.startedAt)
+		call, cancel := context.WithTimeout(ctx, s.options.LeaseTerm/4) // so that a renewal can be tried twice
+		g, ok, err := s.leases.Acquire(call, s.leaseName, s.options.LeaseTerm)
 		cancel()
 		s.mu.Lock()
 		if err == nil {
-			s.silent = -1
-			s.holder.Granted(asked, g, ok)
-		} else if s.silent < 0 {
-			s.silent = asked
+			s.unansweredSince = -1
+			s.holder.HandleResponse(asked, g, ok)
+		} else if s.unansweredSince < 0 {
+			s.unansweredSince = asked
 		}
-		s.look()
-		next := s.nextAsk(time.Since(s.start), g, err)
+		s.updateLeading()
+		next := s.nextRequestDelay(time.Since(s.startedAt), g, err)
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -71,74 +71,74 @@
 		}
 	}
 	s.mu.Lock()
-	held := s.acts
-	s.holder.Lost()
-	s.look()
+	held := s.leading
+	s.holder.Drop()
+	s.updateLeading()
 	s.mu.Unlock()
 	if held {
-		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.terms.Term/4)
+		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.LeaseTerm/4)
 		defer cancel()
-		_ = s.ask.Release(call, s.duty) // else it runs out by itself
+		_ = s.leases.Release(call, s.leaseName) // else it runs out by itself
 	}
 }
 
-// nextAsk is how long to wait: until a third of the term is over for the holder, a twelfth after a renewal that failed, as long
+// nextRequestDelay is how long to wait: until a third of the term is over for the holder, a twelfth after a renewal that failed, as long
 // as another's lease has left and a share of half a term by the spread, so that of many the first comes soon; two terms after a term of
 // silence, for stewards that hear this pooler and that it does not hear give it a lease by each ask. The caller has the lock.
-func (s *Standing) nextAsk(now time.Duration, g lease.Grant, err error) time.Duration {
-	spread := time.Duration(s.terms.Spread * float64(s.terms.Term) / 2)
-	switch _, acts := s.holder.MayAct(now); {
+func (s *Candidate) nextRequestDelay(now time.Duration, g lease.Lease, err error) time.Duration {
+	spread := time.Duration(s.options.JitterFraction * float64(s.options.LeaseTerm) / 2)
+	switch _, acts := s.holder.ValidToken(now); {
 	case acts && err != nil:
-		return s.terms.Term / 12
+		return s.options.LeaseTerm / 12
 	case acts:
 		return max(s.holder.RenewAt()-now, 0)
-	case err != nil && now-s.silent >= s.terms.Term:
-		return 2 * s.terms.Term
+	case err != nil && now-s.unansweredSince >= s.options.LeaseTerm:
+		return 2 * s.options.LeaseTerm
 	case err != nil:
-		return s.terms.Term/4 + spread
+		return s.options.LeaseTerm/4 + spread
 	default:
-		return min(max(g.Term, 0), s.terms.Term) + s.terms.Drift + spread
+		return min(max(g.Duration, 0), s.options.LeaseTerm) + s.options.MaxClockDrift + spread
 	}
 }
 
-// look tells whether the duty was won or lost since it was last told, and has it looked again when acting must stop. The caller
+// updateLeading tells whether the duty was won or lost since it was last told, and has it looked again when acting must stop. The caller
 // has the lock.
-func (s *Standing) look() {
-	now := time.Since(s.start)
-	_, acts := s.holder.MayAct(now)
-	if acts != s.acts {
-		s.acts = acts
+func (s *Candidate) updateLeading() {
+	now := time.Since(s.startedAt)
+	_, acts := s.holder.ValidToken(now)
+	if acts != s.leading {
+		s.leading = acts
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
-	if s.lapse != nil {
-		s.lapse.Stop()
-		s.lapse = nil
+	if s.expiryTimer != nil {
+		s.expiryTimer.Stop()
+		s.expiryTimer = nil
 	}
 	if acts {
-		s.lapse = time.AfterFunc(s.holder.Until()-now, func() {
+		s.expiryTimer = time.AfterFunc(s.holder.RenewDeadline()-now, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.look()
+			s.updateLeading()
 		})
 	}
 }
 
 // Token is documented with Tenure: acting ends a drift bound before the term does, counted from the asking.
-func (s *Standing) Token() (token uint64, until time.Time, ok bool) {
+func (s *Candidate) Token() (token uint64, until time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if token, ok = s.holder.MayAct(time.Since(s.start)); !ok {
+	if token, ok = s.holder.ValidToken(time.Since(s.startedAt)); !ok {
 		return 0, time.Time{}, false
 	}
-	return token, s.start.Add(s.holder.Until()), true
+	return token, s.startedAt.Add(s.holder.RenewDeadline()), true
 }
 
-// Ended is closed once the duty has been given up, after ctx has ended.
-func (s *Standing) Ended() <-chan struct{} { return s.ended }
+// Done is closed once the duty has been given up, after ctx has ended.
+func (s *Candidate) Done() <-chan struct{} { return s.done }
 
 // Changed is documented with Tenure.
-func (s *Standing) Changed() <-chan struct{} {
+func (s *Candidate) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
--- a/internal/fleet/shardmap/copier.go
+++ b/internal/fleet/shardmap/copier.go
@@ -17,14 +17,14 @@
 	Do(ctx context.Context, i Instruction) error
 }
 
-// maxComplaint bounds what is read of a refusal.
-const maxComplaint = 1 << 10
+// maxErrorBody bounds what is read of a refusal.
+const maxErrorBody = 1 << 10
 
-// Hook is a Copier at an address that the operators name: each instruction is one POST of JSON, answered with 200 when it is done.
-type Hook struct{ URL string }
+// HTTPCopier is a Copier at an address that the operators name: each instruction is one POST of JSON, answered with 200 when it is done.
+type HTTPCopier struct{ URL string }
 
 // Do is documented with Copier.
-func (h Hook) Do(ctx context.Context, i Instruction) error {
+func (h HTTPCopier) Do(ctx context.Context, i Instruction) error {
 	text, err := json.Marshal(i)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 		return err
 	}
 	defer res.Body.Close()
-	if said, _ := io.ReadAll(io.LimitReader(res.Body, maxComplaint)); res.StatusCode != http.StatusOK {
+	if said, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBody)); res.StatusCode != http.StatusOK {
 		return fmt.Errorf("shardmap: %s of %s: %s: %s", i.Act, i.Move.Name, res.Status, bytes.TrimSpace(said))
 	}
 	return nil
--- a/internal/fleet/shardmap/guard.go
+++ b/internal/fleet/shardmap/guard.go
@@ -9,18 +9,18 @@
 // Guard puts the map's rules between a core and its servers. It implements routing.Guard and routing.Witness, all on the core's
 // loop. Requests without a key pass it, and go where they went without a map; so do all while there is no map.
 type Guard struct {
-	router *Router
-	writes func(class int) bool
-	news   func() // the last write to a fenced range has ended
-	open   map[*dispatch.Request]*Write
-	sweep  int // size of open at which those whose clients have gone are looked for
+	router         *Router
+	writes         func(class int) bool
+	onFenceDrained func() // the last write to a fenced range has ended
+	openWrites     map[*dispatch.Request]*Write
+	sweepAt        int // size of open at which those whose clients have gone are looked for
 }
 
-const leastSweep = 1 << 10
+const minSweepSize = 1 << 10
 
-// guard is a new one for a core; writes tells whether a class is of writes.
-func (r *Router) guard(writes func(class int) bool, news func()) *Guard {
-	return &Guard{router: r, writes: writes, news: news, open: map[*dispatch.Request]*Write{}, sweep: leastSweep}
+// newGuard is a new one for a core; writes tells whether a class is of writes.
+func (r *Router) newGuard(writes func(class int) bool, news func()) *Guard {
+	return &Guard{router: r, writes: writes, onFenceDrained: news, openWrites: map[*dispatch.Request]*Write{}, sweepAt: minSweepSize}
 }
 
 // Admit is documented with routing.Guard: a request goes to its key's home; a write only if it may be sent now.
@@ -30,33 +30,33 @@
 	case !ok || r.Key == "":
 		return dispatch.Admission{}
 	case !g.writes(r.Class):
-		return dispatch.Admission{Move: true, Group: home}
+		return dispatch.Admission{Reroute: true, Group: home}
 	}
-	w, after := g.router.Begin(r.Key, time.Now().Add(r.Arrived+r.Patience-now))
+	w, after := g.router.BeginWrite(r.Key, time.Now().Add(r.ArrivedAt+r.Timeout-now))
 	if w == nil {
-		return dispatch.Admission{Refuse: true, After: after}
+		return dispatch.Admission{Reject: true, RetryAfter: after}
 	}
-	if len(g.open) >= g.sweep {
-		for q, w := range g.open {
-			if time.Now().After(w.until) { // its client has gone: the core answers the others in their time
-				g.end(q)
+	if len(g.openWrites) >= g.sweepAt {
+		for q, w := range g.openWrites {
+			if time.Now().After(w.deadline) { // its client has gone: the core answers the others in their time
+				g.endWrite(q)
 			}
 		}
-		g.sweep = max(2*len(g.open), leastSweep)
+		g.sweepAt = max(2*len(g.openWrites), minSweepSize)
 	}
-	g.open[r] = w
-	return dispatch.Admission{Move: true, Group: w.Home}
+	g.openWrites[r] = w
+	return dispatch.Admission{Reroute: true, Group: w.Home}
 }
 
 // MaySend is documented with routing.Guard.
-func (g *Guard) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.Sending {
-	w := g.open[r]
+func (g *Guard) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.SendDecision {
+	w := g.openWrites[r]
 	if w == nil {
 		return dispatch.Send
 	}
-	epoch, ok := g.router.Send(w)
+	epoch, ok := g.router.AuthorizeSend(w)
 	if !ok {
-		return dispatch.Stop
+		return dispatch.RejectRequest
 	}
 	if s, ok := r.Payload.(dispatch.Stamped); ok {
 		s.Stamp(epoch)
@@ -64,20 +64,22 @@
 	return dispatch.Send
 }
 
-// Counts is documented with routing.Witness.
-func (g *Guard) Counts(_ time.Duration, r *dispatch.Request) bool {
-	w := g.open[r]
-	return w == nil || g.router.Counts(w)
+// AcceptAnswer is documented with routing.Witness.
+func (g *Guard) AcceptAnswer(_ time.Duration, r *dispatch.Request) bool {
+	w := g.openWrites[r]
+	return w == nil || g.router.AnswerCounts(w)
 }
 
-// Ended is documented with routing.Guard.
-func (g *Guard) Ended(_ time.Duration, r *dispatch.Request, _ dispatch.Ending) { g.end(r) }
+// RequestEnded is documented with routing.Guard.
+func (g *Guard) RequestEnded(_ time.Duration, r *dispatch.Request, _ dispatch.FinalAnswer) {
+	g.endWrite(r)
+}
 
-func (g *Guard) end(r *dispatch.Request) {
-	if w := g.open[r]; w != nil {
-		delete(g.open, r)
-		if g.router.End(w) {
-			g.news()
+func (g *Guard) endWrite(r *dispatch.Request) {
+	if w := g.openWrites[r]; w != nil {
+		delete(g.openWrites, r)
+		if g.router.EndWrite(w) {
+			g.onFenceDrained()
 		}
 	}
 }
--- a/internal/fleet/shardmap/model_test.go
+++ b/internal/fleet/shardmap/model_test.go
@@ -40,7 +40,7 @@
 
 // candidate is a process that stands for the duty.
 type candidate struct {
-	h     Holder
+	h     Coordinator
 	until time.Time // its own view of its tenure
 	acted map[string]Act
 	since map[string]uint64
@@ -50,7 +50,7 @@
 
 // world is two clusters, some routers and candidates, and the stewards' log between them.
 type world struct {
-	out     without
+	out     disabledRules
 	pick    func(n int) int // one of n
 	log     []copied
 	held    int // the candidate that the stewards hold to be in office
@@ -60,7 +60,7 @@
 	seen    []int // what each router's copy is as of, an index in log
 	lives   int
 	cands   []*candidate
-	asks    []Ask
+	asks    []Request
 	grants  []Grant
 	writes  []*client
 	data    [2]map[int]bool // the writes that a cluster has of the range
@@ -76,7 +76,7 @@
 
 func (w *world) between(least, most int) int { return least + w.pick(most-least+1) }
 
-func one[T any](w *world, from []T) T { return from[w.pick(len(from))] }
+func oneOf[T any](w *world, from []T) T { return from[w.pick(len(from))] }
 
 func (w *world) now() copied { return w.log[len(w.log)-1] }
 
@@ -94,13 +94,13 @@
 
 // off is a clock's fault: to leave the drift out is to have a clock that is off by all of it.
 func (w *world) off() time.Duration {
-	return one(w, []time.Duration{0, drift})
+	return oneOf(w, []time.Duration{0, drift})
 }
 
 // start is a new life of a router, from a copy that may be old.
 func (w *world) start(i int, from int) {
 	w.lives++
-	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("life", w.lives), Term: term, Drift: w.off(), out: w.out}
+	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("life", w.lives), Term: term, MaxClockDrift: w.off(), disabled: w.out}
 	w.seen[i] = from
 	w.apply(i)
 }
@@ -114,11 +114,11 @@
 func (w *world) enrol(i int) {
 	r := w.routers[i]
 	v := w.commit(func(c *copied) { c.routers[r.Name] = r.Instance })
-	r.Enrolled(v)
+	r.SetEnrolled(v)
 }
 
-func (w *world) enrolledAt(at int) Enrolled {
-	return Enrolled{Version: w.log[at].version, Instances: w.log[at].routers}
+func (w *world) enrolledAt(at int) Enrollment {
+	return Enrollment{Version: w.log[at].version, Instances: w.log[at].routers}
 }
 
 // take has a candidate win the duty, if the stewards may give it.
@@ -133,7 +133,7 @@
 		c.token = w.token
 		c.step, c.acted, c.since = nil, map[string]Act{}, map[string]uint64{}
 		n := w.now()
-		c.h.Take(c.token, n.doc, n.version)
+		c.h.BeginTerm(c.token, n.doc, n.version)
 		w.say("holder %d takes office, token %d", k, c.token)
 	}
 	c.until = time.Now().Add(office - drift)
@@ -149,9 +149,9 @@
 
 // exchange is an ask of a router, heard and answered at once.
 func (w *world) exchange(i, k int) {
-	if a, _, ok := w.routers[i].Ask(); ok {
-		if g, ok := w.cands[k].h.Heard(a, w.cands[k].until); ok {
-			w.routers[i].Granted(g)
+	if a, _, ok := w.routers[i].NextRequest(); ok {
+		if g, ok := w.cands[k].h.HandleRequest(a, w.cands[k].until); ok {
+			w.routers[i].ApplyGrant(g)
 		}
 	}
 }
@@ -160,14 +160,14 @@
 func (w *world) decide(k int) {
 	c := w.cands[k]
 	d, _ := c.h.Document()
-	if c.step != nil || w.out.holds(ruleOffice) && !time.Now().Before(c.until) || c.token == 0 {
+	if c.step != nil || w.out.inForce(ruleLeaderOnly) && !time.Now().Before(c.until) || c.token == 0 {
 		return
 	}
 	for _, m := range d.Moves {
-		if c.since[m.Name] != m.Since {
-			c.since[m.Name], c.acted[m.Name] = m.Since, None
+		if c.since[m.Name] != m.SinceEpoch {
+			c.since[m.Name], c.acted[m.Name] = m.SinceEpoch, ActNone
 		}
-		if s, ok := c.h.Next(m.Name, w.enrolledAt(len(w.log)-1), c.acted[m.Name]); ok {
+		if s, ok := c.h.NextStep(m.Name, w.enrolledAt(len(w.log)-1), c.acted[m.Name]); ok {
 			c.step = &s
 			return
 		}
@@ -201,17 +201,17 @@
 		return
 	}
 	_, version := c.h.Document()
-	if w.out.holds(ruleToken) && (c.token != w.token || version != w.now().version && w.docVersion() != version) {
+	if w.out.inForce(ruleToken) && (c.token != w.token || version != w.now().version && w.docVersion() != version) {
 		w.say("holder %d: step fenced", k)
 		return
 	}
 	v := w.commit(func(n *copied) { n.doc = *s.Next })
 	w.say("holder %d writes epoch %d: %v", k, s.Next.Epoch, states(*s.Next))
 	if w.pick(5) > 0 {
-		c.h.Wrote(*s.Next, v)
+		c.h.DocumentWritten(*s.Next, v)
 	} else if c.token == w.token { // an answer that never came: it reads anew
 		n := w.now()
-		c.h.Take(c.token, n.doc, n.version)
+		c.h.BeginTerm(c.token, n.doc, n.version)
 	}
 }
 
@@ -236,13 +236,13 @@
 func (w *world) perform(n int) {
 	i := w.acts[n]
 	w.acts = slices.Delete(w.acts, n, n+1)
-	if w.out.holds(ruleActs) && !i.Newer(w.last) {
+	if w.out.inForce(ruleActOrder) && !i.Newer(w.last) {
 		return
 	}
 	if i.Newer(w.last) {
 		w.last = i
 	}
-	if i.Act == Copy || i.Act == Finish {
+	if i.Act == ActCopy || i.Act == ActFinish {
 		to := map[int]bool{}
 		for id := range w.data[i.Move.Source] {
 			to[id] = true
@@ -251,7 +251,7 @@
 		w.say("%s of %s by token %d: %d writes", i.Act, i.Move.Name, i.Token, len(to))
 	}
 	for _, c := range w.cands {
-		if c.token == i.Token && c.since[i.Move.Name] == i.Move.Since {
+		if c.token == i.Token && c.since[i.Move.Name] == i.Move.SinceEpoch {
 			c.acted[i.Move.Name] = i.Act
 		}
 	}
@@ -260,7 +260,7 @@
 // request takes one more write in at a router.
 func (w *world) request(i int) *client {
 	r := w.routers[i]
-	wr, _ := r.Begin("k", time.Now().Add(2*term))
+	wr, _ := r.BeginWrite("k", time.Now().Add(2*term))
 	if wr == nil {
 		return nil
 	}
@@ -276,15 +276,15 @@
 	if c.ended || c.out || c.answer || !w.alive(c) {
 		return
 	}
-	if _, ok := w.routers[c.router].Send(c.w); ok {
+	if _, ok := w.routers[c.router].AuthorizeSend(c.w); ok {
 		c.out = true
 		home, _ := w.now().doc.Home("k")
-		if w.out.holds(ruleHome) && home != c.w.Home {
+		if w.out.inForce(ruleOneHome) && home != c.w.Home {
 			w.broken = fmt.Sprintf("write %d was sent to %d when its range had moved to %d", c.id, c.w.Home, home)
 		}
 	} else {
 		c.ended = true
-		w.routers[c.router].End(c.w)
+		w.routers[c.router].EndWrite(c.w)
 	}
 }
 
@@ -295,7 +295,7 @@
 	}
 	c.out, c.answer = false, true
 	home := c.w.Home
-	if !w.out.holds(ruleHome) {
+	if !w.out.inForce(ruleOneHome) {
 		home, _, _ = w.routers[c.router].Home("k")
 	}
 	w.data[home][c.id] = true
@@ -315,8 +315,8 @@
 		return
 	}
 	c.ended = true
-	c.served = !lost && w.routers[c.router].Counts(c.w)
-	w.routers[c.router].End(c.w)
+	c.served = !lost && w.routers[c.router].AnswerCounts(c.w)
+	w.routers[c.router].EndWrite(c.w)
 	if c.served {
 		w.say("write %d is served", c.id)
 	}
@@ -340,11 +340,11 @@
 }
 
 // play is one history of small size, and the fault that it ends in.
-func play(pick func(int) int, out without, steps int) (fault string, w *world) {
+func play(pick func(int) int, out disabledRules, steps int) (fault string, w *world) {
 	w = &world{out: out, pick: pick, held: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), seen: make([]int, 2)}
 	w.log = []copied{{version: 1, doc: Document{Epoch: 1, Ranges: []Range{{Cluster: 0}}}, routers: map[string]string{}}}
 	for range 2 {
-		w.cands = append(w.cands, &candidate{h: Holder{Term: term, Drift: w.off(), PreparedMost: 6 * term, FencedMost: 3 * term, out: out}})
+		w.cands = append(w.cands, &candidate{h: Coordinator{Term: term, MaxClockDrift: w.off(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: out}})
 	}
 	for i := range w.routers {
 		w.start(i, 0)
@@ -385,7 +385,7 @@
 		do     func(i, k int)
 	}{
 		{4, func(int, int) {
-			time.Sleep(one(w, []time.Duration{term / 10, term / 3, term, 2 * term}))
+			time.Sleep(oneOf(w, []time.Duration{term / 10, term / 3, term, 2 * term}))
 		}},
 		{1, func(_, k int) { w.take(k) }},
 		{1, func(_, k int) {
@@ -417,20 +417,20 @@
 			w.apply(i)
 		}},
 		{2, func(i, _ int) {
-			if a, _, ok := w.routers[i].Ask(); ok {
+			if a, _, ok := w.routers[i].NextRequest(); ok {
 				w.asks = append(w.asks, a)
 			}
 		}},
 		{2, func(_, k int) {
 			if len(w.asks) > 0 {
-				if g, ok := w.cands[k].h.Heard(w.asks[max(0, len(w.asks)-1-w.pick(4))], w.cands[k].until); ok {
+				if g, ok := w.cands[k].h.HandleRequest(w.asks[max(0, len(w.asks)-1-w.pick(4))], w.cands[k].until); ok {
 					w.grants = append(w.grants, g)
 				}
 			}
 		}},
 		{2, func(i, _ int) {
 			if len(w.grants) > 0 {
-				w.routers[i].Granted(w.grants[max(0, len(w.grants)-1-w.pick(4))])
+				w.routers[i].ApplyGrant(w.grants[max(0, len(w.grants)-1-w.pick(4))])
 			}
 		}},
 		{1, func(i, _ int) {
@@ -476,7 +476,7 @@
 	}
 	for range steps {
 		i, k := w.pick(2), w.pick(2)
-		acts[one(w, deck)].do(i, k)
+		acts[oneOf(w, deck)].do(i, k)
 		if fault := w.fault(); fault != "" {
 			return fault, w
 		}
@@ -498,7 +498,7 @@
 }
 
 // bubble plays a history on a clock of its own; rapid draws within it, and what its draws panic with has to come out of it.
-func bubble(outer *testing.T, pick func(int) int, out without, steps int) (fault string, w *world) {
+func bubble(outer *testing.T, pick func(int) int, out disabledRules, steps int) (fault string, w *world) {
 	var thrown any
 	synctest.Test(outer, func(*testing.T) {
 		defer func() { thrown = recover() }()
@@ -538,13 +538,13 @@
 
 // Each rule is needed: without it some history ends in a fault.
 func TestEachRuleIsNeeded(t *testing.T) {
-	for name, r := range map[string]rule{"enrolled": ruleEnrolled, "armed": ruleArmed, "right": ruleRight, "fence": ruleFence, "asked": ruleAsked,
-		"newest": ruleNewest, "office": ruleOffice, "wait": ruleWait, "anew": ruleAnew, "inFlight": ruleInFlight, "late": ruleLate,
-		"home": ruleHome, "token": ruleToken, "acts": ruleActs} {
+	for name, r := range map[string]rule{"enrolled": ruleEnrolled, "armed": ruleAllAcknowledge, "right": ruleRight, "fence": ruleFence, "asked": ruleRightFromRequest,
+		"newest": ruleNewestEpoch, "office": ruleLeaderOnly, "wait": ruleDrain, "anew": ruleFreshWait, "inFlight": ruleInFlight, "late": ruleLateAnswer,
+		"home": ruleOneHome, "token": ruleToken, "acts": ruleActOrder} {
 		t.Run(name, func(t *testing.T) {
 			found, plays := "", 0
 			for ; plays < 20000 && found == ""; plays++ {
-				found, _ = bubble(t, rand.New(rand.NewPCG(uint64(plays), 30)).IntN, without(r), 200)
+				found, _ = bubble(t, rand.New(rand.NewPCG(uint64(plays), 30)).IntN, disabledRules(r), 200)
 			}
 			if found == "" {
 				t.Fatalf("no fault in %d histories", plays)
--- a/internal/fleet/shardmap/office.go
+++ b/internal/fleet/shardmap/office.go
@@ -11,48 +11,48 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// lookEvery is the part of a term after which a holder looks again at moves under way; words and changes have it look at once.
-const lookEvery = 20
+// checksPerTerm is the part of a term after which a holder looks again at moves under way; words and changes have it look at once.
+const checksPerTerm = 20
 
-// mostTold bounds what is remembered to have been said.
-const mostTold = 1 << 10
+// maxLoggedReasons bounds what is remembered to have been said.
+const maxLoggedReasons = 1 << 10
 
-// hold does the holder's work whenever the duty is here.
-func (p *Part) hold(ctx context.Context, g Ground) {
-	if g.Tenure == nil {
+// coordinate does the holder's work whenever the duty is here.
+func (p *Component) coordinate(ctx context.Context, g Runtime) {
+	if g.Leadership == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		changed := g.Tenure.Changed()
-		if token, _, ok := g.Tenure.Token(); ok {
+		changed := g.Leadership.Changed()
+		if token, _, ok := g.Leadership.Token(); ok {
 			office, cancel := context.WithCancel(ctx)
-			p.office(office, g, token)
+			p.serveTerm(office, g, token)
 			cancel()
-			p.holder.Leave()
+			p.coordinator.EndTerm()
 		}
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(p.opt.Term / askEvery): // it was left for want of an answer, and may be here still
+		case <-time.After(p.options.Term / requestsPerTerm): // it was left for want of an answer, and may be here still
 		}
 	}
 }
 
-// office takes moves on by a token, until the token is lost or the stewards do not answer.
-func (p *Part) office(ctx context.Context, g Ground, token uint64) {
-	if !p.take(ctx, g, token) {
+// serveTerm takes moves on by a token, until the token is lost or the stewards do not answer.
+func (p *Component) serveTerm(ctx context.Context, g Runtime, token uint64) {
+	if !p.beginTerm(ctx, g, token) {
 		return
 	}
 	g.Log.Info().Uint64("token", token).Msg("shards: takes moves on")
 	for ctx.Err() == nil {
-		changed, lost := g.View.Changed(), g.Tenure.Changed()
-		if now, _, ok := g.Tenure.Token(); !ok || now != token {
+		changed, lost := g.View.Changed(), g.Leadership.Changed()
+		if now, _, ok := g.Leadership.Token(); !ok || now != token {
 			return
 		}
-		stepped, err := p.round(ctx, g, token)
+		stepped, err := p.advanceMoves(ctx, g, token)
 		if err != nil {
 			g.Log.Warn().Err(err).Uint64("token", token).Msg("shards: a step was not written")
-			if errors.Is(err, replication.ErrFenced) || !p.take(ctx, g, token) {
+			if errors.Is(err, replication.ErrFenced) || !p.beginTerm(ctx, g, token) {
 				return
 			}
 		}
@@ -60,21 +60,21 @@
 			continue
 		}
 		var look <-chan time.Time
-		if d, _ := p.holder.Document(); d.unfinished() {
-			look = time.After(p.opt.Term / lookEvery)
+		if d, _ := p.coordinator.Document(); d.hasUnfinishedMove() {
+			look = time.After(p.options.Term / checksPerTerm)
 		}
 		select {
 		case <-ctx.Done():
 		case <-changed:
 		case <-lost:
-		case <-p.work:
+		case <-p.coordinatorWake:
 		case <-look:
 		}
 	}
 }
 
-// unfinished tells whether a move is under way, before or behind its switch.
-func (d Document) unfinished() bool {
+// hasUnfinishedMove tells whether a move is under way, before or behind its switch.
+func (d Document) hasUnfinishedMove() bool {
 	for _, m := range d.Moves {
 		if m.State != Done && m.State != Undone {
 			return true
@@ -83,71 +83,71 @@
 	return false
 }
 
-// take reads the document as the stewards have it, and puts the first map, or this holder's name, into it where that is wanted.
+// beginTerm reads the document as the stewards have it, and puts the first map, or this holder's name, into it where that is wanted.
 // What a write has come to whose answer was lost is learned the same way.
-func (p *Part) take(ctx context.Context, g Ground, token uint64) bool {
-	call, cancel := context.WithTimeout(ctx, p.opt.Term)
-	doc, err := g.Store.Read(call, Key)
+func (p *Component) beginTerm(ctx context.Context, g Runtime, token uint64) bool {
+	call, cancel := context.WithTimeout(ctx, p.options.Term)
+	doc, err := g.Store.Read(call, MapKey)
 	cancel()
 	var d Document
 	if err == nil {
-		d, err = parse(doc.Value)
+		d, err = parseDocument(doc.Value)
 	}
 	if err != nil {
 		g.Log.Warn().Err(err).Msg("shards: the map can't be read from the stewards")
 		return false
 	}
-	p.holder.Take(token, d, doc.Version)
+	p.coordinator.BeginTerm(token, d, doc.Version)
 	switch {
-	case d.Epoch == 0 && len(p.opt.Ranges) > 0:
-		err = p.put(ctx, g, token, Document{Epoch: max(p.opt.Epoch, 1), Ranges: p.opt.Ranges})
-	case d.unfinished() && d.Holder != p.opt.Name:
-		err = p.put(ctx, g, token, d)
+	case d.Epoch == 0 && len(p.options.Ranges) > 0:
+		err = p.writeDocument(ctx, g, token, Document{Epoch: max(p.options.Epoch, 1), Ranges: p.options.Ranges})
+	case d.hasUnfinishedMove() && d.Holder != p.options.Name:
+		err = p.writeDocument(ctx, g, token, d)
 	}
 	return err == nil
 }
 
-// put writes a step: it holds only while this holder's token is in the table and nothing else has been written since it read.
-func (p *Part) put(ctx context.Context, g Ground, token uint64, d Document) error {
-	_, version := p.holder.Document()
-	d.Holder = p.opt.Name
-	call, cancel := context.WithTimeout(ctx, p.opt.Term)
+// writeDocument writes a step: it holds only while this holder's token is in the table and nothing else has been written since it read.
+func (p *Component) writeDocument(ctx context.Context, g Runtime, token uint64, d Document) error {
+	_, version := p.coordinator.Document()
+	d.Holder = p.options.Name
+	call, cancel := context.WithTimeout(ctx, p.options.Term)
 	defer cancel()
-	version, err := g.Store.Put(call, Key, version, d.encode(), replication.Fence{Duty: Duty, Token: token})
+	version, err := g.Store.Put(call, MapKey, version, d.encode(), replication.Fence{Lease: LeaseName, Token: token})
 	if err == nil {
-		p.holder.Wrote(d, version)
+		p.coordinator.DocumentWritten(d, version)
 	}
 	return err
 }
 
-// round takes each move as far as it goes now. It tells whether a step was written: then there may be more.
-func (p *Part) round(ctx context.Context, g Ground, token uint64) (stepped bool, err error) {
-	if stepped, err = p.obey(ctx, g, token); stepped || err != nil {
+// advanceMoves takes each move as far as it goes now. It tells whether a step was written: then there may be more.
+func (p *Component) advanceMoves(ctx context.Context, g Runtime, token uint64) (stepped bool, err error) {
+	if stepped, err = p.carryOutOrders(ctx, g, token); stepped || err != nil {
 		return stepped, err
 	}
-	enrolled := Enrolled{Version: g.View.Version(), Instances: map[string]string{}}
-	for _, doc := range g.View.Under(Routers) {
-		enrolled.Instances[strings.TrimPrefix(doc.Key, Routers)] = string(doc.Value)
+	enrolled := Enrollment{Version: g.View.Version(), Instances: map[string]string{}}
+	for _, doc := range g.View.List(RouterPrefix) {
+		enrolled.Instances[strings.TrimPrefix(doc.Key, RouterPrefix)] = string(doc.Value)
 	}
-	d, _ := p.holder.Document()
+	d, _ := p.coordinator.Document()
 	for _, m := range d.Moves {
-		s, ok := p.holder.Next(m.Name, enrolled, p.actedFor(m).act)
+		s, ok := p.coordinator.NextStep(m.Name, enrolled, p.progressOf(m).lastAct)
 		switch {
 		case !ok && (m.State == Prepared || m.State == Fenced):
-			if lacks := p.holder.Waits(m.Name, enrolled); len(lacks) > 0 {
-				p.once(fmt.Sprint(m.Since, lacks), func() {
+			if lacks := p.coordinator.WaitingFor(m.Name, enrolled); len(lacks) > 0 {
+				p.logOnce(fmt.Sprint(m.SinceEpoch, lacks), func() {
 					g.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Strs("waits for", lacks).Msg("shards: a move waits for poolers")
 				})
 			}
 		case !ok:
 		case s.Next == nil:
-			p.act(ctx, g, s)
+			p.startAct(ctx, g, s)
 		default:
-			if err := p.put(ctx, g, token, *s.Next); err != nil {
+			if err := p.writeDocument(ctx, g, token, *s.Next); err != nil {
 				return false, err
 			}
 			now, _ := s.Next.Move(m.Name)
-			line := g.Log.Info().Str("move", m.Name).Str("state", string(now.State)).Uint64("epoch", now.Since).Str("why", now.Why)
+			line := g.Log.Info().Str("move", m.Name).Str("state", string(now.State)).Uint64("epoch", now.SinceEpoch).Str("why", now.Reason)
 			if now.State == Switched {
 				line = line.Interface("ranges", s.Next.Ranges) // what the operators' file must say should the stewards' folders be lost
 			}
@@ -158,10 +158,10 @@
 	return false, nil
 }
 
-// obey begins the moves that the operators have ordered, and undoes those that they want no more. What is turned down is said once.
-func (p *Part) obey(ctx context.Context, g Ground, token uint64) (stepped bool, err error) {
-	d, _ := p.holder.Document()
-	for _, doc := range g.View.Under(Orders) {
+// carryOutOrders begins the moves that the operators have ordered, and undoes those that they want no more. What is turned down is said once.
+func (p *Component) carryOutOrders(ctx context.Context, g Runtime, token uint64) (stepped bool, err error) {
+	d, _ := p.coordinator.Document()
+	for _, doc := range g.View.List(OrderPrefix) {
 		var o Order
 		if json.Unmarshal(doc.Value, &o) != nil || o.Name == "" {
 			continue
@@ -174,61 +174,61 @@
 			next, why = d.Begin(o)
 		}
 		if why != nil {
-			p.once(string(doc.Value)+why.Error(), func() { g.Log.Warn().Err(why).Str("move", o.Name).Msg("shards: an order is not carried out") })
+			p.logOnce(string(doc.Value)+why.Error(), func() { g.Log.Warn().Err(why).Str("move", o.Name).Msg("shards: an order is not carried out") })
 		}
 		if next.Epoch != d.Epoch {
 			g.Log.Info().Str("move", o.Name).Bool("undo", o.Undo).Uint64("epoch", next.Epoch).Msg("shards: an order is carried out")
-			return true, p.put(ctx, g, token, next)
+			return true, p.writeDocument(ctx, g, token, next)
 		}
 	}
 	return false, nil
 }
 
-func (p *Part) once(what string, say func()) {
+func (p *Component) logOnce(what string, say func()) {
 	p.mu.Lock()
-	before := p.told[what]
-	if len(p.told) >= mostTold { // then some are said again
-		clear(p.told)
+	before := p.logged[what]
+	if len(p.logged) >= maxLoggedReasons { // then some are said again
+		clear(p.logged)
 	}
-	p.told[what] = true
+	p.logged[what] = true
 	p.mu.Unlock()
 	if !before {
 		say()
 	}
 }
 
-// actedFor is how far the acts of a move's present state are.
-func (p *Part) actedFor(m Move) done {
+// progressOf is how far the acts of a move's present state are.
+func (p *Component) progressOf(m Move) progress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if a := p.acted[m.Name]; a.since == m.Since {
+	if a := p.actProgress[m.Name]; a.stateEpoch == m.SinceEpoch {
 		return a
 	}
-	return done{since: m.Since}
+	return progress{stateEpoch: m.SinceEpoch}
 }
 
-// act has an act done on a goroutine of its own, as it may take long: one at a time for each move, again after a failure.
-func (p *Part) act(ctx context.Context, g Ground, s Step) {
+// startAct has an act done on a goroutine of its own, as it may take long: one at a time for each move, again after a failure.
+func (p *Component) startAct(ctx context.Context, g Runtime, s Step) {
 	name := s.Move.Name
-	before := p.actedFor(s.Move)
-	if before.running || time.Now().Before(before.after) {
+	before := p.progressOf(s.Move)
+	if before.running || time.Now().Before(before.retryAt) {
 		return
 	}
-	note := func(d done) {
+	note := func(d progress) {
 		p.mu.Lock()
-		p.acted[name] = d
+		p.actProgress[name] = d
 		p.mu.Unlock()
-		poke(p.work)
+		notify(p.coordinatorWake)
 	}
 	before.running = true
 	note(before)
-	i := p.holder.Instruct(s)
+	i := p.coordinator.Instruct(s)
 	go func() {
-		err := p.opt.Copier.Do(ctx, i)
-		after := done{since: s.Move.Since, act: s.Act}
+		err := p.options.Copier.Do(ctx, i)
+		after := progress{stateEpoch: s.Move.SinceEpoch, lastAct: s.Act}
 		if err != nil {
 			g.Log.Warn().Err(err).Str("move", name).Str("act", string(s.Act)).Msg("shards: an act has failed")
-			after.act, after.after = before.act, time.Now().Add(p.opt.Term/askEvery)
+			after.lastAct, after.retryAt = before.lastAct, time.Now().Add(p.options.Term/requestsPerTerm)
 		}
 		note(after)
 	}()
--- a/internal/fleet/shardmap/part_test.go
+++ b/internal/fleet/shardmap/part_test.go
@@ -41,7 +41,7 @@
 
 // pooler is one process with the part.
 type pooler struct {
-	part   *Part
+	part   *Component
 	bus    *bustest.Bus
 	view   *replicationtest.View
 	client *replicationtest.Client
@@ -52,7 +52,7 @@
 // fleet is some poolers on one register and one network.
 type fleet struct {
 	t   *testing.T
-	reg *replicationtest.Register
+	reg *replicationtest.Cluster
 	net *bustest.Network
 	c   *cells
 	p   []*pooler
@@ -61,7 +61,7 @@
 
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{t: t, reg: replicationtest.New(drift), net: bustest.New(1), c: &cells{stop: map[Act]bool{}}}
-	f.net.Delay(5*time.Millisecond, 5*time.Millisecond)
+	f.net.SetDelay(5*time.Millisecond, 5*time.Millisecond)
 	for i := range n {
 		f.p = append(f.p, f.start(i, nil))
 	}
@@ -76,11 +76,11 @@
 		view = f.reg.View()
 	}
 	p := &pooler{bus: f.net.Join(name), view: view, client: f.reg.Client(fmt.Sprintf("%s/%d", name, f.n)), ended: make(chan struct{})}
-	p.part = New(Options{Name: name, Epoch: 40, Term: term, Drift: drift, PreparedMost: 20 * term, FencedMost: 5 * term, Ranges: []Range{{To: "m"}, {From: "m", Cluster: 1}}, Copier: f.c})
+	p.part = New(Options{Name: name, Epoch: 40, Term: term, MaxClockDrift: drift, MaxPrepared: 20 * term, MaxFenced: 5 * term, Ranges: []Range{{To: "m"}, {From: "m", Cluster: 1}}, Copier: f.c})
 	ctx, cancel := context.WithCancel(f.t.Context())
 	p.end = cancel
-	ground := Ground{Bus: p.bus, View: p.view, Store: p.client, Log: zerolog.Nop(),
-		Tenure: p.client.Stand(ctx, Duty, replication.Terms{Term: term, Drift: drift, Spread: float64(i) / 8})}
+	ground := Runtime{Bus: p.bus, View: p.view, Store: p.client, Log: zerolog.Nop(),
+		Leadership: p.client.Campaign(ctx, LeaseName, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: float64(i) / 8})}
 	go func() {
 		defer close(p.ended)
 		_ = p.part.Run(ctx, ground)
@@ -90,7 +90,7 @@
 
 // kill ends a pooler as a crash would: it says and hears nothing from then on, and gives nothing back.
 func (f *fleet) kill(p *pooler) {
-	p.client.Cut(true)
+	p.client.SetPartitioned(true)
 	p.bus.Stop()
 	p.end()
 	<-p.ended
@@ -106,17 +106,17 @@
 
 func (f *fleet) order(o Order) {
 	p := f.p[len(f.p)-1]
-	opt := p.part.opt
+	opt := p.part.options
 	opt.Orders = []Order{o}
 	p.part.Reload(opt)
 }
 
 func (f *fleet) document() Document {
-	doc, err := f.reg.Client("test").Read(f.t.Context(), Key)
+	doc, err := f.reg.Client("test").Read(f.t.Context(), MapKey)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	d, err := parse(doc.Value)
+	d, err := parseDocument(doc.Value)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 // holder is who is in office, by the document.
 func (f *fleet) holder() int {
 	for i, p := range f.p {
-		if p.part.opt.Name == f.document().Holder {
+		if p.part.options.Name == f.document().Holder {
 			return i
 		}
 	}
@@ -153,18 +153,18 @@
 
 // write is a write of a key by a pooler; home: where it went; -1: refused.
 func (p *pooler) write(key string) (home int) {
-	w, _ := p.part.router.Begin(key, time.Now().Add(term))
+	w, _ := p.part.router.BeginWrite(key, time.Now().Add(term))
 	if w == nil {
 		return -1
 	}
-	defer p.part.router.End(w)
-	if _, ok := p.part.router.Send(w); !ok || !p.part.router.Counts(w) {
+	defer p.part.router.EndWrite(w)
+	if _, ok := p.part.router.AuthorizeSend(w); !ok || !p.part.router.AnswerCounts(w) {
 		return -1
 	}
 	return w.Home
 }
 
-var toOne = Order{Name: "first", Range: Range{From: "a", To: "c", Cluster: 1}, Source: 0}
+var moveToOne = Order{Name: "first", Range: Range{From: "a", To: "c", Cluster: 1}, Source: 0}
 
 // Without a fault a move goes through all states, no router is refused before its fence or behind its switch, and the fence
 // lasts for a few words.
@@ -175,7 +175,7 @@
 		if got := f.document().Epoch; got != 40 {
 			t.Errorf("the first map's epoch is %d, not the operators'", got)
 		}
-		f.order(toOne)
+		f.order(moveToOne)
 		var fenced time.Duration
 		f.until(10*term, "the move is done", func() bool {
 			state := f.state("first")
@@ -210,17 +210,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		defer f.stop()
-		f.c.stop[Copy] = true
-		f.order(toOne)
+		f.c.stop[ActCopy] = true
+		f.order(moveToOne)
 		f.until(5*term, "copying", func() bool { return f.state("first") == Copying })
 		time.Sleep(term)
 		lone := f.p[(f.holder()+1)%len(f.p)]
 		other := f.p[(f.holder()+2)%len(f.p)]
-		f.net.Isolate(lone.part.opt.Name, true)
-		lone.client.Cut(true)
-		lone.view.Cut(true)
+		f.net.SetIsolated(lone.part.options.Name, true)
+		lone.client.SetPartitioned(true)
+		lone.view.SetPartitioned(true)
 		f.c.mu.Lock()
-		f.c.stop[Copy] = false
+		f.c.stop[ActCopy] = false
 		f.c.mu.Unlock()
 		began, last := time.Now(), time.Now()
 		var none time.Duration
@@ -236,19 +236,19 @@
 		if wrote := last.Sub(began); wrote > term-drift {
 			t.Errorf("it writes for %v", wrote)
 		}
-		if bound := term + drift + term/lookEvery + 100*time.Millisecond; none < term/2 || none > bound {
+		if bound := term + drift + term/checksPerTerm + 100*time.Millisecond; none < term/2 || none > bound {
 			t.Errorf("no writes for %v, want at most %v", none, bound)
 		}
-		if w, after := lone.part.router.Begin("b", time.Now()); w != nil || after <= 0 {
+		if w, after := lone.part.router.BeginWrite("b", time.Now()); w != nil || after <= 0 {
 			t.Errorf("its client is told to come again after %v", after)
 		}
 		if home, _, _ := lone.part.router.Home("b"); home != 0 || lone.write("d") != 0 {
 			t.Error("reads and other ranges do not go on")
 		}
 		t.Logf("no writes for %v; the lone router wrote for %v", none, last.Sub(began))
-		f.net.Isolate(lone.part.opt.Name, false)
-		lone.client.Cut(false)
-		lone.view.Cut(false)
+		f.net.SetIsolated(lone.part.options.Name, false)
+		lone.client.SetPartitioned(false)
+		lone.view.SetPartitioned(false)
 		f.until(term, "it writes to the new home", func() bool { return lone.write("b") == 1 })
 	})
 }
@@ -262,21 +262,21 @@
 				f := newFleet(t, 4)
 				defer f.stop()
 				old := f.p[0].view.Restart()
-				f.p[0].view.Cut(false)
-				stopped := map[State]Act{Copying: Copy, Fenced: Finish, Switched: Close}[state]
+				f.p[0].view.SetPartitioned(false)
+				stopped := map[State]Act{Copying: ActCopy, Fenced: ActFinish, Switched: ActClose}[state]
 				f.c.stop[stopped] = true
 				idle := f.p[(f.holder()+1)%4]
 				if state == Prepared {
-					idle.view.Cut(true) // one that does not learn of it
+					idle.view.SetPartitioned(true) // one that does not learn of it
 				}
-				f.order(toOne)
+				f.order(moveToOne)
 				f.until(8*term, string(state), func() bool { return f.state("first") == state })
 				k := f.holder()
 				f.kill(f.p[k])
 				f.c.mu.Lock()
 				f.c.stop[stopped] = false
 				f.c.mu.Unlock()
-				idle.view.Cut(false)
+				idle.view.SetPartitioned(false)
 				f.p[k] = f.start(k, old)
 				for range 10 {
 					if home := f.p[k].write("b"); home >= 0 {
@@ -284,7 +284,7 @@
 					}
 					time.Sleep(term / 10)
 				}
-				old.Cut(false)
+				old.SetPartitioned(false)
 				f.until(12*term, "done", func() bool { return f.state("first") == Done })
 				for i, p := range f.p {
 					f.until(term, "written at the new home", func() bool { return p.write("b") == 1 })
@@ -312,13 +312,13 @@
 			t.Error("it writes though no move waits for it")
 		}
 		f.kill(others[1])
-		f.order(toOne)
+		f.order(moveToOne)
 		time.Sleep(5 * term)
 		if got := f.state("first"); got != Prepared {
 			t.Errorf("%s, with one dead that nobody has struck out", got)
 		}
-		opt := f.p[4].part.opt
-		opt.Orders, opt.Retired = []Order{toOne}, []string{others[1].part.router.Instance}
+		opt := f.p[4].part.options
+		opt.Orders, opt.Retired = []Order{moveToOne}, []string{others[1].part.router.Instance}
 		f.p[4].part.Reload(opt)
 		f.until(5*term, "done", func() bool { return f.state("first") == Done })
 	})
@@ -329,19 +329,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		defer f.stop()
-		f.c.stop[Copy] = true
-		f.order(toOne)
+		f.c.stop[ActCopy] = true
+		f.order(moveToOne)
 		f.until(5*term, "copying", func() bool { return f.state("first") == Copying })
 		time.Sleep(term)
-		before, _ := f.net.Said()
+		before, _ := f.net.MessageCounts()
 		for n := range 300 {
 			if _, err := f.reg.Client("other").Put(t.Context(), fmt.Sprint("other/", n), 0, []byte("x"), replication.Fence{}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(3 * time.Millisecond)
 		}
-		after, _ := f.net.Said()
-		if n := after - before; n > 3*2*(askEvery+1) { // three poolers' asks and their grants, for a term
+		after, _ := f.net.MessageCounts()
+		if n := after - before; n > 3*2*(requestsPerTerm+1) { // three poolers' asks and their grants, for a term
 			t.Errorf("%d messages in a term", n)
 		}
 	})
@@ -353,8 +353,8 @@
 		f := newFleet(t, 3)
 		defer f.stop()
 		for _, p := range f.p {
-			p.client.Cut(true)
-			p.view.Cut(true)
+			p.client.SetPartitioned(true)
+			p.view.SetPartitioned(true)
 		}
 		time.Sleep(100 * term)
 		for i, p := range f.p {
@@ -370,11 +370,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		defer f.stop()
-		f.c.stop[Finish] = true
-		f.order(toOne)
+		f.c.stop[ActFinish] = true
+		f.order(moveToOne)
 		f.until(10*term, "fenced", func() bool { return f.state("first") == Fenced })
 		f.until(7*term, "undone by its time", func() bool { return f.state("first") == Undone })
-		f.c.stop[Copy] = true
+		f.c.stop[ActCopy] = true
 		second := Order{Name: "second", Range: Range{From: "a", To: "c", Cluster: 1}}
 		f.order(second)
 		f.until(10*term, "copying", func() bool { return f.state("second") == Copying })
@@ -387,9 +387,9 @@
 				t.Errorf("router %d: %d", i, home)
 			}
 		}
-		f.net.Isolate("n2", true)
-		f.p[1].view.Cut(true)
-		f.p[1].client.Cut(true)
+		f.net.SetIsolated("n2", true)
+		f.p[1].view.SetPartitioned(true)
+		f.p[1].client.SetPartitioned(true)
 		f.order(Order{Name: "third", Range: Range{From: "a", To: "c", Cluster: 1}})
 		f.until(30*term, "undone, as one router does not know of it", func() bool { return f.state("third") == Undone })
 	})
--- a/internal/fleet/shardmap/shardmap.go
+++ b/internal/fleet/shardmap/shardmap.go
@@ -24,16 +24,16 @@
 
 // Where things stand in the shared documents.
 const (
-	Key     = "shards/map"
-	Routers = "shards/router/" // with a pooler's name behind it: the process that may write
-	Orders  = "shards/order/"  // with a move's name behind it: what the operators ask for
+	MapKey       = "shards/map"
+	RouterPrefix = "shards/router/" // with a pooler's name behind it: the process that may write
+	OrderPrefix  = "shards/order/"  // with a move's name behind it: what the operators ask for
 )
 
-// Duty is the duty of whoever takes moves on.
-const Duty lease.Duty = "shards/moves"
+// LeaseName is the duty of whoever takes moves on.
+const LeaseName lease.Name = "shards/moves"
 
-// keptMoves bounds the finished moves that the document remembers, so that an order is not carried out twice.
-const keptMoves = 64
+// maxFinishedMoves bounds the finished moves that the document remembers, so that an order is not carried out twice.
+const maxFinishedMoves = 64
 
 // Range is the keys of a range, and its cluster.
 type Range = ranges.Range
@@ -46,8 +46,8 @@
 	Moves  []Move  `json:"moves,omitempty"` // those under way, and the last finished ones, in the order of their beginning
 }
 
-// parse reads a document; nil is none.
-func parse(text []byte) (d Document, err error) {
+// parseDocument reads a document; nil is none.
+func parseDocument(text []byte) (d Document, err error) {
 	if len(text) == 0 {
 		return d, nil
 	}
@@ -69,8 +69,8 @@
 	return ranges.Home(d.Ranges, key)
 }
 
-// moving is the move under way, before its switch, that a key's range is in.
-func (d Document) moving(key string) (Move, bool) {
+// activeMoveOf is the move under way, before its switch, that a key's range is in.
+func (d Document) activeMoveOf(key string) (Move, bool) {
 	for _, m := range d.Moves {
 		if m.State.beforeSwitch() && m.Range.Holds(key) {
 			return m, true
@@ -81,7 +81,7 @@
 
 // movedSince tells whether a key has changed its home behind an epoch. Requests are far shorter than what keptMoves moves take.
 func (d Document) movedSince(key string, epoch uint64) bool {
-	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.Moved > epoch && m.Range.Holds(key) })
+	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.SwitchEpoch > epoch && m.Range.Holds(key) })
 }
 
 // Move looks a move up by its name.
@@ -96,8 +96,8 @@
 	return slices.IndexFunc(d.Moves, func(m Move) bool { return m.Name == name })
 }
 
-// active tells whether a move stands before its switch, where routers need a right to write.
-func (d Document) active() bool {
+// hasActiveMove tells whether a move stands before its switch, where routers need a right to write.
+func (d Document) hasActiveMove() bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.State.beforeSwitch() })
 }
 
@@ -118,13 +118,13 @@
 
 // Move is a range on its way. Cluster of the Range is where it goes.
 type Move struct {
-	Name   string `json:"name"`
-	Range  Range  `json:"range"`
-	Source int    `json:"source"`
-	State  State  `json:"state"`
-	Since  uint64 `json:"since"`           // the epoch at which the state began
-	Moved  uint64 `json:"moved,omitempty"` // the epoch of the switch; 0: not switched
-	Why    string `json:"why,omitempty"`
+	Name        string `json:"name"`
+	Range       Range  `json:"range"`
+	Source      int    `json:"source"`
+	State       State  `json:"state"`
+	SinceEpoch  uint64 `json:"since"`           // the epoch at which the state began
+	SwitchEpoch uint64 `json:"moved,omitempty"` // the epoch of the switch; 0: not switched
+	Reason      string `json:"why,omitempty"`
 }
 
 // Order is what the operators ask for. The source is named so that an order that is told again much later does nothing.
@@ -137,29 +137,29 @@
 
 // What a document can say to an order.
 var (
-	errKnown   = errors.New("there has been a move of this name")
-	errOverlap = errors.New("another move of these keys is under way")
-	errSource  = errors.New("the keys are not all at home in the move's source")
+	errDuplicateMove   = errors.New("there has been a move of this name")
+	errOverlappingMove = errors.New("another move of these keys is under way")
+	errWrongSource     = errors.New("the keys are not all at home in the move's source")
 )
 
 // Begin is the document with an order's move prepared.
 func (d Document) Begin(o Order) (Document, error) {
 	if d.index(o.Name) >= 0 {
-		return d, errKnown
+		return d, errDuplicateMove
 	}
-	if mayNotBegin(d, o.Range) {
-		return d, errOverlap
+	if overlapsUnfinishedMove(d, o.Range) {
+		return d, errOverlappingMove
 	}
 	for _, r := range d.Ranges {
 		if r.Overlaps(o.Range) && r.Cluster != o.Source {
-			return d, errSource
+			return d, errWrongSource
 		}
 	}
 	if len(d.Ranges) == 0 || o.Source == o.Range.Cluster || o.Range.To != "" && o.Range.To <= o.Range.From {
-		return d, errSource
+		return d, errWrongSource
 	}
-	d = d.next()
-	d.Moves = append(d.Moves, Move{Name: o.Name, Range: o.Range, Source: o.Source, State: Prepared, Since: d.Epoch})
+	d = d.nextEpoch()
+	d.Moves = append(d.Moves, Move{Name: o.Name, Range: o.Range, Source: o.Source, State: Prepared, SinceEpoch: d.Epoch})
 	finished := 0
 	for _, m := range d.Moves {
 		if m.State == Done || m.State == Undone {
@@ -167,7 +167,7 @@
 		}
 	}
 	d.Moves = slices.DeleteFunc(d.Moves, func(m Move) bool {
-		old := finished > keptMoves && (m.State == Done || m.State == Undone)
+		old := finished > maxFinishedMoves && (m.State == Done || m.State == Undone)
 		if old {
 			finished--
 		}
@@ -176,8 +176,8 @@
 	return d, nil
 }
 
-// mayNotBegin is the rule that no key is in two moves before their ends.
-func mayNotBegin(d Document, r Range) bool {
+// overlapsUnfinishedMove is the rule that no key is in two moves before their ends.
+func overlapsUnfinishedMove(d Document, r Range) bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool {
 		return m.State != Done && m.State != Undone && m.Range.Overlaps(r)
 	})
@@ -191,10 +191,10 @@
 	if !ok {
 		return d
 	}
-	d = d.next()
-	d.Moves[i].State, d.Moves[i].Since = to, d.Epoch
+	d = d.nextEpoch()
+	d.Moves[i].State, d.Moves[i].SinceEpoch = to, d.Epoch
 	if to == Switched {
-		d.Moves[i].Moved = d.Epoch
+		d.Moves[i].SwitchEpoch = d.Epoch
 		d.Ranges = ranges.Place(d.Ranges, d.Moves[i].Range)
 	}
 	return d
@@ -206,13 +206,13 @@
 	if i < 0 || !d.Moves[i].State.beforeSwitch() {
 		return d
 	}
-	d = d.next()
-	d.Moves[i].State, d.Moves[i].Since, d.Moves[i].Why = Undone, d.Epoch, why
+	d = d.nextEpoch()
+	d.Moves[i].State, d.Moves[i].SinceEpoch, d.Moves[i].Reason = Undone, d.Epoch, why
 	return d
 }
 
-// next is a copy at the next epoch.
-func (d Document) next() Document {
+// nextEpoch is a copy at the next epoch.
+func (d Document) nextEpoch() Document {
 	d.Epoch++
 	d.Ranges, d.Moves = slices.Clone(d.Ranges), slices.Clone(d.Moves)
 	return d
--- a/internal/fleet/shardmap/shardmap_test.go
+++ b/internal/fleet/shardmap/shardmap_test.go
@@ -60,7 +60,7 @@
 			if string(before.encode()) != string(d.encode()) && d.Epoch != before.Epoch+1 {
 				t.Fatalf("epoch %d after %d", d.Epoch, before.Epoch)
 			}
-			if again, err := parse(d.encode()); err != nil || string(again.encode()) != string(d.encode()) {
+			if again, err := parseDocument(d.encode()); err != nil || string(again.encode()) != string(d.encode()) {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/traffic/traffic.go
+++ b/internal/fleet/traffic/traffic.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 )
 
-// mostKinds bounds the kinds that are kept apart: some come from other processes.
-const mostKinds = 128
+// maxKinds bounds the kinds that are kept apart: some come from other processes.
+const maxKinds = 128
 
 // Other is the kind of what no longer has one of its own.
 const Other = "other"
@@ -38,7 +38,7 @@
 	if c == nil {
 		return
 	}
-	k := c.of(kind)
+	k := c.countsFor(kind)
 	k.bytesIn.Add(uint64(bytes))
 	k.messagesIn.Add(uint64(messages))
 }
@@ -48,12 +48,12 @@
 	if c == nil {
 		return
 	}
-	k := c.of(kind)
+	k := c.countsFor(kind)
 	k.bytesOut.Add(uint64(bytes))
 	k.messagesOut.Add(uint64(messages))
 }
 
-func (c *Counter) of(kind string) *counts {
+func (c *Counter) countsFor(kind string) *counts {
 	c.mu.RLock()
 	k := c.kinds[kind]
 	c.mu.RUnlock()
@@ -62,7 +62,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.kinds) >= mostKinds && c.kinds[kind] == nil {
+	if len(c.kinds) >= maxKinds && c.kinds[kind] == nil {
 		kind = Other
 	}
 	if k = c.kinds[kind]; k == nil {
@@ -91,26 +91,26 @@
 }
 
 // Conn counts what a connection reads and writes as of one kind, each read and write as a message.
-func (c *Counter) Conn(conn net.Conn, kind string) net.Conn { return &counted{conn, c, kind} }
+func (c *Counter) Conn(conn net.Conn, kind string) net.Conn { return &countingConn{conn, c, kind} }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
-	c    *Counter
-	kind string
+	counter *Counter
+	kind    string
 }
 
-func (n *counted) Read(b []byte) (int, error) {
+func (n *countingConn) Read(b []byte) (int, error) {
 	got, err := n.Conn.Read(b)
 	if got > 0 {
-		n.c.In(n.kind, 1, got)
+		n.counter.In(n.kind, 1, got)
 	}
 	return got, err
 }
 
-func (n *counted) Write(b []byte) (int, error) {
+func (n *countingConn) Write(b []byte) (int, error) {
 	put, err := n.Conn.Write(b)
 	if put > 0 {
-		n.c.Out(n.kind, 1, put)
+		n.counter.Out(n.kind, 1, put)
 	}
 	return put, err
 }
--- a/internal/fleet/traffic/traffic_test.go
+++ b/internal/fleet/traffic/traffic_test.go
@@ -31,10 +31,10 @@
 	if got := c.Snapshot(); !slices.Equal(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	for i := range 2 * mostKinds {
+	for i := range 2 * maxKinds {
 		c.In(fmt.Sprint("k", i), 1, 1)
 	}
-	if n := len(c.Snapshot()); n > mostKinds+1 {
+	if n := len(c.Snapshot()); n > maxKinds+1 {
 		t.Errorf("%d kinds are kept apart", n)
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -58,9 +58,9 @@
 
 // running is a hollow pooler.
 type running struct {
-	*pooler.Hollow
-	ground chan fleet.Ground
-	own    fleet.Ground
+	*pooler.Simulated
+	ground chan fleet.Runtime
+	own    fleet.Runtime
 	before []traffic.Count // of its lives before this one
 }
 
@@ -115,10 +115,10 @@
 	if err != nil {
 		return err
 	}
-	p := &running{ground: make(chan fleet.Ground, 1), before: before}
-	o := fleet.Options{Config: fc, Spread: pooler.Spread(&cfg), Parts: []fleet.Part{&observer{w, h.Name, p.ground}}, Log: zerolog.Nop()}
-	part := &pooler.FleetPart{Config: fc, Build: build, Open: func(e pooler.FleetEvents) (pooler.Fleet, error) { return fleet.Open(o, e) }}
-	if p.Hollow, err = pooler.OpenHollow(&cfg, part, zerolog.Nop()); err != nil {
+	p := &running{ground: make(chan fleet.Runtime, 1), before: before}
+	o := fleet.Options{Config: fc, JitterFraction: pooler.Spread(&cfg), Components: []fleet.Component{&observer{w, h.Name, p.ground}}, Log: zerolog.Nop()}
+	part := &pooler.FleetOptions{Config: fc, Build: build, Open: func(e pooler.FleetEvents) (pooler.Fleet, error) { return fleet.Start(o, e) }}
+	if p.Simulated, err = pooler.OpenSimulated(&cfg, part, zerolog.Nop()); err != nil {
 		return err
 	}
 	p.own = <-p.ground
@@ -127,16 +127,16 @@
 }
 
 // traffic is the pooler's over all its lives.
-func (p *running) traffic() []traffic.Count { return sum(p.before, p.Figures().Traffic) }
+func (p *running) traffic() []traffic.Count { return sum(p.before, p.Status().Traffic) }
 
 // observer is the laboratory's part at a hollow pooler: it notes when changes come into force there.
 type observer struct {
 	w      *works
 	name   string
-	ground chan<- fleet.Ground
+	ground chan<- fleet.Runtime
 }
 
-func (o *observer) Run(ctx context.Context, g fleet.Ground) error {
+func (o *observer) Run(ctx context.Context, g fleet.Runtime) error {
 	o.ground <- g
 	last := 0
 	for {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -104,7 +104,7 @@
 	files    *standin.Fleet
 	reals    []*real
 	children []*child // the last one's poolers are killed in Loss5
-	store    *consensus.Clients
+	store    *consensus.ClientPool
 	version  uint64 // of the changed document
 	changes  int
 	written  map[int]time.Time // when the writing of the phase's changes began
@@ -302,7 +302,7 @@
 	for j := range stewards {
 		founders = append(founders, consensus.Peer{Name: name(j), Addr: p.block.Addr(j, lab.StewardPort)})
 	}
-	p.store = consensus.NewClients(1, "threadsail-lab-scale", founders, putFor)
+	p.store = consensus.NewClientPool(1, "threadsail-lab-scale", founders, putFor)
 	var hollows []hollow
 	for i := range p.size {
 		if err := os.Mkdir(filepath.Join(p.dir, name(i)), 0o700); err != nil {
--- a/internal/lab/session_test.go
+++ b/internal/lab/session_test.go
@@ -42,9 +42,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terminate, ready, ended := make(chan struct{}), make(chan pooler.Addrs, 1), make(chan error, 1)
+	terminate, ready, ended := make(chan struct{}), make(chan pooler.Addresses, 1), make(chan error, 1)
 	go func() {
-		ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate}, func(a pooler.Addrs) { ready <- a })
+		ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate}, func(a pooler.Addresses) { ready <- a })
 	}()
 	t.Cleanup(func() {
 		close(terminate)
--- a/internal/lab/shards.go
+++ b/internal/lab/shards.go
@@ -207,7 +207,7 @@
 	rep.Shards = &Shards{Rows: len(s.ops)}
 	rep.Shards.TurnedAway, rep.Shards.Acts = s.rows.Count()
 	for _, a := range rep.Shards.Acts {
-		if a == shardmap.Close {
+		if a == shardmap.ActClose {
 			rep.Shards.Moved++
 		}
 	}
--- a/internal/lab/standin/shards.go
+++ b/internal/lab/standin/shards.go
@@ -84,14 +84,14 @@
 	s.acts = append(s.acts, i.Act)
 	from, to := s.cell(i.Move.Source), s.cell(i.Move.Range.Cluster)
 	switch i.Act {
-	case shardmap.Fence:
+	case shardmap.ActFence:
 		from.fences = append(from.fences, fence{in: i.Move.Range, least: i.Epoch})
-	case shardmap.Copy, shardmap.Finish:
+	case shardmap.ActCopy, shardmap.ActFinish:
 		to.take(i.Move.Range, from)
-		if i.Act == shardmap.Finish { // it may have been at home here before
+		if i.Act == shardmap.ActFinish { // it may have been at home here before
 			to.fences = append(to.fences, fence{in: i.Move.Range, least: i.Epoch + 1})
 		}
-	case shardmap.Close:
+	case shardmap.ActClose:
 		from.fences = append(from.fences, fence{in: i.Move.Range, shut: true})
 	}
 }
--- a/internal/lab/standin/shards_test.go
+++ b/internal/lab/standin/shards_test.go
@@ -37,7 +37,7 @@
 	}
 	told := uint64(0)
 	tell := func(act shardmap.Act, epoch, seq uint64) int {
-		body, _ := json.Marshal(shardmap.Instruction{Act: act, Epoch: epoch, Token: 1, Seq: seq, Move: shardmap.Move{Name: "m", Range: shardmap.Range{Cluster: 1}}})
+		body, _ := json.Marshal(shardmap.Instruction{Act: act, Epoch: epoch, Token: 1, Sequence: seq, Move: shardmap.Move{Name: "m", Range: shardmap.Range{Cluster: 1}}})
 		res, err := http.Post(s.URL, "application/json", bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
@@ -53,16 +53,16 @@
 	if r := write(0, "before", 2); r.Value != "before" {
 		t.Fatal(r)
 	}
-	do(shardmap.Copy, 3)
-	do(shardmap.Fence, 4)
+	do(shardmap.ActCopy, 3)
+	do(shardmap.ActFence, 4)
 	if r := write(0, "late", 3); r.Code != pgwire.CodeBehind {
 		t.Errorf("an older epoch at a fenced range: %+v", r)
 	}
-	do(shardmap.Finish, 4)
+	do(shardmap.ActFinish, 4)
 	if r := write(1, "early", 4); r.Code != pgwire.CodeBehind {
 		t.Errorf("an epoch from before the switch at the new home: %+v", r)
 	}
-	do(shardmap.Close, 5)
+	do(shardmap.ActClose, 5)
 	if r := write(0, "later", 9); r.Code != pgwire.CodeBehind {
 		t.Errorf("a newer epoch at the old home: %+v", r)
 	}
@@ -72,7 +72,7 @@
 	if r := write(1, "before", 5); r.Value != "after" {
 		t.Errorf("a repeat of what ran at the old home: %+v", r)
 	}
-	if code := tell(shardmap.Finish, 4, 3); code != http.StatusConflict {
+	if code := tell(shardmap.ActFinish, 4, 3); code != http.StatusConflict {
 		t.Errorf("a copy told before the close: %d", code)
 	}
 	if refused, acts := s.Count(); refused != 3 || len(acts) != 4 {
--- a/internal/lab/verdicts.go
+++ b/internal/lab/verdicts.go
@@ -61,7 +61,7 @@
 		records, _ := audit.Parse(name, text)
 		left := map[int]bool{}
 		for _, rec := range records {
-			if rec.Act != audit.VerdictBegun {
+			if rec.Act != audit.EjectionBegun {
 				continue
 			}
 			at := rec.Time().Sub(r.began)
