--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -20,14 +20,14 @@
 func (printer) SetTimer(time.Duration)            {}
 func (printer) CloseIdle(store uint32)            { fmt.Printf("close idle %d\n", store) }
 func (printer) Watch()                            { fmt.Println("watch") }
-func (p printer) Primary(n policy.News)           { p.Log(n.Text()) }
+func (p printer) Primary(n policy.PrimaryEvent)   { p.Log(n.LogText()) }
 func (printer) Log(text string)                   { fmt.Println("log:", text) }
 
 // A write, the loss of its group's primary, a held write, and the new primary.
 func Example() {
-	settings := policy.Settings{Balancers: 1, MayProbe: true, RoleReported: true, MaxAttempts: 3,
-		Classes: []policy.Class{{Name: "save", Need: policy.NeedWrite, Effect: policy.Unsafe,
-			Aim: 400 * time.Millisecond, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.5}}}
+	settings := policy.Settings{Poolers: 1, ProbesAllowed: true, RolesReported: true, MaxAttempts: 3,
+		Classes: []policy.Class{{Name: "save", Access: policy.Write, Idempotency: policy.NotIdempotent,
+			LatencyObjective: 400 * time.Millisecond, TotalTimeout: 5 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.5}}}
 	r, err := policy.New(settings, 1, printer{})
 	if err != nil {
 		fmt.Println(err)
@@ -35,22 +35,22 @@
 	}
 	now := time.Minute
 	says := func(store uint32, primary bool) {
-		r.ProbeResult(now, policy.ProbeResult{Store: store,
-			Report: policy.Report{HasPosition: true, Position: now, HasRole: true, Primary: primary}})
+		r.HandleProbeResult(now, policy.ProbeResult{Server: store,
+			Status: policy.ServerStatus{HasPosition: true, Position: now, HasRole: true, IsPrimary: primary}})
 	}
-	r.List(now, policy.ListCached, []policy.Member{{Store: 1, State: policy.Ready}, {Store: 2, State: policy.Ready}})
-	r.Request(now, policy.Request{ID: 10, Patience: 5 * time.Second})
+	r.HandleList(now, policy.ListCached, []policy.Member{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
+	r.HandleRequest(now, policy.Request{ID: 10, Timeout: 5 * time.Second})
 	says(1, true)
 	now += 80 * time.Millisecond
-	r.Outcome(now, policy.Outcome{ID: 10, Store: 1, Result: policy.OK, Role: policy.RolePrimary, Closed: true})
+	r.HandleOutcome(now, policy.Outcome{RequestID: 10, Server: 1, Result: policy.OK, Role: policy.RolePrimary, Answered: true})
 
 	now += 20 * time.Millisecond
-	r.ProbeResult(now, policy.ProbeResult{Store: 1, Result: policy.NoConnect})
-	r.Request(now, policy.Request{ID: 11, Patience: 5 * time.Second})
+	r.HandleProbeResult(now, policy.ProbeResult{Server: 1, Result: policy.ConnectFailed})
+	r.HandleRequest(now, policy.Request{ID: 11, Timeout: 5 * time.Second})
 	now += 3 * time.Millisecond
 	says(2, true)
 	now += 80 * time.Millisecond
-	r.Outcome(now, policy.Outcome{ID: 11, Store: 2, Result: policy.OK, Role: policy.RolePrimary, Closed: true})
+	r.HandleOutcome(now, policy.Outcome{RequestID: 11, Server: 2, Result: policy.OK, Role: policy.RolePrimary, Answered: true})
 	// Output:
 	// probe 1
 	// probe 2
--- a/internal/policy/ledger.go
+++ b/internal/policy/ledger.go
@@ -7,94 +7,94 @@
 	"time"
 )
 
-// ledgerEvery is how often a front tells its log what it could not serve and what its probes were for. A line costs
+// counterLogInterval is how often a front tells its log what it could not serve and what its probes were for. A line costs
 // as much processor time as a request or two.
 const (
-	ledgerEvery = 5 * time.Second
-	ledgerWords = 4
+	counterLogInterval = 5 * time.Second
+	countersPerLine    = 4
 )
 
-// ledger counts what went wrong since its last line, so that the logs of a fleet can be added up. It decides nothing.
-type ledger struct {
-	at    time.Duration
-	count map[string]int
+// reasonCounters counts what went wrong since its last line, so that the logs of a fleet can be added up. It decides nothing.
+type reasonCounters struct {
+	loggedAt time.Duration
+	counts   map[string]int
 }
 
-// tally counts one event and, now and then, writes the line.
-func (r *Router) tally(what string) {
-	l := &r.ledger
-	if l.count == nil {
-		l.at, l.count = r.now, map[string]int{}
+// countReason counts one event and, now and then, writes the line.
+func (r *Router) countReason(what string) {
+	l := &r.counters
+	if l.counts == nil {
+		l.loggedAt, l.counts = r.now, map[string]int{}
 	}
-	l.count[what]++
-	if r.now < l.at+ledgerEvery {
+	l.counts[what]++
+	if r.now < l.loggedAt+counterLogInterval {
 		return
 	}
-	words := make([]string, 0, len(l.count))
-	for k, n := range l.count {
+	words := make([]string, 0, len(l.counts))
+	for k, n := range l.counts {
 		words = append(words, fmt.Sprintf("%s=%d", k, n))
 	}
 	slices.Sort(words)
-	for line := range slices.Chunk(words, ledgerWords) { // the log bounds its lines
-		r.act.Log("ledger: " + strings.Join(line, " "))
+	for line := range slices.Chunk(words, countersPerLine) { // the log bounds its lines
+		r.actions.Log("ledger: " + strings.Join(line, " "))
 	}
-	l.at = r.now
-	clear(l.count)
+	l.loggedAt = r.now
+	clear(l.counts)
 }
 
-// probe asks a store and counts what for.
-func (r *Router) probe(s *store, why string) {
-	r.act.Probe(s.Store)
-	r.tally("probe-" + why)
+// sendProbe asks a store and counts what for.
+func (r *Router) sendProbe(s *server, why string) {
+	r.actions.Probe(s.ID)
+	r.countReason("probe-" + why)
 }
 
-// account says why a request that is given up now has found no store.
-func (r *Router) account(q *request) {
-	what := "end-" + q.c.Name
-	switch n := len(q.tries); {
-	case n > 0 && q.live > 0:
-		r.tally(what + "-waiting")
+// countRejection says why a request that is given up now has found no store.
+func (r *Router) countRejection(q *request) {
+	what := "end-" + q.classSettings.Name
+	switch n := len(q.attempts); {
+	case n > 0 && q.inFlight > 0:
+		r.countReason(what + "-waiting")
 		return
 	case n > 0:
 		what += "-again"
 	}
-	if q.c.Need == NeedWrite || q.c.Need == NeedFresh {
-		if p := q.g.primary; p == nil {
+	if q.classSettings.Access == Write || q.classSettings.Access == ReadLatest {
+		if p := q.group.primary; p == nil {
 			what += "-noprimary"
 		} else {
-			what += "-" + r.obstacle(q, p)
+			what += "-" + r.rejectionReason(q, p)
 		}
-		r.tally(what)
+		r.countReason(what)
 		return
 	}
 	var all []string
-	for _, s := range q.g.members {
-		if s != q.g.primary {
-			all = append(all, r.obstacle(q, s))
+	for _, s := range q.group.members {
+		if s != q.group.primary {
+			all = append(all, r.rejectionReason(q, s))
 		}
 	}
 	slices.Sort(all)
-	r.tally(what + "-" + strings.Join(slices.Compact(all), "+"))
+	r.countReason(what + "-" + strings.Join(slices.Compact(all), "+"))
 }
 
-// obstacle names what keeps a store from taking a request.
-func (r *Router) obstacle(q *request, s *store) string {
+// rejectionReason names what keeps a store from taking a request.
+func (r *Router) rejectionReason(q *request, s *server) string {
 	switch {
 	case s.State != Ready:
 		return "drain"
-	case s.unreach:
+	case s.unreachable:
 		return "unreach"
-	case s.lost:
+	case s.ejected:
 		return "lost"
-	case s != q.g.primary && !r.fresh(q, s):
+	case s != q.group.primary && !r.freshEnough(q, s):
 		return "stale"
-	case r.now < s.pausedTo:
+	case r.now < s.pausedUntil:
 		return "paused"
-	case float64(len(s.out)) >= max(s.window, 1):
+	case float64(len(s.inFlight)) >= max(s.window, 1):
 		return "window"
-	case r.cold(s) && !r.coldTurn(s, q.class):
+	case r.inSlowStart(s) && !r.slowStartAllows(s, q.classIndex):
 		return "cold"
-	case !r.room(s, q.class):
+	case !r.hasCapacity(s, q.classIndex):
 		return "rest"
 	}
 	return "free"
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -5,80 +5,80 @@
 // Finding the primary: the record of a group, its ping, and the evidence that moves it.
 
 const (
-	pingEvery   = 100 * ms        // steady ping of the recorded primary
-	smallFleet  = 5               // fronts whose pings at 100 ms each take a primary 1% of its time at most
-	heardFresh  = time.Second     // an answer on the request path outweighs failed probes this long
-	resumeAfter = 10 * ms         // from finding a primary to its first ping
-	handOver    = 700 * ms        // and from a drained one's last write
-	outage      = 4 * time.Second // from a primary's death until another takes writes, more or less
+	primaryPingInterval = 100 * ms        // steady ping of the recorded primary
+	maxSmallFleet       = 5               // fronts whose pings at 100 ms each take a primary 1% of its time at most
+	recentAnswerAge     = time.Second     // an answer on the request path outweighs failed probes this long
+	firstPingDelay      = 10 * ms         // from finding a primary to its first ping
+	typicalHandover     = 700 * ms        // and from a drained one's last write
+	typicalFailover     = 4 * time.Second // from a primary's death until another takes writes, more or less
 )
 
-// ping is every 100 ms. All fronts of a large fleet together ping as often as one alone would, and only
+// pingPrimary is every 100 ms. All fronts of a large fleet together ping as often as one alone would, and only
 // groups in use, where no answer has said the same since.
-func (r *Router) ping(g *group) {
-	if g.pinging = g.primary != nil && r.set.MayProbe && (!r.large || r.now < g.usedAt+r.pingGap); g.pinging {
-		if !r.large || r.now >= g.primary.claimAt+r.pingGap {
-			r.probe(g.primary, "ping")
+func (r *Router) pingPrimary(g *group) {
+	if g.pingScheduled = g.primary != nil && r.settings.ProbesAllowed && (!r.largeFleet || r.now < g.lastRequestAt+r.pingInterval); g.pingScheduled {
+		if !r.largeFleet || r.now >= g.primary.primaryClaimAsOf+r.pingInterval {
+			r.sendProbe(g.primary, "ping")
 		}
-		r.pingIn(g, r.pingGap)
+		r.schedulePing(g, r.pingInterval)
 	}
 }
 
-// claim and deny weigh role evidence by its as-of time: the latest wins, whatever was under way meanwhile.
-func (r *Router) claim(s *store, asOf time.Duration) {
-	s.claimAt = max(s.claimAt, asOf)
-	if asOf < s.roleAt && s.role != RolePrimary {
+// observePrimaryClaim and deny weigh role evidence by its as-of time: the latest wins, whatever was under way meanwhile.
+func (r *Router) observePrimaryClaim(s *server, asOf time.Duration) {
+	s.primaryClaimAsOf = max(s.primaryClaimAsOf, asOf)
+	if asOf < s.roleAsOf && s.role != RolePrimary {
 		return
 	}
-	s.role, s.roleAt = RolePrimary, max(s.roleAt, asOf)
-	g := r.group(s.Group)
-	if !s.listed || s.silent || g.primary == s || g.primary != nil && g.primary.claimAt >= asOf {
+	s.role, s.roleAsOf = RolePrimary, max(s.roleAsOf, asOf)
+	g := r.groupFor(s.Group)
+	if !s.listed || s.silent || g.primary == s || g.primary != nil && g.primary.primaryClaimAsOf >= asOf {
 		return
 	}
-	g.primary, g.dark, g.left, g.leftUntil = s, false, false, 0
-	r.act.Primary(News{Kind: PrimaryFound, Group: g.id, Store: s.Store, AsOf: asOf})
-	if !g.pinging {
-		r.pingIn(g, resumeAfter)
+	g.primary, g.primaryNotFound, g.primaryRemoved, g.leaderRoundsUntil = s, false, false, 0
+	r.actions.Primary(PrimaryEvent{Kind: PrimaryFound, Group: g.id, Server: s.ID, AsOf: asOf})
+	if !g.pingScheduled {
+		r.schedulePing(g, firstPingDelay)
 	}
-	r.pump(g)
+	r.dispatchQueued(g)
 }
 
-func (r *Router) deny(s *store, asOf time.Duration) {
-	if asOf < s.roleAt || asOf < s.claimAt {
+func (r *Router) observeReplicaClaim(s *server, asOf time.Duration) {
+	if asOf < s.roleAsOf || asOf < s.primaryClaimAsOf {
 		return
 	}
-	s.role, s.roleAt = RoleReplica, asOf
-	if r.lose(s, "says it is a replica") {
-		r.group(s.Group).expect = handOver
+	s.role, s.roleAsOf = RoleReplica, asOf
+	if r.dropPrimary(s, "says it is a replica") {
+		r.groupFor(s.Group).expectedOutage = typicalHandover
 	}
 }
 
-// lose drops a store from the record, if it stands there, and starts a round.
-func (r *Router) lose(s *store, why string) bool {
-	g := r.group(s.Group)
+// dropPrimary drops a store from the record, if it stands there, and starts a round.
+func (r *Router) dropPrimary(s *server, why string) bool {
+	g := r.groupFor(s.Group)
 	if g.primary != s {
 		return false
 	}
-	g.primary, g.lostAt, g.expect = nil, r.now, outage
-	r.act.Primary(News{Kind: PrimaryLost, Group: g.id, Store: s.Store, Why: why})
-	r.round(g)
+	g.primary, g.primaryDownAt, g.expectedOutage = nil, r.now, typicalFailover
+	r.actions.Primary(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: why})
+	r.startRound(g)
 	return true
 }
 
-func (r *Router) learn(s *store, rep Report) {
-	asOf := r.now - pingEvery // where its age is untold
+func (r *Router) observeStatus(s *server, rep ServerStatus) {
+	asOf := r.now - primaryPingInterval // where its age is untold
 	if rep.HasPosition {
-		r.proved(s, rep.Position)
-		if !rep.RoleNow {
+		r.advancePosition(s, rep.Position)
+		if !rep.RoleIsCurrent {
 			asOf = rep.Position // exact as of the report
 		}
 	}
-	if rep.Busy > 0 {
-		s.busy, s.busyAt = rep.Busy, r.now
+	if rep.Utilization > 0 {
+		s.utilization, s.utilizationAt = rep.Utilization, r.now
 	}
-	if rep.HasRole && rep.Primary {
-		r.claim(s, asOf)
+	if rep.HasRole && rep.IsPrimary {
+		r.observePrimaryClaim(s, asOf)
 	} else if rep.HasRole {
-		r.deny(s, asOf)
+		r.observeReplicaClaim(s, asOf)
 	}
 }
--- a/internal/policy/requests.go
+++ b/internal/policy/requests.go
@@ -4,89 +4,89 @@
 
 // Requests: what the answer to one is worth, when, and where it goes.
 
-// Request takes in a client's request.
-func (r *Router) Request(now time.Duration, in Request) {
-	r.tick(now)
-	if in.Class < 0 || in.Class >= len(r.set.Classes) {
-		r.act.Fail(in.ID)
+// HandleRequest takes in a client's request.
+func (r *Router) HandleRequest(now time.Duration, in Request) {
+	r.advanceClock(now)
+	if in.Class < 0 || in.Class >= len(r.settings.Classes) {
+		r.actions.Fail(in.ID)
 		return
 	}
-	g := r.group(in.Group)
-	if g.usedAt = r.now; !g.pinging {
-		r.ping(g)
+	g := r.groupFor(in.Group)
+	if g.lastRequestAt = r.now; !g.pingScheduled {
+		r.pingPrimary(g)
 	}
-	q := &request{id: in.ID, class: in.Class, c: &r.set.Classes[in.Class], session: in.Session, g: g,
-		most: r.set.MaxAttempts, arrived: r.now, deadline: r.now + in.Patience}
-	r.reqs[q.id] = q
-	if q.c.Need == NeedSession {
-		q.needPos = r.token(in)
+	q := &request{id: in.ID, classIndex: in.Class, classSettings: &r.settings.Classes[in.Class], sessionID: in.Session, group: g,
+		maxAttempts: r.settings.MaxAttempts, arrivedAt: r.now, deadline: r.now + in.Timeout}
+	r.requests[q.id] = q
+	if q.classSettings.Access == ReadSession {
+		q.requiredPosition = r.sessionPosition(in)
 	}
-	r.aim(q, in.Patience)
-	r.retry = min(r.retry+retryShare, retryBurst)
-	if !g.needed && (!r.large || q.c.Need == NeedFresh || q.c.Need == NeedWrite) {
-		if g.needed = true; !r.large || g.primary == nil { // the list may have named one
-			r.round(g)
+	r.setObjective(q, in.Timeout)
+	r.retryBudget = min(r.retryBudget+retryBudgetRatio, maxRetryBudget)
+	if !g.initialRoundTriggered && (!r.largeFleet || q.classSettings.Access == ReadLatest || q.classSettings.Access == Write) {
+		if g.initialRoundTriggered = true; !r.largeFleet || g.primary == nil { // the list may have named one
+			r.startRound(g)
 		}
 	}
-	r.after(max(in.Patience-endMargin-r.set.Tick, 0), func() {
-		if q.live == 0 { // else the last attempt's time-out is still to come, and ends it in time
-			r.end(q)
+	r.schedule(max(in.Timeout-rejectMargin-r.settings.EventInterval, 0), func() {
+		if q.inFlight == 0 { // else the last attempt's time-out is still to come, and ends it in time
+			r.finishRequest(q)
 		}
 	})
-	if r.now >= q.useful && q.c.LateWorth == 0 {
-		r.end(q)
-	} else if !r.place(q) {
-		r.hold(q)
+	if r.now >= q.lastUsefulSendAt && q.classSettings.LateWeightFraction == 0 {
+		r.finishRequest(q)
+	} else if !r.dispatch(q) {
+		r.enqueue(q)
 	}
 }
 
-// aim sets when the answer must come to earn its full worth. A try whose patience is not the usual one of its
+// setObjective sets when the answer must come to earn its full worth. A try whose patience is not the usual one of its
 // class is a later one: its time has run since the first. One in a hurry is judged by what it has.
-func (r *Router) aim(q *request, patience time.Duration) {
-	c := q.c
-	q.aimAt = q.arrived + min(c.Aim, patience)
-	if patience >= c.Aim && !r.usual[q.class].vote(patience, c.Deadline/patienceSame) {
-		q.aimAt -= max(c.Deadline-patience, 0)
+func (r *Router) setObjective(q *request, patience time.Duration) {
+	c := q.classSettings
+	q.objectiveAt = q.arrivedAt + min(c.LatencyObjective, patience)
+	if patience >= c.LatencyObjective && !r.majorityTimeouts[q.classIndex].vote(patience, c.TotalTimeout/timeoutToleranceDivisor) {
+		q.objectiveAt -= max(c.TotalTimeout-patience, 0)
 	}
-	q.useful = q.aimAt - min(2*r.base[q.class].time, c.Aim/2, patience/2)
+	q.lastUsefulSendAt = q.objectiveAt - min(2*r.baselines[q.classIndex].value, c.LatencyObjective/2, patience/2)
 }
 
-// place sends a request if there is a store for it now.
-func (r *Router) place(q *request) bool {
-	if q.live > 0 && (!r.set.SecondCopies || q.c.Effect != Safe) || r.spent(q) {
+// dispatch sends a request if there is a store for it now.
+func (r *Router) dispatch(q *request) bool {
+	if q.inFlight > 0 && (!r.settings.HedgingAllowed || q.classSettings.Idempotency != Idempotent) || r.attemptsExhausted(q) {
 		return false
 	}
-	choose := r.replicaFor
-	if q.c.Need == NeedWrite || q.c.Need == NeedFresh {
-		choose = r.primaryFor
+	choose := r.chooseReplica
+	if q.classSettings.Access == Write || q.classSettings.Access == ReadLatest {
+		choose = r.choosePrimary
 	}
 	s := choose(q)
 	if s != nil {
-		r.send(q, s)
+		r.sendAttempt(q, s)
 	}
 	return s != nil
 }
 
-func (r *Router) send(q *request, s *store) {
-	r.book(q, s)
-	if s.lost {
-		s.trialAt, s.trialWait = r.now+s.trialWait, min(2*s.trialWait, trialMost)
+func (r *Router) sendAttempt(q *request, s *server) {
+	r.recordAttempt(q, s)
+	if s.ejected {
+		s.nextTrialAt, s.trialInterval = r.now+s.trialInterval, min(2*s.trialInterval, maxTrialInterval)
 	}
 	timeout := time.Duration(0)
-	if c := q.c; c.LateWorth == 0 && c.Effect == Safe {
-		timeout = max(q.aimAt-r.now, ms) // nothing is spent on an answer past all worth
+	if c := q.classSettings; c.LateWeightFraction == 0 && c.Idempotency == Idempotent {
+		timeout = max(q.objectiveAt-r.now, ms) // nothing is spent on an answer past all worth
 	}
-	r.act.Attempt(q.id, s.Store, timeout)
-	if !s.checking {
-		r.check(s)
+	r.actions.Attempt(q.id, s.ID, timeout)
+	if !s.silenceCheckScheduled {
+		r.checkSilence(s)
 	}
 }
 
-// density is what the answer is still worth for the work; past the aim only the late share is left.
-func (r *Router) density(q *request) float64 {
-	w := q.c.Worth / float64(r.base[q.class].time)
-	if r.now >= q.useful {
-		w *= q.c.LateWorth
+// valueDensity is what the answer is still worth for the work; past the aim only the late share is left.
+func (r *Router) valueDensity(q *request) float64 {
+	w := q.classSettings.PriorityWeight / float64(r.baselines[q.classIndex].value)
+	if r.now >= q.lastUsefulSendAt {
+		w *= q.classSettings.LateWeightFraction
 	}
 	return w
 }
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -10,40 +10,44 @@
 	"unicode/utf8"
 )
 
-// fake is a host with a clock of its own. It keeps what the Router asked for.
-type fake struct {
-	t      *testing.T
-	r      *Router
-	now    time.Duration
-	rings  []time.Duration
-	did    []string
-	sends  map[uint32][]uint32 // request: stores, in order
-	probed []uint32
-	news   []News
-	logs   []string
+// fakeHost is a host with a clock of its own. It keeps what the Router asked for.
+type fakeHost struct {
+	t             *testing.T
+	router        *Router
+	now           time.Duration
+	timersDue     []time.Duration
+	actions       []string
+	attempts      map[uint32][]uint32 // request: stores, in order
+	probedServers []uint32
+	primaryEvents []PrimaryEvent
+	logLines      []string
 }
 
-func (f *fake) note(format string, a ...any) { f.did = append(f.did, fmt.Sprintf(format, a...)) }
-func (f *fake) Attempt(id, s uint32, timeout time.Duration) {
-	f.sends[id] = append(f.sends[id], s)
-	f.note("attempt %d %d", id, s)
+func (f *fakeHost) record(format string, a ...any) {
+	f.actions = append(f.actions, fmt.Sprintf(format, a...))
 }
-func (f *fake) Refuse(id uint32, _ time.Duration) { f.note("refuse %d", id) }
-func (f *fake) Fail(id uint32)                    { f.note("fail %d", id) }
-func (f *fake) Cancel(id uint32, n int)           { f.note("cancel %d %d", id, n) }
-func (f *fake) Probe(s uint32)                    { f.probed = append(f.probed, s) }
-func (f *fake) SetTimer(d time.Duration)          { f.rings = append(f.rings, f.now+d) }
-func (f *fake) CloseIdle(s uint32)                { f.note("close %d", s) }
-func (f *fake) Watch()                            { f.note("watch") }
-func (f *fake) Primary(n News)                    { f.logs, f.news = append(f.logs, n.Text()), append(f.news, n) }
-func (f *fake) Log(text string)                   { f.logs = append(f.logs, text) }
+func (f *fakeHost) Attempt(id, s uint32, timeout time.Duration) {
+	f.attempts[id] = append(f.attempts[id], s)
+	f.record("attempt %d %d", id, s)
+}
+func (f *fakeHost) Refuse(id uint32, _ time.Duration) { f.record("refuse %d", id) }
+func (f *fakeHost) Fail(id uint32)                    { f.record("fail %d", id) }
+func (f *fakeHost) Cancel(id uint32, n int)           { f.record("cancel %d %d", id, n) }
+func (f *fakeHost) Probe(s uint32)                    { f.probedServers = append(f.probedServers, s) }
+func (f *fakeHost) SetTimer(d time.Duration)          { f.timersDue = append(f.timersDue, f.now+d) }
+func (f *fakeHost) CloseIdle(s uint32)                { f.record("close %d", s) }
+func (f *fakeHost) Watch()                            { f.record("watch") }
+func (f *fakeHost) Primary(n PrimaryEvent) {
+	f.logLines, f.primaryEvents = append(f.logLines, n.LogText()), append(f.primaryEvents, n)
+}
+func (f *fakeHost) Log(text string) { f.logLines = append(f.logLines, text) }
 
-// until rings every timer due up to a time, and moves the clock there.
-func (f *fake) until(at time.Duration) {
+// advanceTo rings every timer due up to a time, and moves the clock there.
+func (f *fakeHost) advanceTo(at time.Duration) {
 	for {
 		next := -1
-		for i, ring := range f.rings {
-			if ring <= at && (next < 0 || ring < f.rings[next]) {
+		for i, ring := range f.timersDue {
+			if ring <= at && (next < 0 || ring < f.timersDue[next]) {
 				next = i
 			}
 		}
@@ -51,14 +55,14 @@
 			f.now = at
 			return
 		}
-		f.now = max(f.now, f.rings[next])
-		f.rings = append(f.rings[:next], f.rings[next+1:]...)
-		f.r.Timer(f.now)
+		f.now = max(f.now, f.timersDue[next])
+		f.timersDue = append(f.timersDue[:next], f.timersDue[next+1:]...)
+		f.router.HandleTimer(f.now)
 	}
 }
 
-func (f *fake) has(what string) bool {
-	for _, d := range f.did {
+func (f *fakeHost) hasAction(what string) bool {
+	for _, d := range f.actions {
 		if d == what {
 			return true
 		}
@@ -66,111 +70,111 @@
 	return false
 }
 
-func (f *fake) want(what string) {
+func (f *fakeHost) wantAction(what string) {
 	f.t.Helper()
-	if !f.has(what) {
-		f.t.Fatalf("at %v: no %q in %v", f.now, what, f.did)
+	if !f.hasAction(what) {
+		f.t.Fatalf("at %v: no %q in %v", f.now, what, f.actions)
 	}
 }
 
-func (f *fake) wantNot(what string) {
+func (f *fakeHost) wantNoAction(what string) {
 	f.t.Helper()
-	if f.has(what) {
-		f.t.Fatalf("at %v: %q in %v", f.now, what, f.did)
+	if f.hasAction(what) {
+		f.t.Fatalf("at %v: %q in %v", f.now, what, f.actions)
 	}
 }
 
 // Classes of the test front.
 const (
-	cAny = iota
-	cBounded
-	cSession
-	cFresh
-	cUnsafe
-	cKeyed
+	classAny = iota
+	classBounded
+	classSession
+	classLatest
+	classNotIdempotent
+	classByKey
 )
 
 func testSettings() Settings {
-	class := func(n Need, e Effect) Class {
-		return Class{Need: n, Effect: e, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.5}
-	}
-	s := Settings{Balancers: 2, MayProbe: true, RoleReported: true, MayCancel: true, MaxAttempts: 10, Tick: 5 * ms,
-		DrainGrace: 500 * ms, ColdFrom: 0.2, ColdFor: 10 * time.Second, ColdMultiple: 2, ColdSpan: time.Second,
-		Classes: []Class{class(NeedAny, Safe), class(NeedBounded, Safe), class(NeedSession, Safe),
-			class(NeedFresh, Safe), class(NeedWrite, Unsafe), class(NeedWrite, Keyed)}}
-	s.Classes[cBounded].Bound = time.Second
-	s.Classes[cKeyed].Scope, s.Classes[cKeyed].Window = ScopeGroup, 700*ms
+	class := func(n Access, e Idempotency) Class {
+		return Class{Access: n, Idempotency: e, LatencyObjective: 500 * ms, TotalTimeout: 2 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.5}
+	}
+	s := Settings{Poolers: 2, ProbesAllowed: true, RolesReported: true, CancelAllowed: true, MaxAttempts: 10, EventInterval: 5 * ms,
+		DrainGracePeriod: 500 * ms, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2, OverloadInterval: time.Second,
+		Classes: []Class{class(ReadAny, Idempotent), class(ReadBounded, Idempotent), class(ReadSession, Idempotent),
+			class(ReadLatest, Idempotent), class(Write, NotIdempotent), class(Write, IdempotentByKey)}}
+	s.Classes[classBounded].MaxStaleness = time.Second
+	s.Classes[classByKey].DedupScope, s.Classes[classByKey].DedupWindow = DedupInGroup, 700*ms
 	return s
 }
 
-const start = 100 * time.Second
+const startTime = 100 * time.Second
 
-// newFront has group 7 with stores 1, 2 and 3, and no record yet.
-func newFront(t *testing.T, change func(*Settings)) *fake {
+// newHost has group 7 with stores 1, 2 and 3, and no record yet.
+func newHost(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
 	set := testSettings()
 	if change != nil {
 		change(&set)
 	}
-	f := &fake{t: t, now: start, sends: map[uint32][]uint32{}}
+	f := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
 	r, err := New(set, 1, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.r = r
-	r.List(f.now, ListCached, []Member{{Store: 1, Group: 7, State: Ready}, {Store: 2, Group: 7, State: Ready},
-		{Store: 3, Group: 7, State: Ready}})
+	f.router = r
+	r.HandleList(f.now, ListCached, []Member{{ID: 1, Group: 7, State: Ready}, {ID: 2, Group: 7, State: Ready},
+		{ID: 3, Group: 7, State: Ready}})
 	return f
 }
 
-// withPrimary is a front that has found store 1, with replicas at the present.
-func withPrimary(t *testing.T, change func(*Settings)) *fake {
+// newHostWithPrimary is a front that has found store 1, with replicas at the present.
+func newHostWithPrimary(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
-	f := newFront(t, change)
-	f.request(1, cAny)
-	f.report(1, true, f.now)
-	f.report(2, false, f.now)
-	f.report(3, false, f.now)
-	f.outcome(1, 0, OK, RoleUnknown)
-	f.did, f.probed, f.sends = nil, nil, map[uint32][]uint32{}
+	f := newHost(t, change)
+	f.sendRequest(1, classAny)
+	f.probeAnswered(1, true, f.now)
+	f.probeAnswered(2, false, f.now)
+	f.probeAnswered(3, false, f.now)
+	f.endAttempt(1, 0, OK, RoleUnknown)
+	f.actions, f.probedServers, f.attempts = nil, nil, map[uint32][]uint32{}
 	return f
 }
 
-func (f *fake) request(id uint32, class int) {
-	f.r.Request(f.now, Request{ID: id, Class: class, Group: 7, Patience: 2 * time.Second})
+func (f *fakeHost) sendRequest(id uint32, class int) {
+	f.router.HandleRequest(f.now, Request{ID: id, Class: class, Group: 7, Timeout: 2 * time.Second})
 }
 
-func (f *fake) report(s uint32, primary bool, pos time.Duration) {
-	f.r.ProbeResult(f.now, ProbeResult{Store: s, Report: Report{HasPosition: true, Position: pos, HasRole: true, Primary: primary}})
+func (f *fakeHost) probeAnswered(s uint32, primary bool, pos time.Duration) {
+	f.router.HandleProbeResult(f.now, ProbeResult{Server: s, Status: ServerStatus{HasPosition: true, Position: pos, HasRole: true, IsPrimary: primary}})
 }
 
-func (f *fake) unreachable(s uint32) {
-	f.r.ProbeResult(f.now, ProbeResult{Store: s, Result: NoConnect})
+func (f *fakeHost) probeUnreachable(s uint32) {
+	f.router.HandleProbeResult(f.now, ProbeResult{Server: s, Result: ConnectFailed})
 }
 
-func (f *fake) outcome(id uint32, n int, res Result, role Role) {
-	f.r.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: res, Role: role, Closed: res == OK})
+func (f *fakeHost) endAttempt(id uint32, n int, res Result, role Role) {
+	f.router.HandleOutcome(f.now, Outcome{RequestID: id, Attempt: n, Result: res, Role: role, Answered: res == OK})
 }
 
 func TestFirstRequestStartsRound(t *testing.T) {
-	f := newFront(t, nil)
-	if len(f.probed) != 0 {
-		t.Fatalf("probed %v before the group was needed", f.probed)
+	f := newHost(t, nil)
+	if len(f.probedServers) != 0 {
+		t.Fatalf("probed %v before the group was needed", f.probedServers)
 	}
-	f.request(1, cUnsafe)
-	if !reflect.DeepEqual(f.probed, []uint32{1, 2, 3}) {
-		t.Fatalf("probed %v, want all members", f.probed)
+	f.sendRequest(1, classNotIdempotent)
+	if !reflect.DeepEqual(f.probedServers, []uint32{1, 2, 3}) {
+		t.Fatalf("probed %v, want all members", f.probedServers)
 	}
-	f.wantNot("attempt 1 1")
-	f.report(2, true, f.now)
-	f.want("attempt 1 2")
+	f.wantNoAction("attempt 1 1")
+	f.probeAnswered(2, true, f.now)
+	f.wantAction("attempt 1 2")
 }
 
 func TestPingEvery100ms(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.until(start + 1010*ms + 5*ms)
+	f := newHostWithPrimary(t, nil)
+	f.advanceTo(startTime + 1010*ms + 5*ms)
 	pings := 0
-	for _, s := range f.probed {
+	for _, s := range f.probedServers {
 		if s == 1 {
 			pings++
 		}
@@ -187,124 +191,124 @@
 		wait     time.Duration
 	}{{"some answered", true, 500 * ms}, {"none answered", false, time.Second}} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFront(t, nil)
-			f.request(1, cUnsafe)
+			f := newHost(t, nil)
+			f.sendRequest(1, classNotIdempotent)
 			for s := uint32(1); s <= 3; s++ {
 				if c.answered {
-					f.report(s, false, f.now-ms)
+					f.probeAnswered(s, false, f.now-ms)
 				} else {
-					f.unreachable(s)
+					f.probeUnreachable(s)
 				}
 			}
-			f.probed = nil
-			f.until(start + c.wait - ms)
-			if len(f.probed) != 0 {
+			f.probedServers = nil
+			f.advanceTo(startTime + c.wait - ms)
+			if len(f.probedServers) != 0 {
 				t.Fatalf("another round before %v", c.wait)
 			}
-			f.until(start + c.wait + ms)
-			if len(f.probed) != 3 {
-				t.Fatalf("%d probes after %v, want 3", len(f.probed), c.wait)
+			f.advanceTo(startTime + c.wait + ms)
+			if len(f.probedServers) != 3 {
+				t.Fatalf("%d probes after %v, want 3", len(f.probedServers), c.wait)
 			}
 		})
 	}
 }
 
 func TestLossOfPrimaryHoldsWrites(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.until(start + 200*ms)
-	f.probed = nil
-	f.unreachable(1)
-	if !reflect.DeepEqual(f.probed, []uint32{1, 2, 3}) {
-		t.Fatalf("a failed ping probed %v, want all members", f.probed)
-	}
-	f.request(2, cUnsafe)
-	f.until(f.now + 300*ms)
-	if len(f.sends[2]) != 0 {
-		t.Fatalf("a write was sent without a primary: %v", f.did)
-	}
-	f.report(3, true, f.now)
-	f.want("attempt 2 3")
+	f := newHostWithPrimary(t, nil)
+	f.advanceTo(startTime + 200*ms)
+	f.probedServers = nil
+	f.probeUnreachable(1)
+	if !reflect.DeepEqual(f.probedServers, []uint32{1, 2, 3}) {
+		t.Fatalf("a failed ping probed %v, want all members", f.probedServers)
+	}
+	f.sendRequest(2, classNotIdempotent)
+	f.advanceTo(f.now + 300*ms)
+	if len(f.attempts[2]) != 0 {
+		t.Fatalf("a write was sent without a primary: %v", f.actions)
+	}
+	f.probeAnswered(3, true, f.now)
+	f.wantAction("attempt 2 3")
 }
 
 func TestHeldWriteIsRefusedInTime(t *testing.T) {
-	f := newFront(t, nil)
-	f.request(1, cUnsafe)
-	f.until(start + 1980*ms)
-	f.wantNot("refuse 1")
-	f.until(start + 2*time.Second)
-	f.want("refuse 1")
+	f := newHost(t, nil)
+	f.sendRequest(1, classNotIdempotent)
+	f.advanceTo(startTime + 1980*ms)
+	f.wantNoAction("refuse 1")
+	f.advanceTo(startTime + 2*time.Second)
+	f.wantAction("refuse 1")
 }
 
 // A hung primary still answers shallow pings as primary. Guards against writes sent into it.
 func TestHungPrimaryLosesItsPlace(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.request(2, cFresh)
-	f.want("attempt 2 1")
-	for f.now < start+3*time.Second {
-		f.until(f.now + 50*ms)
-		f.report(1, true, start)
-		if len(f.r.groups[7].held) == 0 && f.r.groups[7].primary == nil {
+	f := newHostWithPrimary(t, nil)
+	f.sendRequest(2, classLatest)
+	f.wantAction("attempt 2 1")
+	for f.now < startTime+3*time.Second {
+		f.advanceTo(f.now + 50*ms)
+		f.probeAnswered(1, true, startTime)
+		if len(f.router.groups[7].queue) == 0 && f.router.groups[7].primary == nil {
 			break
 		}
 	}
-	if f.r.groups[7].primary != nil {
+	if f.router.groups[7].primary != nil {
 		t.Fatal("still on record after 3 s of silence")
 	}
-	f.request(3, cUnsafe)
-	f.report(1, true, f.now)
-	f.wantNot("attempt 3 1")
-	f.report(2, true, f.now)
-	f.want("attempt 3 2")
+	f.sendRequest(3, classNotIdempotent)
+	f.probeAnswered(1, true, f.now)
+	f.wantNoAction("attempt 3 1")
+	f.probeAnswered(2, true, f.now)
+	f.wantAction("attempt 3 2")
 }
 
 // A connection that breaks is no dead primary: the round that follows takes it back, although its report is
 // older than its last answer.
 func TestResetDoesNotBarThePrimary(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.until(start + 200*ms)
-	f.request(2, cFresh)
-	f.until(start + 280*ms)
-	f.outcome(2, 0, OK, RolePrimary)
-	f.request(3, cUnsafe)
-	f.until(start + 300*ms)
-	f.outcome(3, 0, Reset, RoleUnknown)
-	f.want("fail 3")
-	f.request(4, cUnsafe)
-	f.wantNot("attempt 4 1")
-	f.until(start + 360*ms)
-	f.report(1, true, f.now-150*ms)
-	f.want("attempt 4 1")
+	f := newHostWithPrimary(t, nil)
+	f.advanceTo(startTime + 200*ms)
+	f.sendRequest(2, classLatest)
+	f.advanceTo(startTime + 280*ms)
+	f.endAttempt(2, 0, OK, RolePrimary)
+	f.sendRequest(3, classNotIdempotent)
+	f.advanceTo(startTime + 300*ms)
+	f.endAttempt(3, 0, ConnectionReset, RoleUnknown)
+	f.wantAction("fail 3")
+	f.sendRequest(4, classNotIdempotent)
+	f.wantNoAction("attempt 4 1")
+	f.advanceTo(startTime + 360*ms)
+	f.probeAnswered(1, true, f.now-150*ms)
+	f.wantAction("attempt 4 1")
 }
 
 func TestMissedWriteStartsRoundAtOnce(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.until(start + 200*ms)
-	f.request(2, cUnsafe)
-	f.probed = nil
-	f.outcome(2, 0, Missed, RoleReplica)
-	if len(f.probed) != 3 {
-		t.Fatalf("a missed write probed %v, want all members", f.probed)
-	}
-	f.wantNot("refuse 2")
-	f.report(3, true, f.now)
-	f.want("attempt 2 3")
+	f := newHostWithPrimary(t, nil)
+	f.advanceTo(startTime + 200*ms)
+	f.sendRequest(2, classNotIdempotent)
+	f.probedServers = nil
+	f.endAttempt(2, 0, Misdirected, RoleReplica)
+	if len(f.probedServers) != 3 {
+		t.Fatalf("a missed write probed %v, want all members", f.probedServers)
+	}
+	f.wantNoAction("refuse 2")
+	f.probeAnswered(3, true, f.now)
+	f.wantAction("attempt 2 3")
 }
 
 func TestClaimsByAsOfTime(t *testing.T) {
 	for _, newerFirst := range []bool{true, false} {
-		f := newFront(t, nil)
-		f.request(1, cUnsafe)
+		f := newHost(t, nil)
+		f.sendRequest(1, classNotIdempotent)
 		claims := []struct {
 			s   uint32
 			pos time.Duration
-		}{{1, start - 5*time.Second}, {2, start - ms}}
+		}{{1, startTime - 5*time.Second}, {2, startTime - ms}}
 		if newerFirst {
 			claims[0], claims[1] = claims[1], claims[0]
 		}
 		for _, c := range claims {
-			f.report(c.s, true, c.pos)
+			f.probeAnswered(c.s, true, c.pos)
 		}
-		if p := f.r.groups[7].primary; p == nil || p.Store != 2 {
+		if p := f.router.groups[7].primary; p == nil || p.ID != 2 {
 			t.Errorf("newer first %v: record %v, want store 2", newerFirst, p)
 		}
 	}
@@ -314,20 +318,20 @@
 	for _, c := range []struct {
 		res    Result
 		answer string
-	}{{Errored, "fail 2"}, {TimedOut, "fail 2"}, {Reset, "fail 2"}, {Cancelled, "fail 2"}, {Missed, ""}, {Full, ""},
-		{NoConnect, ""}, {Moot, "refuse 2"}} {
-		f := withPrimary(t, nil)
-		f.request(2, cUnsafe)
-		f.until(start + 20*ms)
-		f.outcome(2, 0, c.res, RoleUnknown)
-		f.report(3, true, f.now)
-		f.until(start + 1500*ms)
+	}{{ServerError, "fail 2"}, {TimedOut, "fail 2"}, {ConnectionReset, "fail 2"}, {Cancelled, "fail 2"}, {Misdirected, ""}, {Overloaded, ""},
+		{ConnectFailed, ""}, {NotSent, "refuse 2"}} {
+		f := newHostWithPrimary(t, nil)
+		f.sendRequest(2, classNotIdempotent)
+		f.advanceTo(startTime + 20*ms)
+		f.endAttempt(2, 0, c.res, RoleUnknown)
+		f.probeAnswered(3, true, f.now)
+		f.advanceTo(startTime + 1500*ms)
 		if c.answer != "" {
-			f.want(c.answer)
-			if len(f.sends[2]) != 1 {
-				t.Errorf("after %d: sent %v", c.res, f.sends[2])
+			f.wantAction(c.answer)
+			if len(f.attempts[2]) != 1 {
+				t.Errorf("after %d: sent %v", c.res, f.attempts[2])
 			}
-		} else if f.has("fail 2") {
+		} else if f.hasAction("fail 2") {
 			t.Errorf("after %d, which proves that nothing ran: failed", c.res)
 		}
 	}
@@ -337,44 +341,44 @@
 	for _, c := range []struct {
 		after time.Duration
 		again bool
-	}{{100 * ms, true}, {700*ms - graceMargin - ms, true}, {700*ms - graceMargin, false}, {time.Second, false}} {
-		f := withPrimary(t, nil)
-		f.request(2, cKeyed)
-		f.r.groups[7].primary.heard = start + 2*time.Second // no silence here
-		f.until(start + c.after)
-		f.outcome(2, 0, Errored, RolePrimary)
-		f.until(f.now + 20*ms)
-		if again := len(f.sends[2]) > 1; again != c.again {
+	}{{100 * ms, true}, {700*ms - sendMargin - ms, true}, {700*ms - sendMargin, false}, {time.Second, false}} {
+		f := newHostWithPrimary(t, nil)
+		f.sendRequest(2, classByKey)
+		f.router.groups[7].primary.lastAnswerAt = startTime + 2*time.Second // no silence here
+		f.advanceTo(startTime + c.after)
+		f.endAttempt(2, 0, ServerError, RolePrimary)
+		f.advanceTo(f.now + 20*ms)
+		if again := len(f.attempts[2]) > 1; again != c.again {
 			t.Errorf("error after %v: sent again %v, want %v", c.after, again, c.again)
 		} else if again { // and may wait for its connection until the window is over
-			end := start + 700*ms - graceMargin
-			if f.now < end && !f.r.StillFits(end-ms, 2, 1) || f.r.StillFits(end, 2, 1) {
+			end := startTime + 700*ms - sendMargin
+			if f.now < end && !f.router.MayStillSend(end-ms, 2, 1) || f.router.MayStillSend(end, 2, 1) {
 				t.Errorf("error after %v: the repeat does not fit up to its window's end, or does from there on", c.after)
 			}
 		}
-		f.until(start + 2*time.Second)
-		f.wantNot("refuse 2")
+		f.advanceTo(startTime + 2*time.Second)
+		f.wantNoAction("refuse 2")
 	}
 }
 
 func TestKeyedScopes(t *testing.T) {
 	for _, c := range []struct {
-		scope  Scope
+		scope  DedupScope
 		again  bool // to a new primary in another zone
 		answer string
-	}{{ScopeAll, true, ""}, {ScopeGroup, true, ""}, {ScopeZone, false, "fail 2"}} {
-		f := withPrimary(t, func(s *Settings) { s.Classes[cKeyed].Scope = c.scope })
-		f.r.List(f.now, ListDelta, []Member{{Store: 3, Group: 7, Zone: 1, State: Ready}})
-		f.request(2, cKeyed)
-		f.until(start + 50*ms)
-		f.outcome(2, 0, Reset, RoleUnknown)
-		f.report(3, true, f.now)
-		f.until(start + 2*time.Second)
-		if again := len(f.sends[2]) > 1; again != c.again {
+	}{{DedupEverywhere, true, ""}, {DedupInGroup, true, ""}, {DedupInZone, false, "fail 2"}} {
+		f := newHostWithPrimary(t, func(s *Settings) { s.Classes[classByKey].DedupScope = c.scope })
+		f.router.HandleList(f.now, ListDelta, []Member{{ID: 3, Group: 7, Zone: 1, State: Ready}})
+		f.sendRequest(2, classByKey)
+		f.advanceTo(startTime + 50*ms)
+		f.endAttempt(2, 0, ConnectionReset, RoleUnknown)
+		f.probeAnswered(3, true, f.now)
+		f.advanceTo(startTime + 2*time.Second)
+		if again := len(f.attempts[2]) > 1; again != c.again {
 			t.Errorf("scope %d: sent again %v, want %v", c.scope, again, c.again)
 		}
 		if c.answer != "" {
-			f.want(c.answer)
+			f.wantAction(c.answer)
 		}
 	}
 }
@@ -383,66 +387,66 @@
 	for _, c := range []struct {
 		age     time.Duration
 		replica bool
-	}{{time.Second - posSlack, true}, {time.Second - posSlack + time.Microsecond, false}, {3 * time.Second, false}} {
-		f := withPrimary(t, nil)
+	}{{time.Second - positionTolerance, true}, {time.Second - positionTolerance + time.Microsecond, false}, {3 * time.Second, false}} {
+		f := newHostWithPrimary(t, nil)
 		for s := uint32(2); s <= 3; s++ {
-			f.r.stores[s].pos = f.now - c.age
-			f.r.stores[s].posAt = f.now
+			f.router.servers[s].position = f.now - c.age
+			f.router.servers[s].positionProvenAt = f.now
 		}
-		f.request(2, cBounded)
-		if got := len(f.sends[2]) == 1 && f.sends[2][0] != 1; got != c.replica {
-			t.Errorf("age %v: sent to %v, want a replica %v", c.age, f.sends[2], c.replica)
+		f.sendRequest(2, classBounded)
+		if got := len(f.attempts[2]) == 1 && f.attempts[2][0] != 1; got != c.replica {
+			t.Errorf("age %v: sent to %v, want a replica %v", c.age, f.attempts[2], c.replica)
 		}
 	}
 }
 
 func TestSessionReadWaitsForItsWrite(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.r.Request(f.now, Request{ID: 2, Class: cSession, Group: 7, Patience: 2 * time.Second, WroteAgo: 40 * ms})
-	f.want("attempt 2 2") // proven at the present
-	f.until(start + 100*ms)
-	f.r.Request(f.now, Request{ID: 3, Class: cSession, Group: 7, Patience: 2 * time.Second, WroteAgo: 40 * ms})
-	if len(f.sends[3]) != 0 {
-		t.Fatalf("sent to %v before any position proved the write", f.sends[3])
-	}
-	f.report(3, false, f.now-20*ms)
-	f.want("attempt 3 3")
+	f := newHostWithPrimary(t, nil)
+	f.router.HandleRequest(f.now, Request{ID: 2, Class: classSession, Group: 7, Timeout: 2 * time.Second, SinceLastWrite: 40 * ms})
+	f.wantAction("attempt 2 2") // proven at the present
+	f.advanceTo(startTime + 100*ms)
+	f.router.HandleRequest(f.now, Request{ID: 3, Class: classSession, Group: 7, Timeout: 2 * time.Second, SinceLastWrite: 40 * ms})
+	if len(f.attempts[3]) != 0 {
+		t.Fatalf("sent to %v before any position proved the write", f.attempts[3])
+	}
+	f.probeAnswered(3, false, f.now-20*ms)
+	f.wantAction("attempt 3 3")
 }
 
 func TestRememberedSessions(t *testing.T) {
-	f := withPrimary(t, func(s *Settings) { s.Remembered = true })
-	f.r.Request(f.now, Request{ID: 2, Class: cUnsafe, Group: 7, Session: 9, Patience: 2 * time.Second})
-	f.until(start + 50*ms)
-	f.r.Outcome(f.now, Outcome{ID: 2, Result: OK, Closed: true, Role: RolePrimary, HasPosition: true, Position: f.now})
-	f.r.Request(f.now, Request{ID: 3, Class: cSession, Group: 7, Session: 9, Patience: 2 * time.Second})
-	f.r.Request(f.now, Request{ID: 4, Class: cSession, Group: 7, Session: 8, Patience: 2 * time.Second})
-	if len(f.sends[3]) != 0 || len(f.sends[4]) != 1 {
-		t.Fatalf("own write: %v, other session: %v", f.sends[3], f.sends[4])
-	}
-	f.report(2, false, f.now+5*ms)
-	f.want("attempt 3 2")
+	f := newHostWithPrimary(t, func(s *Settings) { s.TrackSessions = true })
+	f.router.HandleRequest(f.now, Request{ID: 2, Class: classNotIdempotent, Group: 7, Session: 9, Timeout: 2 * time.Second})
+	f.advanceTo(startTime + 50*ms)
+	f.router.HandleOutcome(f.now, Outcome{RequestID: 2, Result: OK, Answered: true, Role: RolePrimary, HasPosition: true, Position: f.now})
+	f.router.HandleRequest(f.now, Request{ID: 3, Class: classSession, Group: 7, Session: 9, Timeout: 2 * time.Second})
+	f.router.HandleRequest(f.now, Request{ID: 4, Class: classSession, Group: 7, Session: 8, Timeout: 2 * time.Second})
+	if len(f.attempts[3]) != 0 || len(f.attempts[4]) != 1 {
+		t.Fatalf("own write: %v, other session: %v", f.attempts[3], f.attempts[4])
+	}
+	f.probeAnswered(2, false, f.now+5*ms)
+	f.wantAction("attempt 3 2")
 }
 
 func TestFreshGoesToRecordOnly(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.request(2, cFresh)
-	f.want("attempt 2 1")
-	f.until(start + 20*ms)
-	f.unreachable(1)
-	f.request(3, cFresh)
-	f.until(start + 400*ms)
-	if len(f.sends[3]) != 0 {
-		t.Fatalf("sent to %v without a record", f.sends[3])
+	f := newHostWithPrimary(t, nil)
+	f.sendRequest(2, classLatest)
+	f.wantAction("attempt 2 1")
+	f.advanceTo(startTime + 20*ms)
+	f.probeUnreachable(1)
+	f.sendRequest(3, classLatest)
+	f.advanceTo(startTime + 400*ms)
+	if len(f.attempts[3]) != 0 {
+		t.Fatalf("sent to %v without a record", f.attempts[3])
 	}
 }
 
 func TestReadsTakeTurns(t *testing.T) {
-	f := withPrimary(t, nil)
+	f := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 8; id++ {
-		f.request(id, cAny)
+		f.sendRequest(id, classAny)
 	}
 	count := map[uint32]int{}
-	for _, s := range f.sends {
+	for _, s := range f.attempts {
 		count[s[0]]++
 	}
 	if count[1] != 0 || count[2] != 3 || count[3] != 3 {
@@ -451,58 +455,58 @@
 }
 
 func TestDrainGrace(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.r.List(f.now, ListDelta, []Member{{Store: 1, Group: 7, State: Draining}, {Store: 2, Group: 7, State: Draining}})
+	f := newHostWithPrimary(t, nil)
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 1, Group: 7, State: Draining}, {ID: 2, Group: 7, State: Draining}})
 	for id := uint32(2); id < 6; id++ {
-		f.request(id, cAny)
-		if s := f.sends[id]; len(s) > 0 && s[0] != 3 {
+		f.sendRequest(id, classAny)
+		if s := f.attempts[id]; len(s) > 0 && s[0] != 3 {
 			t.Fatalf("a read went to draining store %d", s[0])
 		}
 	}
-	edge := start + 500*ms - graceMargin - 5*ms
-	f.until(edge - ms)
-	f.report(1, true, f.now)
-	f.request(10, cUnsafe)
-	f.want("attempt 10 1")
-	f.until(edge + ms)
-	f.report(1, true, f.now)
-	f.request(11, cUnsafe)
-	f.until(start + 1500*ms)
-	f.wantNot("attempt 11 1")
+	edge := startTime + 500*ms - sendMargin - 5*ms
+	f.advanceTo(edge - ms)
+	f.probeAnswered(1, true, f.now)
+	f.sendRequest(10, classNotIdempotent)
+	f.wantAction("attempt 10 1")
+	f.advanceTo(edge + ms)
+	f.probeAnswered(1, true, f.now)
+	f.sendRequest(11, classNotIdempotent)
+	f.advanceTo(startTime + 1500*ms)
+	f.wantNoAction("attempt 11 1")
 }
 
 // An attempt may wait for its connection until its store has become too old for the read, or has drained.
 func TestStillFits(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.request(2, cBounded)
-	f.request(3, cAny)
-	if !f.r.StillFits(f.now, 2, 0) || f.r.StillFits(f.now, 2, 1) || f.r.StillFits(f.now, 9, 0) {
+	f := newHostWithPrimary(t, nil)
+	f.sendRequest(2, classBounded)
+	f.sendRequest(3, classAny)
+	if !f.router.MayStillSend(f.now, 2, 0) || f.router.MayStillSend(f.now, 2, 1) || f.router.MayStillSend(f.now, 9, 0) {
 		t.Error("a new attempt does not fit, or one that was never made does")
 	}
-	f.until(f.now + 1100*ms) // its bound is 1 s, and the replicas' positions are of the start
-	if f.r.StillFits(f.now, 2, 0) || !f.r.StillFits(f.now, 3, 0) {
+	f.advanceTo(f.now + 1100*ms) // its bound is 1 s, and the replicas' positions are of the start
+	if f.router.MayStillSend(f.now, 2, 0) || !f.router.MayStillSend(f.now, 3, 0) {
 		t.Error("a bounded read fits a replica that is too far behind, or an unbounded one does not")
 	}
-	f.r.List(f.now, ListDelta, []Member{{Store: f.sends[3][0], Group: 7, State: Draining}})
-	if !f.r.StillFits(f.now, 3, 0) || f.r.StillFits(f.now+500*ms, 3, 0) {
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: f.attempts[3][0], Group: 7, State: Draining}})
+	if !f.router.MayStillSend(f.now, 3, 0) || f.router.MayStillSend(f.now+500*ms, 3, 0) {
 		t.Error("an attempt fits after the drain's grace, or does not within it")
 	}
 }
 
 func TestColdBudget(t *testing.T) {
-	f := newFront(t, func(s *Settings) { s.Classes[cAny].Aim = 400 * ms })
-	f.r.List(f.now, ListDelta, []Member{{Store: 2, Group: 7, State: Gone}, {Store: 3, Group: 7, State: Gone},
-		{Store: 4, Group: 7, State: Ready, Started: f.now}})
-	f.request(1, cUnsafe)
-	f.report(1, true, f.now)
+	f := newHost(t, func(s *Settings) { s.Classes[classAny].LatencyObjective = 400 * ms })
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 2, Group: 7, State: Removed}, {ID: 3, Group: 7, State: Removed},
+		{ID: 4, Group: 7, State: Ready, StartedAt: f.now}})
+	f.sendRequest(1, classNotIdempotent)
+	f.probeAnswered(1, true, f.now)
 	sent := 0
-	for f.now < start+time.Second {
-		f.until(f.now + 5*ms)
+	for f.now < startTime+time.Second {
+		f.advanceTo(f.now + 5*ms)
 		id := uint32(f.now / ms)
-		f.request(id, cAny)
-		if len(f.sends[id]) == 1 && f.sends[id][0] == 4 {
+		f.sendRequest(id, classAny)
+		if len(f.attempts[id]) == 1 && f.attempts[id][0] == 4 {
 			sent++
-			f.outcome(id, 0, OK, RoleReplica)
+			f.endAttempt(id, 0, OK, RoleReplica)
 		}
 	}
 	// The front's half of 2 x 0.2..0.28 of two cores for one second is at most 0.56 core seconds; answers
@@ -513,31 +517,31 @@
 }
 
 func TestFullStoreIsLeftAlone(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.request(2, cUnsafe)
-	f.until(start + 10*ms)
-	f.outcome(2, 0, Full, RolePrimary)
-	f.until(start + 10*ms + fullPause - ms)
-	if len(f.sends[2]) != 1 {
-		t.Fatalf("sent %d times within the pause", len(f.sends[2]))
-	}
-	f.until(start + 10*ms + fullPause + 2*refreshGap)
-	if len(f.sends[2]) != 2 {
-		t.Fatalf("sent %d times after the pause, want 2", len(f.sends[2]))
+	f := newHostWithPrimary(t, nil)
+	f.sendRequest(2, classNotIdempotent)
+	f.advanceTo(startTime + 10*ms)
+	f.endAttempt(2, 0, Overloaded, RolePrimary)
+	f.advanceTo(startTime + 10*ms + initialOverloadPause - ms)
+	if len(f.attempts[2]) != 1 {
+		t.Fatalf("sent %d times within the pause", len(f.attempts[2]))
+	}
+	f.advanceTo(startTime + 10*ms + initialOverloadPause + 2*positionRefreshInterval)
+	if len(f.attempts[2]) != 2 {
+		t.Fatalf("sent %d times after the pause, want 2", len(f.attempts[2]))
 	}
 }
 
 func TestWindowHoldsWorkHere(t *testing.T) {
-	f := withPrimary(t, nil)
+	f := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 12; id++ {
-		f.request(id, cUnsafe)
+		f.sendRequest(id, classNotIdempotent)
 	}
-	if n := len(f.r.stores[1].out); n != int(windowFirst)/2 {
-		t.Fatalf("%d writes out at the primary, want %v", n, windowFirst/2)
+	if n := len(f.router.servers[1].inFlight); n != int(initialFleetWindow)/2 {
+		t.Fatalf("%d writes out at the primary, want %v", n, initialFleetWindow/2)
 	}
-	f.until(start + 10*ms)
-	f.outcome(2, 0, OK, RolePrimary)
-	if n := len(f.r.stores[1].out); n < int(windowFirst)/2 {
+	f.advanceTo(startTime + 10*ms)
+	f.endAttempt(2, 0, OK, RolePrimary)
+	if n := len(f.router.servers[1].inFlight); n < int(initialFleetWindow)/2 {
 		t.Fatalf("%d writes out after an answer, want the window full again", n)
 	}
 }
@@ -548,24 +552,24 @@
 		fronts int
 		rest   bool
 	}{{3, false}, {24, true}} {
-		f := withPrimary(t, func(s *Settings) { s.Balancers = c.fronts })
+		f := newHostWithPrimary(t, func(s *Settings) { s.Poolers = c.fronts })
 		for i := 0; i < 200; i++ { // answers that show a queue
-			s := f.r.stores[1]
-			f.now += cutGap
-			s.slow, s.slowAt = 3, f.now
-			f.r.tick(f.now)
-			f.r.gauge(s)
+			s := f.router.servers[1]
+			f.now += windowCutInterval
+			s.latencyRatio, s.latencyRatioAt = 3, f.now
+			f.router.advanceClock(f.now)
+			f.router.adjustWindow(s)
 		}
-		f.request(2, cFresh)
-		f.want("attempt 2 1")
-		f.until(f.now + 20*ms)
-		f.outcome(2, 0, OK, RolePrimary)
-		f.request(3, cFresh)
-		if rested := len(f.sends[3]) == 0; rested != c.rest {
+		f.sendRequest(2, classLatest)
+		f.wantAction("attempt 2 1")
+		f.advanceTo(f.now + 20*ms)
+		f.endAttempt(2, 0, OK, RolePrimary)
+		f.sendRequest(3, classLatest)
+		if rested := len(f.attempts[3]) == 0; rested != c.rest {
 			t.Errorf("%d fronts: rests %v after an attempt, want %v", c.fronts, rested, c.rest)
 		}
-		f.until(f.now + 480*ms)
-		if len(f.sends[3]) == 0 {
+		f.advanceTo(f.now + 480*ms)
+		if len(f.attempts[3]) == 0 {
 			t.Errorf("%d fronts: nothing sent after the rest", c.fronts)
 		}
 	}
@@ -573,182 +577,182 @@
 
 // A try with less patience than the others is a later one: its aim has run since the first.
 func TestLaterTriesHaveLessLeft(t *testing.T) {
-	f := newFront(t, func(s *Settings) { s.Classes[cFresh].LateWorth = 0 })
+	f := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
 	for id := uint32(1); id < 5; id++ {
-		f.request(id, cFresh)
+		f.sendRequest(id, classLatest)
 	}
-	f.wantNot("refuse 4")
-	f.r.Request(f.now, Request{ID: 9, Class: cFresh, Group: 7, Patience: 1200 * ms})
-	f.want("refuse 9")
+	f.wantNoAction("refuse 4")
+	f.router.HandleRequest(f.now, Request{ID: 9, Class: classLatest, Group: 7, Timeout: 1200 * ms})
+	f.wantAction("refuse 9")
 }
 
 // Held work goes newest first, and not at all once too little of its aim is left.
 func TestHeldOrderAndEnd(t *testing.T) {
-	f := newFront(t, func(s *Settings) { s.Classes[cFresh].LateWorth = 0 })
-	f.request(1, cFresh)
-	f.until(start + 20*ms)
-	f.request(2, cFresh)
-	held := f.r.groups[7].held
+	f := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
+	f.sendRequest(1, classLatest)
+	f.advanceTo(startTime + 20*ms)
+	f.sendRequest(2, classLatest)
+	held := f.router.groups[7].queue
 	if len(held) != 2 || held[0].id != 2 {
 		t.Fatalf("%d held, want request 2 before 1", len(held))
 	}
-	f.until(start + 500*ms)
-	f.want("refuse 1")
-	f.want("refuse 2")
+	f.advanceTo(startTime + 500*ms)
+	f.wantAction("refuse 1")
+	f.wantAction("refuse 2")
 }
 
 // If all look bad those that can be reached keep serving; a dead store is no way out although it holds least.
 func TestNoFallbackToTheUnreachable(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.r.groups[7].primary = nil
-	f.r.stores[1].lost, f.r.stores[1].unreach = true, true
-	f.r.stores[2].lost, f.r.stores[3].lost = true, true
-	f.r.stores[2].trialAt, f.r.stores[3].trialAt = start+time.Hour, start+time.Hour
-	f.r.stores[3].unreach = true
-	f.request(2, cAny)
-	f.until(start + 300*ms)
-	if len(f.sends[2]) != 1 || f.sends[2][0] != 2 {
-		t.Fatalf("sent to %v, want store 2", f.sends[2])
+	f := newHostWithPrimary(t, nil)
+	f.router.groups[7].primary = nil
+	f.router.servers[1].ejected, f.router.servers[1].unreachable = true, true
+	f.router.servers[2].ejected, f.router.servers[3].ejected = true, true
+	f.router.servers[2].nextTrialAt, f.router.servers[3].nextTrialAt = startTime+time.Hour, startTime+time.Hour
+	f.router.servers[3].unreachable = true
+	f.sendRequest(2, classAny)
+	f.advanceTo(startTime + 300*ms)
+	if len(f.attempts[2]) != 1 || f.attempts[2][0] != 2 {
+		t.Fatalf("sent to %v, want store 2", f.attempts[2])
 	}
 }
 
 // A host that rings a timer a microsecond early must not silence the timers.
 func TestEarlyRing(t *testing.T) {
-	f := newFront(t, nil)
-	f.request(1, cUnsafe)
-	for i := 0; i < 5000 && f.now < start+2*time.Second; i++ {
+	f := newHost(t, nil)
+	f.sendRequest(1, classNotIdempotent)
+	for i := 0; i < 5000 && f.now < startTime+2*time.Second; i++ {
 		f.now += 5 * ms
-		due := f.rings[:0:0]
-		for _, ring := range f.rings {
+		due := f.timersDue[:0:0]
+		for _, ring := range f.timersDue {
 			if ring > f.now+time.Microsecond {
 				due = append(due, ring)
 			}
 		}
-		rang := len(due) < len(f.rings)
-		f.rings = due
+		rang := len(due) < len(f.timersDue)
+		f.timersDue = due
 		if rang {
-			f.r.Timer(f.now)
+			f.router.HandleTimer(f.now)
 		}
 	}
-	f.want("refuse 1")
+	f.wantAction("refuse 1")
 }
 
 func TestFailingStoreLosesItsTurn(t *testing.T) {
-	f := withPrimary(t, nil)
-	for id := uint32(2); id < 40 && !f.r.stores[2].lost; id++ {
-		f.until(f.now + 10*ms)
-		f.request(id, cAny)
+	f := newHostWithPrimary(t, nil)
+	for id := uint32(2); id < 40 && !f.router.servers[2].ejected; id++ {
+		f.advanceTo(f.now + 10*ms)
+		f.sendRequest(id, classAny)
 		res := OK
-		if f.sends[id][0] == 2 {
-			res = Errored
+		if f.attempts[id][0] == 2 {
+			res = ServerError
 		}
-		f.outcome(id, 0, res, RoleReplica)
-		for n := 1; n < len(f.sends[id]); n++ {
-			f.outcome(id, n, OK, RoleReplica)
+		f.endAttempt(id, 0, res, RoleReplica)
+		for n := 1; n < len(f.attempts[id]); n++ {
+			f.endAttempt(id, n, OK, RoleReplica)
 		}
 	}
-	if !f.r.stores[2].lost || f.r.stores[3].lost {
+	if !f.router.servers[2].ejected || f.router.servers[3].ejected {
 		t.Fatal("the store that fails keeps its turn, or the good one lost it")
 	}
 }
 
 func TestSilentStoreIsRescued(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.request(2, cAny)
-	silent := f.sends[2][0]
-	f.until(start + 1500*ms)
-	f.want("cancel 2 0")
-	f.outcome(2, 0, Cancelled, RoleUnknown)
-	if len(f.sends[2]) != 2 || f.sends[2][1] == silent {
-		t.Fatalf("sent to %v, want another store after %d", f.sends[2], silent)
+	f := newHostWithPrimary(t, nil)
+	f.sendRequest(2, classAny)
+	silent := f.attempts[2][0]
+	f.advanceTo(startTime + 1500*ms)
+	f.wantAction("cancel 2 0")
+	f.endAttempt(2, 0, Cancelled, RoleUnknown)
+	if len(f.attempts[2]) != 2 || f.attempts[2][1] == silent {
+		t.Fatalf("sent to %v, want another store after %d", f.attempts[2], silent)
 	}
 }
 
 func TestFailedListIsAskedAgain(t *testing.T) {
-	f := newFront(t, func(s *Settings) { s.Asks, s.MustAsk = true, 6*time.Second })
-	f.until(start + ms)
-	f.want("watch")
+	f := newHost(t, func(s *Settings) { s.PollList, s.MaxPollInterval = true, 6*time.Second })
+	f.advanceTo(startTime + ms)
+	f.wantAction("watch")
 	last := f.now
 	for i := 0; i < 6; i++ {
-		f.did = nil
-		f.r.List(f.now, ListFailed, nil)
-		for !f.has("watch") && f.now < last+10*time.Second {
-			f.until(f.now + 10*ms)
+		f.actions = nil
+		f.router.HandleList(f.now, ListFailed, nil)
+		for !f.hasAction("watch") && f.now < last+10*time.Second {
+			f.advanceTo(f.now + 10*ms)
 		}
 		if f.now-last > 3*time.Second+20*ms {
 			t.Fatalf("asked again only after %v", f.now-last)
 		}
 		last = f.now
 	}
-	if len(f.r.groups[7].members) != 3 {
+	if len(f.router.groups[7].members) != 3 {
 		t.Fatal("the old list was not kept")
 	}
 }
 
 func TestOddEvents(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.r.Outcome(f.now, Outcome{ID: 99, Attempt: 3})
-	f.r.Gone(f.now, 98)
-	f.r.ProbeResult(f.now, ProbeResult{Store: 97})
-	f.r.Timer(f.now - time.Hour)
-	f.r.List(f.now, ListFull, nil)
-	f.r.List(f.now, ListDelta, []Member{{Store: 96, Group: 1, State: Gone}})
-	f.r.Request(f.now, Request{ID: 5, Class: 99, Group: 7, Patience: time.Second})
-	f.want("fail 5")
-	f.r.Request(f.now, Request{ID: 6, Class: cAny, Group: 12345, Patience: time.Second})
-	f.until(start + 2*time.Second)
-	f.want("refuse 6")
+	f := newHostWithPrimary(t, nil)
+	f.router.HandleOutcome(f.now, Outcome{RequestID: 99, Attempt: 3})
+	f.router.HandleDisconnect(f.now, 98)
+	f.router.HandleProbeResult(f.now, ProbeResult{Server: 97})
+	f.router.HandleTimer(f.now - time.Hour)
+	f.router.HandleList(f.now, ListFull, nil)
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 96, Group: 1, State: Removed}})
+	f.router.HandleRequest(f.now, Request{ID: 5, Class: 99, Group: 7, Timeout: time.Second})
+	f.wantAction("fail 5")
+	f.router.HandleRequest(f.now, Request{ID: 6, Class: classAny, Group: 12345, Timeout: time.Second})
+	f.advanceTo(startTime + 2*time.Second)
+	f.wantAction("refuse 6")
 }
 
 // Every request has exactly one final answer in time, whatever the stores do, and two runs are alike.
 func TestOneAnswerAndDeterminism(t *testing.T) {
 	run := func() []string {
-		f := withPrimary(t, func(s *Settings) { s.SecondCopies = true })
+		f := newHostWithPrimary(t, func(s *Settings) { s.HedgingAllowed = true })
 		seed := uint32(7)
 		next := func(n uint32) uint32 { seed = seed*1664525 + 1013904223; return (seed >> 8) % n }
 		answered, done := map[uint32]int{}, 0
 		settled := map[string]bool{}
-		for id := uint32(100); f.now < start+6*time.Second; {
-			f.until(f.now + 5*ms)
-			if f.now < start+3*time.Second {
+		for id := uint32(100); f.now < startTime+6*time.Second; {
+			f.advanceTo(f.now + 5*ms)
+			if f.now < startTime+3*time.Second {
 				id++
-				f.request(id, int(id)%6)
+				f.sendRequest(id, int(id)%6)
 			}
-			for ; done < len(f.did); done++ {
+			for ; done < len(f.actions); done++ {
 				var q, s uint32
-				if n, _ := fmt.Sscanf(f.did[done], "attempt %d %d", &q, &s); n == 2 {
+				if n, _ := fmt.Sscanf(f.actions[done], "attempt %d %d", &q, &s); n == 2 {
 					continue
 				}
-				if n, _ := fmt.Sscanf(f.did[done], "refuse %d", &q); n == 1 {
+				if n, _ := fmt.Sscanf(f.actions[done], "refuse %d", &q); n == 1 {
 					answered[q]++
-				} else if n, _ := fmt.Sscanf(f.did[done], "fail %d", &q); n == 1 {
+				} else if n, _ := fmt.Sscanf(f.actions[done], "fail %d", &q); n == 1 {
 					answered[q]++
 				}
 			}
 			for x := uint32(101); x <= id; x++ {
-				for n := range f.sends[x] {
+				for n := range f.attempts[x] {
 					k := fmt.Sprint(x, ".", n)
 					if settled[k] || next(20) != 0 {
 						continue
 					}
 					settled[k] = true
 					res := Result(next(9))
-					o := Outcome{ID: x, Attempt: n, Result: res, Role: RoleUnknown, Closed: answered[x] > 0}
+					o := Outcome{RequestID: x, Attempt: n, Result: res, Role: RoleUnknown, Answered: answered[x] > 0}
 					if res == OK && answered[x] == 0 {
 						answered[x]++
-						o.Closed = true
+						o.Answered = true
 					}
-					f.r.Outcome(f.now, o)
+					f.router.HandleOutcome(f.now, o)
 				}
 			}
-			f.report(1, true, f.now)
+			f.probeAnswered(1, true, f.now)
 		}
 		for x := uint32(101); x < 700; x++ {
 			if answered[x] != 1 {
-				t.Fatalf("request %d had %d answers; sends %v", x, answered[x], f.sends[x])
+				t.Fatalf("request %d had %d answers; sends %v", x, answered[x], f.attempts[x])
 			}
 		}
-		return f.did
+		return f.actions
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
 		t.Fatal("the same events gave other actions")
@@ -757,24 +761,24 @@
 
 // A class with no aim earns its worth up to the deadline; figures left out divide nothing by zero.
 func TestSettingsLeftOut(t *testing.T) {
-	f := &fake{t: t, now: start, sends: map[uint32][]uint32{}}
-	r, err := New(Settings{Classes: []Class{{}, {Need: NeedWrite, Effect: Keyed}}}, 1, f)
+	f := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
+	r, err := New(Settings{Classes: []Class{{}, {Access: Write, Idempotency: IdempotentByKey}}}, 1, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.r = r
-	r.List(f.now, ListFull, []Member{{Store: 1, State: Ready, Started: f.now}, {Store: 2, State: Ready, Primary: true}})
-	r.Request(f.now, Request{ID: 1, Patience: time.Second})
-	r.Request(f.now, Request{ID: 2, Class: 1, Patience: time.Second})
-	f.want("attempt 2 2")
-	if len(f.sends[1]) != 1 {
-		t.Fatalf("the read was not sent: %v", f.did)
-	}
-	r.List(f.now, ListDelta, []Member{{Store: 1, State: Draining}, {Store: 2, State: Gone}})
-	f.until(start + ms)
-	r.Request(f.now, Request{ID: 3, Class: 1, Patience: time.Second})
-	f.until(start + 2*time.Second)
-	f.want("refuse 3")
+	f.router = r
+	r.HandleList(f.now, ListFull, []Member{{ID: 1, State: Ready, StartedAt: f.now}, {ID: 2, State: Ready, Primary: true}})
+	r.HandleRequest(f.now, Request{ID: 1, Timeout: time.Second})
+	r.HandleRequest(f.now, Request{ID: 2, Class: 1, Timeout: time.Second})
+	f.wantAction("attempt 2 2")
+	if len(f.attempts[1]) != 1 {
+		t.Fatalf("the read was not sent: %v", f.actions)
+	}
+	r.HandleList(f.now, ListDelta, []Member{{ID: 1, State: Draining}, {ID: 2, State: Removed}})
+	f.advanceTo(startTime + ms)
+	r.HandleRequest(f.now, Request{ID: 3, Class: 1, Timeout: time.Second})
+	f.advanceTo(startTime + 2*time.Second)
+	f.wantAction("refuse 3")
 }
 
 func TestValidateNamesTheField(t *testing.T) {
@@ -782,19 +786,19 @@
 		change func(*Settings)
 		want   string
 	}{
-		{func(s *Settings) { s.Tick = -1 }, "Tick is -1ns"},
-		{func(s *Settings) { s.ColdFrom = 1.5 }, "ColdFrom is 1.5"},
-		{func(s *Settings) { s.Balancers = -2 }, "Balancers is -2"},
-		{func(s *Settings) { s.Classes[0].Need = 77 }, "Need 77"},
-		{func(s *Settings) { s.Classes[0].Aim = -ms }, "Aim -1ms"},
+		{func(s *Settings) { s.EventInterval = -1 }, "Tick is -1ns"},
+		{func(s *Settings) { s.SlowStartCapacity = 1.5 }, "ColdFrom is 1.5"},
+		{func(s *Settings) { s.Poolers = -2 }, "Balancers is -2"},
+		{func(s *Settings) { s.Classes[0].Access = 77 }, "Need 77"},
+		{func(s *Settings) { s.Classes[0].LatencyObjective = -ms }, "Aim -1ms"},
 	} {
 		s := testSettings()
 		c.change(&s)
-		if _, err := New(s, 1, &fake{}); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := New(s, 1, &fakeHost{}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("error %v, want one with %q", err, c.want)
 		}
 	}
-	if _, err := New(Settings{}, 1, &fake{}); err != nil {
+	if _, err := New(Settings{}, 1, &fakeHost{}); err != nil {
 		t.Errorf("empty settings: %v", err)
 	}
 }
@@ -831,30 +835,30 @@
 // An attempt that hangs at a store that has lost its turn must not keep it from its trial until it times out: it may be
 // a lost connection, and the store well.
 func TestHungAttemptLeavesRoomForTheTrial(t *testing.T) {
-	f := newFront(t, nil)
-	s := f.r.stores[2]
+	f := newHost(t, nil)
+	s := f.router.servers[2]
 	s.window = 1
-	f.r.send(&request{c: &f.r.set.Classes[cUnsafe], class: cUnsafe, g: f.r.group(7)}, s)
-	if f.r.room(s, cUnsafe) {
+	f.router.sendAttempt(&request{classSettings: &f.router.settings.Classes[classNotIdempotent], classIndex: classNotIdempotent, group: f.router.groupFor(7)}, s)
+	if f.router.hasCapacity(s, classNotIdempotent) {
 		t.Fatal("a full window has room")
 	}
-	f.r.tick(f.now + ms)
-	f.r.lostTurn(s, "is silent")
-	if !f.r.room(s, cUnsafe) {
+	f.router.advanceClock(f.now + ms)
+	f.router.eject(s, "is silent")
+	if !f.router.hasCapacity(s, classNotIdempotent) {
 		t.Error("no room for a trial beside the attempt that hangs")
 	}
 }
 
 // One attempt that is never answered, while later ones are, is no silence of the store's.
 func TestOvertakenAttemptIsNoSilence(t *testing.T) {
-	f := withPrimary(t, nil)
-	f.request(2, cUnsafe)
-	f.until(f.now + 10*ms)
-	f.request(3, cUnsafe)
-	f.until(f.now + 10*ms)
-	f.outcome(3, 0, OK, RolePrimary)
-	f.until(f.now + 1500*ms)
-	if s := f.r.stores[1]; s.silent || s.lost {
+	f := newHostWithPrimary(t, nil)
+	f.sendRequest(2, classNotIdempotent)
+	f.advanceTo(f.now + 10*ms)
+	f.sendRequest(3, classNotIdempotent)
+	f.advanceTo(f.now + 10*ms)
+	f.endAttempt(3, 0, OK, RolePrimary)
+	f.advanceTo(f.now + 1500*ms)
+	if s := f.router.servers[1]; s.silent || s.ejected {
 		t.Error("the store counts as silent")
 	}
 }
@@ -862,26 +866,26 @@
 // A store that has left must be forgotten, or a long life holds every store there ever was. One that comes back within
 // that time keeps its state.
 func TestGoneStoreIsForgotten(t *testing.T) {
-	f := newFront(t, nil)
-	gone := []Member{{Store: 2, Group: 7, State: Gone}, {Store: 3, Group: 7, State: Gone}}
-	f.r.List(f.now, ListDelta, gone)
-	f.until(f.now + goneFor/2)
-	f.r.List(f.now, ListDelta, []Member{{Store: 3, Group: 7, State: Ready}})
-	f.until(f.now + goneFor)
-	if len(f.r.stores) != 2 || len(f.r.order) != 2 || f.r.stores[2] != nil {
-		t.Errorf("%d stores are known, want 1 and 3", len(f.r.stores))
+	f := newHost(t, nil)
+	gone := []Member{{ID: 2, Group: 7, State: Removed}, {ID: 3, Group: 7, State: Removed}}
+	f.router.HandleList(f.now, ListDelta, gone)
+	f.advanceTo(f.now + removedServerRetention/2)
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 3, Group: 7, State: Ready}})
+	f.advanceTo(f.now + removedServerRetention)
+	if len(f.router.servers) != 2 || len(f.router.serverOrder) != 2 || f.router.servers[2] != nil {
+		t.Errorf("%d stores are known, want 1 and 3", len(f.router.servers))
 	}
 }
 
 // A connection that breaks between two answers is no restart: its store must not be held to a cold one's share. One that
 // was out of reach for longer may have restarted.
 func TestBrokenConnectionIsNoRestart(t *testing.T) {
-	for away, cold := range map[time.Duration]bool{outOfReach / 2: false, 2 * outOfReach: true} {
-		f := withPrimary(t, nil)
-		f.until(f.now + away)
-		f.unreachable(2)
-		f.report(2, false, f.now)
-		if s := f.r.stores[2]; s.coldSince > 0 != cold {
+	for away, cold := range map[time.Duration]bool{minRestartOutage / 2: false, 2 * minRestartOutage: true} {
+		f := newHostWithPrimary(t, nil)
+		f.advanceTo(f.now + away)
+		f.probeUnreachable(2)
+		f.probeAnswered(2, false, f.now)
+		if s := f.router.servers[2]; s.slowStartSince > 0 != cold {
 			t.Errorf("out of reach for %v: cold %v, want %v", away, !cold, cold)
 		}
 	}
@@ -890,137 +894,147 @@
 // While a group is without a primary, a write that can hardly live to see the next one is refused at half its time, so
 // that its client can come again; one with more time is held to its end, as the design has it.
 func TestHopelessWaitEndsAtHalfItsTime(t *testing.T) {
-	f := withPrimary(t, func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = true, time.Second })
-	f.until(f.now + 100*ms)
-	f.r.lostTurn(f.r.stores[1], "fails")
-	f.unreachable(1)
-	f.unreachable(1)
-	f.report(2, false, f.now)
-	f.report(3, false, f.now)
-	f.r.Request(f.now, Request{ID: 2, Class: cUnsafe, Group: 7, Patience: 600 * ms})
-	f.r.Request(f.now, Request{ID: 3, Class: cUnsafe, Group: 7, Patience: 3 * time.Second})
-	f.until(f.now + 250*ms)
-	f.wantNot("refuse 2")
-	f.until(f.now + 60*ms)
-	f.want("refuse 2")
-	f.until(f.now + 2600*ms)
-	f.wantNot("refuse 3")
+	f := newHostWithPrimary(t, func(s *Settings) { s.RetryAfterSupported, s.MaxRetryAfter = true, time.Second })
+	f.advanceTo(f.now + 100*ms)
+	f.router.eject(f.router.servers[1], "fails")
+	f.probeUnreachable(1)
+	f.probeUnreachable(1)
+	f.probeAnswered(2, false, f.now)
+	f.probeAnswered(3, false, f.now)
+	f.router.HandleRequest(f.now, Request{ID: 2, Class: classNotIdempotent, Group: 7, Timeout: 600 * ms})
+	f.router.HandleRequest(f.now, Request{ID: 3, Class: classNotIdempotent, Group: 7, Timeout: 3 * time.Second})
+	f.advanceTo(f.now + 250*ms)
+	f.wantNoAction("refuse 2")
+	f.advanceTo(f.now + 60*ms)
+	f.wantAction("refuse 2")
+	f.advanceTo(f.now + 2600*ms)
+	f.wantNoAction("refuse 3")
 }
 
 // New settings must not change a request under way: it keeps its class, and may have fewer attempts but not more.
 func TestRetuneKeepsOpenRequests(t *testing.T) {
-	retune := func(f *fake, attempts int, change func(*Class)) error {
+	retune := func(f *fakeHost, attempts int, change func(*Class)) error {
 		set := testSettings()
 		set.MaxAttempts = attempts
-		stricter := set.Classes[cAny]
+		stricter := set.Classes[classAny]
 		change(&stricter)
 		set.Classes = append(set.Classes, stricter)
-		return f.r.Retune(f.now, set)
+		return f.router.UpdateSettings(f.now, set)
 	}
-	unsafe := func(c *Class) { c.Need, c.Effect = NeedWrite, Unsafe }
-	f := withPrimary(t, func(s *Settings) { s.MaxAttempts = 3 })
-	f.request(2, cKeyed)
-	f.request(3, cKeyed)
-	f.request(4, cKeyed)
+	unsafe := func(c *Class) { c.Access, c.Idempotency = Write, NotIdempotent }
+	f := newHostWithPrimary(t, func(s *Settings) { s.MaxAttempts = 3 })
+	f.sendRequest(2, classByKey)
+	f.sendRequest(3, classByKey)
+	f.sendRequest(4, classByKey)
 	if err := retune(f, 4, unsafe); err != nil {
 		t.Fatal(err)
 	}
-	f.request(5, len(testSettings().Classes))
-	f.outcome(2, 0, Errored, RolePrimary)
-	f.outcome(5, 0, Errored, RolePrimary)
-	if f.want("fail 5"); len(f.sends[2]) != 2 {
-		t.Errorf("a keyed write under way has been sent to %v, want a repeat", f.sends[2])
+	f.sendRequest(5, len(testSettings().Classes))
+	f.endAttempt(2, 0, ServerError, RolePrimary)
+	f.endAttempt(5, 0, ServerError, RolePrimary)
+	if f.wantAction("fail 5"); len(f.attempts[2]) != 2 {
+		t.Errorf("a keyed write under way has been sent to %v, want a repeat", f.attempts[2])
 	}
 	for n := range 4 { // three were allowed when it came
-		f.outcome(3, n, Missed, RoleUnknown)
+		f.endAttempt(3, n, Misdirected, RoleUnknown)
 	}
-	if n := len(f.sends[3]); n != 3 {
+	if n := len(f.attempts[3]); n != 3 {
 		t.Errorf("%d attempts, want 3", n)
 	}
 	if err := retune(f, 1, unsafe); err != nil {
 		t.Fatal(err)
 	}
-	f.outcome(4, 0, Missed, RoleUnknown)
-	if n := len(f.sends[4]); n != 1 {
+	f.endAttempt(4, 0, Misdirected, RoleUnknown)
+	if n := len(f.attempts[4]); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
-	if err := f.r.Retune(f.now, testSettings()); err == nil {
+	if err := f.router.UpdateSettings(f.now, testSettings()); err == nil {
 		t.Error("settings that take a class's number away pass")
 	}
 }
 
 // What the old settings had counted, put off or not begun is as the new ones would have it, from the moment that they hold.
 func TestRetuneActsAtOnce(t *testing.T) {
-	draining := []Member{{Store: 1, Group: 7, State: Draining}}
-	hurried := Request{ID: 99, Class: len(testSettings().Classes), Group: 7, Patience: 1250 * ms}
+	draining := []Member{{ID: 1, Group: 7, State: Draining}}
+	hurried := Request{ID: 99, Class: len(testSettings().Classes), Group: 7, Timeout: 1250 * ms}
 	for name, c := range map[string]struct {
 		old, next func(*Settings)
-		before    func(*fake)
-		ok        func(*fake) bool
+		before    func(*fakeHost)
+		ok        func(*fakeHost) bool
 	}{
 		"a usual patience is that of one deadline": {
-			old: func(s *Settings) { s.Classes[cAny].Aim, s.Classes[cAny].Deadline = 300*ms, 750*ms },
+			old: func(s *Settings) {
+				s.Classes[classAny].LatencyObjective, s.Classes[classAny].TotalTimeout = 300*ms, 750*ms
+			},
 			next: func(s *Settings) { // a class of the same name, behind the others
-				k := s.Classes[cAny]
-				k.Aim, k.Deadline, k.LateWorth = 750*ms, 2500*ms, 0
+				k := s.Classes[classAny]
+				k.LatencyObjective, k.TotalTimeout, k.LateWeightFraction = 750*ms, 2500*ms, 0
 				s.Classes = append(s.Classes, k)
 			},
-			before: func(f *fake) {
+			before: func(f *fakeHost) {
 				for id := range uint32(60) {
-					f.r.Request(f.now, Request{ID: 100 + id, Class: cAny, Group: 7, Patience: 375 * ms})
-					f.outcome(100+id, 0, OK, RoleUnknown)
+					f.router.HandleRequest(f.now, Request{ID: 100 + id, Class: classAny, Group: 7, Timeout: 375 * ms})
+					f.endAttempt(100+id, 0, OK, RoleUnknown)
 				}
 			},
-			ok: func(f *fake) bool { f.r.Request(f.now, hurried); return len(f.sends[99]) == 1 }},
+			ok: func(f *fakeHost) bool { f.router.HandleRequest(f.now, hurried); return len(f.attempts[99]) == 1 }},
 		"pings and calls of a smaller fleet come sooner": {
-			old:    func(s *Settings) { s.Balancers, s.Asks, s.MustAsk = 300, true, 10*time.Second },
-			next:   func(s *Settings) { s.Asks, s.MustAsk = true, 10*time.Second },
-			before: func(f *fake) { f.until(f.now + 50*ms) },
-			ok: func(f *fake) bool {
-				f.until(f.now + time.Second)
-				return len(f.probed) > 5 && f.has("watch")
+			old:    func(s *Settings) { s.Poolers, s.PollList, s.MaxPollInterval = 300, true, 10*time.Second },
+			next:   func(s *Settings) { s.PollList, s.MaxPollInterval = true, 10*time.Second },
+			before: func(f *fakeHost) { f.advanceTo(f.now + 50*ms) },
+			ok: func(f *fakeHost) bool {
+				f.advanceTo(f.now + time.Second)
+				return len(f.probedServers) > 5 && f.hasAction("watch")
 			}},
-		"and fewer share a server": {old: func(s *Settings) { s.Balancers = 300 },
-			ok: func(f *fake) bool { return f.r.stores[2].window >= f.r.least }},
-		"a shorter grace holds for what drains": {old: func(s *Settings) { s.DrainGrace = 2 * time.Second },
-			before: func(f *fake) { f.r.List(f.now, ListDelta, draining); f.request(2, cUnsafe); f.now += 450 * ms },
-			ok:     func(f *fake) bool { return !f.r.StillFits(f.now, 2, 0) }},
-		"a longer one does not": {next: func(s *Settings) { s.DrainGrace = 2 * time.Second },
-			before: func(f *fake) { f.r.List(f.now, ListDelta, draining); f.request(2, cUnsafe); f.now += 450 * ms },
-			ok:     func(f *fake) bool { return !f.r.StillFits(f.now, 2, 0) }},
-		"a server is cold for longer": {next: func(s *Settings) { s.ColdFor = 30 * time.Second },
-			before: func(f *fake) { f.r.warmth(f.r.stores[2]) },
-			ok:     func(f *fake) bool { return f.r.warmth(f.r.stores[2]) < 1 }},
-		"or not at all": {old: func(s *Settings) { s.ColdFor = 30 * time.Second }, next: func(s *Settings) { s.ColdFor, s.ColdMultiple = 30*time.Second, 0 },
-			before: func(f *fake) { f.r.stores[2].budget = -1e12 },
-			ok:     func(f *fake) bool { return f.r.room(f.r.stores[2], cAny) }},
-		"probes that are allowed find the primary": {old: func(s *Settings) { s.MayProbe = false },
-			before: func(f *fake) { f.r.lose(f.r.stores[1], "is lost"); f.probed = nil },
-			ok:     func(f *fake) bool { f.request(2, cUnsafe); return len(f.probed) == 3 }},
-		"a session's writes were not remembered": {next: func(s *Settings) { s.Remembered = true },
-			ok: func(f *fake) bool { return f.r.token(Request{Session: 5}) == f.now }},
+		"and fewer share a server": {old: func(s *Settings) { s.Poolers = 300 },
+			ok: func(f *fakeHost) bool { return f.router.servers[2].window >= f.router.minWindow }},
+		"a shorter grace holds for what drains": {old: func(s *Settings) { s.DrainGracePeriod = 2 * time.Second },
+			before: func(f *fakeHost) {
+				f.router.HandleList(f.now, ListDelta, draining)
+				f.sendRequest(2, classNotIdempotent)
+				f.now += 450 * ms
+			},
+			ok: func(f *fakeHost) bool { return !f.router.MayStillSend(f.now, 2, 0) }},
+		"a longer one does not": {next: func(s *Settings) { s.DrainGracePeriod = 2 * time.Second },
+			before: func(f *fakeHost) {
+				f.router.HandleList(f.now, ListDelta, draining)
+				f.sendRequest(2, classNotIdempotent)
+				f.now += 450 * ms
+			},
+			ok: func(f *fakeHost) bool { return !f.router.MayStillSend(f.now, 2, 0) }},
+		"a server is cold for longer": {next: func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
+			before: func(f *fakeHost) { f.router.slowStartWeight(f.router.servers[2]) },
+			ok:     func(f *fakeHost) bool { return f.router.slowStartWeight(f.router.servers[2]) < 1 }},
+		"or not at all": {old: func(s *Settings) { s.SlowStartDuration = 30 * time.Second }, next: func(s *Settings) { s.SlowStartDuration, s.OverloadFactor = 30*time.Second, 0 },
+			before: func(f *fakeHost) { f.router.servers[2].workBudget = -1e12 },
+			ok:     func(f *fakeHost) bool { return f.router.hasCapacity(f.router.servers[2], classAny) }},
+		"probes that are allowed find the primary": {old: func(s *Settings) { s.ProbesAllowed = false },
+			before: func(f *fakeHost) { f.router.dropPrimary(f.router.servers[1], "is lost"); f.probedServers = nil },
+			ok:     func(f *fakeHost) bool { f.sendRequest(2, classNotIdempotent); return len(f.probedServers) == 3 }},
+		"a session's writes were not remembered": {next: func(s *Settings) { s.TrackSessions = true },
+			ok: func(f *fakeHost) bool { return f.router.sessionPosition(Request{Session: 5}) == f.now }},
 	} {
-		f := withPrimary(t, func(s *Settings) {
-			s.Classes[cAny].Name = "view"
+		f := newHostWithPrimary(t, func(s *Settings) {
+			s.Classes[classAny].Name = "view"
 			if c.old != nil {
 				c.old(s)
 			}
 		})
-		f.r.List(f.now, ListDelta, []Member{{Store: 2, Group: 7, State: Ready, Started: start - 15*time.Second}})
-		f.until(f.now + ms)
+		f.router.HandleList(f.now, ListDelta, []Member{{ID: 2, Group: 7, State: Ready, StartedAt: startTime - 15*time.Second}})
+		f.advanceTo(f.now + ms)
 		if c.before != nil {
 			c.before(f)
 		}
 		set := testSettings()
-		set.Classes = f.r.set.Classes[:len(set.Classes):len(set.Classes)]
+		set.Classes = f.router.settings.Classes[:len(set.Classes):len(set.Classes)]
 		if c.next != nil {
 			c.next(&set)
 		}
-		if err := f.r.Retune(f.now, set); err != nil {
+		if err := f.router.UpdateSettings(f.now, set); err != nil {
 			t.Fatal(err)
 		}
 		if !c.ok(f) {
-			t.Errorf("%s: not so; did %v, probed %v", name, f.did, f.probed)
+			t.Errorf("%s: not so; did %v, probed %v", name, f.actions, f.probedServers)
 		}
 	}
 }
--- a/internal/policy/writes.go
+++ b/internal/policy/writes.go
@@ -5,105 +5,105 @@
 // Writes and fresh reads go to the recorded primary. What finds no store is held: it can still be refused.
 
 const (
-	lastHope   = 0.3     // a wait that meets a primary less often is not worth a late refusal
-	endMargin  = 5 * ms  // a held request is refused this long before its client leaves
-	refreshGap = 60 * ms // replicas are asked for positions this often while a read is held
+	minFailoverWaitFraction = 0.3     // a wait that meets a primary less often is not worth a late refusal
+	rejectMargin            = 5 * ms  // a held request is refused this long before its client leaves
+	positionRefreshInterval = 60 * ms // replicas are asked for positions this often while a read is held
 )
 
-func (r *Router) primaryFor(q *request) *store {
-	s := q.g.primary
-	if s == nil && (!r.set.MayProbe || !r.set.RoleReported || q.g.dark && !q.g.left) {
-		s = r.guess(q)
+func (r *Router) choosePrimary(q *request) *server {
+	s := q.group.primary
+	if s == nil && (!r.settings.ProbesAllowed || !r.settings.RolesReported || q.group.primaryNotFound && !q.group.primaryRemoved) {
+		s = r.guessPrimary(q)
 	}
-	if s == nil || !r.mayTry(q, s) || r.stops(s) || !r.room(s, q.class) {
+	if s == nil || !r.attemptAllowed(q, s) || r.pastDrainGrace(s) || !r.hasCapacity(s, q.classIndex) {
 		return nil
 	}
 	return s
 }
 
-// guess serves where probes cannot tell the role, or fail while requests are served: a try is harmless, since
+// guessPrimary serves where probes cannot tell the role, or fail while requests are served: a try is harmless, since
 // a member that is not the primary turns a write away untouched. First the last primary, then the listed one.
-func (r *Router) guess(q *request) *store {
-	g := q.g
-	var best *store
+func (r *Router) guessPrimary(q *request) *server {
+	g := q.group
+	var best *server
 	bestRank := -1
 	for i := range g.members {
-		s := g.members[(g.cursor+i)%len(g.members)]
+		s := g.members[(g.turnCursor+i)%len(g.members)]
 		rank := 0
 		if s.role == RolePrimary {
 			rank = 2
 		} else if s.Primary {
 			rank = 1
 		}
-		blind := q.c.Need == NeedFresh && r.set.Behind == BehindAnswers && rank == 0 // would answer from old data
-		denied := s.role == RoleReplica && r.now < s.roleAt+roundSeen
-		if !s.lost && !blind && !denied && rank > bestRank && r.usable(q, s) {
+		blind := q.classSettings.Access == ReadLatest && r.settings.StaleReads == StaleReadAnswered && rank == 0 // would answer from old data
+		denied := s.role == RoleReplica && r.now < s.roleAsOf+roundInterval
+		if !s.ejected && !blind && !denied && rank > bestRank && r.canTake(q, s) {
 			best, bestRank = s, rank
 		}
 	}
 	return best
 }
 
-// hold queues a request here, where it can still be refused, most worth for the work first.
-func (r *Router) hold(q *request) {
-	q.held = true
-	q.g.held = insert(q.g.held, q, func(x *request) bool { return r.density(x) <= r.density(q) })
-	if q.useful > r.now {
-		r.after(q.useful-r.now, func() { r.passed(q) })
+// enqueue queues a request here, where it can still be refused, most worth for the work first.
+func (r *Router) enqueue(q *request) {
+	q.queued = true
+	q.group.queue = insertBefore(q.group.queue, q, func(x *request) bool { return r.valueDensity(x) <= r.valueDensity(q) })
+	if q.lastUsefulSendAt > r.now {
+		r.schedule(q.lastUsefulSendAt-r.now, func() { r.reassessQueued(q) })
 	}
-	if half := (q.arrived+q.deadline)/2 - endMargin - r.set.Tick; half > r.now {
-		r.after(half-r.now, func() {
-			if q.held && !q.ended && !q.reached && r.hopeless(q) {
-				r.end(q)
+	if half := (q.arrivedAt+q.deadline)/2 - rejectMargin - r.settings.EventInterval; half > r.now {
+		r.schedule(half-r.now, func() {
+			if q.queued && !q.finished && !q.reachedServer && r.failoverTooLate(q) {
+				r.finishRequest(q)
 			}
 		})
 	}
-	r.watchHeld(q.g)
+	r.superviseQueue(q.group)
 }
 
-// hopeless tells whether a wait for a primary will hardly end in time; it is given up at half the patience.
-func (r *Router) hopeless(q *request) bool {
-	g := q.g
-	if g.primary != nil || !g.dark {
+// failoverTooLate tells whether a wait for a primary will hardly end in time; it is given up at half the patience.
+func (r *Router) failoverTooLate(q *request) bool {
+	g := q.group
+	if g.primary != nil || !g.primaryNotFound {
 		return false
 	}
-	rest := max(g.expect-(r.now-g.lostAt), g.expect/2)
-	return float64(q.deadline-r.now) < lastHope*float64(rest)
+	rest := max(g.expectedOutage-(r.now-g.primaryDownAt), g.expectedOutage/2)
+	return float64(q.deadline-r.now) < minFailoverWaitFraction*float64(rest)
 }
 
-// passed ends a held request that is past all worth, and puts one past its aim behind the others.
-func (r *Router) passed(q *request) {
+// reassessQueued ends a held request that is past all worth, and puts one past its aim behind the others.
+func (r *Router) reassessQueued(q *request) {
 	switch {
-	case q.ended || !q.held:
-	case q.c.LateWorth == 0:
-		r.end(q)
+	case q.finished || !q.queued:
+	case q.classSettings.LateWeightFraction == 0:
+		r.finishRequest(q)
 	default:
-		r.unhold(q)
-		r.hold(q)
+		r.dequeue(q)
+		r.enqueue(q)
 	}
 }
 
-// watchHeld looks after held requests: replicas are asked for their positions while a read waits for one.
-func (r *Router) watchHeld(g *group) {
-	if g.watching {
+// superviseQueue looks after held requests: replicas are asked for their positions while a read waits for one.
+func (r *Router) superviseQueue(g *group) {
+	if g.queueCheckScheduled {
 		return
 	}
-	soon := slices.ContainsFunc(g.held, func(q *request) bool { return q.soon })
-	stale := slices.ContainsFunc(g.held, func(q *request) bool { return q.stale })
-	if r.set.MayProbe && !r.large && (soon || stale && r.now >= g.refreshAt) {
-		g.refreshAt = r.now + roundSeen // replicas far behind are asked as seldom as rounds are held
+	soon := slices.ContainsFunc(g.queue, func(q *request) bool { return q.catchUpExpected })
+	stale := slices.ContainsFunc(g.queue, func(q *request) bool { return q.blockedByLag })
+	if r.settings.ProbesAllowed && !r.largeFleet && (soon || stale && r.now >= g.nextPositionRefreshAt) {
+		g.nextPositionRefreshAt = r.now + roundInterval // replicas far behind are asked as seldom as rounds are held
 		for _, s := range g.members {
-			if s != g.primary && !s.lost && s.State == Ready && !s.inRound && r.now >= s.askedAt+refreshGap {
-				s.askedAt = r.now
-				r.probe(s, "refresh")
+			if s != g.primary && !s.ejected && s.State == Ready && !s.inRound && r.now >= s.positionProbedAt+positionRefreshInterval {
+				s.positionProbedAt = r.now
+				r.sendProbe(s, "refresh")
 			}
 		}
 	}
-	g.watching = true
-	r.after(refreshGap, func() {
-		g.watching = false
-		if r.pump(g); len(g.held) > 0 {
-			r.watchHeld(g)
+	g.queueCheckScheduled = true
+	r.schedule(positionRefreshInterval, func() {
+		g.queueCheckScheduled = false
+		if r.dispatchQueued(g); len(g.queue) > 0 {
+			r.superviseQueue(g)
 		}
 	})
 }
--- a/internal/pooler/admin/admin.go
+++ b/internal/pooler/admin/admin.go
@@ -12,143 +12,145 @@
 )
 
 const (
-	most    = 24 // descriptors
-	share   = 16 // one in so many of the limit's
-	least   = 2
-	callFor = 10 * time.Second
+	maxDescriptors  = 24 // descriptors
+	descriptorShare = 16 // one in so many of the limit's
+	minDescriptors  = 2
+	callTimeout     = 10 * time.Second
 )
 
 // Descriptors is how many the door may hold of a limit.
-func Descriptors(limit int) int { return min(max(limit/share, least), most) }
-
-// Figures is what the pooler reports.
-type Figures struct {
-	Serving                       bool // clients are taken in
-	Reloads, ReloadErrors         uint64
-	Classes                       []dispatch.Counts
-	Pending, Members, Unavailable int
-	Lists                         []List // of fronts that take their servers from a file
-	Fleet                         *Fleet // nil: the pooler is on its own
+func Descriptors(limit int) int {
+	return min(max(limit/descriptorShare, minDescriptors), maxDescriptors)
 }
 
-// Fleet is how the pooler's part in its fleet stands.
-type Fleet struct {
-	Version      uint64        // of the documents that it acts on
-	Age          time.Duration // since nothing newer was known to a steward; below 0: not since the start
-	CopyFails    bool          // its copy can't be written to its disk
-	StewardFails bool          // its steward's log can't be written
-	Dropped      uint64        // acts that are not in its journal
-	JournalFails bool          // the last act could not be written
-	Traffic      []traffic.Count
-	Poolers      int    // held to be alive, this one among them
-	Way          string // by which it hears of what all share: "gossip", "stream", "distributor", or "none" where it has no stream
-	Streams      int    // of a distributor: poolers that hang on it
-	Behind       int    // of a distributor: of all poolers with a stream anywhere, how many have older documents in force than their distributor
-	Oldest       uint64 // and the oldest version in force among them
+// Metrics is what the pooler reports.
+type Metrics struct {
+	Serving                                      bool // clients are taken in
+	Reloads, ReloadErrors                        uint64
+	Classes                                      []dispatch.ClassCounters
+	PendingRequests, Servers, UnavailableServers int
+	Lists                                        []ListStatus // of fronts that take their servers from a file
+	Fleet                                        *FleetStatus // nil: the pooler is on its own
 }
 
-// List is how a front's list of servers stands.
-type List struct {
-	Front                   string
-	Generation              uint64 // in force
-	Taken, Held, TurnedDown uint64 // candidates, since the start
-	Holding                 bool   // one is held now
+// FleetStatus is how the pooler's part in its fleet stands.
+type FleetStatus struct {
+	DocumentsVersion      uint64        // of the documents that it acts on
+	DocumentsAge          time.Duration // since nothing newer was known to a steward; below 0: not since the start
+	ReplicaWriteFailing   bool          // its copy can't be written to its disk
+	VoterWriteFailing     bool          // its steward's log can't be written
+	JournalRecordsDropped uint64        // acts that are not in its journal
+	JournalWriteFailing   bool          // the last act could not be written
+	Traffic               []traffic.Count
+	Poolers               int    // held to be alive, this one among them
+	Way                   string // by which it hears of what all share: "gossip", "stream", "distributor", or "none" where it has no stream
+	Streams               int    // of a distributor: poolers that hang on it
+	PoolersBehind         int    // of a distributor: of all poolers with a stream anywhere, how many have older documents in force than their distributor
+	OldestVersion         uint64 // and the oldest version in force among them
 }
 
-// Door answers operators.
-type Door struct {
-	loop    *dispatch.Loop
-	ln      *transport.Listener
-	figures func() Figures
-	callers []*caller // in the order of their coming
-	most    int       // of them: the one that has waited longest makes room
+// ListStatus is how a front's list of servers stands.
+type ListStatus struct {
+	Front                 string
+	Generation            uint64 // in force
+	Taken, Held, Rejected uint64 // candidates, since the start
+	Holding               bool   // one is held now
+}
+
+// Server answers operators.
+type Server struct {
+	loop           *dispatch.EventLoop
+	listener       *transport.Listener
+	metrics        func() Metrics
+	connections    []*connection // in the order of their coming
+	maxConnections int           // of them: the one that has waited longest makes room
 }
 
 // Listen opens the door, with so many descriptors, a third of them for callers on their way out. figures is called on the
 // door's own goroutine and must not wait.
-func Listen(addr string, descriptors int, figures func() Figures) (*Door, error) {
-	d := &Door{loop: dispatch.NewLoop(), figures: figures, most: max(descriptors*2/3, 1)}
-	ln, err := transport.Listen(d.loop, transport.NewBudget(descriptors), addr, d.enter)
+func Listen(addr string, descriptors int, figures func() Metrics) (*Server, error) {
+	d := &Server{loop: dispatch.NewEventLoop(), metrics: figures, maxConnections: max(descriptors*2/3, 1)}
+	ln, err := transport.Listen(d.loop, transport.NewBudget(descriptors), addr, d.accept)
 	if err != nil {
 		return nil, err
 	}
-	d.ln = ln
+	d.listener = ln
 	go d.loop.Run()
 	return d, nil
 }
 
 // Addr is where it listens.
-func (d *Door) Addr() string { return d.ln.Addr() }
+func (d *Server) Addr() string { return d.listener.Addr() }
 
 // Close ends it.
-func (d *Door) Close() {
-	d.ln.Close()
+func (d *Server) Close() {
+	d.listener.Close()
 	d.loop.Stop()
 }
 
-// caller is one connection. It gets one answer.
-type caller struct {
-	d    *Door
-	c    *transport.Conn
-	line []byte
-	late *dispatch.Timer
+// connection is one connection. It gets one answer.
+type connection struct {
+	server  *Server
+	conn    *transport.Conn
+	line    []byte
+	timeout *dispatch.Timer
 }
 
-func (d *Door) enter(c *transport.Conn) {
-	if len(d.callers) >= d.most {
-		d.callers[0].end()
+func (d *Server) accept(c *transport.Conn) {
+	if len(d.connections) >= d.maxConnections {
+		d.connections[0].finish()
 	}
-	k := &caller{d: d, c: c}
-	d.callers = append(d.callers, k)
+	k := &connection{server: d, conn: c}
+	d.connections = append(d.connections, k)
 	c.SetHandler(k)
-	k.late = d.loop.After(callFor, k.end)
+	k.timeout = d.loop.After(callTimeout, k.finish)
 }
 
-// end closes the connection once the answer, if any, is written.
-func (k *caller) end() {
-	k.c.Finish()
+// finish closes the connection once the answer, if any, is written.
+func (k *connection) finish() {
+	k.conn.Finish()
 	k.Closed(nil)
 }
 
-func (k *caller) Closed(error) {
-	k.late.Stop()
-	for i, x := range k.d.callers {
+func (k *connection) Closed(error) {
+	k.timeout.Stop()
+	for i, x := range k.server.connections {
 		if x == k {
-			k.d.callers = append(k.d.callers[:i], k.d.callers[i+1:]...)
+			k.server.connections = append(k.server.connections[:i], k.server.connections[i+1:]...)
 			return
 		}
 	}
 }
 
-func (k *caller) Data(_ time.Duration, b []byte) {
+func (k *connection) Data(_ time.Duration, b []byte) {
 	k.line = append(k.line, b...)
 	call, ok, err := admin.Next(k.line)
 	switch {
 	case err != nil:
-		k.c.Write(admin.AppendError(nil, err.Error()))
+		k.conn.Write(admin.AppendError(nil, err.Error()))
 	case !ok:
 		return
-	case call == admin.Ping && k.d.figures().Serving:
-		k.c.Write(admin.AppendDone(nil))
+	case call == admin.Ping && k.server.metrics().Serving:
+		k.conn.Write(admin.AppendDone(nil))
 	case call == admin.Ping:
-		k.c.Write(admin.AppendError(nil, "no clients are taken in"))
+		k.conn.Write(admin.AppendError(nil, "no clients are taken in"))
 	case call == admin.Info:
-		k.c.Write(report(k.d.figures()))
+		k.conn.Write(formatMetrics(k.server.metrics()))
 	default:
-		k.c.Write(admin.AppendError(nil, "unknown call"))
+		k.conn.Write(admin.AppendError(nil, "unknown call"))
 	}
-	k.end()
+	k.finish()
 }
 
-// report writes the figures.
-func report(f Figures) []byte {
+// formatMetrics writes the figures.
+func formatMetrics(f Metrics) []byte {
 	b := admin.AppendDone(nil)
 	for _, c := range f.Classes {
 		lane := admin.Label{Name: "lane", Value: c.Class}
 		for _, r := range []struct {
 			result string
 			count  uint64
-		}{{"completed", c.Served}, {"rejected", c.Refused}, {"failed", c.Failed}} {
+		}{{"completed", c.Served}, {"rejected", c.Rejected}, {"failed", c.Failed}} {
 			b = admin.AppendFigure(b, "downstream_requests", r.count, lane, admin.Label{Name: "result", Value: r.result})
 		}
 		b = admin.AppendFigure(b, "upstream_requests", c.Attempts, lane)
@@ -156,23 +158,23 @@
 	for _, g := range []struct {
 		name  string
 		value uint64
-	}{{"pending", uint64(f.Pending)}, {"members", uint64(f.Members)}, {"members_unavailable", uint64(f.Unavailable)},
+	}{{"pending", uint64(f.PendingRequests)}, {"members", uint64(f.Servers)}, {"members_unavailable", uint64(f.UnavailableServers)},
 		{"config_reloads", f.Reloads}, {"config_reload_errors", f.ReloadErrors}} {
 		b = admin.AppendFigure(b, g.name, g.value)
 	}
 	if fl := f.Fleet; fl != nil {
-		b = admin.AppendFigure(b, "shared_version", fl.Version)
-		if fl.Age >= 0 {
-			b = admin.AppendFigure(b, "shared_age_ms", uint64(fl.Age.Milliseconds()))
+		b = admin.AppendFigure(b, "shared_version", fl.DocumentsVersion)
+		if fl.DocumentsAge >= 0 {
+			b = admin.AppendFigure(b, "shared_age_ms", uint64(fl.DocumentsAge.Milliseconds()))
 		}
-		b = admin.AppendFigure(b, "journal_acts_dropped", fl.Dropped)
+		b = admin.AppendFigure(b, "journal_acts_dropped", fl.JournalRecordsDropped)
 		b = admin.AppendFigure(b, "fleet_poolers", uint64(fl.Poolers))
 		for _, way := range []string{"gossip", "stream", "distributor", "none"} {
-			b = admin.AppendFigure(b, "fleet_way", yes(fl.Way == way), admin.Label{Name: "way", Value: way})
+			b = admin.AppendFigure(b, "fleet_way", boolValue(fl.Way == way), admin.Label{Name: "way", Value: way})
 		}
 		b = admin.AppendFigure(b, "streams", uint64(fl.Streams))
-		b = admin.AppendFigure(b, "fleet_behind", uint64(fl.Behind))
-		b = admin.AppendFigure(b, "fleet_oldest_version", fl.Oldest)
+		b = admin.AppendFigure(b, "fleet_behind", uint64(fl.PoolersBehind))
+		b = admin.AppendFigure(b, "fleet_oldest_version", fl.OldestVersion)
 		for _, t := range fl.Traffic {
 			kind := admin.Label{Name: "kind", Value: t.Kind}
 			in, out := admin.Label{Name: "way", Value: "in"}, admin.Label{Name: "way", Value: "out"}
@@ -184,25 +186,25 @@
 		for _, d := range []struct {
 			what  string
 			fails bool
-		}{{"copy", fl.CopyFails}, {"journal", fl.JournalFails}, {"steward", fl.StewardFails}} {
-			b = admin.AppendFigure(b, "disk_failing", yes(d.fails), admin.Label{Name: "file", Value: d.what})
+		}{{"copy", fl.ReplicaWriteFailing}, {"journal", fl.JournalWriteFailing}, {"steward", fl.VoterWriteFailing}} {
+			b = admin.AppendFigure(b, "disk_failing", boolValue(d.fails), admin.Label{Name: "file", Value: d.what})
 		}
 	}
 	for _, l := range f.Lists {
 		front := admin.Label{Name: "front", Value: l.Front}
 		b = admin.AppendFigure(b, "list_generation", l.Generation, front)
-		b = admin.AppendFigure(b, "list_holding", yes(l.Holding), front)
+		b = admin.AppendFigure(b, "list_holding", boolValue(l.Holding), front)
 		for _, r := range []struct {
 			result string
 			count  uint64
-		}{{"taken", l.Taken}, {"held", l.Held}, {"turned_down", l.TurnedDown}} {
+		}{{"taken", l.Taken}, {"held", l.Held}, {"turned_down", l.Rejected}} {
 			b = admin.AppendFigure(b, "list_candidates", r.count, front, admin.Label{Name: "result", Value: r.result})
 		}
 	}
 	return admin.AppendEnd(b)
 }
 
-func yes(is bool) uint64 {
+func boolValue(is bool) uint64 {
 	if is {
 		return 1
 	}
--- a/internal/pooler/admin_test.go
+++ b/internal/pooler/admin_test.go
@@ -12,7 +12,7 @@
 )
 
 // call makes one call at the operators' door.
-func call(t *testing.T, a pooler.Addrs, line string) string {
+func call(t *testing.T, a pooler.Addresses, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", a.Admin)
 	if err != nil {
@@ -31,7 +31,7 @@
 }
 
 // shows asks for the figures until they hold all the lines: they lag a little.
-func shows(t *testing.T, a pooler.Addrs, lines ...string) {
+func shows(t *testing.T, a pooler.Addresses, lines ...string) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; {
 		answer := call(t, a, "INFO\n")
@@ -52,7 +52,7 @@
 
 // The figures must tell what became of the requests, on either wire: each counts once, at its end, whatever its attempts.
 func TestFigures(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		served(t, c.Do(standin.Write("k", patience)))
 		f.Servers[0].Do(once(standin.Break))
--- a/internal/pooler/answers_test.go
+++ b/internal/pooler/answers_test.go
@@ -18,17 +18,19 @@
 	"threadsail/internal/pooler/postgres"
 )
 
-// keeper gives the first answer that may be another's to each later request that may have it.
-type keeper struct {
+// fileWatcher gives the first answer that may be another's to each later request that may have it.
+type fileWatcher struct {
 	kept   map[string]any
 	keep   func(any) (any, int, bool)
 	passed int // requests that may have another's answer, and found none
 }
 
-func keyOf(r *dispatch.Request) string { return fmt.Sprint(r.Class, r.Group, r.Form, "|", r.Text) }
+func keyOf(r *dispatch.Request) string {
+	return fmt.Sprint(r.Class, r.Group, r.CacheVariant, "|", r.Statement)
+}
 
-func (k *keeper) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
-	if r.Form == "" {
+func (k *fileWatcher) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
+	if r.CacheVariant == "" {
 		return dispatch.Admission{}
 	}
 	if k.kept[keyOf(r)] == nil {
@@ -37,12 +39,12 @@
 	return dispatch.Admission{Answer: k.kept[keyOf(r)]}
 }
 
-func (k *keeper) MaySend(time.Duration, *dispatch.Request, string) dispatch.Sending {
+func (k *fileWatcher) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
 	return dispatch.Send
 }
 
-func (k *keeper) Ended(_ time.Duration, r *dispatch.Request, e dispatch.Ending) {
-	if answer, _, ok := k.keep(e.Answer); ok && r.Form != "" {
+func (k *fileWatcher) RequestEnded(_ time.Duration, r *dispatch.Request, e dispatch.FinalAnswer) {
+	if answer, _, ok := k.keep(e.Answer); ok && r.CacheVariant != "" {
 		k.kept[keyOf(r)] = answer
 	}
 }
@@ -50,11 +52,11 @@
 // idleFleet is a fleet of nobody; what it is never asked for is nil.
 type idleFleet struct{ pooler.Fleet }
 
-func (idleFleet) Acquire(func(lease.Grant, bool, error))    {}
-func (idleFleet) Release()                                  {}
-func (idleFleet) Show(discoveryleader.Word, string, string) {}
-func (idleFleet) Figures() admin.Fleet                      { return admin.Fleet{} }
-func (idleFleet) Close()                                    {}
+func (idleFleet) AcquireLease(func(lease.Lease, bool, error))            {}
+func (idleFleet) ReleaseLease()                                          {}
+func (idleFleet) SetStatus(discoveryleader.Announcement, string, string) {}
+func (idleFleet) Status() admin.FleetStatus                              { return admin.FleetStatus{} }
+func (idleFleet) Close()                                                 {}
 
 // A kept answer is given to other clients on either wire, as the server gave it; on MySQL's not to a client that reads another
 // charset, nor for a prepared statement, nor where the statement did not name its class.
@@ -71,22 +73,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ready, terminate, ended := make(chan pooler.Addrs, 1), make(chan struct{}), make(chan error, 1)
-			guard := &keeper{kept: map[string]any{}, keep: postgres.Kept}
+			ready, terminate, ended := make(chan pooler.Addresses, 1), make(chan struct{}), make(chan error, 1)
+			guard := &fileWatcher{kept: map[string]any{}, keep: postgres.Cacheable}
 			if wire == "mysql" {
-				guard.keep = mysql.Kept
+				guard.keep = mysql.Cacheable
 			}
-			part := &pooler.FleetPart{Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
+			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
 				Open: func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-				Attach: func(front pooler.Front) {
+				Attach: func(front pooler.Frontend) {
 					if front.Name == wire {
-						front.Core.Guard(guard)
+						front.Dispatcher.AddGuard(guard)
 					}
 				}}
 			go func() {
-				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addrs) { ready <- a })
+				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addresses) { ready <- a })
 			}()
-			var addrs pooler.Addrs
+			var addrs pooler.Addresses
 			select {
 			case addrs = <-ready:
 			case err := <-ended:
--- a/internal/pooler/build_test.go
+++ b/internal/pooler/build_test.go
@@ -21,12 +21,12 @@
 		{"(devel)", nil, "(devel)"},
 		{"", commit[:1], "(devel)"},
 	} {
-		got := build(&debug.BuildInfo{Main: debug.Module{Version: c.version}, Settings: c.vcs})
+		got := versionOf(&debug.BuildInfo{Main: debug.Module{Version: c.version}, Settings: c.vcs})
 		if got != c.want || got != "(devel)" && !semver.IsValid(got) {
 			t.Errorf("%s %v: %s, want %s", c.version, c.vcs, got, c.want)
 		}
 	}
-	if Build("v9.9.9") != "v9.9.9" {
+	if BuildVersion("v9.9.9") != "v9.9.9" {
 		t.Error("a stamp does not count")
 	}
 }
--- a/internal/pooler/cancel_test.go
+++ b/internal/pooler/cancel_test.go
@@ -16,7 +16,7 @@
 	code   string // of a statement that was cancelled
 }
 
-func cancels(t *testing.T, f *standin.Fleet, a pooler.Addrs) canceller {
+func cancels(t *testing.T, f *standin.Fleet, a pooler.Addresses) canceller {
 	t.Helper()
 	if f.Wire() == "postgres" {
 		c := dial(t, a).(*standin.Postgres)
@@ -50,7 +50,7 @@
 // A cancel before, during, after and twice: what is under way is answered at once and never sent again; nothing else is
 // touched. The server is as good as before, and the next statement on the connection is served.
 func TestCancel(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c, p := cancels(t, f, a), f.Servers[0]
 		if err := c.cancel(); err != nil { // before
 			t.Fatal(err)
--- a/internal/pooler/clients_test.go
+++ b/internal/pooler/clients_test.go
@@ -13,7 +13,7 @@
 	"threadsail/internal/protocol/pgwire"
 )
 
-func addr(a pooler.Addrs) string {
+func addr(a pooler.Addresses) string {
 	if a.MySQL != "" {
 		return a.MySQL
 	}
@@ -23,7 +23,7 @@
 // Clients that connect and say nothing, or nothing whole, are owed a word or a close within 3 s. One that has logged in
 // and has not asked yet stays.
 func TestSilentClientsAreTurnedOut(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, _ *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, _ *standin.Fleet, a pooler.Addresses) {
 		waits := dial(t, a) // logged in, and keeps its connection for later
 		var silent []net.Conn
 		for _, first := range []string{"", "\x00\x00\x00\x54\x00\x03",
@@ -115,7 +115,7 @@
 
 // An id that is open elsewhere can't be told from the other's: an error, and the first is served.
 func TestOpenIDIsRefused(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		release := make(chan struct{})
 		f.Servers[0].Do(func(standin.Seen) standin.Act { <-release; return standin.Answer })
 		text := standin.Read("any", 5*patience)
@@ -157,7 +157,7 @@
 
 // A value that is far too large is turned away by its first bytes, while the client still sends.
 func TestHugeCommand(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c, err := net.Dial("tcp", addr(a))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/pooler/connlimit/door_test.go
+++ b/internal/pooler/connlimit/door_test.go
@@ -10,7 +10,7 @@
 
 // client is a stand-in that leaves when it is turned out.
 type client struct {
-	guest *Guest
+	guest *Admission
 	name  string
 	out   *[]string
 	busy  bool // its next request has come and was not seen yet
@@ -18,40 +18,40 @@
 
 func (c *client) Quiet() bool { return !c.busy }
 
-func (c *client) TurnOut() {
+func (c *client) Evict() {
 	*c.out = append(*c.out, c.name)
-	c.guest.Leave()
+	c.guest.Release()
 }
 
 // Some clients ask once and keep their connection. With many connected, those idle longest must go long before places run
 // short here: the clients have limits of their own. Busy ones stay, and one whose next request has come.
 func TestIdleClientsMakeRoom(t *testing.T) {
-	d := New(dispatch.NewLoop(), 6, 1<<20)
+	d := New(dispatch.NewEventLoop(), 6, 1<<20)
 	var out []string
 	enter := func(name string, state State, idle time.Duration, busy bool) {
 		c := &client{name: name, out: &out, busy: busy}
-		c.guest = d.Enter(c)
+		c.guest = d.Admit(c)
 		c.guest.state, c.guest.since = state, d.loop.Now()-idle
 	}
 	enter("coming", Idle, 9*time.Second, true)
-	enter("busy", Busy, 9*time.Second, false)
+	enter("busy", Active, 9*time.Second, false)
 	enter("oldest", Idle, 8*time.Second, false)
-	enter("old", Idle, 2*shortIdle, false)
+	enter("old", Idle, 2*crowdedIdleTime, false)
 	enter("fresh", Idle, 0, false)
 	d.sweep()
 	if want := []string{"oldest", "old"}; !slices.Equal(out, want) {
 		t.Errorf("%v were turned out, want %v", out, want)
 	}
-	enter("silent", Entering, 2*enterFor, false)
-	enter("more", Busy, 0, false)
-	enter("most", Busy, 0, false)
-	if enter("newcomer", Busy, 0, false); out[len(out)-1] != "silent" {
+	enter("silent", Connecting, 2*minConnectingTime, false)
+	enter("more", Active, 0, false)
+	enter("most", Active, 0, false)
+	if enter("newcomer", Active, 0, false); out[len(out)-1] != "silent" {
 		t.Errorf("%v were turned out, want the silent one last", out)
 	}
-	if enter("another", Busy, 0, false); out[len(out)-1] != "fresh" {
+	if enter("another", Active, 0, false); out[len(out)-1] != "fresh" {
 		t.Errorf("%v were turned out, want the one that is idle last", out)
 	}
-	if d.Enter(&client{}) != nil {
+	if d.Admit(&client{}) != nil {
 		t.Error("there is room where all are busy")
 	}
 }
@@ -59,17 +59,17 @@
 // While the program ends the clients leave by shares, and those that have not asked yet with the last.
 func TestClientsPartByShares(t *testing.T) {
 	const guests = 200
-	d := New(dispatch.NewLoop(), 2*guests, 1<<20)
+	d := New(dispatch.NewEventLoop(), 2*guests, 1<<20)
 	for range guests {
-		d.Enter(&client{}).Set(Idle, 0)
-		d.Enter(&client{})
+		d.Admit(&client{}).SetState(Idle, 0)
+		d.Admit(&client{})
 	}
 	parts := func(share float64) (idle, entering int) {
-		d.Part(share)
-		for g := range d.in {
-			if g.Parts() && g.state == Entering {
+		d.SetDisconnectShare(share)
+		for g := range d.admissions {
+			if g.ShouldDisconnect() && g.state == Connecting {
 				entering++
-			} else if g.Parts() {
+			} else if g.ShouldDisconnect() {
 				idle++
 			}
 		}
@@ -89,25 +89,25 @@
 // A client that has been silent for too long goes at once; one whose bytes have come and were not seen yet only if that
 // lasts, so that a machine that is late loses no request.
 func TestSilentClientsGoUnlessHeardFrom(t *testing.T) {
-	d := New(dispatch.NewLoop(), 10, 1<<20)
+	d := New(dispatch.NewEventLoop(), 10, 1<<20)
 	var out []string
 	enter := func(name string, state State, unseen bool) *client {
 		c := &client{name: name, out: &out, busy: unseen}
-		c.guest = d.Enter(c)
-		c.guest.state, c.guest.since = state, d.loop.Now()-silentFor
+		c.guest = d.Admit(c)
+		c.guest.state, c.guest.since = state, d.loop.Now()-silenceTimeout
 		return c
 	}
-	enter("silent", Begun, false)
-	enter("trickling", Begun, true)
-	late := enter("late", Begun, true)
-	enter("busy", Busy, false)
-	for range spared {
+	enter("silent", Receiving, false)
+	enter("trickling", Receiving, true)
+	late := enter("late", Receiving, true)
+	enter("busy", Active, false)
+	for range maxSparedSweeps {
 		d.sweep()
 	}
 	if want := []string{"silent"}; !slices.Equal(out, want) {
 		t.Errorf("%v were turned out, want %v", out, want)
 	}
-	late.guest.Set(Busy, 0) // its bytes are seen
+	late.guest.SetState(Active, 0) // its bytes are seen
 	d.sweep()
 	if want := []string{"silent", "trickling"}; !slices.Equal(out, want) {
 		t.Errorf("%v were turned out, want %v", out, want)
--- a/internal/pooler/endings_test.go
+++ b/internal/pooler/endings_test.go
@@ -38,7 +38,7 @@
 // A server that ends at any byte of its answer has given none: a read is served by another attempt, and a write without a key
 // is failed and not sent again.
 func TestServerEndsInItsAnswer(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		for _, at := range []int{0, 1, 5, -7, -1} {
 			for how, end := range map[string]func(*net.TCPConn){"close": cut, "reset": reset} {
@@ -61,7 +61,7 @@
 
 // A whole error is a server's word though it closes before it says that it is ready again: what it turned away has not run.
 func TestWholeErrorThenTheEnd(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c, p := dial(t, a), f.Servers[0]
 		served(t, c.Do(standin.Write("", patience)))
 		for _, end := range []func(*net.TCPConn){cut, reset} {
@@ -81,7 +81,7 @@
 // An answer that never ends costs its own request and connection: it is cut off long before the request's time is over, and
 // others are served meanwhile.
 func TestAnswersThatNeverEnd(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		p := f.Servers[0]
 		kinds := map[string]func(n int) []byte{
 			"notices": func(int) []byte {
@@ -157,7 +157,7 @@
 
 // A client may say that it leaves right behind its last statement: it gets the answer, and then the end.
 func TestFarewellBehindAStatement(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		defer func() { close(terminate); <-ended }()
 		release := make(chan struct{})
 		f.Servers[0].Meet(0, func(*net.TCPConn) { <-release })
@@ -189,7 +189,7 @@
 	for _, name := range []string{"no primary", "a silent server"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+			restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 				p := f.Servers[0]
 				if name == "no primary" {
 					p.Set(false, 0)
@@ -242,7 +242,7 @@
 
 // A client that reads late gets every answer whole though the process is told to end meanwhile, and then the end.
 func TestSlowReaderMeetsARestart(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		const ahead = 8
 		value := strings.Repeat("v", 60<<10)
 		if a.MySQL != "" {
@@ -283,7 +283,7 @@
 // A client that is cut off, as it sends more than is taken in ahead of an answer, or is killed, has an answer to what was under
 // way first.
 func TestClientsThatAreCutOff(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		defer func() { close(terminate); <-ended }()
 		f.Servers[0].Do(always(standin.Hang))
 		killer := talk(t, a)
@@ -320,7 +320,7 @@
 
 // An attempt whose time is over is given up: the server's connection is closed, and a write without a key is not sent again.
 func TestAttemptTimesOut(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		p := f.Servers[0]
 		closed := make(chan struct{})
 		p.Meet(0, first(func(c *net.TCPConn) {
--- a/internal/pooler/fleet_bar.go
+++ b/internal/pooler/fleet_bar.go
@@ -5,35 +5,35 @@
 	"threadsail/internal/fleet/discoveryleader"
 )
 
-// bar gives the duties up where this build or configuration is below the least that is allowed.
-func (d *listDuty) bar(least discoveryleader.Least) {
-	d.least = least
-	d.carry(d.lists.Bar(d.loop.Now(), least.Bars(d.build, d.revision)))
+// applyMinimum gives the duties up where this build or configuration is below the least that is allowed.
+func (d *listLeadership) applyMinimum(least discoveryleader.MinimumVersion) {
+	d.minimum = least
+	d.carryOut(d.election.SetExcluded(d.loop.Now(), least.Excludes(d.version, d.configRevision)))
 }
 
-// refile takes over on which revision of the configuration this pooler is now, and what its own file allows. A pooler that follows a
+// applyFleetConfig takes over on which revision of the configuration this pooler is now, and what its own file allows. A pooler that follows a
 // holder goes by what that one told last, if it is more.
-func (d *listDuty) refile(revision uint64, own discoveryleader.Least) {
-	d.revision = revision
-	if _, holds := d.lists.Token(d.loop.Now()); !holds && d.least.Config > own.Config {
-		own = d.least
+func (d *listLeadership) applyFleetConfig(revision uint64, own discoveryleader.MinimumVersion) {
+	d.configRevision = revision
+	if _, holds := d.election.Token(d.loop.Now()); !holds && d.minimum.ConfigRevision > own.ConfigRevision {
+		own = d.minimum
 	}
-	d.bar(own)
+	d.applyMinimum(own)
 }
 
-// shutOut takes no writes any more, or again, and says so wherever it is looked for.
-func (d *listDuty) shutOut(shut bool) {
-	if shut == d.shut {
+// setExcluded takes no writes any more, or again, and says so wherever it is looked for.
+func (d *listLeadership) setExcluded(shut bool) {
+	if shut == d.excluded {
 		return
 	}
-	d.shut = shut
-	d.core.TakeWrites(!shut)
-	d.ready(!shut)
+	d.excluded = shut
+	d.dispatcher.SetWritesAllowed(!shut)
+	d.setAdmitted(!shut)
 	if shut {
-		d.log.Error().Str("build", d.build).Uint64("config_revision", d.revision).Msg("shut out: the fleet has left this pooler's build, configuration or list behind; writes are refused")
-		d.note(audit.Record{Act: audit.ShutOut})
+		d.log.Error().Str("build", d.version).Uint64("config_revision", d.configRevision).Msg("shut out: the fleet has left this pooler's build, configuration or list behind; writes are refused")
+		d.record(audit.Record{Act: audit.WritesBarred})
 	} else {
 		d.log.Info().Msg("brought up: writes are taken again")
-		d.note(audit.Record{Act: audit.BroughtUp})
+		d.record(audit.Record{Act: audit.WritesRestored})
 	}
 }
--- a/internal/pooler/fleet_limits.go
+++ b/internal/pooler/fleet_limits.go
@@ -8,17 +8,17 @@
 // Limiter lets a front's requests, attempts, new connections and probes pass, or not now.
 type Limiter interface {
 	dispatch.Guard
-	dispatch.Gate
+	dispatch.ConnectionGate
 }
 
-// limit holds a front to the fleet's limits, with all that it dials by. It must be called before the first list comes.
-func (p *FleetPart) limit(core *dispatch.Core, dialled ...*upstream.Servers) {
-	if p == nil || p.Limit == nil {
+// installLimiter holds a front to the fleet's limits, with all that it dials by. It must be called before the first list comes.
+func (p *FleetOptions) installLimiter(core *dispatch.Dispatcher, dialled ...*upstream.Connector) {
+	if p == nil || p.NewLimiter == nil {
 		return
 	}
-	l := p.Limit(core.ClassInfo, core.Settings)
-	core.Guard(l)
-	core.Gate(l)
+	l := p.NewLimiter(core.ClassInfo, core.Settings)
+	core.AddGuard(l)
+	core.SetConnectionGate(l)
 	for _, s := range dialled {
 		s.MayDial = core.MayDial
 	}
--- a/internal/pooler/fleet_lists.go
+++ b/internal/pooler/fleet_lists.go
@@ -14,181 +14,185 @@
 	"threadsail/internal/protocol/discovery"
 )
 
-// listDuty plays the fleet's list duty for a watcher: the decisions are duty.Lists'. It runs on the watcher's loop.
-type listDuty struct {
-	*member
-	watcher *watcher
-	core    *dispatch.Core
-	lists   discoveryleader.Lists
-	shared  bool       // config.Fleet.SharedAddresses
-	ready   func(bool) // tells the operators' door
-	shut    bool       // takes no writes
-	// revision of the configuration in force, as the operators count it, and the least that was told last.
-	revision uint64
-	least    discoveryleader.Least
-	token    uint64               // of the lease held when the journal was told last; 0: none
-	last     discoveryleader.Word // the last word told
-	list     discovery.List       // the whole list as last told, by whomever
-	timer    *dispatch.Timer
-	late     *dispatch.Timer // of a fetch
+// listLeadership plays the fleet's list duty for a watcher: the decisions are duty.Lists'. It runs on the watcher's loop.
+type listLeadership struct {
+	*fleetMember
+	watcher         *watcher
+	dispatcher      *dispatch.Dispatcher
+	election        discoveryleader.Participant
+	sharedAddresses bool       // config.Fleet.SharedAddresses
+	setAdmitted     func(bool) // tells the operators' door
+	excluded        bool       // takes no writes
+	// configRevision of the configuration in force, as the operators count it, and the least that was told last.
+	configRevision uint64
+	minimum        discoveryleader.MinimumVersion
+	token          uint64                       // of the lease held when the journal was told last; 0: none
+	lastAnnounced  discoveryleader.Announcement // the last word told
+	list           discovery.List               // the whole list as last told, by whomever
+	timer          *dispatch.Timer
+	fetchTimer     *dispatch.Timer // of a fetch
 }
 
-// newListDuty has a watcher take part in the list duty. The watcher's loop does not run yet.
-func newListDuty(m *member, w *watcher, core *dispatch.Core, cfg *config.Config, fc *config.Fleet, ready func(bool)) *listDuty {
-	d := &listDuty{member: m, watcher: w, core: core, shared: fc.SharedAddresses, ready: ready, revision: fc.ConfigRevision,
-		list:  discovery.List{Complete: true, Revision: cfg.Known.Revision, Members: cfg.Known.Members},
-		lists: discoveryleader.Lists{Name: fc.Name, Term: fc.Term, Drift: fc.Drift, Follows: !fc.Gossips(), Bound: fc.Bound, Spread: Spread(cfg), Fleet: max(cfg.Settings.Balancers, 1)}}
-	w.duty = d
+// newListLeadership has a watcher take part in the list duty. The watcher's loop does not run yet.
+func newListLeadership(m *fleetMember, w *watcher, core *dispatch.Dispatcher, cfg *config.Config, fc *config.Fleet, ready func(bool)) *listLeadership {
+	d := &listLeadership{fleetMember: m, watcher: w, dispatcher: core, sharedAddresses: fc.SharedAddresses, setAdmitted: ready, configRevision: fc.ConfigRevision,
+		list:     discovery.List{Complete: true, Revision: cfg.Known.Revision, Members: cfg.Known.Members},
+		election: discoveryleader.Participant{Name: fc.Name, LeaseDuration: fc.Term, MaxClockDrift: fc.Drift, FollowOnly: !fc.Gossips(), MaxListLag: fc.Bound, JitterFraction: Spread(cfg), PoolerCount: max(cfg.Settings.Poolers, 1)}}
+	w.leadership = d
 	if w.pushed { // else the module asks
-		w.loop.After(0, d.want)
+		w.loop.After(0, d.requestWatch)
 	}
-	core.OnPrimary(d.primary)
-	m.loop.After(0, func() { d.bar(discoveryleader.Least{Build: fc.LeastBuild, Config: fc.LeastConfig}) })
+	core.OnPrimary(d.primaryChanged)
+	m.loop.After(0, func() {
+		d.applyMinimum(discoveryleader.MinimumVersion{Build: fc.LeastBuild, ConfigRevision: fc.LeastConfig})
+	})
 	return d
 }
 
 // events is what the fleet tells the duty.
-func (d *listDuty) events() FleetEvents {
+func (d *listLeadership) events() FleetEvents {
 	return FleetEvents{
-		Word: func(word discoveryleader.Word, least discoveryleader.Least) {
-			d.loop.Post(func() { d.heard(word, least) })
+		Announced: func(word discoveryleader.Announcement, least discoveryleader.MinimumVersion) {
+			d.loop.Post(func() { d.receiveAnnouncement(word, least) })
 		},
-		Wanted: func(from string) { d.loop.Post(func() { d.wanted(from) }) },
-		List:   func(word discoveryleader.Word, list []byte) { d.loop.Post(func() { d.took(word, list) }) },
-		Lost:   func(group int) { d.loop.Post(func() { d.core.Suspect(group) }) },
-		Found: func(token uint64, group int, server string, asOf time.Duration) {
-			d.loop.Post(func() { d.told(token, group, server, asOf) })
+		ListRequested: func(from string) { d.loop.Post(func() { d.sendList(from) }) },
+		ListReceived: func(word discoveryleader.Announcement, list []byte) {
+			d.loop.Post(func() { d.receiveList(word, list) })
+		},
+		PrimaryReportedDown: func(group int) { d.loop.Post(func() { d.dispatcher.ReportPrimaryDown(group) }) },
+		PrimaryAnnounced: func(token uint64, group int, server string, asOf time.Duration) {
+			d.loop.Post(func() { d.receivePrimary(token, group, server, asOf) })
 		},
 	}
 }
 
-func (d *listDuty) want()   { d.carry(d.lists.Want(d.loop.Now())) }
-func (d *listDuty) failed() { d.carry(d.lists.Failed(d.loop.Now())) }
+func (d *listLeadership) requestWatch() { d.carryOut(d.election.HandleListWanted(d.loop.Now())) }
+func (d *listLeadership) watchFailed()  { d.carryOut(d.election.HandleWatchFailed(d.loop.Now())) }
 
-// own takes in what the own watch has brought.
-func (d *listDuty) own(l discovery.List) {
+// receiveOwnList takes in what the own watch has brought.
+func (d *listLeadership) receiveOwnList(l discovery.List) {
 	d.list = d.list.With(l)
-	do := d.lists.Own(d.loop.Now())
-	if have := d.lists.Have(); do.Tell.Token == 0 { // else it is noted as handed on
-		d.note(audit.Record{Act: audit.ListTaken, Token: have.Token, Seq: have.Seq})
+	do := d.election.HandleWatchedList(d.loop.Now())
+	if have := d.election.Installed(); do.Announce.Token == 0 { // else it is noted as handed on
+		d.record(audit.Record{Act: audit.ListApplied, Token: have.Token, Sequence: have.Sequence})
 	}
-	d.carry(do)
+	d.carryOut(do)
 }
 
-func (d *listDuty) heard(w discoveryleader.Word, least discoveryleader.Least) {
-	do, refused := d.lists.Heard(d.loop.Now(), w)
+func (d *listLeadership) receiveAnnouncement(w discoveryleader.Announcement, least discoveryleader.MinimumVersion) {
+	do, refused := d.election.HandleAnnouncement(d.loop.Now(), w)
 	if refused {
-		d.log.Warn().Uint64("token", w.Token).Uint64("seq", w.Seq).Str("holder", w.Holder).Msg("word: refused, a newer one was heard")
-		d.note(audit.Record{Act: audit.Refused, Token: w.Token, Seq: w.Seq})
+		d.log.Warn().Uint64("token", w.Token).Uint64("seq", w.Sequence).Str("holder", w.Holder).Msg("word: refused, a newer one was heard")
+		d.record(audit.Record{Act: audit.Refused, Token: w.Token, Sequence: w.Sequence})
 	}
-	d.carry(do)
+	d.carryOut(do)
 	if !refused {
-		d.bar(least)
+		d.applyMinimum(least)
 	}
 }
 
-// wanted sends another pooler the list here, if it is one that was handed on.
-func (d *listDuty) wanted(from string) {
-	if w := d.lists.Have(); w.Seq > 0 {
-		d.fleet.Give(from, w, d.list.Format())
+// sendList sends another pooler the list here, if it is one that was handed on.
+func (d *listLeadership) sendList(from string) {
+	if w := d.election.Installed(); w.Sequence > 0 {
+		d.fleet.SendList(from, w, d.list.Format())
 	}
 }
 
-// took takes in a list that was handed on: whole, or not at all.
-func (d *listDuty) took(w discoveryleader.Word, text []byte) {
+// receiveList takes in a list that was handed on: whole, or not at all.
+func (d *listLeadership) receiveList(w discoveryleader.Announcement, text []byte) {
 	if d.watcher.pushed { // nobody's list goes before the own agent's
 		return
 	}
-	d.late.Stop()
+	d.fetchTimer.Stop()
 	now := d.loop.Now()
 	list, err := discovery.ParseList(text)
-	if err == nil && !d.shared {
+	if err == nil && !d.sharedAddresses {
 		var known bool
 		if list, known = list.At(d.list); !known { // a server that was never seen from here: its address here is asked for
-			d.carry(d.lists.Blind(now))
+			d.carryOut(d.election.HandleUnknownAddress(now))
 			return
 		}
 	}
 	if err != nil || !list.Complete {
 		d.log.Error().Err(err).Str("from", w.Source).Msg("list: what was handed on can't be used")
-		d.carry(d.lists.FetchFailed(now))
+		d.carryOut(d.election.HandleFetchFailed(now))
 		return
 	}
-	do, ok := d.lists.Took(now, w)
+	do, ok := d.election.HandleList(now, w)
 	if ok {
-		d.list, d.watcher.since = list, 0
-		d.watcher.list(policy.ListFull, members(list, d.watcher.zones), now)
-		d.log.Info().Uint64("token", w.Token).Uint64("seq", w.Seq).Str("holder", w.Holder).Int64("at_ns", int64(now)).
+		d.list, d.watcher.revision = list, 0
+		d.watcher.onList(policy.ListFull, listedMembers(list, d.watcher.zoneIndexes), now)
+		d.log.Info().Uint64("token", w.Token).Uint64("seq", w.Sequence).Str("holder", w.Holder).Int64("at_ns", int64(now)).
 			Uint64("revision", list.Revision).Int("servers", len(list.Members)).Msg("list: taken from the fleet")
-		d.note(audit.Record{Act: audit.ListTaken, Token: w.Token, Seq: w.Seq})
+		d.record(audit.Record{Act: audit.ListApplied, Token: w.Token, Sequence: w.Sequence})
 	} else {
-		d.log.Warn().Uint64("token", w.Token).Uint64("seq", w.Seq).Str("holder", w.Holder).Msg("list: not newer than the one in force")
+		d.log.Warn().Uint64("token", w.Token).Uint64("seq", w.Sequence).Str("holder", w.Holder).Msg("list: not newer than the one in force")
 	}
-	d.carry(do)
+	d.carryOut(do)
 }
 
-// carry carries out what was decided.
-func (d *listDuty) carry(do discoveryleader.Do) {
+// carryOut carries out what was decided.
+func (d *listLeadership) carryOut(do discoveryleader.Actions) {
 	now := d.loop.Now()
-	if do.Close && !d.watcher.pushed {
-		d.watcher.shut()
+	if do.CloseWatch && !d.watcher.pushed {
+		d.watcher.disconnect()
 		d.log.Info().Msg("list service: left to the holder")
 	}
-	if do.Release {
-		d.fleet.Release()
+	if do.ReleaseLease {
+		d.fleet.ReleaseLease()
 	}
-	if do.Open {
-		token, holds := d.lists.Token(now)
+	if do.OpenWatch {
+		token, holds := d.election.Token(now)
 		d.log.Info().Bool("holder", holds).Uint64("token", token).Msg("list service: called")
 		d.watcher.open()
 	}
-	if do.Ask {
-		d.fleet.Acquire(func(g lease.Grant, ok bool, err error) { d.loop.Post(func() { d.answer(g, ok, err) }) })
+	if do.RequestLease {
+		d.fleet.AcquireLease(func(g lease.Lease, ok bool, err error) { d.loop.Post(func() { d.receiveLeaseAnswer(g, ok, err) }) })
 	}
-	if do.Tell.Token > 0 {
+	if do.Announce.Token > 0 {
 		// The token is looked at once more, right before the act: the loop may have been late.
 		began := d.loop.Now()
-		if token, ok := d.lists.Token(began); ok && token == do.Tell.Token {
+		if token, ok := d.election.Token(began); ok && token == do.Announce.Token {
 			level := zerolog.DebugLevel // the same word again, so that the others hear of a holder
-			if do.Tell != d.last {
+			if do.Announce != d.lastAnnounced {
 				level = zerolog.InfoLevel
-				d.note(audit.Record{Act: audit.HandedOn, Token: do.Tell.Token, Seq: do.Tell.Seq})
+				d.record(audit.Record{Act: audit.ListAnnounced, Token: do.Announce.Token, Sequence: do.Announce.Sequence})
 			}
-			d.last = do.Tell
-			d.fleet.Tell(do.Tell, d.lists.Until()-began, func(all bool) {
-				d.acted(level, "list: handed on", token, began, all, func(e *zerolog.Event) { e.Uint64("seq", do.Tell.Seq).Str("holder", do.Tell.Holder) })
+			d.lastAnnounced = do.Announce
+			d.fleet.Announce(do.Announce, d.election.RenewDeadline()-began, func(all bool) {
+				d.logAction(level, "list: handed on", token, began, all, func(e *zerolog.Event) { e.Uint64("seq", do.Announce.Sequence).Str("holder", do.Announce.Holder) })
 			})
 		}
 	}
-	if do.Fetch.Seq > 0 && d.watcher.pushed { // the own agent has whatever counts as told here: nobody's list goes before it
-		d.loop.Post(func() { d.carry(d.lists.Own(d.loop.Now())) })
-	} else if do.Fetch.Seq > 0 {
-		d.fleet.Fetch(do.Fetch)
-		d.late = d.loop.After(d.lists.Term/2, func() { d.carry(d.lists.FetchFailed(d.loop.Now())) })
+	if do.FetchList.Sequence > 0 && d.watcher.pushed { // the own agent has whatever counts as told here: nobody's list goes before it
+		d.loop.Post(func() { d.carryOut(d.election.HandleWatchedList(d.loop.Now())) })
+	} else if do.FetchList.Sequence > 0 {
+		d.fleet.FetchList(do.FetchList)
+		d.fetchTimer = d.loop.After(d.election.LeaseDuration/2, func() { d.carryOut(d.election.HandleFetchFailed(d.loop.Now())) })
 	}
-	d.fleet.Show(d.lists.Have(), d.build, d.digest)
+	d.fleet.SetStatus(d.election.Installed(), d.version, d.configDigest)
 	d.timer.Stop()
 	now = d.loop.Now()
-	d.shutOut(d.lists.ShutOut(now))
-	token, holds := d.lists.Token(now)
-	d.core.ForAll(holds)
+	d.setExcluded(d.election.Outdated(now))
+	token, holds := d.election.Token(now)
+	d.dispatcher.SetRoundLeader(holds)
 	if token != d.token {
 		if d.token > 0 {
-			d.note(audit.Record{Act: audit.LeaseLost, Token: d.token})
+			d.record(audit.Record{Act: audit.LeaseLost, Token: d.token})
 		}
 		if token > 0 {
-			d.note(audit.Record{Act: audit.LeaseHeld, Token: token})
+			d.record(audit.Record{Act: audit.LeaseHeld, Token: token})
 		}
 		d.token = token
 	}
-	d.timer = d.loop.After(max(d.lists.Due(now)-now, time.Millisecond), func() { d.carry(d.lists.Timer(d.loop.Now())) })
+	d.timer = d.loop.After(max(d.election.NextTimerAt(now)-now, time.Millisecond), func() { d.carryOut(d.election.HandleTimer(d.loop.Now())) })
 }
 
-func (d *listDuty) answer(g lease.Grant, ok bool, err error) {
+func (d *listLeadership) receiveLeaseAnswer(g lease.Lease, ok bool, err error) {
 	now := d.loop.Now()
-	_, had := d.lists.Token(now)
-	do := d.lists.Answer(now, g, ok, err)
-	switch token, has := d.lists.Token(now); {
+	_, had := d.election.Token(now)
+	do := d.election.HandleLeaseResponse(now, g, ok, err)
+	switch token, has := d.election.Token(now); {
 	case err != nil:
 		d.log.Warn().Err(err).Msg("lease: the stewards decide nothing")
 	case has:
@@ -197,10 +201,10 @@
 			level = zerolog.InfoLevel
 		}
 		d.log.WithLevel(level).Uint64("token", token).Str("holder", g.Holder).Bool("renewed", had).Int64("at_ns", int64(now)).
-			Int64("until_ns", int64(d.lists.Until())).Msg("lease: held")
+			Int64("until_ns", int64(d.election.RenewDeadline())).Msg("lease: held")
 	}
-	d.carry(do)
+	d.carryOut(do)
 }
 
 // leave ends the duty: another may act at once.
-func (d *listDuty) leave() { d.carry(d.lists.Leave(d.loop.Now())) }
+func (d *listLeadership) leave() { d.carryOut(d.election.HandleShutdown(d.loop.Now())) }
--- a/internal/pooler/fleet_test.go
+++ b/internal/pooler/fleet_test.go
@@ -19,7 +19,9 @@
 // fullFleet can't write its copy.
 type fullFleet struct{ idleFleet }
 
-func (fullFleet) Figures() admin.Fleet { return admin.Fleet{Version: 7, Age: -1, CopyFails: true} }
+func (fullFleet) Status() admin.FleetStatus {
+	return admin.FleetStatus{DocumentsVersion: 7, DocumentsAge: -1, ReplicaWriteFailing: true}
+}
 
 // What a full disk keeps from being written is told at the operators' door, and the pooler goes on; a part without which it must
 // not serve ends it in order, with the part's error.
@@ -30,16 +32,16 @@
 		t.Fatal(err)
 	}
 	cfg.Admin = "127.0.0.1:0"
-	ready, events, ended := make(chan pooler.Addrs, 1), make(chan pooler.FleetEvents, 1), make(chan error, 1)
-	part := &pooler.FleetPart{Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
+	ready, events, ended := make(chan pooler.Addresses, 1), make(chan pooler.FleetEvents, 1), make(chan error, 1)
+	part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
 		Open: func(e pooler.FleetEvents) (pooler.Fleet, error) {
 			events <- e
 			return fullFleet{}, nil
 		}}
 	go func() {
-		ended <- pooler.Serve(cfg, nil, zerolog.Nop(), pooler.Control{Terminate: make(chan struct{}), Fleet: part}, func(a pooler.Addrs) { ready <- a })
+		ended <- pooler.Serve(cfg, nil, zerolog.Nop(), pooler.Control{Terminate: make(chan struct{}), Fleet: part}, func(a pooler.Addresses) { ready <- a })
 	}()
-	var addrs pooler.Addrs
+	var addrs pooler.Addresses
 	select {
 	case addrs = <-ready:
 	case err := <-ended:
--- a/internal/pooler/gone_test.go
+++ b/internal/pooler/gone_test.go
@@ -43,12 +43,12 @@
 	w.is("comes")
 	return a
 }
-func (w *way) MaySend(time.Duration, *dispatch.Request, string) dispatch.Sending {
+func (w *way) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
 	return dispatch.Send
 }
-func (w *way) Ended(time.Duration, *dispatch.Request, dispatch.Ending) {}
-func (w *way) Listed(string, time.Duration)                            {}
-func (w *way) MayProbe(time.Duration, string) bool                     { return true }
+func (w *way) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
+func (w *way) ServerListed(string, time.Duration)                                  {}
+func (w *way) MayProbe(time.Duration, string) bool                                 { return true }
 func (w *way) MayDial(time.Duration, string) (time.Duration, bool) {
 	w.is("dials")
 	w.mu.Lock()
@@ -86,24 +86,24 @@
 
 func leaves(t *testing.T, f *standin.Fleet, at, how string) {
 	w := &way{at: at, came: make(chan struct{})}
-	var front pooler.Front
+	var front pooler.Frontend
 	var none sync.Once
 	lost := make(chan struct{})
-	a, terminate, ended, err := launchWith(f.Getenv, f.Hup, &pooler.FleetPart{
-		Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
-		Open:   func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-		Limit:  func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return w },
-		Attach: func(x pooler.Front) {
+	a, terminate, ended, err := launchWith(f.Getenv, f.Hup, &pooler.FleetOptions{
+		Config:     &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
+		Open:       func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
+		NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return w },
+		Attach: func(x pooler.Frontend) {
 			if x.Name != f.Wire() {
 				return
 			}
 			front = x
-			x.Core.OnOutcome(func(string, int, policy.Result, time.Duration) { w.is("resends") })
-			x.Core.OnPrimary(func(kind policy.NewsKind, _ int, _ string, _ time.Duration) {
+			x.Dispatcher.OnOutcome(func(string, int, policy.Result, time.Duration) { w.is("resends") })
+			x.Dispatcher.OnPrimary(func(kind policy.PrimaryEventKind, _ int, _ string, _ time.Duration) {
 				switch kind {
 				case policy.PrimaryFound:
 					w.is("held")
-				case policy.PrimaryLost:
+				case policy.PrimaryDown:
 					none.Do(func() { close(lost) })
 				}
 			})
@@ -204,7 +204,7 @@
 	wait(due)
 	open := make(chan int)
 	for until := time.Now().Add(20 * time.Second); ; {
-		front.Loop.Post(func() { open <- front.Core.Open() })
+		front.Loop.Post(func() { open <- front.Dispatcher.OpenRequests() })
 		if <-open == 0 {
 			break
 		}
@@ -220,7 +220,7 @@
 
 // Clients that send much at once and go, in order or by a reset, cost nobody else an answer, and leave nothing behind.
 func TestClientsThatSendMuchAndGo(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		other := dial(t, a)
 		served(t, other.Do(standin.Read("any", 20*time.Second)))
 		var gone sync.WaitGroup
--- a/internal/pooler/hollow.go
+++ b/internal/pooler/hollow.go
@@ -12,82 +12,82 @@
 	"threadsail/internal/routes"
 )
 
-// Hollow is a pooler's part in its fleet as Serve has it, list duty and journal included, without fronts, clients and connections
+// Simulated is a pooler's part in its fleet as Serve has it, list duty and journal included, without fronts, clients and connections
 // to servers: hundreds of them in one process tell what a pooler costs its fleet. Its servers are those that the list names, each
 // of which it takes to answer its probes at once.
-type Hollow struct {
-	member *member
-	loop   *dispatch.Loop
-	source *source
-	ended  chan struct{}
+type Simulated struct {
+	member *fleetMember
+	loop   *dispatch.EventLoop
+	source *serverSource
+	done   chan struct{}
 }
 
-// OpenHollow joins the fleet and returns at once; errors are of the configuration, the addresses and the folders.
-func OpenHollow(cfg *config.Config, part *FleetPart, log zerolog.Logger) (*Hollow, error) {
-	loop := dispatch.NewLoop()
-	src := newSource(cfg, postgresSource(cfg), postgresWire, routes.NewTable(routes.Postgres), loop, log)
-	core, err := dispatch.New(loop, unreached{loop}, dispatch.Options{Settings: src.settings(cfg.Settings), Seed: cfg.Seed, MaxOpen: cfg.MaxOpen,
-		ProbeTimeout: cfg.ConnectTimeout, Watch: src.watch, Log: said(log)})
+// OpenSimulated joins the fleet and returns at once; errors are of the configuration, the addresses and the folders.
+func OpenSimulated(cfg *config.Config, part *FleetOptions, log zerolog.Logger) (*Simulated, error) {
+	loop := dispatch.NewEventLoop()
+	src := newServerSource(cfg, postgresSource(cfg), postgresFormat, routes.NewTable(routes.Postgres), loop, log)
+	core, err := dispatch.New(loop, simulatedBackend{loop}, dispatch.Options{Settings: src.adjustSettings(cfg.Settings), Seed: cfg.Seed, MaxOpen: cfg.MaxOpen,
+		ProbeTimeout: cfg.ConnectTimeout, Watch: src.openWatch, Log: messageLogger(log)})
 	if err != nil {
 		return nil, err
 	}
-	part.limit(core)
-	if err := src.begin(cfg, core); err != nil {
+	part.installLimiter(core)
+	if err := src.start(cfg, core); err != nil {
 		return nil, err
 	}
-	h := &Hollow{loop: loop, source: src, ended: make(chan struct{})}
-	if h.member, err = joinFleet([]*side{{name: "postgres", loop: loop, core: core, source: src}}, cfg, part, func(bool) {}, log); err != nil {
+	h := &Simulated{loop: loop, source: src, done: make(chan struct{})}
+	if h.member, err = joinFleet([]*worker{{name: "postgres", loop: loop, dispatcher: core, source: src}}, cfg, part, func(bool) {}, log); err != nil {
 		src.close()
 		return nil, err
 	}
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		loop.Run()
 		src.close()
 	}()
 	return h, nil
 }
 
-// Figures may be called on any goroutine.
-func (h *Hollow) Figures() admin.Fleet { return *h.member.figures() }
+// Status may be called on any goroutine.
+func (h *Simulated) Status() admin.FleetStatus { return *h.member.status() }
 
 // Close leaves the fleet, as a pooler that ends.
-func (h *Hollow) Close() {
+func (h *Simulated) Close() {
 	h.loop.Post(func() {
 		h.member.leave()
 		if w := h.source.watcher; w != nil {
-			w.shut() // else its connection would outlive it in this process
+			w.disconnect() // else its connection would outlive it in this process
 		}
 		h.loop.Stop()
 	})
-	<-h.ended
+	<-h.done
 	h.member.close()
 }
 
-// unreached takes all servers to be well without a call.
-type unreached struct{ loop *dispatch.Loop }
+// simulatedBackend takes all servers to be well without a call.
+type simulatedBackend struct{ loop *dispatch.EventLoop }
 
-func (u unreached) Send(_ string, _ any, _ time.Duration, a dispatch.Attempt) dispatch.Call {
-	return u.end(a.Done, policy.NoConnect)
+func (u simulatedBackend) Send(_ string, _ any, _ time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
+	return u.finish(a.Done, policy.ConnectFailed)
 }
 
-func (u unreached) Probe(_ string, done func(dispatch.Result)) dispatch.Call {
-	return u.end(done, policy.OK)
+func (u simulatedBackend) Probe(_ string, done func(dispatch.AttemptResult)) dispatch.Call {
+	return u.finish(done, policy.OK)
 }
 
-func (unreached) CloseIdle(string) {}
+func (simulatedBackend) CloseIdle(string) {}
 
-func (u unreached) end(done func(dispatch.Result), r policy.Result) dispatch.Call {
-	c := &unsent{}
+func (u simulatedBackend) finish(done func(dispatch.AttemptResult), r policy.Result) dispatch.Call {
+	c := &simulatedCall{}
 	u.loop.Post(func() {
 		if !c.aborted {
-			done(dispatch.Result{Result: r})
+			done(dispatch.AttemptResult{Result: r})
 		}
 	})
 	return c
 }
 
-// unsent is a call that goes nowhere. It is used on the loop alone.
-type unsent struct{ aborted bool }
+// simulatedCall is a call that goes nowhere. It is used on the loop alone.
+type simulatedCall struct{ aborted bool }
 
-func (c *unsent) Abort() { c.aborted = true }
+func (c *simulatedCall) Abort() { c.aborted = true }
--- a/internal/pooler/hollow_test.go
+++ b/internal/pooler/hollow_test.go
@@ -19,23 +19,23 @@
 	told, closed chan struct{}
 }
 
-func (a alone) Acquire(done func(lease.Grant, bool, error)) {
-	go done(lease.Grant{Token: 1, Holder: "n1", Term: 300 * time.Millisecond}, true, nil)
+func (a alone) AcquireLease(done func(lease.Lease, bool, error)) {
+	go done(lease.Lease{Token: 1, Holder: "n1", Duration: 300 * time.Millisecond}, true, nil)
 }
-func (a alone) Tell(_ discoveryleader.Word, _ time.Duration, done func(bool)) {
+func (a alone) Announce(_ discoveryleader.Announcement, _ time.Duration, done func(bool)) {
 	select {
 	case a.told <- struct{}{}:
 	default:
 	}
 	go done(true)
 }
-func (alone) Release()                                  {}
-func (alone) Report(string, int)                        {}
-func (alone) Show(discoveryleader.Word, string, string) {}
-func (alone) Fetch(discoveryleader.Word)                {}
-func (a alone) Figures() admin.Fleet                    { return admin.Fleet{Version: 7} }
-func (a alone) Close()                                  { close(a.closed) }
-func (alone) TellFound(_ uint64, _ int, _ string, _, _ time.Duration, done func(bool)) {
+func (alone) ReleaseLease()                                          {}
+func (alone) ReportPrimaryDown(string, int)                          {}
+func (alone) SetStatus(discoveryleader.Announcement, string, string) {}
+func (alone) FetchList(discoveryleader.Announcement)                 {}
+func (a alone) Status() admin.FleetStatus                            { return admin.FleetStatus{DocumentsVersion: 7} }
+func (a alone) Close()                                               { close(a.closed) }
+func (alone) AnnouncePrimary(_ uint64, _ int, _ string, _, _ time.Duration, done func(bool)) {
 	go done(true)
 }
 
@@ -47,14 +47,14 @@
 		t.Fatal(err)
 	}
 	a := alone{told: make(chan struct{}, 1), closed: make(chan struct{})}
-	h, err := OpenHollow(cfg, &FleetPart{Config: &config.Fleet{Name: "n1", Term: 300 * time.Millisecond, Drift: 10 * time.Millisecond, Bound: time.Hour, SharedAddresses: true},
+	h, err := OpenSimulated(cfg, &FleetOptions{Config: &config.Fleet{Name: "n1", Term: 300 * time.Millisecond, Drift: 10 * time.Millisecond, Bound: time.Hour, SharedAddresses: true},
 		Open: func(FleetEvents) (Fleet, error) { return a, nil }}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-a.told
-	if h.Figures().Version != 7 {
-		t.Errorf("figures %+v", h.Figures())
+	if h.Status().DocumentsVersion != 7 {
+		t.Errorf("figures %+v", h.Status())
 	}
 	for f.Discovery.Watches() == 0 {
 		time.Sleep(time.Millisecond)
--- a/internal/pooler/journal.go
+++ b/internal/pooler/journal.go
@@ -10,18 +10,18 @@
 	"threadsail/internal/fleet/audit"
 )
 
-// queuedActs is how many acts may wait for the disk; a disk that hangs must not hold the loop, nor fill the memory.
-const queuedActs = 1024
+// maxQueuedRecords is how many acts may wait for the disk; a disk that hangs must not hold the loop, nor fill the memory.
+const maxQueuedRecords = 1024
 
-// owedEvery is how often counted acts that the disk has turned down are tried again.
-const owedEvery = time.Second
+// recordRetryInterval is how often counted acts that the disk has turned down are tried again.
+const recordRetryInterval = time.Second
 
 // journal writes a pooler's acts on a goroutine of its own. nil writes nothing.
 type journal struct {
-	acts    chan audit.Record
-	done    chan struct{}
-	dropped atomic.Uint64
-	failing atomic.Bool // the last act could not be written
+	records      chan audit.Record
+	done         chan struct{}
+	dropped      atomic.Uint64
+	writeFailing atomic.Bool // the last act could not be written
 }
 
 func openJournal(c config.JournalPart, log zerolog.Logger) (*journal, error) {
@@ -35,13 +35,13 @@
 	if cut > 0 {
 		log.Warn().Str("file", c.File).Int64("bytes", cut).Msg("journal: a torn end was cut")
 	}
-	j := &journal{acts: make(chan audit.Record, queuedActs), done: make(chan struct{})}
+	j := &journal{records: make(chan audit.Record, maxQueuedRecords), done: make(chan struct{})}
 	go func() {
 		defer close(j.done)
 		lost := uint64(0)       // since the last that was written
 		var owed []audit.Record // counted acts, which wait for room on the disk
 		write := func(r audit.Record) bool {
-			if lost > 0 && file.Write(dropped(r, lost)) == nil { // the reader must know that there is a gap
+			if lost > 0 && file.Write(gapRecord(r, lost)) == nil { // the reader must know that there is a gap
 				log.Info().Str("file", c.File).Uint64("lost", lost).Msg("journal: acts are written again")
 				lost = 0
 			}
@@ -49,15 +49,15 @@
 			if err != nil && lost == 0 && len(owed) == 0 { // once, not for each act that a full disk turns down
 				log.Error().Err(err).Str("file", c.File).Msg("journal: acts can't be written")
 			}
-			j.failing.Store(err != nil)
+			j.writeFailing.Store(err != nil)
 			return err == nil
 		}
-		again := time.NewTicker(owedEvery)
+		again := time.NewTicker(recordRetryInterval)
 		defer again.Stop()
 		for open := true; open; {
 			var r audit.Record
 			select {
-			case r, open = <-j.acts:
+			case r, open = <-j.records:
 			case <-again.C:
 			}
 			had := len(owed)
@@ -69,7 +69,7 @@
 			}
 			switch {
 			case r.Act == "" || write(r):
-			case r.Act.Counted() && len(owed) < queuedActs:
+			case r.Act.MustBeRecorded() && len(owed) < maxQueuedRecords:
 				owed = append(owed, r)
 			default:
 				lost++
@@ -85,12 +85,12 @@
 	return j, nil
 }
 
-func (j *journal) note(r audit.Record) {
+func (j *journal) write(r audit.Record) {
 	if j == nil {
 		return
 	}
 	select {
-	case j.acts <- r:
+	case j.records <- r:
 	default:
 		j.dropped.Add(1)
 	}
@@ -99,21 +99,21 @@
 // close waits until all that was noted is written.
 func (j *journal) close() {
 	if j != nil {
-		close(j.acts)
+		close(j.records)
 		<-j.done
 	}
 }
 
-// dropped is the record of a gap before an act.
-func dropped(next audit.Record, lost uint64) audit.Record {
+// gapRecord is the record of a gap before an act.
+func gapRecord(next audit.Record, lost uint64) audit.Record {
 	return audit.Record{At: next.At, Instance: next.Instance, Build: next.Build, Config: next.Config, Revision: next.Revision,
-		Act: audit.Dropped, Seq: lost}
+		Act: audit.RecordsDropped, Sequence: lost}
 }
 
-// figures are how many acts were dropped, and whether they can't be written now. It may be called on any goroutine.
-func (j *journal) figures() (dropped uint64, failing bool) {
+// metrics are how many acts were dropped, and whether they can't be written now. It may be called on any goroutine.
+func (j *journal) metrics() (dropped uint64, failing bool) {
 	if j == nil {
 		return 0, false
 	}
-	return j.dropped.Load(), j.failing.Load()
+	return j.dropped.Load(), j.writeFailing.Load()
 }
--- a/internal/pooler/journal_test.go
+++ b/internal/pooler/journal_test.go
@@ -23,13 +23,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	note := func(act audit.Act, purge string) { j.note(audit.Record{Instance: "n1/1", Act: act, Purge: purge}) }
+	note := func(act audit.Act, purge string) { j.write(audit.Record{Instance: "n1/1", Act: act, Purge: purge}) }
 	note(audit.Started, "")
 	note(audit.Purged, "a")
-	note(audit.ListTaken, "")
+	note(audit.ListApplied, "")
 	for end := time.Now().Add(20 * time.Second); j.dropped.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	if dropped, failing := j.figures(); dropped != 1 || !failing {
+	if dropped, failing := j.metrics(); dropped != 1 || !failing {
 		t.Errorf("%d dropped, failing %v", dropped, failing)
 	}
 	if err := os.RemoveAll(path + ".1"); err != nil {
--- a/internal/pooler/limits_test.go
+++ b/internal/pooler/limits_test.go
@@ -25,14 +25,14 @@
 func (m *miser) Admit(time.Duration, *dispatch.Request) dispatch.Admission {
 	return dispatch.Admission{}
 }
-func (m *miser) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.Sending {
-	if m.sends++; m.sends%4 == 0 && !r.Waited {
-		return dispatch.Elsewhere
+func (m *miser) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.SendDecision {
+	if m.sends++; m.sends%4 == 0 && !r.WaitedForConnection {
+		return dispatch.SendElsewhere
 	}
 	return dispatch.Send
 }
-func (m *miser) Ended(time.Duration, *dispatch.Request, dispatch.Ending) {}
-func (m *miser) Listed(string, time.Duration)                            {}
+func (m *miser) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
+func (m *miser) ServerListed(string, time.Duration)                                  {}
 func (m *miser) MayDial(now time.Duration, _ string) (time.Duration, bool) {
 	if now < m.next {
 		return m.next - now, false
@@ -59,14 +59,14 @@
 				t.Fatal(err)
 			}
 			var leave atomic.Int64
-			part := &pooler.FleetPart{Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
-				Open:  func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-				Limit: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return &miser{leave: &leave} }}
-			ready, terminate, ended := make(chan pooler.Addrs, 1), make(chan struct{}), make(chan error, 1)
+			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", Term: time.Second, Drift: 10 * time.Millisecond, Bound: time.Minute},
+				Open:       func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
+				NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return &miser{leave: &leave} }}
+			ready, terminate, ended := make(chan pooler.Addresses, 1), make(chan struct{}), make(chan error, 1)
 			go func() {
-				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addrs) { ready <- a })
+				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addresses) { ready <- a })
 			}()
-			var addrs pooler.Addrs
+			var addrs pooler.Addresses
 			select {
 			case addrs = <-ready:
 			case err := <-ended:
--- a/internal/pooler/log.go
+++ b/internal/pooler/log.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	linesPerSecond = 20 // of each level below error: a fleet in trouble must not fill the disk
-	maxText        = 300
+	linesPerSecond   = 20 // of each level below error: a fleet in trouble must not fill the disk
+	maxMessageLength = 300
 )
 
-// NewLog returns a log that writes one JSON object a line, or words for a person, from a level on.
-func NewLog(w io.Writer, console bool, level zerolog.Level) zerolog.Logger {
+// NewLogger returns a log that writes one JSON object a line, or words for a person, from a level on.
+func NewLogger(w io.Writer, console bool, level zerolog.Level) zerolog.Logger {
 	if console {
 		w = zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00", TimeLocation: time.UTC}
 	}
@@ -22,7 +22,7 @@
 		Sample(zerolog.LevelSampler{DebugSampler: burst(), InfoSampler: burst(), WarnSampler: burst()})
 }
 
-// said is what the parts that know no log say: they have words only.
-func said(log zerolog.Logger) func(string) {
-	return func(text string) { log.Info().Msg(text[:min(len(text), maxText)]) }
+// messageLogger is what the parts that know no log say: they have words only.
+func messageLogger(log zerolog.Logger) func(string) {
+	return func(text string) { log.Info().Msg(text[:min(len(text), maxMessageLength)]) }
 }
--- a/internal/pooler/mysql/front.go
+++ b/internal/pooler/mysql/front.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	maxStatements = 1024 // prepared by one client
-	maxBuffered   = 2 * mysql.MaxCommand
+	maxClientStatements = 1024 // prepared by one client
+	maxClientInput      = 2 * mysql.MaxCommand
 )
 
 // Command is the payload of a request.
 type Command struct {
-	Text     string
-	Comment  *comment.Comment // nil: it has none
-	DB       string
-	Prepared bool
-	Params   int
-	Exec     mysql.Execute
-	Long     []mysql.LongData
-
-	Client translate.Client
-	Other  *Translated    // for servers of the other wire; nil: there are none in its cluster
-	utf8   *mysql.Execute // Exec with its texts in UTF-8, where the client's are not; nil: they are
+	Text       string
+	Comment    *comment.Comment // nil: it has none
+	Database   string
+	Prepared   bool
+	ParamCount int
+	Execute    mysql.Execute
+	LongData   []mysql.LongData
+
+	Client      translate.Client
+	Translated  *Translated    // for servers of the other wire; nil: there are none in its cluster
+	utf8Execute *mysql.Execute // Exec with its texts in UTF-8, where the client's are not; nil: they are
 
 	translate func() (*Translated, error)
 	epoch     uint64
@@ -49,15 +49,15 @@
 // ForPostgres is the command as PostgreSQL servers get it. It may have come while none was in its cluster, and be sent, after
 // a wait for a primary, when one is: what can't be translated is turned down then, before anything is sent.
 func (c *Command) ForPostgres() (*Translated, error) {
-	if c.Other == nil {
+	if c.Translated == nil {
 		other, err := c.translate()
 		if err != nil {
 			return nil, err
 		}
-		c.Other = other
+		c.Translated = other
 	}
-	c.Other.epoch = c.epoch
-	return c.Other, nil
+	c.Translated.epoch = c.epoch
+	return c.Translated, nil
 }
 
 // Translated is a statement as PostgreSQL servers get it.
@@ -75,89 +75,89 @@
 	return comment.WithEpoch(t.comment.WithPatience(t.SQL, left), t.epoch)
 }
 
-func (c *Command) query(left time.Duration) string {
+func (c *Command) queryText(left time.Duration) string {
 	if c.Comment == nil {
 		return c.Text
 	}
 	return comment.WithEpoch(c.Comment.WithPatience(c.Text, left), c.epoch)
 }
 
-// Front takes clients in. All of it runs on the core's loop.
-type Front struct {
-	loop     *dispatch.Loop
-	core     *dispatch.Core
-	cfg      *config.MySQL
-	ln       *transport.Listener
-	door     *connlimit.Door
-	lastID   uint32
-	sessions map[*session]bool
-	ids      map[string]bool // of open requests
-	draining bool            // each client goes behind its next answer
-	last     bool            // no new clients are taken, and all are to go
-	came     bool            // a client has come since the last look
-	routes   *routes.Table
-	threads  map[uint32]*session // by the number that each was told at its login
+// Frontend takes clients in. All of it runs on the core's loop.
+type Frontend struct {
+	loop             *dispatch.EventLoop
+	dispatcher       *dispatch.Dispatcher
+	cfg              *config.MySQL
+	listener         *transport.Listener
+	limiter          *connlimit.Limiter
+	lastThreadID     uint32
+	sessions         map[*session]bool
+	requestIDs       map[string]bool // of open requests
+	draining         bool            // each client goes behind its next answer
+	closing          bool            // no new clients are taken, and all are to go
+	clientArrived    bool            // a client has come since the last look
+	routes           *routes.Table
+	sessionsByThread map[uint32]*session // by the number that each was told at its login
 }
 
 // Listen starts a front for the clients that a door lets in. table knows what the servers speak.
-func Listen(loop *dispatch.Loop, budget *transport.Budget, core *dispatch.Core, cfg *config.MySQL, d *connlimit.Door,
-	table *routes.Table) (*Front, error) {
-	f := &Front{loop: loop, core: core, cfg: cfg, door: d, routes: table, sessions: map[*session]bool{}, ids: map[string]bool{},
-		threads: map[uint32]*session{}}
+func Listen(loop *dispatch.EventLoop, budget *transport.Budget, core *dispatch.Dispatcher, cfg *config.MySQL, d *connlimit.Limiter,
+	table *routes.Table) (*Frontend, error) {
+	f := &Frontend{loop: loop, dispatcher: core, cfg: cfg, limiter: d, routes: table, sessions: map[*session]bool{}, requestIDs: map[string]bool{},
+		sessionsByThread: map[uint32]*session{}}
 	ln, err := transport.Listen(loop, budget, cfg.Listen, f.accept)
-	f.ln = ln
+	f.listener = ln
 	return f, err
 }
 
 // Addr is where it listens.
-func (f *Front) Addr() string { return f.ln.Addr() }
+func (f *Frontend) Addr() string { return f.listener.Addr() }
 
-// Yield takes no new clients, and closes each that there is behind its next answer.
-func (f *Front) Yield() {
+// Drain takes no new clients, and closes each that there is behind its next answer.
+func (f *Frontend) Drain() {
 	f.draining = true
-	f.ln.Close()
+	f.listener.Close()
 }
 
-// Part closes a share of the clients, from 0 to 1 (all), each between two commands: those that are idle now, and the others
+// CloseClients closes a share of the clients, from 0 to 1 (all), each between two commands: those that are idle now, and the others
 // behind an answer. It is called again and again while the program ends. Once all are to go and no more come it takes no new
 // ones. Of a client that never stops sending no more is read then than has been. empty: all have gone, and none can come.
-func (f *Front) Part(share float64) (empty bool) {
-	f.door.Part(share)
-	if share >= 1 && !f.last && !f.came && !f.ln.Pending() {
-		f.last = true
-		f.Yield()
+func (f *Frontend) CloseClients(share float64) (empty bool) {
+	f.limiter.SetDisconnectShare(share)
+	if share >= 1 && !f.closing && !f.clientArrived && !f.listener.Pending() {
+		f.closing = true
+		f.Drain()
 	}
-	f.came = false
+	f.clientArrived = false
 	for s := range f.sessions {
-		s.part(false)
+		s.closeIfDue(false)
 	}
-	return f.last && len(f.sessions) == 0
+	return f.closing && len(f.sessions) == 0
 }
 
-// End gives what is still open its final answer, a failure, and closes all clients: there is no more time.
-func (f *Front) End() {
-	f.Yield()
+// Terminate gives what is still open its final answer, a failure, and closes all clients: there is no more time.
+func (f *Frontend) Terminate() {
+	f.Drain()
 	for s := range f.sessions {
-		s.failOpen()
-		s.failAhead()
+		s.failRequest()
+		s.failQueued()
 		s.finish()
 	}
 }
 
-func (f *Front) accept(c *transport.Conn) {
-	s := &session{f: f, c: c, challenge: newChallenge(), stmts: map[uint32]*statement{}}
+func (f *Frontend) accept(c *transport.Conn) {
+	s := &session{frontend: f, conn: c, challenge: newChallenge(), statements: map[uint32]*statement{}}
 	c.SetHandler(s)
-	f.sessions[s], f.came = true, true
-	if s.guest = f.door.Enter(s); s.guest == nil {
-		s.send(0, mysql.Error(mysql.ErrConCount, "08004", "Too many connections"))
+	f.sessions[s], f.clientArrived = true, true
+	if s.admission = f.limiter.Admit(s); s.admission == nil {
+		s.writePacket(0, mysql.Error(mysql.ErrConCount, "08004", "Too many connections"))
 		s.finish()
 		return
 	}
-	for f.lastID++; f.lastID == 0 || f.threads[f.lastID] != nil; f.lastID++ {
+	for f.lastThreadID++; f.lastThreadID == 0 || f.sessionsByThread[f.lastThreadID] != nil; f.lastThreadID++ {
 	}
-	s.thread = f.lastID
-	f.threads[s.thread] = s
-	c.Write(mysql.AppendGreeting(nil, f.lastID, s.challenge))
+	s.threadID = f.lastThreadID
+	f.sessionsByThread[s.threadID] = s
+	c.Write(mysql.AppendGreeting(nil, f.lastThreadID, s.challenge))
 }
 
 // newChallenge draws 20 bytes for the login, none of them 0 or '$', which end or split strings in some clients.
@@ -172,211 +172,213 @@
 
 // statement is one that a client has prepared. It belongs to the session, not to a server: it outlives any node.
 type statement struct {
-	text    string
-	params  int
-	scan    mysql.Scan
-	comment *comment.Comment
-	other   *Translated
-	types   []byte
-	long    []mysql.LongData
-	size    int // of long
+	text         string
+	paramCount   int
+	scan         mysql.Scan
+	comment      *comment.Comment
+	translated   *Translated
+	paramTypes   []byte
+	longData     []mysql.LongData
+	longDataSize int // of long
 }
 
 // session is one client's connection. It carries one command at a time; what comes meanwhile waits.
 type session struct {
-	f         *Front
-	c         *transport.Conn
-	challenge []byte
-	guest     *connlimit.Guest // nil: there was no room
-	switched  bool
-	thread    uint32
-	id        string
-	in        bool
-	user      string
-	client    translate.Client
-	fields    bool // the command under way wants its columns only
-	db        string
-	buf       []byte
-	busy      bool
-	open      *dispatch.Open
-	stmts     map[uint32]*statement
-	lastStmt  uint32
-	paused    bool // no more of its commands are read
+	frontend        *Frontend
+	conn            *transport.Conn
+	challenge       []byte
+	admission       *connlimit.Admission // nil: there was no room
+	authSwitched    bool
+	threadID        uint32
+	requestID       string
+	loggedIn        bool
+	user            string
+	client          translate.Client
+	fieldList       bool // the command under way wants its columns only
+	database        string
+	input           []byte
+	busy            bool
+	request         *dispatch.OpenRequest
+	statements      map[uint32]*statement
+	lastStatementID uint32
+	paused          bool // no more of its commands are read
 }
 
 func (s *session) Closed(error) {
-	delete(s.f.sessions, s)
-	if s.f.threads[s.thread] == s {
-		delete(s.f.threads, s.thread)
+	delete(s.frontend.sessions, s)
+	if s.frontend.sessionsByThread[s.threadID] == s {
+		delete(s.frontend.sessionsByThread, s.threadID)
 	}
-	if s.guest != nil {
-		s.guest.Leave()
+	if s.admission != nil {
+		s.admission.Release()
 	}
-	if s.open != nil {
-		delete(s.f.ids, s.id)
-		s.open.Gone()
+	if s.request != nil {
+		delete(s.frontend.requestIDs, s.requestID)
+		s.request.ClientDisconnected()
 	}
 }
 
 // Quiet tells the door that nothing has come that was not seen.
-func (s *session) Quiet() bool { return s.c.Quiet() }
+func (s *session) Quiet() bool { return s.conn.Quiet() }
 
-// TurnOut closes a client for the door.
-func (s *session) TurnOut() {
-	s.c.Reset()
+// Evict closes a client for the door.
+func (s *session) Evict() {
+	s.conn.Reset()
 	s.Closed(nil)
 }
 
-// Left ends a client's session if it has closed its connection, also where its close has not been read yet.
-func (s *session) Left() bool {
-	if !s.c.PeerGone() {
+// ClientDisconnected ends a client's session if it has closed its connection, also where its close has not been read yet.
+func (s *session) ClientDisconnected() bool {
+	if !s.conn.PeerDisconnected() {
 		return false
 	}
-	if s.f.sessions[s] {
-		s.c.Close()
+	if s.frontend.sessions[s] {
+		s.conn.Close()
 		s.Closed(nil)
 	}
 	return true
 }
 
-// settle tells the door what the client is about.
-func (s *session) settle() {
+// updateState tells the door what the client is about.
+func (s *session) updateState() {
 	state := connlimit.Idle
 	switch {
 	case s.busy:
-		state = connlimit.Busy
-	case !s.in:
-		state = connlimit.Entering
-	case len(s.buf) > 0:
-		state = connlimit.Begun
+		state = connlimit.Active
+	case !s.loggedIn:
+		state = connlimit.Connecting
+	case len(s.input) > 0:
+		state = connlimit.Receiving
 	}
-	s.guest.Set(state, len(s.buf))
+	s.admission.SetState(state, len(s.input))
 }
 
 func (s *session) finish() {
-	if s.f.sessions[s] {
-		s.c.Finish()
+	if s.frontend.sessions[s] {
+		s.conn.Finish()
 		s.Closed(nil)
 	}
 }
 
-func (s *session) send(seq byte, payload []byte) { s.c.Write(mysql.Append(nil, seq, payload)) }
+func (s *session) writePacket(seq byte, payload []byte) {
+	s.conn.Write(mysql.Append(nil, seq, payload))
+}
 
 func (s *session) Data(at time.Duration, b []byte) {
-	s.buf = append(s.buf, b...)
-	if len(s.buf) > maxBuffered {
-		s.failOpen()
+	s.input = append(s.input, b...)
+	if len(s.input) > maxClientInput {
+		s.failRequest()
 		s.finish()
 		return
 	}
-	s.work(at)
-	s.settle()
-	s.part(true)
+	s.handlePackets(at)
+	s.updateState()
+	s.closeIfDue(true)
 }
 
-// part closes the client if it is to go and this is between two commands: all that has come has its answer. behind: it has
+// closeIfDue closes the client if it is to go and this is between two commands: all that has come has its answer. behind: it has
 // just got one.
-func (s *session) part(behind bool) {
+func (s *session) closeIfDue(behind bool) {
 	switch {
-	case !s.f.sessions[s] || !s.guest.Parts() && !(behind && s.f.draining):
+	case !s.frontend.sessions[s] || !s.admission.ShouldDisconnect() && !(behind && s.frontend.draining):
 	case s.busy:
-		if s.f.last && !s.Quiet() { // it sends on before it has its answers, and would for good
+		if s.frontend.closing && !s.Quiet() { // it sends on before it has its answers, and would for good
 			s.paused = true
-			s.c.Pause(true)
+			s.conn.Pause(true)
 		}
-	case len(s.buf) == 0 && s.Quiet():
+	case len(s.input) == 0 && s.Quiet():
 		s.finish()
-	case s.paused && s.c.Seen() && !s.whole():
+	case s.paused && s.conn.AllDelivered() && !s.hasCommand():
 		s.finish()
 	}
 }
 
-// failOpen answers the command that is under way, if there is one.
-func (s *session) failOpen() {
-	if s.open != nil {
-		s.open.Gone()
+// failRequest answers the command that is under way, if there is one.
+func (s *session) failRequest() {
+	if s.request != nil {
+		s.request.ClientDisconnected()
 		s.Fail()
 	}
 }
 
-// failAhead answers the commands that came ahead of an answer and have not been taken in: nothing of them has run.
-func (s *session) failAhead() {
-	for s.in {
-		_, p, n, err := mysql.Next(s.buf, mysql.MaxCommand)
+// failQueued answers the commands that came ahead of an answer and have not been taken in: nothing of them has run.
+func (s *session) failQueued() {
+	for s.loggedIn {
+		_, p, n, err := mysql.Next(s.input, mysql.MaxCommand)
 		if err != nil || n == 0 || len(p) == 0 || p[0] == mysql.ComQuit {
 			return
 		}
-		if s.buf = s.buf[n:]; p[0] != mysql.ComStmtClose && p[0] != mysql.ComStmtSendLong { // these two get no answer
-			s.fail(mysql.ErrInterrupted, "70100", "Query execution was interrupted: the server is shutting down")
+		if s.input = s.input[n:]; p[0] != mysql.ComStmtClose && p[0] != mysql.ComStmtSendLong { // these two get no answer
+			s.writeError(mysql.ErrInterrupted, "70100", "Query execution was interrupted: the server is shutting down")
 		}
 	}
 }
 
-// whole tells that a command has come that is not taken in yet.
-func (s *session) whole() bool {
-	_, _, n, err := mysql.Next(s.buf, mysql.MaxCommand)
+// hasCommand tells that a command has come that is not taken in yet.
+func (s *session) hasCommand() bool {
+	_, _, n, err := mysql.Next(s.input, mysql.MaxCommand)
 	return n > 0 || err != nil
 }
 
-// work takes packets until a command must wait for its answer.
-func (s *session) work(at time.Duration) {
-	for !s.busy && s.f.sessions[s] {
-		seq, p, n, err := mysql.Next(s.buf, mysql.MaxCommand)
+// handlePackets takes packets until a command must wait for its answer.
+func (s *session) handlePackets(at time.Duration) {
+	for !s.busy && s.frontend.sessions[s] {
+		seq, p, n, err := mysql.Next(s.input, mysql.MaxCommand)
 		switch {
 		case err != nil:
-			s.send(1, mysql.Error(mysql.ErrTooBig, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes"))
+			s.writePacket(1, mysql.Error(mysql.ErrTooBig, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes"))
 			s.finish()
 			return
 		case n == 0:
 			return
 		}
 		p = append([]byte(nil), p...)
-		if s.buf = s.buf[n:]; len(s.buf) == 0 {
-			s.buf = nil
+		if s.input = s.input[n:]; len(s.input) == 0 {
+			s.input = nil
 		}
 		switch {
-		case !s.in:
-			s.enter(seq, p)
+		case !s.loggedIn:
+			s.handleLogin(seq, p)
 		case seq != 0 || len(p) == 0:
-			s.send(1, mysql.Error(mysql.ErrHandshake, "08S01", "Got packets out of order"))
+			s.writePacket(1, mysql.Error(mysql.ErrHandshake, "08S01", "Got packets out of order"))
 			s.finish()
 		default:
-			s.command(at, p)
+			s.handleCommand(at, p)
 		}
 	}
 }
 
-// enter goes through the login.
-func (s *session) enter(seq byte, p []byte) {
+// handleLogin goes through the login.
+func (s *session) handleLogin(seq byte, p []byte) {
 	response := p
-	if !s.switched {
+	if !s.authSwitched {
 		l, err := mysql.ParseLogin(p)
 		if err != nil {
-			s.send(seq+1, mysql.Error(mysql.ErrHandshake, "08S01", err.Error()))
+			s.writePacket(seq+1, mysql.Error(mysql.ErrHandshake, "08S01", err.Error()))
 			s.finish()
 			return
 		}
-		s.user, s.db, response = l.User, l.Database, l.Response
-		s.client = clientOf(&l)
+		s.user, s.database, response = l.User, l.Database, l.Response
+		s.client = clientOfLogin(&l)
 		if !l.IsNative() {
-			s.switched = true
-			s.send(seq+1, mysql.SwitchToNative(s.challenge))
+			s.authSwitched = true
+			s.writePacket(seq+1, mysql.SwitchToNative(s.challenge))
 			return
 		}
 	}
-	cfg := s.f.cfg
+	cfg := s.frontend.cfg
 	if cfg.ClientUser != "" &&
 		(s.user != cfg.ClientUser || !mysql.PasswordFits(s.challenge, response, cfg.ClientPassword)) {
-		s.send(seq+1, mysql.Error(mysql.ErrAccessDenied, "28000", "Access denied"))
+		s.writePacket(seq+1, mysql.Error(mysql.ErrAccessDenied, "28000", "Access denied"))
 		s.finish()
 		return
 	}
-	s.in = true
-	s.send(seq+1, mysql.OK())
+	s.loggedIn = true
+	s.writePacket(seq+1, mysql.OK())
 }
 
-// clientOf is what a login tells of its client.
-func clientOf(l *mysql.Login) translate.Client {
+// clientOfLogin is what a login tells of its client.
+func clientOfLogin(l *mysql.Login) translate.Client {
 	c := translate.Client{Generation: translate.Gen80, Charset: translate.UTF8MB4}
 	switch {
 	case !l.PluginAuth():
@@ -390,113 +392,117 @@
 	return c
 }
 
-func (s *session) fail(code uint16, state, text string) { s.send(1, mysql.Error(code, state, text)) }
+func (s *session) writeError(code uint16, state, text string) {
+	s.writePacket(1, mysql.Error(code, state, text))
+}
 
-func (s *session) unsupported(what string) {
-	s.fail(mysql.ErrNotSupported, "42000", "This pooler does not support "+what)
+func (s *session) writeUnsupported(what string) {
+	s.writeError(mysql.ErrNotSupported, "42000", "This pooler does not support "+what)
 }
 
-func (s *session) command(at time.Duration, p []byte) {
+func (s *session) handleCommand(at time.Duration, p []byte) {
 	switch p[0] {
 	case mysql.ComQuit:
 		s.finish()
 	case mysql.ComPing:
-		s.send(1, mysql.OK())
+		s.writePacket(1, mysql.OK())
 	case mysql.ComInitDB:
-		s.db = string(p[1:])
-		s.send(1, mysql.OK())
+		s.database = string(p[1:])
+		s.writePacket(1, mysql.OK())
 	case mysql.ComResetConnection:
-		s.stmts = map[uint32]*statement{}
-		s.send(1, mysql.OK())
+		s.statements = map[uint32]*statement{}
+		s.writePacket(1, mysql.OK())
 	case mysql.ComSetOption:
-		s.unsupported("several statements in one command")
+		s.writeUnsupported("several statements in one command")
 	case mysql.ComFieldList: // a table's name, and a pattern, which clients that match by themselves leave empty
 		name, pattern, _ := strings.Cut(string(p[1:]), "\x00")
-		if text, ok := s.decoded(name); ok && pattern == "" && text != "" {
-			s.fields = true
-			s.submit(at, mysql.Read, &Command{Text: "SELECT * FROM `" + strings.ReplaceAll(text, "`", "``") + "` LIMIT 0", DB: s.db}, nil)
-			s.fields = s.busy
+		if text, ok := s.decodeText(name); ok && pattern == "" && text != "" {
+			s.fieldList = true
+			s.submit(at, mysql.Read, &Command{Text: "SELECT * FROM `" + strings.ReplaceAll(text, "`", "``") + "` LIMIT 0", Database: s.database}, nil)
+			s.fieldList = s.busy
 		} else if ok {
-			s.unsupported("a list of fields by a pattern")
+			s.writeUnsupported("a list of fields by a pattern")
 		}
 	case mysql.ComProcessKill:
 		if len(p) != 5 {
-			s.fail(mysql.ErrHandshake, "08S01", "Malformed communication packet")
+			s.writeError(mysql.ErrHandshake, "08S01", "Malformed communication packet")
 			return
 		}
-		s.kill(mysql.Kill{ID: binary.LittleEndian.Uint32(p[1:]), Connection: true})
+		s.handleKill(mysql.Kill{ID: binary.LittleEndian.Uint32(p[1:]), Connection: true})
 	case mysql.ComQuery:
 		text := string(p[1:])
 		if k, ok := mysql.ParseKill(text); ok {
-			s.kill(k)
+			s.handleKill(k)
 			return
 		}
 		if sets, err := translate.SetsMode(text); err != nil {
-			s.wrong(err)
+			s.writeTranslationError(err)
 			return
 		} else if sets {
-			s.send(1, mysql.OK())
+			s.writePacket(1, mysql.OK())
 			return
 		}
 		scan := mysql.ScanStatement(text)
-		if !s.acceptable(scan) {
+		if !s.checkSupported(scan) {
 			return
 		}
 		if scan.Kind == mysql.Local {
-			s.local(scan)
+			s.handleSet(scan)
 			return
 		}
-		if text, ok := s.decoded(text); ok {
-			if c, ok := s.comment(text); ok {
-				s.submit(at, scan.Kind, &Command{Text: text, Comment: c, DB: s.db}, nil)
+		if text, ok := s.decodeText(text); ok {
+			if c, ok := s.parseComment(text); ok {
+				s.submit(at, scan.Kind, &Command{Text: text, Comment: c, Database: s.database}, nil)
 			}
 		}
 	case mysql.ComStmtPrepare:
-		s.prepare(string(p[1:]))
+		s.handlePrepare(string(p[1:]))
 	case mysql.ComStmtExecute, mysql.ComStmtSendLong, mysql.ComStmtClose, mysql.ComStmtReset, mysql.ComStmtFetch:
-		s.statementCommand(at, p)
+		s.handleStatementCommand(at, p)
 	default:
-		s.fail(mysql.ErrUnknownCommand, "08S01", "Unknown command")
+		s.writeError(mysql.ErrUnknownCommand, "08S01", "Unknown command")
 	}
 }
 
-// local answers a SET of how things stand.
-func (s *session) local(scan mysql.Scan) {
+// handleSet answers a SET of how things stand.
+func (s *session) handleSet(scan mysql.Scan) {
 	if scan.Names != "" {
 		cs, ok := translate.CharsetNamed(scan.Names)
 		if !ok && scan.Names != "default" {
-			s.unsupported("the character set " + scan.Names)
+			s.writeUnsupported("the character set " + scan.Names)
 			return
 		}
 		if ok {
 			s.client.Charset = cs
 		}
 	}
-	s.send(1, mysql.OK())
+	s.writePacket(1, mysql.OK())
 }
 
-// decoded is a client's statement in UTF-8.
-func (s *session) decoded(text string) (string, bool) {
+// decodeText is a client's statement in UTF-8.
+func (s *session) decodeText(text string) (string, bool) {
 	if !s.client.Foreign() {
 		return text, true
 	}
 	out, err := s.client.Charset.Decode([]byte(text))
 	if err != nil {
-		s.wrong(err)
+		s.writeTranslationError(err)
 		return "", false
 	}
 	return string(out), true
 }
 
-// wrong answers a statement that can't be taken anywhere. Nothing has been sent.
-func (s *session) wrong(err error) { s.c.Write(s.client.AppendError(nil, translate.AsError(err))) }
+// writeTranslationError answers a statement that can't be taken anywhere. Nothing has been sent.
+func (s *session) writeTranslationError(err error) {
+	s.conn.Write(s.client.AppendError(nil, translate.AsError(err)))
+}
 
-// translated is a statement for servers of the other wire, whose comment keeps its place in what is resent.
-func (s *session) translated(text string, params int) (*Translated, error) {
+// translateToPostgres is a statement for servers of the other wire, whose comment keeps its place in what is resent.
+func (s *session) translateToPostgres(text string, params int) (*Translated, error) {
 	if _, err := translate.UTF8MB4.Decode([]byte(text)); err != nil {
 		return nil, err
 	}
-	st, err := translate.ToPostgres(text, s.f.cfg.Translate)
+	st, err := translate.ToPostgres(text, s.frontend.cfg.Translate)
 	if err != nil {
 		return nil, err
 	}
@@ -510,57 +516,57 @@
 	return t, nil
 }
 
-// acceptable answers what can't be served.
-func (s *session) acceptable(scan mysql.Scan) bool {
+// checkSupported answers what can't be served.
+func (s *session) checkSupported(scan mysql.Scan) bool {
 	switch {
 	case scan.Multi:
-		s.unsupported("several statements in one command")
+		s.writeUnsupported("several statements in one command")
 	case scan.Kind == mysql.Unsupported:
-		s.unsupported("transactions, LOAD DATA or statements that need a session's state")
+		s.writeUnsupported("transactions, LOAD DATA or statements that need a session's state")
 	default:
 		return true
 	}
 	return false
 }
 
-// comment reads the comment of a statement, if it has one.
-func (s *session) comment(text string) (*comment.Comment, bool) {
+// parseComment reads the comment of a statement, if it has one.
+func (s *session) parseComment(text string) (*comment.Comment, bool) {
 	c, err := comment.Parse(text)
 	if err == comment.ErrNone {
 		return nil, true
 	}
 	if err != nil {
-		s.fail(mysql.ErrParse, "42000", err.Error())
+		s.writeError(mysql.ErrParse, "42000", err.Error())
 		return nil, false
 	}
 	return &c, true
 }
 
-// prepare is answered here. The parameters are counted; what columns come, the answer to EXECUTE tells.
-func (s *session) prepare(text string) {
-	text, ok := s.decoded(text)
+// handlePrepare is answered here. The parameters are counted; what columns come, the answer to EXECUTE tells.
+func (s *session) handlePrepare(text string) {
+	text, ok := s.decodeText(text)
 	if !ok {
 		return
 	}
 	scan := mysql.ScanStatement(text)
-	if !s.acceptable(scan) {
+	if !s.checkSupported(scan) {
 		return
 	}
 	if scan.Kind == mysql.Local || scan.Params > 0xffff {
-		s.unsupported("this as a prepared statement")
+		s.writeUnsupported("this as a prepared statement")
 		return
 	}
-	if len(s.stmts) >= maxStatements {
-		s.fail(mysql.ErrMaxPrepared, "42000", "Can't create more prepared statements")
+	if len(s.statements) >= maxClientStatements {
+		s.writeError(mysql.ErrMaxPrepared, "42000", "Can't create more prepared statements")
 		return
 	}
-	c, ok := s.comment(text)
+	c, ok := s.parseComment(text)
 	if !ok {
 		return
 	}
-	s.lastStmt++
-	s.stmts[s.lastStmt] = &statement{text: text, params: scan.Params, scan: scan, comment: c}
-	out := mysql.Append(nil, 1, mysql.PrepareOK{ID: s.lastStmt, Params: scan.Params}.Payload())
+	s.lastStatementID++
+	s.statements[s.lastStatementID] = &statement{text: text, paramCount: scan.Params, scan: scan, comment: c}
+	out := mysql.Append(nil, 1, mysql.PrepareOK{ID: s.lastStatementID, Params: scan.Params}.Payload())
 	if scan.Params > 0 {
 		def := mysql.ColumnDef("?")
 		for i := range scan.Params {
@@ -568,78 +574,78 @@
 		}
 		out = mysql.Append(out, byte(2+scan.Params), mysql.EOF())
 	}
-	s.c.Write(out)
+	s.conn.Write(out)
 }
 
-func (s *session) statementCommand(at time.Duration, p []byte) {
+func (s *session) handleStatementCommand(at time.Duration, p []byte) {
 	id, ok := mysql.StatementID(p)
-	st := s.stmts[id]
+	st := s.statements[id]
 	if !ok || st == nil {
 		if p[0] != mysql.ComStmtClose && p[0] != mysql.ComStmtSendLong { // these two get no answer
-			s.fail(mysql.ErrUnknownStmt, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
+			s.writeError(mysql.ErrUnknownStmt, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
 		}
 		return
 	}
 	switch p[0] {
 	case mysql.ComStmtClose:
-		delete(s.stmts, id)
+		delete(s.statements, id)
 	case mysql.ComStmtReset:
-		st.long, st.size = nil, 0
-		s.send(1, mysql.OK())
+		st.longData, st.longDataSize = nil, 0
+		s.writePacket(1, mysql.OK())
 	case mysql.ComStmtFetch:
-		s.fail(mysql.ErrNoCursor, "HY000", "The statement has no open cursor")
+		s.writeError(mysql.ErrNoCursor, "HY000", "The statement has no open cursor")
 	case mysql.ComStmtSendLong:
 		_, d, err := mysql.ParseLongData(p)
-		if st.size += len(d.Data); err != nil || st.size > mysql.MaxCommand || int(d.Param) >= st.params {
-			s.fail(mysql.ErrTooBig, "08S01", "Too much or misplaced long data")
+		if st.longDataSize += len(d.Data); err != nil || st.longDataSize > mysql.MaxCommand || int(d.Param) >= st.paramCount {
+			s.writeError(mysql.ErrTooBig, "08S01", "Too much or misplaced long data")
 			s.finish()
 			return
 		}
-		st.long = append(st.long, d)
+		st.longData = append(st.longData, d)
 	case mysql.ComStmtExecute:
-		e, err := mysql.ParseExecute(p, st.params, st.types)
+		e, err := mysql.ParseExecute(p, st.paramCount, st.paramTypes)
 		if err != nil {
-			s.fail(mysql.ErrWrongArgs, "HY000", err.Error())
+			s.writeError(mysql.ErrWrongArgs, "HY000", err.Error())
 			return
 		}
-		st.types = e.Types
-		cmd := &Command{Text: st.text, Comment: st.comment, DB: s.db, Prepared: true, Params: st.params, Exec: e,
-			Long: st.long}
-		st.long, st.size = nil, 0
+		st.paramTypes = e.Types
+		cmd := &Command{Text: st.text, Comment: st.comment, Database: s.database, Prepared: true, ParamCount: st.paramCount, Execute: e,
+			LongData: st.longData}
+		st.longData, st.longDataSize = nil, 0
 		s.submit(at, st.scan.Kind, cmd, st)
 	}
 }
 
-// fit makes a command ready for the servers of a cluster; st is the prepared statement that it runs, if any. What can't be
+// prepareForServers makes a command ready for the servers of a cluster; st is the prepared statement that it runs, if any. What can't be
 // translated is turned down for the whole cluster: the same statement must not be served at one server and not at the next.
-func (s *session) fit(cmd *Command, st *statement, cluster int) (err error) {
+func (s *session) prepareForServers(cmd *Command, st *statement, cluster int) (err error) {
 	cmd.Client = s.client
 	cmd.translate = func() (*Translated, error) {
-		if st != nil && st.other != nil {
-			return st.other, nil
+		if st != nil && st.translated != nil {
+			return st.translated, nil
 		}
-		t, err := s.translated(cmd.Text, cmd.Params)
+		t, err := s.translateToPostgres(cmd.Text, cmd.ParamCount)
 		if st != nil {
-			st.other = t
+			st.translated = t
 		}
 		return t, err
 	}
-	if s.f.routes.Needs(cluster).Translation {
+	if s.frontend.routes.Needs(cluster).Translation {
 		_, err = cmd.ForPostgres()
 	}
-	if err == nil && cmd.Prepared && cmd.Params > 0 && s.client.Foreign() {
+	if err == nil && cmd.Prepared && cmd.ParamCount > 0 && s.client.Foreign() {
 		var e mysql.Execute
-		e, err = s.client.RecodeParams(cmd.Exec, cmd.Params, cmd.Long)
-		cmd.utf8 = &e
+		e, err = s.client.RecodeParams(cmd.Execute, cmd.ParamCount, cmd.LongData)
+		cmd.utf8Execute = &e
 	}
 	return err
 }
 
 // submit hands a statement to the core, by its comment or by the defaults of its kind.
 func (s *session) submit(at time.Duration, kind mysql.Kind, cmd *Command, st *statement) {
-	d := s.f.cfg.Read
+	d := s.frontend.cfg.Read
 	if kind == mysql.Write {
-		d = s.f.cfg.Write
+		d = s.frontend.cfg.Write
 	}
 	c := comment.Comment{Group: -1}
 	if cmd.Comment != nil {
@@ -651,68 +657,68 @@
 	if c.Group < 0 {
 		c.Group = d.Cluster
 	}
-	class, ok := s.f.core.Class(c.Class)
+	class, ok := s.frontend.dispatcher.Class(c.Class)
 	switch {
 	case !ok:
-		s.fail(mysql.ErrParse, "42000", "comment: c names an unknown class")
+		s.writeError(mysql.ErrParse, "42000", "comment: c names an unknown class")
 		return
-	case !s.f.core.HasGroup(c.Group):
-		s.fail(mysql.ErrParse, "42000", "comment: cluster names no known group")
+	case !s.frontend.dispatcher.HasGroup(c.Group):
+		s.writeError(mysql.ErrParse, "42000", "comment: cluster names no known group")
 		return
-	case kind == mysql.Write && s.f.core.ClassInfo(class).Need != policy.NeedWrite:
-		s.fail(mysql.ErrParse, "42000", "comment: a statement that may write is in a class of reads")
+	case kind == mysql.Write && s.frontend.dispatcher.ClassInfo(class).Access != policy.Write:
+		s.writeError(mysql.ErrParse, "42000", "comment: a statement that may write is in a class of reads")
 		return
 	}
 	// A prepared statement's comment is the same at each EXECUTE: only an id that is open now can't be told apart.
-	if c.ID != "" && s.f.ids[c.ID] {
-		s.fail(mysql.ErrParse, "42000", "comment: id is that of an open request")
+	if c.ID != "" && s.frontend.requestIDs[c.ID] {
+		s.writeError(mysql.ErrParse, "42000", "comment: id is that of an open request")
 		return
 	}
 	if c.Patience == 0 {
-		c.Patience = s.f.core.ClassInfo(class).Deadline
+		c.Patience = s.frontend.dispatcher.ClassInfo(class).TotalTimeout
 	}
-	if err := s.fit(cmd, st, c.Group); err != nil {
-		s.wrong(err)
+	if err := s.prepareForServers(cmd, st, c.Group); err != nil {
+		s.writeTranslationError(err)
 		return
 	}
-	r := &dispatch.Request{Class: class, Group: c.Group, Keyed: c.Key != "", After: c.After, Arrived: at,
-		Patience: c.Patience, Payload: cmd, Reply: s}
-	if c.After > 0 || s.f.core.ClassInfo(class).Need == policy.NeedSession {
+	r := &dispatch.Request{Class: class, Group: c.Group, HasIdempotencyKey: c.Key != "", SessionCommitAt: c.After, ArrivedAt: at,
+		Timeout: c.Patience, Payload: cmd, Reply: s}
+	if c.After > 0 || s.frontend.dispatcher.ClassInfo(class).Access == policy.ReadSession {
 		r.Session = comment.Session(cmd.Text)
 	}
-	if s.f.core.Guarded() {
-		r.Text, r.Key = comment.Bare(cmd.Text), comment.QuotedKey(cmd.Text)
+	if s.frontend.dispatcher.Guarded() {
+		r.Statement, r.Key = comment.Bare(cmd.Text), comment.QuotedKey(cmd.Text)
 		// Parameters are not in the text, and a class by default was not chosen for this statement, which may ask for anything.
 		if !cmd.Prepared && cmd.Comment != nil && cmd.Comment.Class != "" {
-			r.Form = fmt.Sprintf("%v %s", s.client, cmd.DB)
+			r.CacheVariant = fmt.Sprintf("%v %s", s.client, cmd.Database)
 		}
 	}
-	s.busy, s.id = true, c.ID
-	s.f.ids[c.ID] = c.ID != ""
-	s.open = s.f.core.Submit(r)
+	s.busy, s.requestID = true, c.ID
+	s.frontend.requestIDs[c.ID] = c.ID != ""
+	s.request = s.frontend.dispatcher.Submit(r)
 }
 
-// kill ends what another connection is about, at once, and that connection if it is to. What is not under way any more is not
+// handleKill ends what another connection is about, at once, and that connection if it is to. What is not under way any more is not
 // touched: a cancel never reaches the command after the one it was meant for, as far as its client could know.
-func (s *session) kill(k mysql.Kill) {
-	other := s.f.threads[k.ID]
+func (s *session) handleKill(k mysql.Kill) {
+	other := s.frontend.sessionsByThread[k.ID]
 	switch {
-	case other == nil || !other.in:
-		s.fail(mysql.ErrNoThread, "HY000", fmt.Sprintf("Unknown thread id: %d", k.ID))
+	case other == nil || !other.loggedIn:
+		s.writeError(mysql.ErrNoThread, "HY000", fmt.Sprintf("Unknown thread id: %d", k.ID))
 		return
 	case other.user != s.user:
-		s.fail(1095, "HY000", fmt.Sprintf("You are not owner of thread %d", k.ID))
+		s.writeError(1095, "HY000", fmt.Sprintf("You are not owner of thread %d", k.ID))
 		return
 	}
 	if other != s {
-		s.send(1, mysql.OK())
+		s.writePacket(1, mysql.OK())
 	}
-	if other.open != nil {
-		other.open.Gone() // the module ends the attempt; it may have run, and goes on at a server that has begun it
+	if other.request != nil {
+		other.request.ClientDisconnected() // the module ends the attempt; it may have run, and goes on at a server that has begun it
 		code, state := translate.Cancelled.MySQL(other.client.Generation)
 		other.answer(mysql.Append(nil, 1, mysql.Error(code, state, "Query execution was interrupted")))
 	} else if other == s {
-		s.fail(mysql.ErrInterrupted, "70100", "Query execution was interrupted")
+		s.writeError(mysql.ErrInterrupted, "70100", "Query execution was interrupted")
 	}
 	if k.Connection {
 		other.finish()
@@ -721,31 +727,31 @@
 
 // answer gives the final answer, and goes on with what has come meanwhile.
 func (s *session) answer(out []byte) {
-	if s.open == nil { // abandoned
+	if s.request == nil { // abandoned
 		return
 	}
-	delete(s.f.ids, s.id)
-	s.busy, s.open, s.fields = false, nil, false
-	if !s.f.sessions[s] {
+	delete(s.frontend.requestIDs, s.requestID)
+	s.busy, s.request, s.fieldList = false, nil, false
+	if !s.frontend.sessions[s] {
 		return
 	}
-	s.c.Write(out)
-	s.settle()
-	if len(s.buf) > 0 {
-		s.f.loop.Post(func() {
-			s.work(s.f.loop.Now())
-			s.settle()
-			s.part(true)
+	s.conn.Write(out)
+	s.updateState()
+	if len(s.input) > 0 {
+		s.frontend.loop.Post(func() {
+			s.handlePackets(s.frontend.loop.Now())
+			s.updateState()
+			s.closeIfDue(true)
 		})
 		return
 	}
-	s.part(true)
+	s.closeIfDue(true)
 }
 
 // Serve passes on the server's answer to this statement.
 func (s *session) Serve(answer any) {
 	raw := answer.([]byte)
-	if s.fields {
+	if s.fieldList {
 		raw = translate.FieldList(raw)
 	}
 	s.answer(raw)
--- a/internal/pooler/mysql_test.go
+++ b/internal/pooler/mysql_test.go
@@ -11,7 +11,7 @@
 	"threadsail/internal/pooler"
 )
 
-func mysqlPooler(t *testing.T, names ...string) (*standin.Fleet, *standin.MySQL, pooler.Addrs) {
+func mysqlPooler(t *testing.T, names ...string) (*standin.Fleet, *standin.MySQL, pooler.Addresses) {
 	f := standin.NewFleet(t, true, nil, names...)
 	a := poolerProcess(t, f)
 	return f, dial(t, a).(*standin.MySQL), a
