--- a/internal/pooler/postgres/backend.go
+++ b/internal/pooler/postgres/backend.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	user     = "threadsail"
-	database = "core"
+	serverUser     = "threadsail"
+	serverDatabase = "core"
 )
 
 // Backend takes attempts and probes to PostgreSQL servers.
 type Backend struct {
-	upstream.Servers
+	upstream.Connector
 	Reports bool // servers report their health to probes
 }
 
 // Send starts an attempt.
-func (b *Backend) Send(addr string, payload any, left time.Duration, a dispatch.Attempt) dispatch.Call {
+func (b *Backend) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
 	st := payload.(*Statement)
 	until := b.Loop.Now() + left
 	return b.start(addr, a, func() string {
@@ -34,17 +34,17 @@
 }
 
 // Probe asks a server for its health.
-func (b *Backend) Probe(addr string, done func(dispatch.Result)) dispatch.Call {
+func (b *Backend) Probe(addr string, done func(dispatch.AttemptResult)) dispatch.Call {
 	text := "SELECT 1"
 	if b.Reports {
 		text = "SHOW health"
 	}
-	start := func(done func(dispatch.Result)) dispatch.Call {
-		return b.start(addr, upstream.ForProbe(done), func() string { return text })
+	start := func(done func(dispatch.AttemptResult)) dispatch.Call {
+		return b.start(addr, upstream.ProbeAttempt(done), func() string { return text })
 	}
-	return upstream.NewProbe(start, func(r dispatch.Result) {
+	return upstream.StartProbe(start, func(r dispatch.AttemptResult) {
 		if row, ok := r.Answer.([]byte); ok && b.Reports {
-			if rep := report(row); rep.HasPosition || rep.HasRole {
+			if rep := loadReport(row); rep.HasPosition || rep.HasRole {
 				r.Report = rep
 			}
 		}
@@ -52,8 +52,8 @@
 	})
 }
 
-// report reads the load report in the row that SHOW health gave.
-func report(answer []byte) policy.Report {
+// loadReport reads the load report in the row that SHOW health gave.
+func loadReport(answer []byte) policy.ServerStatus {
 	for len(answer) > 0 {
 		m, n, err := pgwire.NextAnswer(answer)
 		if err != nil || n == 0 {
@@ -64,204 +64,204 @@
 		}
 		answer = answer[n:]
 	}
-	return policy.Report{}
+	return policy.ServerStatus{}
 }
 
 // query is one query on one connection.
 type query struct {
 	upstream.Exchange
-	text  func() string
-	buf   []byte
-	asked bool
-	stage byte // the last message of the answer: T, D, C; 0: none so far
-	code  string
-	rows  []byte
-	relay *relay // of a long answer that has begun
+	text        func() string
+	input       []byte
+	querySent   bool
+	lastMessage byte // the last message of the answer: T, D, C; 0: none so far
+	errorCode   string
+	rows        []byte
+	relay       *relay // of a long answer that has begun
 }
 
-func (b *Backend) start(addr string, a dispatch.Attempt, text func() string) dispatch.Call {
+func (b *Backend) start(addr string, a dispatch.AttemptCallbacks, text func() string) dispatch.Call {
 	x := &query{text: text}
-	x.Start(&b.Servers, addr, x, a, func(any) { x.ask() }, func() {
-		x.Conn.Write(pgwire.AppendStartup(nil, user, database))
+	x.Start(&b.Connector, addr, x, a, func(any) { x.sendQuery() }, func() {
+		x.Conn.Write(pgwire.AppendStartup(nil, serverUser, serverDatabase))
 	})
 	return x
 }
 
-func (x *query) ask() {
-	x.asked = true
+func (x *query) sendQuery() {
+	x.querySent = true
 	x.Conn.Write(pgwire.AppendQuery(nil, x.text()))
-	x.Begun()
+	x.RequestWritten()
 }
 
 // Closed ends the exchange. Before the last byte of the query has gone out nothing can have run.
 func (x *query) Closed(err error) {
 	switch {
 	case x.relay != nil:
-		x.spoilt()
-	case !x.asked || !x.Conn.Written():
-		x.Break(policy.NoConnect)
-	case x.code != "" && len(x.buf) == 0:
-		x.End(outcome(x.code))
+		x.failMalformed()
+	case !x.querySent || !x.Conn.Written():
+		x.FinishBroken(policy.ConnectFailed)
+	case x.errorCode != "" && len(x.input) == 0:
+		x.Finish(resultOf(x.errorCode))
 	case errors.Is(err, transport.ErrFlood):
-		x.spoilt()
+		x.failMalformed()
 	default:
-		x.Break(policy.Reset)
+		x.FinishBroken(policy.ConnectionReset)
 	}
 }
 
 func (x *query) Data(_ time.Duration, b []byte) {
 	if x.relay != nil {
-		if b = x.relay.pass(b); len(b) == 0 {
+		if b = x.relay.receive(b); len(b) == 0 {
 			return
 		}
 	}
-	if !x.Heard(len(b), x.asked, x.spoilt) {
+	if !x.Received(len(b), x.querySent, x.failMalformed) {
 		return
 	}
-	x.buf = append(x.buf, b...)
-	rest := x.buf
+	x.input = append(x.input, b...)
+	rest := x.input
 	for {
 		m, n, err := pgwire.NextAnswer(rest)
 		if err != nil {
-			x.spoilt()
+			x.failMalformed()
 			return
 		}
 		var long bool
-		if rest, long = x.begin(rest); long {
+		if rest, long = x.beginRelay(rest); long {
 			continue
 		}
 		if n == 0 {
 			break
 		}
 		rest = rest[n:]
-		over, sound := x.message(m, len(rest) == 0)
+		over, sound := x.handleMessage(m, len(rest) == 0)
 		if !sound {
-			x.spoilt()
+			x.failMalformed()
 		}
 		if over || !sound {
 			return
 		}
 	}
-	x.buf = append([]byte(nil), rest...)
+	x.input = append([]byte(nil), rest...)
 }
 
-// spoilt ends an exchange whose answer can't be used. Only exactly one answer made as it should be is served, and only
+// failMalformed ends an exchange whose answer can't be used. Only exactly one answer made as it should be is served, and only
 // such a one is believed: anything else may have run, whatever code or note stands in it.
-func (x *query) spoilt() {
+func (x *query) failMalformed() {
 	x.Conn.Close()
 	if x.relay != nil {
-		x.relay.finish(dispatch.Broken, nil)
+		x.relay.finish(dispatch.StreamBroken, nil)
 		return
 	}
-	x.Res = dispatch.Result{}
-	if x.asked {
-		x.End(policy.Errored)
+	x.Result = dispatch.AttemptResult{}
+	if x.querySent {
+		x.Finish(policy.ServerError)
 	} else {
-		x.End(policy.NoConnect)
+		x.Finish(policy.ConnectFailed)
 	}
 }
 
-// message takes in one message; over: the exchange has ended. last: nothing has come behind it.
-func (x *query) message(m pgwire.Message, last bool) (over, sound bool) {
-	if !x.asked {
-		return x.greeting(m, last)
+// handleMessage takes in one message; over: the exchange has ended. last: nothing has come behind it.
+func (x *query) handleMessage(m pgwire.Message, last bool) (over, sound bool) {
+	if !x.querySent {
+		return x.handleStartup(m, last)
 	}
 	switch m.Type {
 	case 'S':
-		return false, x.parameter(m.Body)
+		return false, x.handleParameter(m.Body)
 	case 'N':
 		return false, true
 	case 'E':
-		sound = x.stage == 0 && x.code == ""
-		x.code = pgwire.ErrorCode(m.Body)
-		return false, sound && x.code != ""
+		sound = x.lastMessage == 0 && x.errorCode == ""
+		x.errorCode = pgwire.ErrorCode(m.Body)
+		return false, sound && x.errorCode != ""
 	case 'T':
-		sound = x.stage == 0 && x.code == "" && pgwire.OneColumn(m.Body)
+		sound = x.lastMessage == 0 && x.errorCode == "" && pgwire.OneColumn(m.Body)
 	case 'D':
 		_, ok := pgwire.Column(m.Body)
-		sound = x.stage == 'T' && ok
+		sound = x.lastMessage == 'T' && ok
 	case 'C':
 		_, ok := pgwire.Text(m.Body)
-		sound = x.stage == 'D' && ok
+		sound = x.lastMessage == 'D' && ok
 	case 'Z':
-		if m.Body[0] != 'I' || x.stage != 'C' && x.code == "" {
+		if m.Body[0] != 'I' || x.lastMessage != 'C' && x.errorCode == "" {
 			return false, false
 		}
-		x.ready(last)
+		x.finishAnswer(last)
 		return true, true
 	}
-	x.stage = m.Type
+	x.lastMessage = m.Type
 	x.rows = append(x.rows, m.Raw...)
 	return false, sound
 }
 
-// greeting takes in what comes before the query is sent.
-func (x *query) greeting(m pgwire.Message, last bool) (over, sound bool) {
+// handleStartup takes in what comes before the query is sent.
+func (x *query) handleStartup(m pgwire.Message, last bool) (over, sound bool) {
 	switch m.Type {
 	case 'E': // turned away at the door
 		x.Conn.Close()
-		x.End(policy.NoConnect)
+		x.Finish(policy.ConnectFailed)
 		return true, true
 	case 'Z':
-		return x.welcome(), last
+		return x.finishStartup(), last
 	}
 	return false, m.Type == 'R' || m.Type == 'K' || m.Type == 'S' || m.Type == 'N'
 }
 
-// parameter takes in what the server tells of itself. It comes before ReadyForQuery, and so before the outcome. A value
+// handleParameter takes in what the server tells of itself. It comes before ReadyForQuery, and so before the outcome. A value
 // that can't be read tells nothing, and spoils nothing.
-func (x *query) parameter(body []byte) (sound bool) {
+func (x *query) handleParameter(body []byte) (sound bool) {
 	name, value, ok := pgwire.Parameter(body)
 	switch name {
 	case "recovery":
 		switch value {
 		case "off":
-			x.Res.Role = policy.RolePrimary
+			x.Result.Role = policy.RolePrimary
 		case "on":
-			x.Res.Role = policy.RoleReplica
+			x.Result.Role = policy.RoleReplica
 		}
 	case "lsn_ms":
-		x.Res.Position, x.Res.HasPosition = protocol.Position(value)
+		x.Result.Position, x.Result.HasPosition = protocol.Position(value)
 	case "health":
-		x.Res.Report = protocol.Report(value)
+		x.Result.Report = protocol.Report(value)
 	}
 	return ok
 }
 
-// ready ends the exchange with its answer.
-func (x *query) ready(clean bool) {
+// finishAnswer ends the exchange with its answer.
+func (x *query) finishAnswer(clean bool) {
 	x.Conn.Pause(false)
-	x.Put(clean, nil)
+	x.ReleaseConn(clean, nil)
 	if x.relay != nil {
-		x.relay.finish(dispatch.Whole, x.rows)
+		x.relay.finish(dispatch.StreamComplete, x.rows)
 		return
 	}
-	if x.code != "" {
-		x.End(outcome(x.code))
+	if x.errorCode != "" {
+		x.Finish(resultOf(x.errorCode))
 		return
 	}
-	x.Res.Answer = x.rows
-	x.End(policy.OK)
+	x.Result.Answer = x.rows
+	x.Finish(policy.OK)
 }
 
-// welcome ends the startup. The query may have become one that must not be sent here any more: true, it has ended.
-func (x *query) welcome() bool {
-	if x.Fits() {
-		x.ask()
+// finishStartup ends the startup. The query may have become one that must not be sent here any more: true, it has ended.
+func (x *query) finishStartup() bool {
+	if x.MaySend() {
+		x.sendQuery()
 		return false
 	}
-	x.Put(true, nil)
-	x.End(policy.Missed)
+	x.ReleaseConn(true, nil)
+	x.Finish(policy.Misdirected)
 	return true
 }
 
-// outcome puts a server's error code into the core's words.
-func outcome(code string) policy.Result {
+// resultOf puts a server's error code into the core's words.
+func resultOf(code string) policy.Result {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeBehind:
-		return policy.Missed
+		return policy.Misdirected
 	case pgwire.CodeTooMany:
-		return policy.Full
+		return policy.Overloaded
 	}
-	return policy.Errored
+	return policy.ServerError
 }
--- a/internal/pooler/postgres/kept_test.go
+++ b/internal/pooler/postgres/kept_test.go
@@ -8,7 +8,7 @@
 
 func TestKept(t *testing.T) {
 	rows := pgwire.AppendRow(make([]byte, 0, 1<<10), "val", "v", "SELECT 1")
-	kept, n, ok := Kept(rows)
+	kept, n, ok := Cacheable(rows)
 	if !ok || n != len(rows) || cap(kept.([]byte)) != n {
 		t.Fatalf("%v %v", n, ok)
 	}
@@ -18,7 +18,7 @@
 		t.Error("what one session does with it shows in another's, or in the server's own")
 	}
 	for _, other := range []any{pgwire.AppendError(nil, "ERROR", "42601", "x", ""), []byte{}, &relay{}, nil} {
-		if _, _, ok := Kept(other); ok {
+		if _, _, ok := Cacheable(other); ok {
 			t.Errorf("%v is kept", other)
 		}
 	}
--- a/internal/pooler/postgres/relay_test.go
+++ b/internal/pooler/postgres/relay_test.go
@@ -22,7 +22,7 @@
 	sent chan *query
 }
 
-func (b tapped) Send(addr string, payload any, left time.Duration, a dispatch.Attempt) dispatch.Call {
+func (b tapped) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
 	x := b.Backend.Send(addr, payload, left, a).(*query)
 	b.sent <- x
 	return x
@@ -37,15 +37,15 @@
 	}
 	defer server.Down()
 	server.Do(func(standin.Seen) standin.Act { return standin.Hang })
-	loop, budget := dispatch.NewLoop(), transport.NewBudget(100)
-	back := tapped{&Backend{Servers: upstream.Servers{Loop: loop, Budget: budget, Pool: transport.NewPool(time.Minute, 100),
+	loop, budget := dispatch.NewEventLoop(), transport.NewBudget(100)
+	back := tapped{&Backend{Connector: upstream.Connector{Loop: loop, Budget: budget, Pool: transport.NewPool(time.Minute, 100),
 		ConnectTimeout: time.Minute}}, make(chan *query, 9)}
 	core, err := dispatch.New(loop, back, dispatch.Options{MaxOpen: 9, ProbeTimeout: time.Minute, Watch: func() {}, Log: func(string) {},
-		Settings: policy.Settings{MaxAttempts: 1, Classes: []policy.Class{{Name: "any", Deadline: time.Minute, Worth: 1}}}})
+		Settings: policy.Settings{MaxAttempts: 1, Classes: []policy.Class{{Name: "any", TotalTimeout: time.Minute, PriorityWeight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.List(policy.ListFull, []dispatch.Member{{Name: "p", Addr: server.Addr, State: policy.Ready}})
+	core.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Addr: server.Addr, State: policy.Ready}})
 	front, err := Listen(loop, func(accept func(*transport.Conn)) (*transport.Listener, error) {
 		return transport.Listen(loop, budget, "127.0.0.1:0", accept)
 	}, core, connlimit.New(loop, 100, 1<<20), func(string, int) error { return nil })
@@ -55,7 +55,7 @@
 	ended := make(chan struct{})
 	go func() { loop.Run(); close(ended) }()
 	defer func() {
-		loop.Post(front.End)
+		loop.Post(front.Terminate)
 		loop.Stop()
 		<-ended
 	}()
--- a/internal/pooler/push.go
+++ b/internal/pooler/push.go
@@ -16,67 +16,67 @@
 const (
 	// An agent that refuses or breaks off is called again after callFirst, ever later up to callMost: a drain's grace may
 	// be a quarter of a second, and a call on the own machine costs some 0.1 ms.
-	callFirst = 5 * time.Millisecond
-	callMost  = 80 * time.Millisecond
-	// caughtUp after its first word a watch has told all that the agent had when it was opened: that comes at once, and not at
+	minRedialDelay = 5 * time.Millisecond
+	maxRedialDelay = 80 * time.Millisecond
+	// catchUpTime after its first word a watch has told all that the agent had when it was opened: that comes at once, and not at
 	// all where there is nothing new.
-	caughtUp = time.Second
-	// startMost bounds how long a start waits for the agent, which is silent while discovery is down.
-	startMost = 500 * time.Millisecond
+	catchUpTime = time.Second
+	// firstListTimeout bounds how long a start waits for the agent, which is silent while discovery is down.
+	firstListTimeout = 500 * time.Millisecond
 )
 
-// told is since when what has come at a time may count as told. On a watch that has caught up that is when it came; what an
+// notifiedAt is since when what has come at a time may count as told. On a watch that has caught up that is when it came; what an
 // agent tells first it may have had since the last word before, and what was missed of a list service counts after a time.
-func (w *watcher) told(at time.Duration) time.Duration {
+func (w *watcher) notifiedAt(at time.Duration) time.Duration {
 	switch {
-	case w.fresh:
+	case w.caughtUp:
 		return at
 	case w.pushed:
-		return w.heard
+		return w.knownUntil
 	}
-	return min(at, w.heard+missedAfter)
+	return min(at, w.knownUntil+notificationDelay)
 }
 
-// firstWord is how long a call may stay silent. An agent answers at once, and may not write to a call that it has kept silent
+// firstMessageTimeout is how long a call may stay silent. An agent answers at once, and may not write to a call that it has kept silent
 // to: it is called again soon, ever later while it stays silent.
-func (w *watcher) firstWord() time.Duration {
+func (w *watcher) firstMessageTimeout() time.Duration {
 	if !w.pushed {
-		return watchSilence
+		return watchSilenceTimeout
 	}
-	w.allow = min(max(2*w.allow, startMost), watchSilence)
-	return w.allow
+	w.firstMessageLimit = min(max(2*w.firstMessageLimit, firstListTimeout), watchSilenceTimeout)
+	return w.firstMessageLimit
 }
 
-// ended notes that a watch that has told all there was until now is over.
-func (w *watcher) ended() {
-	if w.fresh {
-		w.heard = w.loop.Now()
+// markDisconnected notes that a watch that has told all there was until now is over.
+func (w *watcher) markDisconnected() {
+	if w.caughtUp {
+		w.knownUntil = w.loop.Now()
 	}
 }
 
-// callAgain opens the watch on an agent again.
-func (w *watcher) callAgain() {
-	w.wait = min(max(2*w.wait, callFirst), callMost)
-	w.again = w.loop.After(w.wait, w.open)
+// scheduleRedial opens the watch on an agent again.
+func (w *watcher) scheduleRedial() {
+	w.redialDelay = min(max(2*w.redialDelay, minRedialDelay), maxRedialDelay)
+	w.redialTimer = w.loop.After(w.redialDelay, w.open)
 }
 
-// push has the watcher keep to an agent from now on, or leave the calls to the module.
-func (w *watcher) push(on bool) {
+// setPushed has the watcher keep to an agent from now on, or leave the calls to the module.
+func (w *watcher) setPushed(on bool) {
 	if w.pushed = on; on {
 		w.open()
 	}
 }
 
-// first asks an agent for the list before the pooler serves, within a bound. What drains already has done so for longer
+// fetchFirst asks an agent for the list before the pooler serves, within a bound. What drains already has done so for longer
 // than anybody here knows.
-func (w *watcher) first(within time.Duration, list func(policy.ListKind, []dispatch.Member, time.Duration)) bool {
-	l, err := fetchList(w.addr, min(within, startMost))
+func (w *watcher) fetchFirst(within time.Duration, list func(policy.ListKind, []dispatch.Member, time.Duration)) bool {
+	l, err := fetchList(w.addr, min(within, firstListTimeout))
 	if err != nil {
 		w.log("discovery: serving before the first list: " + err.Error())
 		return false
 	}
-	w.since = l.Revision
-	list(policy.ListFull, members(l, w.zones), 0)
+	w.revision = l.Revision
+	list(policy.ListFull, listedMembers(l, w.zoneIndexes), 0)
 	return true
 }
 
--- a/internal/pooler/reload_test.go
+++ b/internal/pooler/reload_test.go
@@ -13,7 +13,7 @@
 // error, also to a statement that was prepared before, and a stricter effect holds. What the old settings had kept for reuse
 // is kept no longer than the new ones have it. A file that is turned down changes nothing.
 func TestNewSettings(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		release, waits, c := make(chan struct{}), dial(t, a), dial(t, a)
 		block := func(s standin.Seen) standin.Act { <-release; return standin.Break }
 		f.Servers[0].Do(once(standin.Answer))
--- a/internal/pooler/restart_test.go
+++ b/internal/pooler/restart_test.go
@@ -40,7 +40,7 @@
 }
 
 // talk connects a client that waits a bounded time in all: the end of the program inside the test closes no connection.
-func talk(t *testing.T, a pooler.Addrs) talker {
+func talk(t *testing.T, a pooler.Addresses) talker {
 	t.Helper()
 	c, err := tryTalk(t, a)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return c
 }
 
-func tryTalk(t *testing.T, a pooler.Addrs) (c talker, err error) {
+func tryTalk(t *testing.T, a pooler.Addresses) (c talker, err error) {
 	if a.MySQL == "" {
 		c, err = standin.DialPostgres(a.Postgres)
 	} else {
@@ -65,7 +65,7 @@
 }
 
 // restarts runs a test of a planned restart on both wires.
-func restarts(t *testing.T, test func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error)) {
+func restarts(t *testing.T, test func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error)) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
 			t.Parallel()
@@ -104,7 +104,7 @@
 // After SIGTERM clients go on sending, some with several statements ahead, for as long as their connections stay open. Each
 // statement that a server has seen is answered: what crosses a close is safe to send again.
 func TestClientsThatNeverStopSending(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		const clients, ahead = 24, 4
 		var mu sync.Mutex
 		open := map[string]bool{}
@@ -165,7 +165,7 @@
 
 // What has a longer time than is left before SIGKILL gets its answer before that, whether it came before SIGTERM or after.
 func TestAnswersBeforeSigkill(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		for _, s := range f.Servers {
 			s.Do(always(standin.Hang))
 		}
@@ -201,7 +201,7 @@
 // Statements that come on new connections while the news of a restart spreads are answered, and so is one whose first half
 // comes before SIGTERM and whose rest comes when all other clients have gone.
 func TestStatementsThatMeetARestart(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addrs, terminate chan struct{}, ended chan error) {
+	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		half, idle := talk(t, a), talk(t, a)
 		p := packet(half, standin.Read("any", patience))
 		if _, err := half.Write(p[:len(p)/2]); err != nil {
--- a/internal/pooler/rules_test.go
+++ b/internal/pooler/rules_test.go
@@ -16,12 +16,12 @@
 )
 
 // poolerProcess runs the program on a fleet until the test ends.
-func poolerProcess(t testing.TB, f *standin.Fleet) pooler.Addrs {
+func poolerProcess(t testing.TB, f *standin.Fleet) pooler.Addresses {
 	t.Helper()
 	return serve(t, f.Getenv, f.Hup)
 }
 
-func serve(t testing.TB, getenv func(string) string, hup <-chan struct{}) pooler.Addrs {
+func serve(t testing.TB, getenv func(string) string, hup <-chan struct{}) pooler.Addresses {
 	t.Helper()
 	a, err := tryServe(t, getenv, hup)
 	if err != nil {
@@ -31,7 +31,7 @@
 }
 
 // tryServe runs the program until the test ends, if it starts.
-func tryServe(t testing.TB, getenv func(string) string, hup <-chan struct{}) (pooler.Addrs, error) {
+func tryServe(t testing.TB, getenv func(string) string, hup <-chan struct{}) (pooler.Addresses, error) {
 	a, terminate, ended, err := launch(getenv, hup)
 	if err == nil {
 		t.Cleanup(func() {
@@ -45,11 +45,11 @@
 }
 
 // launch runs the program until terminate is closed; ended tells how it ended.
-func launch(getenv func(string) string, hup <-chan struct{}) (a pooler.Addrs, terminate chan struct{}, ended chan error, err error) {
+func launch(getenv func(string) string, hup <-chan struct{}) (a pooler.Addresses, terminate chan struct{}, ended chan error, err error) {
 	return launchWith(getenv, hup, nil)
 }
 
-func launchWith(getenv func(string) string, hup <-chan struct{}, part *pooler.FleetPart) (a pooler.Addrs, terminate chan struct{}, ended chan error, err error) {
+func launchWith(getenv func(string) string, hup <-chan struct{}, part *pooler.FleetOptions) (a pooler.Addresses, terminate chan struct{}, ended chan error, err error) {
 	cfg, err := config.Load(getenv)
 	if err != nil {
 		return a, nil, nil, err
@@ -58,12 +58,12 @@
 	if err != nil {
 		return a, nil, nil, err
 	}
-	ready := make(chan pooler.Addrs, 1)
+	ready := make(chan pooler.Addresses, 1)
 	terminate, ended = make(chan struct{}), make(chan error, 1)
 	control := pooler.Control{Terminate: terminate, Reload: hup, Fleet: part,
 		Load: func(inForce *config.Config) (*config.Config, error) { return inForce.Reload(getenv) }}
 	go func() {
-		ended <- pooler.Serve(cfg, my, zerolog.Nop(), control, func(a pooler.Addrs) { ready <- a })
+		ended <- pooler.Serve(cfg, my, zerolog.Nop(), control, func(a pooler.Addresses) { ready <- a })
 	}()
 	select {
 	case a = <-ready:
@@ -73,7 +73,7 @@
 	}
 }
 
-func dial(t testing.TB, a pooler.Addrs) standin.Client {
+func dial(t testing.TB, a pooler.Addresses) standin.Client {
 	t.Helper()
 	var c standin.Client
 	var err error
@@ -105,7 +105,7 @@
 }
 
 // overBoth runs a test of a rule over all pairs of fronts and servers.
-func overBoth(t *testing.T, change func(map[string]any), names []string, test func(*testing.T, *standin.Fleet, pooler.Addrs)) {
+func overBoth(t *testing.T, change func(map[string]any), names []string, test func(*testing.T, *standin.Fleet, pooler.Addresses)) {
 	for _, pair := range pairs {
 		t.Run(pair.name, func(t *testing.T) {
 			t.Parallel() // they mostly wait
@@ -145,7 +145,7 @@
 // Rule 1: servers that say nothing must not leave a client without its one answer. A read is refused; a write that
 // may have run is failed.
 func TestNoLostRequest(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		for _, s := range f.Servers {
 			s.Do(always(standin.Hang))
 		}
@@ -161,7 +161,7 @@
 
 // Rule 2: a write without a key that may have run is never sent again and never refused.
 func TestNoDuplicatedEffect(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Break))
 		if r := dial(t, a).Do(standin.Write("", patience)); !r.Failed {
 			t.Errorf("a broken write ended as %+v, want a failure", r)
@@ -174,7 +174,7 @@
 
 // Rule 2 as well: with a key it is sent again, to the cluster that drops the repeat, with all but d unchanged.
 func TestKeyedWriteIsRepeated(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Break))
 		served(t, dial(t, a).Do(standin.Write("k2", patience)))
 		seen := f.Servers[0].Seen()
@@ -186,7 +186,7 @@
 
 // Rule 3: from the end of the grace on, nothing goes to a server listed as draining.
 func TestSafeDrain(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		draining := f.Servers[1]
 		for len(draining.Seen()) == 0 {
@@ -207,7 +207,7 @@
 
 // Rule 4: a server that was out of reach counts as cold and gets a small share of a burst.
 func TestColdServerIsSpared(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		cold := f.Servers[1]
 		cold.Down()
 		served(t, dial(t, a).Do(standin.Read("any", patience)))
@@ -234,7 +234,7 @@
 func TestNoStaleRead(t *testing.T) {
 	for name, behind := range map[string]time.Duration{"behind": 5 * time.Second, "unknown": -1} {
 		t.Run(name, func(t *testing.T) {
-			overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+			overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 				f.Servers[1].Set(false, behind)
 				c := dial(t, a)
 				for range 4 {
@@ -251,7 +251,7 @@
 // A request beyond the open ones is refused at once, with the time after which to come again.
 func TestRefusalTellsWhenToComeAgain(t *testing.T) {
 	one := func(s map[string]any) { s["caps"].(map[string]any)["maxOpen"] = 1 }
-	overBoth(t, one, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, one, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(always(standin.Hang))
 		first, second := dial(t, a), dial(t, a)
 		ended := make(chan standin.Result, 1)
@@ -268,7 +268,7 @@
 
 // A client that leaves takes its attempt with it: the server's connection is closed.
 func TestClientThatLeaves(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Hang))
 		c, text := dial(t, a), standin.Write("k4", 2*time.Second)
 		leave := func() { c.Close() }
@@ -294,7 +294,7 @@
 // The brief's second hard case: a write meets a server that has just lost its role, and goes once to the replica
 // that has just been promoted.
 func TestWriteMeetsPromotedReplica(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		served(t, c.Do(standin.Write("k5", patience)))
 		f.Servers[0].Set(false, 0)
--- a/internal/pooler/signals.go
+++ b/internal/pooler/signals.go
@@ -8,9 +8,9 @@
 	"threadsail/internal/config"
 )
 
-// Signals is how a process of the pooler is told what to do: SIGTERM and SIGINT end it, SIGHUP has it read its
+// SignalControl is how a process of the pooler is told what to do: SIGTERM and SIGINT end it, SIGHUP has it read its
 // configuration again.
-func Signals() Control {
+func SignalControl() Control {
 	signals := make(chan os.Signal, 4)
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error of the write, not the end of the process
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
--- a/internal/pooler/spoilt_test.go
+++ b/internal/pooler/spoilt_test.go
@@ -62,7 +62,7 @@
 // A spoilt answer is a failed attempt that may have run, whatever stands in it. A read is served by another attempt; a
 // write without a key is failed and not sent again.
 func TestSpoiltAnswersAreNotServed(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		answers := spoiltAnswers()
 		if a.MySQL != "" {
 			answers = spoiltPackets()
@@ -97,7 +97,7 @@
 // An answer followed by more than belongs to it is good, but its connection is of no further use: the next request's
 // answer must not be read from what is left.
 func TestMoreBehindAnAnswer(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addrs) {
+	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		if _, ok := c.(*standin.Postgres); !ok || f.Servers[0].SpeaksMySQL() {
 			t.Skip("the rows of the MySQL stand-in are made elsewhere")
@@ -129,17 +129,17 @@
 
 // A ping that meets a broken connection must not take a well primary off the record: it is tried again.
 func TestBrokenProbeIsTriedAgain(t *testing.T) {
-	var running []func(dispatch.Result)
+	var running []func(dispatch.AttemptResult)
 	ended := 0
-	upstream.NewProbe(func(done func(dispatch.Result)) dispatch.Call {
+	upstream.StartProbe(func(done func(dispatch.AttemptResult)) dispatch.Call {
 		running = append(running, done)
 		return nil
-	}, func(dispatch.Result) { ended++ })
-	running[0](dispatch.Result{Result: policy.NoConnect, Broken: true})
+	}, func(dispatch.AttemptResult) { ended++ })
+	running[0](dispatch.AttemptResult{Result: policy.ConnectFailed, Broken: true})
 	if len(running) != 2 || ended != 0 {
 		t.Fatalf("%d probes started, %d ended", len(running), ended)
 	}
-	if running[1](dispatch.Result{Result: policy.NoConnect, Broken: true}); ended != 1 {
+	if running[1](dispatch.AttemptResult{Result: policy.ConnectFailed, Broken: true}); ended != 1 {
 		t.Error("the second end counts")
 	}
 }
--- a/internal/pooler/translate_test.go
+++ b/internal/pooler/translate_test.go
@@ -74,7 +74,7 @@
 	return out
 }
 
-func open(t *testing.T, a pooler.Addrs, change func(*mysql.Config)) *sql.DB {
+func open(t *testing.T, a pooler.Addresses, change func(*mysql.Config)) *sql.DB {
 	t.Helper()
 	cfg := mysql.NewConfig()
 	cfg.Net, cfg.Addr, cfg.User, cfg.Passwd = "tcp", a.MySQL, standin.ClientUser, standin.ClientPassword
@@ -92,7 +92,7 @@
 	return db
 }
 
-func translating(t *testing.T, l *lessons) (*standin.Fleet, pooler.Addrs) {
+func translating(t *testing.T, l *lessons) (*standin.Fleet, pooler.Addresses) {
 	f := standin.NewMixedFleet(t, true, func(int) bool { return false }, nil, "p")
 	f.Servers[0].Hold(l)
 	return f, poolerProcess(t, f)
--- a/internal/pooler/translating/back.go
+++ b/internal/pooler/translating/back.go
@@ -13,18 +13,18 @@
 	"threadsail/internal/translate"
 )
 
-// Back takes the statements of PostgreSQL clients to MySQL servers. Connections, logins and probes are the MySQL backend's.
-type Back struct {
+// MySQLBackend takes the statements of PostgreSQL clients to MySQL servers. Connections, logins and probes are the MySQL backend's.
+type MySQLBackend struct {
 	*mysql.Backend
 	Echo translate.Echo
 }
 
 // Send starts an attempt.
-func (b *Back) Send(addr string, payload any, left time.Duration, a dispatch.Attempt) dispatch.Call {
+func (b *MySQLBackend) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
 	st, err := translate.ToMySQL(payload.(*postgres.Statement).Text, b.Echo)
 	if err != nil {
 		own := translate.AsError(err)
-		return upstream.Ended(b.Loop, a, dispatch.Result{Result: policy.OK,
+		return upstream.AnswerLocally(b.Loop, a, dispatch.AttemptResult{Result: policy.OK,
 			Answer: pgwire.AppendError(nil, "ERROR", own.Meaning.Postgres(), own.Text, "")})
 	}
 	cmd := &mysql.Command{Text: st.SQL, Client: translate.Client{Generation: translate.Gen80, Charset: translate.UTF8MB4}}
@@ -32,7 +32,7 @@
 		cmd.Comment = &c
 	}
 	done := a.Done
-	a.Done = func(r dispatch.Result) {
+	a.Done = func(r dispatch.AttemptResult) {
 		if raw, ok := r.Answer.([]byte); ok {
 			r.Answer = st.AppendPostgres(nil, raw)
 		}
--- a/internal/pooler/upstream/exchange_test.go
+++ b/internal/pooler/upstream/exchange_test.go
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	loop := dispatch.NewLoop()
+	loop := dispatch.NewEventLoop()
 	go loop.Run()
 	defer loop.Stop()
 	asked, leave := 0, 3 // asked on the loop alone
-	s := &Servers{Loop: loop, Budget: transport.NewBudget(4), Pool: transport.NewPool(time.Minute, 4), ConnectTimeout: 2 * time.Second,
+	s := &Connector{Loop: loop, Budget: transport.NewBudget(4), Pool: transport.NewPool(time.Minute, 4), ConnectTimeout: 2 * time.Second,
 		MayDial: func(string) (time.Duration, bool) {
 			asked++
 			return time.Millisecond, asked == leave
@@ -36,15 +36,15 @@
 	ends := make(chan string, 1)
 	start := func() *Exchange {
 		x := &Exchange{}
-		a := dispatch.Attempt{Fits: func() bool { return true }, Sent: func() {}, Done: func(r dispatch.Result) {
-			if ends <- "ended"; r.Result != policy.Full {
+		a := dispatch.AttemptCallbacks{StillAllowed: func() bool { return true }, Sent: func() {}, Done: func(r dispatch.AttemptResult) {
+			if ends <- "ended"; r.Result != policy.Overloaded {
 				t.Errorf("ends as %v", r.Result)
 			}
 		}}
 		x.Start(s, ln.Addr().String(), handler{}, a, func(any) { ends <- "idle" }, func() {
 			ends <- "fresh"
-			x.connect.Stop()
-			loop.After(20*time.Millisecond, func() { x.Put(true, nil) })
+			x.connectTimer.Stop()
+			loop.After(20*time.Millisecond, func() { x.ReleaseConn(true, nil) })
 		})
 		return x
 	}
@@ -83,7 +83,7 @@
 // What never ends is spoilt by its size, also before the request is sent, where no other time than that to connect is bound.
 func TestTooMuchIsSpoilt(t *testing.T) {
 	x, spoilt := &Exchange{}, 0
-	for n := 0; x.Heard(64<<10, false, func() { spoilt++ }); n++ {
+	for n := 0; x.Received(64<<10, false, func() { spoilt++ }); n++ {
 		if n > 1000 {
 			t.Fatal("64 MB are taken in")
 		}
--- a/internal/pooler/watch_clock_test.go
+++ b/internal/pooler/watch_clock_test.go
@@ -17,7 +17,7 @@
 // outage is a list service on a clock of the test's: until it is over each call meets a fault, and from then on each is answered
 // after its turn, with a list that holds what has changed.
 type outage struct {
-	loop  *dispatch.Loop
+	loop  *dispatch.EventLoop
 	over  time.Duration
 	fault func() string
 	turn  time.Duration
@@ -55,9 +55,9 @@
 	case "refused":
 		err = errDial
 	case "no descriptor":
-		err = transport.ErrBudget
+		err = transport.ErrNoDescriptor
 	case "never up":
-		wait, err = watchDial, errDial
+		wait, err = watchDialTimeout, errDial
 	}
 	cancelled := false
 	o.loop.After(wait, func() {
@@ -96,7 +96,7 @@
 	if c.h == nil {
 		panic("a call without a handler")
 	}
-	turn := time.Duration(c.rng.Int64N(int64(watchTurn)))
+	turn := time.Duration(c.rng.Int64N(int64(watchTurnTimeout)))
 	half := answerHead + "fff\r\n" + `{"revision":1,"complete":true,"members":[`
 	whole := answerHead + answerList(1, "Ready")
 	switch c.fault {
@@ -161,44 +161,46 @@
 
 type noServers struct{}
 
-func (noServers) Send(string, any, time.Duration, dispatch.Attempt) dispatch.Call { return nil }
-func (noServers) Probe(string, func(dispatch.Result)) dispatch.Call               { return nil }
-func (noServers) CloseIdle(string)                                                {}
+func (noServers) Send(string, any, time.Duration, dispatch.AttemptCallbacks) dispatch.Call {
+	return nil
+}
+func (noServers) Probe(string, func(dispatch.AttemptResult)) dispatch.Call { return nil }
+func (noServers) CloseIdle(string)                                         {}
 
 // heardAfter plays one outage of the given length and tells how long after its end the change was heard, and since when it
 // counts as told, counted from the start.
 func heardAfter(t *testing.T, fleet, me int, pushed, moved bool, length time.Duration, rng *rand.Rand, fault func() string) (after, told time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		loop := dispatch.NewLoop()
+		loop := dispatch.NewEventLoop()
 		o := &outage{loop: loop, over: loop.Now() + length, fault: fault, rng: rng}
 		if !pushed {
-			o.turn = time.Duration(rng.Int64N(int64(watchTurn) + 1))
+			o.turn = time.Duration(rng.Int64N(int64(watchTurnTimeout) + 1))
 		}
 		start := loop.Now()
 		after = -1
 		w := &watcher{loop: loop, dial: o.dial, addr: "old", log: func(string) {}, pushed: pushed}
 		if !pushed {
-			w.heard = start
+			w.knownUntil = start
 		}
-		core, err := dispatch.New(loop, noServers{}, dispatch.Options{Settings: policy.Settings{Balancers: fleet, Me: me, Asks: !pushed,
-			MustAsk: 10 * time.Second, DrainGrace: 2 * time.Second}, Seed: rng.Uint64(), Watch: w.watch, Log: func(string) {}})
+		core, err := dispatch.New(loop, noServers{}, dispatch.Options{Settings: policy.Settings{Poolers: fleet, PoolerIndex: me, PollList: !pushed,
+			MaxPollInterval: 10 * time.Second, DrainGracePeriod: 2 * time.Second}, Seed: rng.Uint64(), Watch: w.openWatch, Log: func(string) {}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.list = func(kind policy.ListKind, members []dispatch.Member, at time.Duration) {
-			core.ListTold(kind, members, at)
+		w.onList = func(kind policy.ListKind, members []dispatch.Member, at time.Duration) {
+			core.ApplyListNotifiedAt(kind, members, at)
 			if after < 0 && len(members) == 1 && members[0].State == policy.Draining {
 				after, told = loop.Now()-o.over, at-start
 			}
 		}
-		core.List(policy.ListCached, nil)
+		core.ApplyList(policy.ListCached, nil)
 		if pushed {
 			w.open()
 		}
 		if moved {
-			loop.At(o.over, func() { w.move("new") })
+			loop.At(o.over, func() { w.setAddress("new") })
 		}
-		loop.At(o.over+missedAfter, loop.Stop)
+		loop.At(o.over+notificationDelay, loop.Stop)
 		loop.Run()
 	})
 	return after, told
@@ -221,7 +223,7 @@
 					return name
 				}
 				length := time.Duration(rng.Int64N(int64(15 * time.Second)))
-				bound := missedAfter - missedSpare
+				bound := notificationDelay - notificationMargin
 				if pushed {
 					bound = 4 * time.Second
 				}
@@ -235,7 +237,7 @@
 				// A service that turns calls down may have had the change for all that time; one that is not there had not.
 				want := length + after
 				if name == "503" || name == "no descriptor" {
-					want = min(want, missedAfter)
+					want = min(want, notificationDelay)
 				}
 				if (name == "503" || name == "no descriptor" || name == "refused" || name == "never up") && !pushed && told != want {
 					t.Fatalf("outage %d: heard at %v, counts as told at %v", n, length+after, told)
--- a/internal/pooler/watch_test.go
+++ b/internal/pooler/watch_test.go
@@ -114,7 +114,7 @@
 }
 
 // newcomer connects a client, if it finds room and is served.
-func newcomer(t *testing.T, wire string, a pooler.Addrs) (standin.Client, bool) {
+func newcomer(t *testing.T, wire string, a pooler.Addresses) (standin.Client, bool) {
 	c, err := standin.Dial(wire, addr(a))
 	if err != nil {
 		return nil, false
--- a/internal/pooler/wires.go
+++ b/internal/pooler/wires.go
@@ -7,21 +7,21 @@
 	"threadsail/internal/routes"
 )
 
-// wires reaches each server over the wire that it speaks.
-type wires struct {
+// wireBackends reaches each server over the wire that it speaks.
+type wireBackends struct {
 	table    *routes.Table
 	backends map[routes.Wire]dispatch.Backend
 }
 
-func (w *wires) Send(addr string, payload any, left time.Duration, a dispatch.Attempt) dispatch.Call {
+func (w *wireBackends) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
 	return w.backends[w.table.At(addr).Wire].Send(addr, payload, left, a)
 }
 
-func (w *wires) Probe(addr string, done func(dispatch.Result)) dispatch.Call {
+func (w *wireBackends) Probe(addr string, done func(dispatch.AttemptResult)) dispatch.Call {
 	return w.backends[w.table.At(addr).Wire].Probe(addr, done)
 }
 
-func (w *wires) CloseIdle(addr string) {
+func (w *wireBackends) CloseIdle(addr string) {
 	for _, b := range w.backends {
 		b.CloseIdle(addr)
 	}
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -29,7 +29,7 @@
 	Addr    string
 	Zone    string
 	Group   int
-	State   policy.State
+	State   policy.MemberState
 	Primary bool
 	Started time.Duration // Unix time; 0 is long ago
 }
@@ -73,11 +73,11 @@
 		case "Terminating":
 			e.State = policy.Draining
 		case "Gone":
-			e.State = policy.Gone
+			e.State = policy.Removed
 		default:
 			return List{}, fmt.Errorf("members[%d].phase: unknown word %q", i, m.Phase)
 		}
-		if e.Name == "" || e.Addr == "" && e.State != policy.Gone {
+		if e.Name == "" || e.Addr == "" && e.State != policy.Removed {
 			return List{}, fmt.Errorf("members[%d]: id or host_port is missing", i)
 		}
 		if e.Group < 0 || e.Group > 1<<16 {
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[`+entry+"]}\n", revision, complete, phase)
 }
 
-func list(revision uint64, complete bool, state policy.State) List {
+func list(revision uint64, complete bool, state policy.MemberState) List {
 	return List{revision, complete, []Member{{"s-1", "10.1.0.18:6432", "a", 3, state, true, 1500 * time.Millisecond}}}
 }
 
@@ -142,7 +142,7 @@
 		t.Errorf("%v %v", cmp.Diff(whole, got), err)
 	}
 	c := Member{Name: "c", Addr: "h3:1", State: policy.Ready}
-	next := whole.With(List{Revision: 5, Members: []Member{{Name: "a", State: policy.Gone}, c}})
+	next := whole.With(List{Revision: 5, Members: []Member{{Name: "a", State: policy.Removed}, c}})
 	if d := cmp.Diff(List{Revision: 5, Complete: true, Members: []Member{b, c}}, next); d != "" {
 		t.Error(d)
 	}
--- a/internal/protocol/discovery/list.go
+++ b/internal/protocol/discovery/list.go
@@ -17,7 +17,7 @@
 	out := List{Revision: next.Revision, Complete: true, Members: slices.Clone(l.Members)}
 	for _, m := range next.Members {
 		out.Members = slices.DeleteFunc(out.Members, func(old Member) bool { return old.Name == m.Name })
-		if m.State != policy.Gone {
+		if m.State != policy.Removed {
 			out.Members = append(out.Members, m)
 		}
 	}
@@ -59,7 +59,7 @@
 	}{l.Revision, l.Complete, make([]member, 0, len(l.Members))}
 	for _, m := range l.Members {
 		e := member{ID: m.Name, HostPort: m.Addr, Locality: m.Zone, Cell: m.Group, UpSince: float64(m.Started.Round(time.Millisecond) / time.Millisecond),
-			Phase: map[policy.State]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Gone: "Gone"}[m.State]}
+			Phase: map[policy.MemberState]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}[m.State]}
 		if m.Primary {
 			e.Recovery = "off"
 		}
--- a/internal/protocol/report.go
+++ b/internal/protocol/report.go
@@ -12,7 +12,7 @@
 
 // Report reads a load report, name=value,…. Positions in it are Unix times in seconds. Unknown names and
 // impossible numbers are passed over.
-func Report(text string) (r policy.Report) {
+func Report(text string) (r policy.ServerStatus) {
 	for _, field := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		v, err := strconv.ParseFloat(value, 64)
@@ -25,9 +25,9 @@
 				r.HasPosition, r.Position = true, time.Duration(v*1e6)*time.Microsecond // rounded down
 			}
 		case "x1":
-			r.HasRole, r.Primary = true, v == 1
+			r.HasRole, r.IsPrimary = true, v == 1
 		case "util":
-			r.Busy = v
+			r.Utilization = v
 		}
 	}
 	return r
--- a/internal/rendezvous/balance_test.go
+++ b/internal/rendezvous/balance_test.go
@@ -43,7 +43,7 @@
 		}
 		mean := float64(fleet) / float64(len(servers))
 		for _, s := range servers {
-			if n := loads[s]; n > Bound(fleet, len(servers)) || float64(n) < mean*(1-Slack)-float64(len(servers)) {
+			if n := loads[s]; n > Bound(fleet, len(servers)) || float64(n) < mean*(1-BalanceSlack)-float64(len(servers)) {
 				t.Fatalf("server %d is the home of %d, mean %.1f, bound %d", s, n, mean, Bound(fleet, len(servers)))
 			}
 			// The last poolers may find room at their own home alone.
@@ -128,7 +128,7 @@
 				share += all * hot
 			}
 			for at := begin; ; {
-				if at = Turn(me, fleet, server, every, at, begin+turns*every, share); at == 0 {
+				if at = NextTurn(me, fleet, server, every, at, begin+turns*every, share); at == 0 {
 					break
 				}
 				taken[(at-begin)/every-1]++
--- a/internal/serverlist/server.go
+++ b/internal/serverlist/server.go
@@ -23,14 +23,14 @@
 
 // Server is one server of a list.
 type Server struct {
-	Name    string       `json:"name"`           // as its operators call it; unique without regard to case
-	Addr    string       `json:"addr"`           // host:port, the host in lower case; unique
-	Room    string       `json:"room,omitempty"` // one of the settings' zones; empty: in none of them
-	Cluster int          `json:"cluster"`
-	State   policy.State `json:"state"`             // rules.Ready or rules.Draining
-	Weight  int          `json:"weight"`            // its share of reads by turns, against its cluster's others; 0: none
-	Wire    string       `json:"wire,omitempty"`    // mysql or postgres; empty: the front's own
-	Version string       `json:"version,omitempty"` // of the server; empty: unknown
+	Name    string             `json:"name"`           // as its operators call it; unique without regard to case
+	Addr    string             `json:"addr"`           // host:port, the host in lower case; unique
+	Room    string             `json:"room,omitempty"` // one of the settings' zones; empty: in none of them
+	Cluster int                `json:"cluster"`
+	State   policy.MemberState `json:"state"`             // rules.Ready or rules.Draining
+	Weight  int                `json:"weight"`            // its share of reads by turns, against its cluster's others; 0: none
+	Wire    string             `json:"wire,omitempty"`    // mysql or postgres; empty: the front's own
+	Version string             `json:"version,omitempty"` // of the server; empty: unknown
 }
 
 // Key tells servers apart. What is known of a server (its role, its position, its health) was learnt at an address in a
@@ -198,7 +198,7 @@
 }
 
 // StateName is a state in the inventory's words.
-func StateName(s policy.State) string {
+func StateName(s policy.MemberState) string {
 	if s == policy.Draining {
 		return "draining"
 	}
--- a/internal/translate/compatibility.go
+++ b/internal/translate/compatibility.go
@@ -78,8 +78,8 @@
 	}
 	line("\n## Errors by meaning\n")
 	line("| meaning | MySQL client | 5.0 and 5.1, where it differs | PostgreSQL client | an attempt that ends so |\n| --- | --- | --- | --- | --- |")
-	ends := map[policy.Result]string{policy.OK: "is answered: the statement's own error", policy.Errored: "may have run", policy.Full: "has not run",
-		policy.Missed: "has not run"}
+	ends := map[policy.Result]string{policy.OK: "is answered: the statement's own error", policy.ServerError: "may have run", policy.Overloaded: "has not run",
+		policy.Misdirected: "has not run"}
 	for _, o := range outcomes {
 		old := ""
 		if o.old.code != 0 {
--- a/internal/translate/outcome.go
+++ b/internal/translate/outcome.go
@@ -60,10 +60,10 @@
 	postgres string
 	result   policy.Result // of an attempt that ended so; rules.OK: the statement's own fault, the client must hear it
 }{
-	Unknown:      {"unknown error", mysqlError{1105, "HY000"}, mysqlError{}, "XX000", policy.Errored},
-	MayHaveRun:   {"failed, may have run", mysqlError{1317, "70100"}, mysqlError{}, "58000", policy.Errored},
-	Refused:      {"refused, untouched", mysqlError{1040, "08004"}, mysqlError{}, "53300", policy.Full},
-	Cancelled:    {"cancelled", mysqlError{1317, "70100"}, mysqlError{}, "57014", policy.Errored},
+	Unknown:      {"unknown error", mysqlError{1105, "HY000"}, mysqlError{}, "XX000", policy.ServerError},
+	MayHaveRun:   {"failed, may have run", mysqlError{1317, "70100"}, mysqlError{}, "58000", policy.ServerError},
+	Refused:      {"refused, untouched", mysqlError{1040, "08004"}, mysqlError{}, "53300", policy.Overloaded},
+	Cancelled:    {"cancelled", mysqlError{1317, "70100"}, mysqlError{}, "57014", policy.ServerError},
 	Duplicate:    {"duplicate key", mysqlError{1062, "23000"}, mysqlError{}, "23505", policy.OK},
 	Reference:    {"foreign key", mysqlError{1452, "23000"}, mysqlError{1216, "23000"}, "23503", policy.OK},
 	NotNull:      {"not null", mysqlError{1048, "23000"}, mysqlError{}, "23502", policy.OK},
@@ -79,12 +79,12 @@
 	BadValue:     {"not such a value", mysqlError{1292, "22007"}, mysqlError{}, "22007", policy.OK},
 	BadCharacter: {"character can't be written", mysqlError{1366, "HY000"}, mysqlError{}, "22P05", policy.OK},
 	DivByZero:    {"division by zero", mysqlError{1365, "22012"}, mysqlError{}, "22012", policy.OK},
-	Deadlock:     {"deadlock", mysqlError{1213, "40001"}, mysqlError{}, "40P01", policy.Errored},
-	LockWait:     {"lock not available", mysqlError{1205, "HY000"}, mysqlError{}, "55P03", policy.Errored},
+	Deadlock:     {"deadlock", mysqlError{1213, "40001"}, mysqlError{}, "40P01", policy.ServerError},
+	LockWait:     {"lock not available", mysqlError{1205, "HY000"}, mysqlError{}, "55P03", policy.ServerError},
 	NotSupported: {"not supported", mysqlError{1235, "42000"}, mysqlError{}, "0A000", policy.OK},
-	NotPrimary:   {"not the primary", mysqlError{1290, "HY000"}, mysqlError{}, "25006", policy.Missed},
-	Behind:       {"too far behind", mysqlError{1290, "HY000"}, mysqlError{}, "72000", policy.Missed},
-	ServerFull:   {"server full", mysqlError{1040, "08004"}, mysqlError{}, "53300", policy.Full},
+	NotPrimary:   {"not the primary", mysqlError{1290, "HY000"}, mysqlError{}, "25006", policy.Misdirected},
+	Behind:       {"too far behind", mysqlError{1290, "HY000"}, mysqlError{}, "72000", policy.Misdirected},
+	ServerFull:   {"server full", mysqlError{1040, "08004"}, mysqlError{}, "53300", policy.Overloaded},
 }
 
 func (m Meaning) String() string { return outcomes[m].name }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := &Listener{ln: &own{polled, std}}
+	ln := &Listener{listener: &ownListener{polled, std}}
 	defer ln.Close()
 	if ln.Pending() {
 		t.Error("one shows before any has come")
--- a/internal/transport/polled.go
+++ b/internal/transport/polled.go
@@ -16,57 +16,57 @@
 
 // polled is the socket of a connection on netpoll.
 type polled struct {
-	c       *Conn
-	budget  *Budget
-	raw     netpoll.Connection
-	freed   atomic.Bool
-	watched bool         // the poller closes it after a hang-up
-	paused  bool         // while it is leaving
-	unread  atomic.Int64 // 1 once its owner has finished, and then counts the bytes that are thrown away
-	mu      sync.Mutex
-	gone    bool          // its descriptor is no longer ours; under mu, as what follows
-	shut    bool          // its owner has closed it
-	last    *time.Timer   // not nil: when it ends though its peer has not closed
-	writes  int           // under way through netpoll
-	leaving chan struct{} // not nil: it is leaving netpoll, closed at the end of that
-	next    *direct       // what it has become
+	conn             *Conn
+	budget           *Budget
+	raw              netpoll.Connection
+	released         atomic.Bool
+	watched          bool         // the poller closes it after a hang-up
+	paused           bool         // while it is leaving
+	discarded        atomic.Int64 // 1 once its owner has finished, and then counts the bytes that are thrown away
+	mu               sync.Mutex
+	descriptorClosed bool          // its descriptor is no longer ours; under mu, as what follows
+	ownerClosed      bool          // its owner has closed it
+	finishTimer      *time.Timer   // not nil: when it ends though its peer has not closed
+	activeWrites     int           // under way through netpoll
+	handover         chan struct{} // not nil: it is leaving netpoll, closed at the end of that
+	successor        *direct       // what it has become
 }
 
 func newPolled(loop Loop, budget *Budget, raw netpoll.Connection) *polled {
 	s := &polled{budget: budget, raw: raw}
-	s.c = &Conn{loop: loop, socket: s}
-	s.use(limitKernel)
+	s.conn = &Conn{loop: loop, socket: s}
+	s.withDescriptor(limitReceiveBuffer)
 	return s
 }
 
-func (s *polled) use(f func(fd int)) bool {
+func (s *polled) withDescriptor(f func(fd int)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.next != nil:
-		return s.next.use(f)
-	case !s.gone:
+	case s.successor != nil:
+		return s.successor.withDescriptor(f)
+	case !s.descriptorClosed:
 		f(s.raw.(netpoll.Conn).Fd())
 	}
-	return !s.gone
+	return !s.descriptorClosed
 }
 
 // write goes not through Writer: its buffers are taken away under a writer when the peer hangs up, and the program with
 // them. Write holds the lock that netpoll's close waits for.
 func (s *polled) write(b []byte) error {
 	s.mu.Lock()
-	if left := s.leaving; left != nil {
+	if left := s.handover; left != nil {
 		s.mu.Unlock()
-		if <-left; s.next == nil {
+		if <-left; s.successor == nil {
 			return io.EOF
 		}
-		return s.next.write(b)
+		return s.successor.write(b)
 	}
-	s.writes++
+	s.activeWrites++
 	s.mu.Unlock()
 	_, err := s.raw.Write(b)
 	s.mu.Lock()
-	s.writes--
+	s.activeWrites--
 	s.mu.Unlock()
 	return err
 }
@@ -78,17 +78,17 @@
 func (s *polled) close() {
 	if !s.watched { // the poller would leave it open
 		s.raw.Close()
-		s.free()
+		s.release()
 		return
 	}
 	s.mu.Lock()
-	s.shut = true
+	s.ownerClosed = true
 	how := syscall.SHUT_RDWR
-	if s.leaving != nil {
+	if s.handover != nil {
 		how = syscall.SHUT_WR
 	}
 	s.mu.Unlock()
-	s.use(func(fd int) {
+	s.withDescriptor(func(fd int) {
 		if how == syscall.SHUT_RDWR && !s.quiet(fd) {
 			_ = syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 		}
@@ -100,46 +100,48 @@
 // and sends nothing there is nothing to wait for.
 func (s *polled) finish() {
 	owed := false
-	s.use(func(fd int) { owed = unsent(fd) || !s.quiet(fd) })
+	s.withDescriptor(func(fd int) { owed = hasUnsent(fd) || !s.quiet(fd) })
 	if !s.watched || !owed {
 		s.close()
 		return
 	}
 	s.mu.Lock()
-	s.shut = true
-	if s.leaving == nil && !s.gone {
-		s.last = time.AfterFunc(lingerFor, s.giveUp)
+	s.ownerClosed = true
+	if s.handover == nil && !s.descriptorClosed {
+		s.finishTimer = time.AfterFunc(lingerTimeout, s.abort)
 	}
 	s.mu.Unlock()
-	s.unread.Store(1)
-	s.use(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
+	s.discarded.Store(1)
+	s.withDescriptor(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 }
 
 // quiet tells that all has been seen that the peer has sent.
-func (s *polled) quiet(fd int) bool { return silent(fd) && s.ahead() == 0 && s.c.unheard.Load() == 0 }
+func (s *polled) quiet(fd int) bool {
+	return noInput(fd) && s.unreadBytes() == 0 && s.conn.undelivered.Load() == 0
+}
 
-// giveUp ends what its owner has finished, though the peer has not closed it.
-func (s *polled) giveUp() {
-	s.use(func(fd int) {
-		resetUnlessOwed(fd)
+// abort ends what its owner has finished, though the peer has not closed it.
+func (s *polled) abort() {
+	s.withDescriptor(func(fd int) {
+		resetUnlessUnsent(fd)
 		_ = syscall.Shutdown(fd, syscall.SHUT_RDWR)
 	})
 }
 
 func (s *polled) reset() {
-	s.use(func(fd int) {
+	s.withDescriptor(func(fd int) {
 		_ = syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 	})
 	s.raw.Close() // nothing comes on it, so the poller is not at work there
-	s.free()
+	s.release()
 }
 
-func (s *polled) ahead() int { return s.raw.Reader().Len() }
+func (s *polled) unreadBytes() int { return s.raw.Reader().Len() }
 
-// free gives the descriptor back to the budget, once.
-func (s *polled) free() {
-	if s.freed.CompareAndSwap(false, true) {
-		s.budget.free()
+// release gives the descriptor back to the budget, once.
+func (s *polled) release() {
+	if s.released.CompareAndSwap(false, true) {
+		s.budget.release()
 	}
 }
 
@@ -147,20 +149,20 @@
 // whatever comes: where a peer outruns the loop the connection leaves netpoll, and a peer that does not read what it is
 // sent meanwhile is cut off before the loop has seen what it sends.
 func (s *polled) read() error {
-	c, r := s.c, s.raw.Reader()
+	c, r := s.conn, s.raw.Reader()
 	n := r.Len()
-	if c.deaf.Load() {
-		if s.unread.Load() > 0 && s.unread.Add(int64(n)) > lingerMost {
-			s.giveUp()
+	if c.discardInput.Load() {
+		if s.discarded.Load() > 0 && s.discarded.Add(int64(n)) > maxLingerBytes {
+			s.abort()
 		}
 		_ = r.Skip(n)
 		return r.Release()
 	}
-	unheard := c.unheard.Add(int64(n))
-	leaves := unheard > brakeAt && s.leave()
-	if !leaves && unheard > maxUnheard && !s.isLeaving() {
-		c.deaf.Store(true)
-		c.loop.Post(func() { c.end(ErrFlood) })
+	unheard := c.undelivered.Add(int64(n))
+	leaves := unheard > pauseThreshold && s.beginHandover()
+	if !leaves && unheard > maxUndelivered && !s.inHandover() {
+		c.discardInput.Store(true)
+		c.loop.Post(func() { c.fail(ErrFlood) })
 		_ = r.Skip(n)
 		return r.Release()
 	}
@@ -170,81 +172,81 @@
 	}
 	_ = r.Release()
 	at := c.loop.Now()
-	c.loop.Post(func() { c.heard(at, b) })
+	c.loop.Post(func() { c.deliver(at, b) })
 	if leaves {
 		return s.raw.Close()
 	}
 	return nil
 }
 
-// pause takes the connection out of netpoll, which has no way to stop reading.
-func (s *polled) pause(on bool) {
-	if s.paused = on; on && s.leave() {
+// setPaused takes the connection out of netpoll, which has no way to stop reading.
+func (s *polled) setPaused(on bool) {
+	if s.paused = on; on && s.beginHandover() {
 		go s.raw.Close()
 	}
 }
 
-// leave tells whether the connection is to leave netpoll now: the caller then has it closed there. It can't be while a
+// beginHandover tells whether the connection is to leave netpoll now: the caller then has it closed there. It can't be while a
 // write is under way there.
-func (s *polled) leave() bool {
+func (s *polled) beginHandover() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone || s.shut || s.writes > 0 || s.leaving != nil {
+	if s.descriptorClosed || s.ownerClosed || s.activeWrites > 0 || s.handover != nil {
 		return false
 	}
-	s.leaving = make(chan struct{})
+	s.handover = make(chan struct{})
 	return true
 }
 
-// isLeaving tells that the connection is on its way out of netpoll, which may go on reading meanwhile.
-func (s *polled) isLeaving() bool {
+// inHandover tells that the connection is on its way out of netpoll, which may go on reading meanwhile.
+func (s *polled) inHandover() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaving != nil
+	return s.handover != nil
 }
 
 // start begins to read a connection that was dialled.
 func (s *polled) start() {
 	s.watched = true
 	_ = s.raw.SetOnRequest(func(context.Context, netpoll.Connection) error { return s.read() })
-	s.watch()
+	s.watchClose()
 }
 
-// watch looks out for the end of the connection on netpoll. It may have come before the callback was set: that is looked
+// watchClose looks out for the end of the connection on netpoll. It may have come before the callback was set: that is looked
 // at last.
-func (s *polled) watch() {
+func (s *polled) watchClose() {
 	_ = s.raw.SetWriteTimeout(writeTimeout)
 	// The callback runs before the descriptor is closed, and never together with read.
-	_ = s.raw.AddCloseCallback(func(netpoll.Connection) error { s.ended(); return nil })
+	_ = s.raw.AddCloseCallback(func(netpoll.Connection) error { s.handleClose(); return nil })
 	if !s.raw.IsActive() {
-		s.ended()
+		s.handleClose()
 	}
 }
 
-func (s *polled) ended() {
-	if s.left() {
+func (s *polled) handleClose() {
+	if s.completeHandover() {
 		return
 	}
 	s.mu.Lock()
-	s.gone = true
-	if s.last != nil {
-		s.last.Stop()
+	s.descriptorClosed = true
+	if s.finishTimer != nil {
+		s.finishTimer.Stop()
 	}
 	s.mu.Unlock()
-	s.free()
-	s.c.loop.Post(s.c.hangup)
+	s.release()
+	s.conn.loop.Post(s.conn.handlePeerClose)
 }
 
-// left moves a connection that was to leave netpoll over to a socket of the other kind, on a copy of the descriptor: the
+// completeHandover moves a connection that was to leave netpoll over to a socket of the other kind, on a copy of the descriptor: the
 // poller may just be reading into the buffer, so its turn is waited for. What it has read comes first.
-func (s *polled) left() bool {
+func (s *polled) completeHandover() bool {
 	s.mu.Lock()
-	leaving, next := s.leaving, s.next
+	leaving, next := s.handover, s.successor
 	s.mu.Unlock()
 	if leaving == nil || next != nil {
 		return next != nil
 	}
-	poller.turn()
+	barrier.wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer close(leaving)
@@ -253,18 +255,18 @@
 	if err != nil {
 		return false
 	}
-	next, err = newDirect(s.c, s.budget, s.raw.(netpoll.Conn).Fd())
+	next, err = newDirect(s.conn, s.budget, s.raw.(netpoll.Conn).Fd())
 	if err != nil {
 		return false
 	}
-	s.next = next
-	s.c.unheard.Add(int64(len(rest)))
-	at := s.c.loop.Now()
-	s.c.loop.Post(func() {
-		s.c.heard(at, rest)
-		s.c.socket, next.paused = next, s.paused
+	s.successor = next
+	s.conn.undelivered.Add(int64(len(rest)))
+	at := s.conn.loop.Now()
+	s.conn.loop.Post(func() {
+		s.conn.deliver(at, rest)
+		s.conn.socket, next.paused = next, s.paused
 		go next.read()
-		if s.c.closed {
+		if s.conn.closed {
 			next.close()
 		}
 	})
@@ -278,7 +280,7 @@
 	if !budget.take() {
 		loop.Post(func() {
 			if !cancelled {
-				done(nil, ErrBudget)
+				done(nil, ErrNoDescriptor)
 			}
 		})
 		return func() { cancelled = true }
@@ -287,17 +289,17 @@
 		raw, err := netpoll.DialConnection("tcp", addr, timeout)
 		loop.Post(func() {
 			if err != nil {
-				if budget.free(); !cancelled {
+				if budget.release(); !cancelled {
 					done(nil, err)
 				}
 				return
 			}
 			s := newPolled(loop, budget, raw)
 			if cancelled {
-				s.c.Close()
+				s.conn.Close()
 				return
 			}
-			if done(s.c, nil); !s.c.closed {
+			if done(s.conn, nil); !s.conn.closed {
 				s.start()
 			}
 		})
@@ -305,14 +307,14 @@
 	return func() { cancelled = true }
 }
 
-// connKey is where a connection's context keeps its socket.
-type connKey struct{}
+// socketKey is where a connection's context keeps its socket.
+type socketKey struct{}
 
 // Listener accepts connections.
 type Listener struct {
-	ln     netpoll.Listener
-	closed bool
-	events netpoll.EventLoop
+	listener  netpoll.Listener
+	closed    bool
+	eventLoop netpoll.EventLoop
 }
 
 // Listen accepts connections at one address. For each, accept runs on the loop and sets its handler, or closes it.
@@ -326,27 +328,27 @@
 		std.Close()
 		return nil, err
 	}
-	return serve(loop, budget, &own{ln, std}, accept)
+	return startListener(loop, budget, &ownListener{ln, std}, accept)
 }
 
-// own is a listening socket of this process alone.
-type own struct {
+// ownListener is a listening socket of this process alone.
+type ownListener struct {
 	netpoll.Listener // on a copy of the descriptor
-	std              net.Listener
+	tcp              net.Listener
 }
 
 // Close closes both descriptors. netpoll's Close would close the number of its copy twice, and so does the collector where that
 // is closed only here: by then it may be another's.
-func (o *own) Close() error {
-	closed.mu.Lock()
-	closed.all = append(closed.all, o.Listener)
-	closed.mu.Unlock()
+func (o *ownListener) Close() error {
+	closedListeners.mu.Lock()
+	closedListeners.all = append(closedListeners.all, o.Listener)
+	closedListeners.mu.Unlock()
 	_ = syscall.Close(o.Fd())
-	return o.std.Close()
+	return o.tcp.Close()
 }
 
-// closed keeps listeners from the collector. There are few: a process closes its own as it ends.
-var closed struct {
+// closedListeners keeps listeners from the collector. There are few: a process closes its own as it ends.
+var closedListeners struct {
 	mu  sync.Mutex
 	all []netpoll.Listener
 }
@@ -364,35 +366,35 @@
 	if err != nil {
 		return nil, err
 	}
-	return serve(loop, budget, &shared{Listener: ln}, accept)
+	return startListener(loop, budget, &sharedListener{Listener: ln}, accept)
 }
 
-// shared is a listening socket that other processes hold too. Closing it here would not take it out of the poller, which
+// sharedListener is a listening socket that other processes hold too. Closing it here would not take it out of the poller, which
 // would go on telling of connections under a number that may be another's by then. An Accept that says it is closed does
 // take it out, at the next connection, and leaves that one to the others.
-type shared struct {
+type sharedListener struct {
 	netpoll.Listener
 	stopped atomic.Bool
 }
 
-func (s *shared) Accept() (net.Conn, error) {
+func (s *sharedListener) Accept() (net.Conn, error) {
 	if s.stopped.Load() {
 		return nil, net.ErrClosed
 	}
 	return s.Listener.Accept()
 }
 
-func (s *shared) Close() error {
+func (s *sharedListener) Close() error {
 	s.stopped.Store(true)
 	return nil
 }
 
-func serve(loop Loop, budget *Budget, ln netpoll.Listener, accept func(*Conn)) (*Listener, error) {
+func startListener(loop Loop, budget *Budget, ln netpoll.Listener, accept func(*Conn)) (*Listener, error) {
 	// Not OnPrepare: a connection that the loop closes before netpoll has registered it ends the program. And the reader is
 	// set from the start: if it came later, netpoll could miss bytes that came meanwhile, for good. What is read is posted
 	// behind accept.
 	events, err := netpoll.NewEventLoop(func(ctx context.Context, raw netpoll.Connection) error {
-		if s, ok := ctx.Value(connKey{}).(*polled); ok {
+		if s, ok := ctx.Value(socketKey{}).(*polled); ok {
 			return s.read()
 		}
 		return raw.Reader().Skip(raw.Reader().Len())
@@ -403,29 +405,29 @@
 		}
 		s := newPolled(loop, budget, raw)
 		s.watched = true
-		loop.Post(func() { accept(s.c) })
-		s.watch()
-		return context.WithValue(ctx, connKey{}, s)
+		loop.Post(func() { accept(s.conn) })
+		s.watchClose()
+		return context.WithValue(ctx, socketKey{}, s)
 	}))
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	l := &Listener{ln: ln, events: events}
+	l := &Listener{listener: ln, eventLoop: events}
 	go func() { _ = events.Serve(ln) }()
 	return l, nil
 }
 
 // Addr is where it listens.
-func (l *Listener) Addr() string { return l.ln.Addr().String() }
+func (l *Listener) Addr() string { return l.listener.Addr().String() }
 
 // Close stops listening; open connections stay. Called again it does nothing.
 func (l *Listener) Close() {
 	if !l.closed {
 		l.closed = true
-		_ = l.ln.Close()
+		_ = l.listener.Close()
 	}
 }
 
 // Pending tells whether a connection has come up that is not accepted yet: closing would reset it, and what its client has sent.
-func (l *Listener) Pending() bool { return !l.closed && polls(l.ln.Fd(), unix.POLLIN) }
+func (l *Listener) Pending() bool { return !l.closed && pollReady(l.listener.Fd(), unix.POLLIN) }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// restFor passes between an answer and the next request on its connection.
-const restFor = 5 * time.Millisecond
+// reuseDelay passes between an answer and the next request on its connection.
+const reuseDelay = 5 * time.Millisecond
 
 // Pool keeps idle connections to peers for reuse, the last used first.
 type Pool struct {
-	idleFor time.Duration
-	most    int
-	count   int
-	idle    map[string][]*idle
+	idleTimeout time.Duration
+	maxIdle     int
+	count       int
+	idle        map[string][]*idleConn
 }
 
-type idle struct {
-	c     *Conn
+type idleConn struct {
+	conn  *Conn
 	state any
 	since time.Duration
 }
 
 // idleHandler sees to a connection while nobody uses it: a word from the peer, or its close, ends it.
 type idleHandler struct {
-	p    *Pool
+	pool *Pool
 	addr string
-	i    *idle
+	idle *idleConn
 }
 
 // NewPool keeps at most most connections, none idle for longer than idleFor.
 func NewPool(idleFor time.Duration, most int) *Pool {
-	return &Pool{idleFor: idleFor, most: most, idle: map[string][]*idle{}}
+	return &Pool{idleTimeout: idleFor, maxIdle: most, idle: map[string][]*idleConn{}}
 }
 
-// Rest sets for how long connections are kept idle from now on.
-func (p *Pool) Rest(idleFor time.Duration) { p.idleFor = idleFor }
+// SetIdleTimeout sets for how long connections are kept idle from now on.
+func (p *Pool) SetIdleTimeout(idleFor time.Duration) { p.idleTimeout = idleFor }
 
 // Put gives a connection back, with what its protocol knows of it.
 func (p *Pool) Put(addr string, c *Conn, state any) {
 	// An answer can overtake the news that its request is written: only bytes that are still queued speak against reuse.
-	if c.closed || c.hungUp || len(c.unsent) > 0 {
+	if c.closed || c.peerClosed || len(c.unsent) > 0 {
 		c.Close()
 		return
 	}
-	if p.count >= p.most {
+	if p.count >= p.maxIdle {
 		p.Sweep(c.loop.Now())
 	}
-	if p.count >= p.most {
+	if p.count >= p.maxIdle {
 		c.Close()
 		return
 	}
-	i := &idle{c: c, state: state, since: c.loop.Now()}
+	i := &idleConn{conn: c, state: state, since: c.loop.Now()}
 	c.SetHandler(idleHandler{p, addr, i})
 	p.idle[addr] = append(p.idle[addr], i)
 	p.count++
@@ -63,17 +63,17 @@
 	l := p.idle[addr]
 	for n := len(l) - 1; n >= 0; n-- {
 		i := l[n]
-		if now-i.since >= p.idleFor { // so are all that are left
+		if now-i.since >= p.idleTimeout { // so are all that are left
 			break
 		}
-		if now-i.since < restFor || !i.c.Written() { // its answer came before its request had gone out whole
+		if now-i.since < reuseDelay || !i.conn.Written() { // its answer came before its request had gone out whole
 			continue
 		}
 		p.remove(addr, i)
-		if i.c.Quiet() {
-			return i.c, i.state
+		if i.conn.Quiet() {
+			return i.conn, i.state
 		}
-		i.c.Close()
+		i.conn.Close()
 	}
 	return nil, nil
 }
@@ -82,7 +82,7 @@
 func (p *Pool) CloseIdle(addr string) {
 	for _, i := range p.idle[addr] {
 		p.count--
-		i.c.Close()
+		i.conn.Close()
 	}
 	delete(p.idle, addr)
 }
@@ -90,17 +90,17 @@
 // Sweep closes what has been idle for too long.
 func (p *Pool) Sweep(now time.Duration) {
 	for addr, l := range p.idle {
-		for len(l) > 0 && now-l[0].since >= p.idleFor {
-			l[0].c.Close()
+		for len(l) > 0 && now-l[0].since >= p.idleTimeout {
+			l[0].conn.Close()
 			p.remove(addr, l[0])
 			l = p.idle[addr]
 		}
 	}
 }
 
-// Shed closes the connection that has been idle longest, to make room for a dial elsewhere.
-func (p *Pool) Shed() bool {
-	var oldest *idle
+// CloseOldest closes the connection that has been idle longest, to make room for a dial elsewhere.
+func (p *Pool) CloseOldest() bool {
+	var oldest *idleConn
 	at := ""
 	for addr, l := range p.idle {
 		if oldest == nil || l[0].since < oldest.since {
@@ -110,12 +110,12 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.c.Close()
+	oldest.conn.Close()
 	p.remove(at, oldest)
 	return true
 }
 
-func (p *Pool) remove(addr string, i *idle) {
+func (p *Pool) remove(addr string, i *idleConn) {
 	l := p.idle[addr]
 	for n, x := range l {
 		if x == i {
@@ -130,10 +130,10 @@
 	}
 }
 
-func (h idleHandler) Closed(error) { h.p.remove(h.addr, h.i) }
+func (h idleHandler) Closed(error) { h.pool.remove(h.addr, h.idle) }
 
 // Data on an idle connection is out of turn: what follows could be taken for another request's answer.
 func (h idleHandler) Data(time.Duration, []byte) {
-	h.i.c.Close()
+	h.idle.conn.Close()
 	h.Closed(io.ErrUnexpectedEOF)
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrBudget tells that no descriptor is free for a dial.
-var ErrBudget = errors.New("transport: no descriptor is free")
+// ErrNoDescriptor tells that no descriptor is free for a dial.
+var ErrNoDescriptor = errors.New("transport: no descriptor is free")
 
 // ErrOverrun tells that a peer does not read what it is sent.
 var ErrOverrun = errors.New("transport: the peer leaves too much unread")
@@ -25,11 +25,11 @@
 var ErrFlood = errors.New("transport: the peer sends too much at once")
 
 const (
-	maxUnsent    = 1 << 20          // bytes queued for one peer before it counts as stuck
-	brakeAt      = 128 << 10        // bytes of one peer on their way to the loop from which on it has to wait
-	maxUnheard   = 512 << 10        // and the most, where it can't be made to wait
-	kernelBuffer = 64 << 10         // of each connection, for what has not been read: values are no larger
-	writeTimeout = 10 * time.Second // a peer that takes no more for this long is stuck; slow ones pause for seconds
+	maxUnsent        = 1 << 20          // bytes queued for one peer before it counts as stuck
+	pauseThreshold   = 128 << 10        // bytes of one peer on their way to the loop from which on it has to wait
+	maxUndelivered   = 512 << 10        // and the most, where it can't be made to wait
+	kernelBufferSize = 64 << 10         // of each connection, for what has not been read: values are no larger
+	writeTimeout     = 10 * time.Second // a peer that takes no more for this long is stuck; slow ones pause for seconds
 )
 
 func init() {
@@ -55,56 +55,56 @@
 
 // Budget counts descriptors.
 type Budget struct {
-	most int64
-	used atomic.Int64
+	limit int64
+	used  atomic.Int64
 }
 
 // NewBudget allows most descriptors at once.
-func NewBudget(most int) *Budget { return &Budget{most: int64(most)} }
+func NewBudget(most int) *Budget { return &Budget{limit: int64(most)} }
 
-// Most is how many there may be.
-func (b *Budget) Most() int { return int(b.most) }
+// Limit is how many there may be.
+func (b *Budget) Limit() int { return int(b.limit) }
 
 // Used is how many are taken.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
 // Full tells that a dial would find no descriptor.
-func (b *Budget) Full() bool { return b.used.Load() >= b.most }
+func (b *Budget) Full() bool { return b.used.Load() >= b.limit }
 
 func (b *Budget) take() bool {
-	if b.used.Add(1) > b.most {
+	if b.used.Add(1) > b.limit {
 		b.used.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (b *Budget) free() { b.used.Add(-1) }
+func (b *Budget) release() { b.used.Add(-1) }
 
 // Conn is one connection.
 type Conn struct {
-	loop    Loop
-	socket  socket
-	handler Handler
-	closed  bool // by its owner or reported to it
-	unsent  []byte
-	writing bool
-	closing bool         // close once all is written
-	written func()       // is told once all bytes given to Write are with the network; nil: nobody waits
-	hungUp  bool         // the peer has closed while a write was under way
-	deaf    atomic.Bool  // what still comes is thrown away
-	unheard atomic.Int64 // bytes that have been read and not yet seen on the loop
+	loop         Loop
+	socket       socket
+	handler      Handler
+	closed       bool // by its owner or reported to it
+	unsent       []byte
+	writing      bool
+	closing      bool         // close once all is written
+	onWritten    func()       // is told once all bytes given to Write are with the network; nil: nobody waits
+	peerClosed   bool         // the peer has closed while a write was under way
+	discardInput atomic.Bool  // what still comes is thrown away
+	undelivered  atomic.Int64 // bytes that have been read and not yet seen on the loop
 }
 
 // socket is where a connection's bytes go: on netpoll, or, once its peer has had to wait, on Go's own poller.
 type socket interface {
-	use(f func(fd int)) bool // runs f on the descriptor, if that is still ours
-	write(b []byte) error    // waits for the peer, but not for long
-	close()                  // ends the connection
-	finish()                 // ends it so that the peer gets all that was written
-	reset()                  // ends it and lets the peer know that what it may just be sending is not read
-	pause(on bool)           // stops reading for a while
-	ahead() int              // bytes that are read and not counted in unheard yet
+	withDescriptor(f func(fd int)) bool // runs f on the descriptor, if that is still ours
+	write(b []byte) error               // waits for the peer, but not for long
+	close()                             // ends the connection
+	finish()                            // ends it so that the peer gets all that was written
+	reset()                             // ends it and lets the peer know that what it may just be sending is not read
+	setPaused(on bool)                  // stops reading for a while
+	unreadBytes() int                   // bytes that are read and not counted in unheard yet
 }
 
 // SetHandler hands the connection to a new owner.
@@ -119,7 +119,7 @@
 	if c.Written() && !c.closed {
 		f()
 	} else {
-		c.written = f
+		c.onWritten = f
 	}
 }
 
@@ -127,13 +127,13 @@
 // same. It does nothing while a write is under way.
 func (c *Conn) Pause(on bool) {
 	if !c.closed {
-		c.socket.pause(on)
+		c.socket.setPaused(on)
 	}
 }
 
-// Narrow bounds what the kernel keeps for a peer that does not read: it would take megabytes for each.
-func (c *Conn) Narrow() {
-	c.socket.use(func(fd int) { _ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, kernelBuffer) })
+// LimitSendBuffer bounds what the kernel keeps for a peer that does not read: it would take megabytes for each.
+func (c *Conn) LimitSendBuffer() {
+	c.socket.withDescriptor(func(fd int) { _ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, kernelBufferSize) })
 }
 
 // Write queues bytes and never blocks.
@@ -149,7 +149,7 @@
 	}
 	c.unsent = append(c.unsent, b...)
 	if len(c.unsent) > maxUnsent {
-		c.end(ErrOverrun)
+		c.fail(ErrOverrun)
 	} else if !c.writing {
 		c.flush()
 	}
@@ -158,7 +158,7 @@
 // send gives the kernel what it takes at once, which is nearly always all: a goroutine a write, and its way through
 // netpoll's buffers, cost a tenth of the processor. An error is left for flush to find.
 func (c *Conn) send(b []byte) (n int) {
-	c.socket.use(func(fd int) { n, _ = syscall.Write(fd, b) })
+	c.socket.withDescriptor(func(fd int) { n, _ = syscall.Write(fd, b) })
 	return max(n, 0)
 }
 
@@ -176,28 +176,28 @@
 	switch {
 	case c.closed:
 	case err != nil:
-		c.end(err) // writing stays set: the last byte did not go out
-	case len(c.unsent) > 0 && !c.hungUp:
+		c.fail(err) // writing stays set: the last byte did not go out
+	case len(c.unsent) > 0 && !c.peerClosed:
 		c.flush()
 	default:
 		c.writing = false
-		if f := c.written; f != nil && len(c.unsent) == 0 {
-			c.written = nil
+		if f := c.onWritten; f != nil && len(c.unsent) == 0 {
+			c.onWritten = nil
 			f()
 		}
 		if c.closing {
-			c.depart()
-		} else if c.hungUp {
-			c.end(io.EOF)
+			c.finishSocket()
+		} else if c.peerClosed {
+			c.fail(io.EOF)
 		}
 	}
 }
 
-// hangup takes in the peer's close. It can overtake the news of a write that has gone out whole; whether it has decides
+// handlePeerClose takes in the peer's close. It can overtake the news of a write that has gone out whole; whether it has decides
 // if the request may have run, so that news is waited for.
-func (c *Conn) hangup() {
-	if c.hungUp = true; !c.writing {
-		c.end(io.EOF)
+func (c *Conn) handlePeerClose() {
+	if c.peerClosed = true; !c.writing {
+		c.fail(io.EOF)
 	}
 }
 
@@ -215,13 +215,13 @@
 // the last answer. Closed outright with bytes unread, or when some come right after, the connection would be reset, and the
 // reset may overtake that answer.
 func (c *Conn) Finish() {
-	c.deaf.Store(true)
+	c.discardInput.Store(true)
 	if c.closing = true; c.Written() {
-		c.depart()
+		c.finishSocket()
 	}
 }
 
-func (c *Conn) depart() {
+func (c *Conn) finishSocket() {
 	if !c.closed {
 		c.closed, c.handler = true, nil
 		c.socket.finish()
@@ -233,7 +233,7 @@
 // finished instead.
 func (c *Conn) Reset() {
 	owed := !c.Written()
-	c.socket.use(func(fd int) { owed = owed || unsent(fd) })
+	c.socket.withDescriptor(func(fd int) { owed = owed || hasUnsent(fd) })
 	switch {
 	case owed:
 		c.Finish()
@@ -243,17 +243,17 @@
 	}
 }
 
-// end closes the connection and tells its owner.
-func (c *Conn) end(err error) {
+// fail closes the connection and tells its owner.
+func (c *Conn) fail(err error) {
 	if h := c.handler; !c.closed {
 		c.Close()
 		h.Closed(err)
 	}
 }
 
-// heard hands bytes that have been read to the owner.
-func (c *Conn) heard(at time.Duration, b []byte) {
-	c.unheard.Add(-int64(len(b)))
+// deliver hands bytes that have been read to the owner.
+func (c *Conn) deliver(at time.Duration, b []byte) {
+	c.undelivered.Add(-int64(len(b)))
 	if !c.closed && !c.closing && len(b) > 0 {
 		c.handler.Data(at, b)
 	}
@@ -262,57 +262,59 @@
 // Quiet tells whether the peer has neither said nor closed anything that the owner has not been told of. It looks at
 // the kernel's buffer first, as the goroutines that read it may lag behind.
 func (c *Conn) Quiet() bool {
-	if c.closed || c.hungUp {
+	if c.closed || c.peerClosed {
 		return false
 	}
 	quiet := false
-	c.socket.use(func(fd int) { quiet = silent(fd) })
-	return quiet && c.socket.ahead() == 0 && c.unheard.Load() == 0
+	c.socket.withDescriptor(func(fd int) { quiet = noInput(fd) })
+	return quiet && c.socket.unreadBytes() == 0 && c.undelivered.Load() == 0
 }
 
-// PeerGone tells whether the peer has closed its connection, or its half of it. It asks the kernel: the close may lie there behind
+// PeerDisconnected tells whether the peer has closed its connection, or its half of it. It asks the kernel: the close may lie there behind
 // bytes that nobody has read, and once read its news may be behind other events of the loop, or behind a write.
-func (c *Conn) PeerGone() bool {
-	gone := c.closed || c.hungUp
-	return gone || !c.socket.use(func(fd int) { gone = hungUp(fd) }) || gone
+func (c *Conn) PeerDisconnected() bool {
+	gone := c.closed || c.peerClosed
+	return gone || !c.socket.withDescriptor(func(fd int) { gone = peerHungUp(fd) }) || gone
 }
 
-// Seen tells that all that has been read off the connection has come to its owner. The kernel may hold more.
-func (c *Conn) Seen() bool { return c.closed || c.socket.ahead() == 0 && c.unheard.Load() == 0 }
+// AllDelivered tells that all that has been read off the connection has come to its owner. The kernel may hold more.
+func (c *Conn) AllDelivered() bool {
+	return c.closed || c.socket.unreadBytes() == 0 && c.undelivered.Load() == 0
+}
 
-// silent tells whether the kernel holds neither bytes of the peer nor its close.
-func silent(fd int) bool {
+// noInput tells whether the kernel holds neither bytes of the peer nor its close.
+func noInput(fd int) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// unsent tells whether the kernel holds bytes that the peer has not taken.
-func unsent(fd int) bool {
+// hasUnsent tells whether the kernel holds bytes that the peer has not taken.
+func hasUnsent(fd int) bool {
 	n, err := unix.IoctlGetInt(fd, unix.TIOCOUTQ)
 	return err == nil && n > 0
 }
 
-// resetUnlessOwed has a socket's close reset the connection, so that a peer that is kept waiting for room learns of the end,
+// resetUnlessUnsent has a socket's close reset the connection, so that a peer that is kept waiting for room learns of the end,
 // but not where the reset would take bytes with it that the peer has yet to read.
-func resetUnlessOwed(fd int) {
-	if !unsent(fd) {
+func resetUnlessUnsent(fd int) {
+	if !hasUnsent(fd) {
 		_ = syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 	}
 }
 
-// hungUp tells whether the kernel has the peer's close or reset, whatever lies unread before it. Where it can't be asked, the close
+// peerHungUp tells whether the kernel has the peer's close or reset, whatever lies unread before it. Where it can't be asked, the close
 // is met when it is read.
-func hungUp(fd int) bool { return polls(fd, unix.POLLRDHUP) }
+func peerHungUp(fd int) bool { return pollReady(fd, unix.POLLRDHUP) }
 
-// polls asks the kernel whether one of some events has come to a descriptor.
-func polls(fd int, events int16) bool {
+// pollReady asks the kernel whether one of some events has come to a descriptor.
+func pollReady(fd int, events int16) bool {
 	p := [...]unix.PollFd{{Fd: int32(fd), Events: events}}
 	n, err := unix.Poll(p[:], 0)
 	return err == nil && n > 0
 }
 
-// limitKernel bounds what the kernel keeps for a peer that is not read.
-func limitKernel(fd int) {
-	_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, kernelBuffer)
+// limitReceiveBuffer bounds what the kernel keeps for a peer that is not read.
+func limitReceiveBuffer(fd int) {
+	_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, kernelBufferSize)
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -31,7 +31,7 @@
 // fixture is a loop with a listener on loopback.
 type fixture struct {
 	t        *testing.T
-	loop     *dispatch.Loop
+	loop     *dispatch.EventLoop
 	budget   *transport.Budget
 	ln       *transport.Listener
 	accepted chan *transport.Conn
@@ -39,7 +39,7 @@
 }
 
 func newFixture(t *testing.T, descriptors int) *fixture {
-	f := &fixture{t: t, loop: dispatch.NewLoop(), budget: transport.NewBudget(descriptors),
+	f := &fixture{t: t, loop: dispatch.NewEventLoop(), budget: transport.NewBudget(descriptors),
 		accepted: make(chan *transport.Conn, 8), server: newSide()}
 	ln, err := transport.Listen(f.loop, f.budget, "127.0.0.1:0", func(c *transport.Conn) {
 		c.SetHandler(f.server)
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	s := receive(t, f.accepted)
-	if _, err := f.dial(newSide()); !errors.Is(err, transport.ErrBudget) {
+	if _, err := f.dial(newSide()); !errors.Is(err, transport.ErrNoDescriptor) {
 		t.Errorf("a dial beyond the budget ends with %v", err)
 	}
 	const size = 300000 // more than the kernel takes at once: the peer must read on
@@ -189,7 +189,7 @@
 	}
 	f.on(func() {
 		pool.Put("b", newer, nil)
-		if !pool.Shed() {
+		if !pool.CloseOldest() {
 			t.Error("nothing is shed")
 		}
 	})
@@ -197,7 +197,7 @@
 		t.Error("not the oldest was shed")
 	}
 	f.on(func() { pool.Sweep(f.loop.Now() + time.Hour) })
-	if pool.Shed() {
+	if pool.CloseOldest() {
 		t.Error("something is left to shed")
 	}
 	f.free(0)
@@ -304,7 +304,7 @@
 // An owner that closes a connection as soon as it comes must not meet netpoll while that still registers it: the program
 // ended then.
 func TestCloseOnAccept(t *testing.T) {
-	loop := dispatch.NewLoop()
+	loop := dispatch.NewEventLoop()
 	closed := make(chan bool, 64)
 	ln, err := transport.Listen(loop, transport.NewBudget(64), "127.0.0.1:0", func(c *transport.Conn) {
 		c.Close()
@@ -493,7 +493,7 @@
 					f.on(func() { s.Pause(true); s.Pause(false); s.Write(make([]byte, 1<<20)) })
 				}
 				f.on(func() {
-					if s.PeerGone() {
+					if s.PeerDisconnected() {
 						t.Error("it has gone before its close")
 					}
 				})
@@ -505,10 +505,10 @@
 						if err := standin.Leave(c, reset); err != nil {
 							t.Error(err)
 						}
-						return s.PeerGone()
+						return s.PeerDisconnected()
 					}
 					_ = c.(*net.TCPConn).CloseWrite()
-					for until := time.Now().Add(late); !s.PeerGone(); {
+					for until := time.Now().Add(late); !s.PeerDisconnected(); {
 						if time.Now().After(until) {
 							return false
 						}
