--- /dev/null
+++ b/internal/fleet/audit/stored_test.go
@@ -0,0 +1,56 @@
+package audit
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"threadsail/internal/goldentest"
+)
+
+// everyAct is a journal with one record of each act, and one that sets every field.
+func everyAct() []Record {
+	records := []Record{{At: 1, Instance: "n1/2-3", Build: "v1.4.0", Config: "cc5c15486db1aca1", Revision: 4, Token: 5, Seq: 6, Act: Started,
+		Group: 7, Server: "db1", Purge: "site1/2026-12-02", Due: 8}}
+	for i, act := range []Act{Ended, PrimaryTaken, PrimaryLeft, ListTaken, ConfigTaken, LeaseHeld, LeaseLost, HandedOn, ShutOut, BroughtUp, Refused,
+		VerdictBegun, VerdictEnded, Purged, Unkept, Kept, Dropped, LimitsDealt} {
+		records = append(records, Record{At: int64(10 + i), Instance: "n1/2-3", Act: act})
+	}
+	return records
+}
+
+// A journal that an earlier build has written is read whole, and written with the same bytes.
+func TestStoredJournal(t *testing.T) {
+	var written []byte
+	for _, r := range everyAct() {
+		var err error
+		if written, err = Append(written, r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	goldentest.Check(t, "every.acts", written)
+	text, err := os.ReadFile("testdata/every.acts")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, problems := Parse("every.acts", text)
+	if d := cmp.Diff(everyAct(), got); d != "" || len(problems) > 0 {
+		t.Error(d, problems)
+	}
+}
+
+// The audit's report keeps its keys: operators' scripts read it.
+func TestStoredReport(t *testing.T) {
+	goldentest.CheckJSON[Report](t, "report.json")
+	var out bytes.Buffer
+	enc := json.NewEncoder(&out)
+	enc.SetIndent("", "  ")
+	if err := enc.Encode(Merge(everyAct(), Limits{Grace: time.Second})); err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Check(t, "merged.json", out.Bytes())
+}
