--- a/internal/capacity/constants.go
+++ b/internal/capacity/constants.go
@@ -29,7 +29,7 @@
 	"replication.MaxTotalSize":            4 << 20,
 	"replication.MaxDocumentSize":         64 << 10,
 	"replication.fetchSpreadPerMember":    0.005,
-	"shared.gives":                        4,
+	"replication.maxTransfers":            4,
 	"replication.maxDeltaSize":            4 << 10,
 	"replication.minAnnouncementInterval": 0.05,
 	"consensus.idleTimeout":               60,
--- /dev/null
+++ b/internal/pooler/admin/stored_test.go
@@ -0,0 +1,32 @@
+package admin
+
+import (
+	"testing"
+	"time"
+
+	"threadsail/internal/dispatch"
+	"threadsail/internal/fleet/traffic"
+	"threadsail/internal/goldentest"
+)
+
+// everyFigure sets every figure that a pooler can report, each to a number of its own.
+func everyFigure() Metrics {
+	return Metrics{Serving: true, Reloads: 1, ReloadErrors: 2, PendingRequests: 3, Servers: 4, UnavailableServers: 5,
+		Classes: []dispatch.ClassCounters{{Class: "read", Served: 6, Rejected: 7, Failed: 8, Attempts: 9}, {Class: `a "quoted" class`, Served: 10}},
+		Lists:   []ListStatus{{Front: "postgres", Generation: 11, Taken: 12, Held: 13, Rejected: 14, Holding: true}, {Front: "mysql", Generation: 15}},
+		Fleet: &FleetStatus{DocumentsVersion: 16, DocumentsAge: 17 * time.Millisecond, ReplicaWriteFailing: true, JournalWriteFailing: true, VoterWriteFailing: true, JournalRecordsDropped: 18,
+			Traffic: []traffic.Count{{Kind: "shared", BytesIn: 19, BytesOut: 20, MessagesIn: 21, MessagesOut: 22}},
+			Poolers: 23, Way: "gossip", Streams: 24, PoolersBehind: 25, OldestVersion: 26}}
+}
+
+// The operators' figures keep their names, labels and order.
+func TestStoredFigures(t *testing.T) {
+	goldentest.Check(t, "figures.txt", formatMetrics(everyFigure()))
+	f := everyFigure()
+	f.Fleet.DocumentsAge, f.Fleet.ReplicaWriteFailing, f.Fleet.JournalWriteFailing, f.Fleet.VoterWriteFailing = -1, false, false, false
+	for _, way := range []string{"stream", "distributor", "none"} {
+		f.Fleet.Way = way
+		goldentest.Check(t, "figures-"+way+".txt", formatMetrics(f))
+	}
+	goldentest.Check(t, "figures-alone.txt", formatMetrics(Metrics{}))
+}
