--- /dev/null
+++ b/rules/decisions_scripts_test.go
@@ -0,0 +1,259 @@
+package rules_test
+
+import (
+	"time"
+
+	"threadsail/rules"
+)
+
+// The classes of the scripts.
+const (
+	classAny = iota
+	classBounded
+	classSession
+	classFresh
+	classUnsafeWrite
+	classKeyedAll
+	classKeyedZone
+	classKeyedGroup
+	classReport // a long read of any age
+	classBoundedStrict
+	classWithoutAim
+	classAdded // by Retune, under way
+)
+
+// script is one long seeded run of the simulation.
+type script struct {
+	name         string
+	seed         uint64
+	change       func(*rules.Settings)
+	duration     time.Duration
+	requestEvery time.Duration // mean time between two requests
+	disturbEvery time.Duration
+	groups       int
+
+	positions            bool // reports carry positions
+	answersTellPositions bool
+	roles                bool // answers carry the server's role
+	roleNow              bool // as rules.Report.RoleNow
+	busy                 bool
+	reportShare          float64 // of the answers carry a report
+	weighted             bool
+	firstList            rules.ListKind
+	leastPatience        time.Duration     // of a client's later try
+	mostPatience         time.Duration     // and no more than its class's deadline
+	opening              func(*simulation) // a second after the beginning; nil: nothing
+}
+
+func addedClass() rules.Class {
+	return rules.Class{Name: "any", Need: rules.NeedAny, Effect: rules.Safe, Aim: 200 * millisecond,
+		Deadline: 2 * time.Second, Worth: 3}
+}
+
+func scriptClasses() []rules.Class {
+	class := func(name string, need rules.Need, effect rules.Effect, worth float64) rules.Class {
+		return rules.Class{Name: name, Need: need, Effect: effect, Aim: 400 * millisecond, Deadline: 2 * time.Second,
+			Worth: worth, LateWorth: 0.5}
+	}
+	keyed := func(name string, scope rules.Scope) rules.Class {
+		c := class(name, rules.NeedWrite, rules.Keyed, 2)
+		c.Scope, c.Window, c.Deadline = scope, 900*millisecond, 5*time.Second
+		return c
+	}
+	classes := []rules.Class{
+		classAny:           class("any", rules.NeedAny, rules.Safe, 1),
+		classBounded:       class("bounded", rules.NeedBounded, rules.Safe, 1),
+		classSession:       class("session", rules.NeedSession, rules.Safe, 1.5),
+		classFresh:         class("fresh", rules.NeedFresh, rules.Safe, 2),
+		classUnsafeWrite:   class("write", rules.NeedWrite, rules.Unsafe, 3),
+		classKeyedAll:      keyed("keyed", rules.ScopeAll),
+		classKeyedZone:     keyed("keyed-zone", rules.ScopeZone),
+		classKeyedGroup:    keyed("keyed-group", rules.ScopeGroup),
+		classReport:        class("report", rules.NeedAny, rules.Safe, 0.5),
+		classBoundedStrict: class("strict", rules.NeedBounded, rules.Safe, 1),
+		classWithoutAim:    class("patient", rules.NeedAny, rules.Unsafe, 0.2),
+	}
+	classes[classBounded].Bound = time.Second
+	classes[classBoundedStrict].Bound, classes[classBoundedStrict].LateWorth = 300*millisecond, 0
+	classes[classReport].LateWorth, classes[classReport].Aim = 0, 1200*millisecond
+	classes[classUnsafeWrite].Deadline = 5 * time.Second
+	classes[classWithoutAim].Aim, classes[classWithoutAim].Deadline = 0, 3*time.Second
+	return classes
+}
+
+func (c *script) settings() rules.Settings {
+	settings := rules.Settings{Balancers: 1, Zone: 1, Classes: scriptClasses(), Behind: rules.BehindRefuses,
+		BehindWait: 100 * millisecond, RoleReported: true, MayProbe: true, MayCancel: true, SecondCopies: true,
+		RetryAfter: true, MaxAttempts: 4, MaxRetryAfter: 2 * time.Second, Asks: true, MustAsk: 10 * time.Second,
+		Tick: 2 * millisecond, DrainGrace: time.Second, ColdFrom: 0.2, ColdFor: 10 * time.Second, ColdMultiple: 2,
+		ColdSpan: time.Second}
+	if c.change != nil {
+		c.change(&settings)
+	}
+	return settings
+}
+
+func fleetOf(poolers, me int) func(*rules.Settings) {
+	return func(s *rules.Settings) { s.Balancers, s.Me = poolers, me }
+}
+
+// scripts are all runs. Each has its own mix of what servers tell and what the settings allow.
+func scripts() []*script {
+	base := script{duration: 150 * time.Second, requestEvery: 9 * millisecond, disturbEvery: 1500 * millisecond, groups: 3,
+		positions: true, answersTellPositions: true, roles: true, busy: true, reportShare: 0.3, firstList: rules.ListFull,
+		leastPatience: 10 * millisecond, mostPatience: time.Minute}
+	variant := func(name string, seed uint64, change func(*script)) *script {
+		made := base
+		made.name, made.seed = name, seed
+		change(&made)
+		return &made
+	}
+	return []*script{
+		variant("one", 1, func(*script) {}),
+		variant("one-cached-untold", 2, func(c *script) {
+			c.firstList, c.answersTellPositions, c.roleNow = rules.ListCached, false, true
+			c.change = func(s *rules.Settings) { s.Remembered, s.SecondCopies, s.Behind = true, false, rules.BehindWaits }
+		}),
+		variant("one-answers-behind", 3, func(c *script) {
+			c.weighted, c.roles = true, false
+			c.change = func(s *rules.Settings) { s.Behind, s.MayCancel, s.RetryAfter = rules.BehindAnswers, false, false }
+		}),
+		variant("one-without-probes", 4, func(c *script) {
+			c.positions, c.reportShare = false, 0
+			c.change = func(s *rules.Settings) { s.MayProbe, s.SecondCopies, s.Asks = false, false, false }
+		}),
+		variant("one-without-positions", 5, func(c *script) {
+			c.positions, c.busy = false, false
+			c.change = func(s *rules.Settings) { s.RoleReported, s.DrainOnly, s.MaxAttempts = false, true, 0 }
+		}),
+		variant("one-quiet", 6, func(c *script) {
+			c.disturbEvery, c.requestEvery = 6*time.Second, 3*millisecond
+			c.change = func(s *rules.Settings) { s.DrainGrace = 70 * time.Second } // longer than a server that has gone is kept
+			c.opening = (*simulation).replace
+		}),
+		variant("one-hurried", 14, func(c *script) {
+			c.leastPatience, c.mostPatience = millisecond, 20*millisecond
+			c.change = func(s *rules.Settings) { s.ColdFrom = 0 }
+		}),
+		variant("five", 7, func(c *script) { c.change, c.weighted = fleetOf(5, 2), true }),
+		variant("five-bounded-probes", 8, func(c *script) {
+			c.answersTellPositions, c.disturbEvery = false, 3*time.Second
+			c.change = func(s *rules.Settings) {
+				fleetOf(5, 4)(s)
+				s.Behind, s.RetryAfter, s.Classes[classBounded].Bound = rules.BehindWaits, false, 10*time.Second
+			}
+		}),
+		variant("five-busy", 9, func(c *script) {
+			c.requestEvery, c.change, c.duration = 2*millisecond, fleetOf(5, 0), 60*time.Second
+		}),
+		variant("eighty", 10, func(c *script) { c.requestEvery, c.change = 25*millisecond, fleetOf(80, 7) }),
+		variant("eighty-cached-untold", 11, func(c *script) {
+			c.requestEvery, c.firstList, c.answersTellPositions, c.weighted = 30*millisecond, rules.ListCached, false, true
+			c.opening = func(s *simulation) { // while the first call of the list service is due
+				s.resizeFleet(20, 3)
+				s.schedule(100*millisecond, func() { s.resizeFleet(80, 61) })
+			}
+			c.change = func(s *rules.Settings) {
+				fleetOf(80, 61)(s)
+				s.MustAsk, s.Remembered, s.Behind = 0, true, rules.BehindAnswers
+			}
+		}),
+		variant("eighty-jammed", 12, func(c *script) {
+			c.requestEvery, c.groups, c.disturbEvery = 8*millisecond, 1, 2500*millisecond
+			c.change = func(s *rules.Settings) {
+				fleetOf(80, 33)(s)
+				s.SecondCopies, s.Behind = false, rules.BehindWaits
+			}
+		}),
+		variant("thousand", 13, func(c *script) { c.requestEvery, c.change = 60*millisecond, fleetOf(1000, 512) }),
+	}
+}
+
+// run plays a script and returns a checkpoint at each quarter of it.
+func (c *script) run(recorder *recorder) ([]checkpoint, error) {
+	s, err := newSimulation(c, recorder)
+	if err != nil {
+		return nil, err
+	}
+	s.start()
+	const quarters = 4
+	var checkpoints []checkpoint
+	for quarter := time.Duration(1); quarter <= quarters; quarter++ {
+		s.runUntil(startClock + c.duration*quarter/quarters)
+		checkpoints = append(checkpoints, recorder.checkpoint())
+	}
+	return checkpoints, nil
+}
+
+// start lists the servers and begins the traffic and the disturbances.
+func (s *simulation) start() {
+	for group := 1; group <= s.script.groups; group++ {
+		for i := range 3 + group%2 {
+			weight := 0
+			if s.script.weighted && group%2 == 1 {
+				weight = []int{1, rules.NoReads, 3, 2}[i]
+			}
+			s.addServer(rules.Member{Zone: 1 + i%2, Group: group, State: rules.Ready, Primary: i == 0, Weight: weight})
+		}
+	}
+	s.router.List(s.clock, s.script.firstList, s.listed())
+	s.schedule(0, s.arrivals)
+	s.schedule(2*time.Second, s.disturb)
+	s.schedule(time.Second, s.askAvoids)
+	if s.script.opening != nil {
+		s.schedule(time.Second, func() { s.script.opening(s) })
+	}
+}
+
+func (s *simulation) addServer(member rules.Member) {
+	s.lastServer += 7
+	member.Store = s.lastServer
+	s.servers = append(s.servers, newModelServer(member))
+}
+
+// arrivals submits one request and schedules the next.
+func (s *simulation) arrivals() {
+	class := s.drawClass()
+	patience := 2 * time.Second
+	if class < len(s.settings.Classes) {
+		patience = s.settings.Classes[class].Deadline
+	}
+	if s.chance(0.15) { // a client's later try has less time left
+		patience = s.between(s.script.leastPatience, min(patience, s.script.mostPatience))
+	}
+	in := rules.Request{Group: s.anyGroup(), Patience: patience}
+	if s.chance(0.5) {
+		in.Session = 1 + s.random.Uint64N(20)
+		in.WroteAgo = s.between(0, 400*millisecond)
+	}
+	request := s.submit(class, in)
+	if s.chance(0.02) {
+		s.schedule(s.between(0, 100*millisecond), func() { s.disconnect(request) })
+	}
+	gap := 2 * s.random.Float64() * float64(s.script.requestEvery) / s.rate
+	s.schedule(min(time.Duration(gap), 5*time.Second), s.arrivals)
+}
+
+// drawClass is a class by its share of the traffic; rarely one that does not exist.
+func (s *simulation) drawClass() int {
+	shares := []int{classAny: 25, classBounded: 20, classSession: 10, classFresh: 8, classUnsafeWrite: 8, classKeyedAll: 4,
+		classKeyedZone: 4, classKeyedGroup: 4, classReport: 6, classBoundedStrict: 5, classWithoutAim: 4, classAdded: 3}
+	if s.chance(0.001) {
+		return 99
+	}
+	drawn := s.random.IntN(101)
+	for class, share := range shares {
+		if drawn -= share; drawn < 0 {
+			return min(class, len(s.settings.Classes)-1)
+		}
+	}
+	return classAny
+}
+
+// askAvoids records which servers are passed over, four times a second.
+func (s *simulation) askAvoids() {
+	for _, server := range s.servers {
+		s.record(recordAvoids, int64(server.member.Store), integer(s.router.Avoids(server.member.Store)))
+	}
+	s.schedule(250*millisecond, s.askAvoids)
+}
--- /dev/null
+++ b/rules/decisions_test.go
@@ -0,0 +1,201 @@
+package rules_test
+
+import (
+	"bufio"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"threadsail/rules"
+)
+
+const digestFile = "testdata/decisions.sha256"
+
+var (
+	recordDigests = flag.Bool("record-decisions", false, "overwrite the recorded digests of all decisions; a changed digest is a changed decision")
+	traceDir      = flag.String("trace-decisions", "", "write every record as a line of integers into `directory`")
+)
+
+// TestDecisions plays long seeded scripts against simulated servers and compares all that the router asks for, as numbers
+// and times, with what it asked for when the digests were recorded: a change of shape must leave every decision as it was.
+// To find the first difference, run it with -trace-decisions on both versions and compare the files.
+func TestDecisions(t *testing.T) {
+	recorded := readDigests(t)
+	for _, script := range scripts() {
+		compareRun(t, script.name, recorded, script.run)
+	}
+	compareRun(t, "sessions", recorded, runSessions)
+	compareRun(t, "validate", recorded, runValidate)
+}
+
+// compareRun plays one script as a subtest. All run at once, but for a recording, which has them in their order.
+func compareRun(t *testing.T, name string, recorded map[string]checkpoint, run func(*recorder) ([]checkpoint, error)) {
+	t.Run(name, func(t *testing.T) {
+		if !*recordDigests {
+			t.Parallel()
+		}
+		checkpoints := play(t, name, run)
+		if *recordDigests {
+			writeDigests(t, name, checkpoints)
+			return
+		}
+		compare(t, name, recorded, checkpoints)
+	})
+}
+
+// play runs a script, with a trace if the flags ask for one.
+func play(t *testing.T, name string, run func(*recorder) ([]checkpoint, error)) []checkpoint {
+	recorder := newRecorder(nil)
+	if *traceDir != "" {
+		file, err := os.Create(filepath.Join(*traceDir, name+".trace"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer file.Close()
+		buffered := bufio.NewWriter(file)
+		defer buffered.Flush()
+		recorder.trace = buffered
+	}
+	checkpoints, err := run(recorder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("records by kind: %v", recorder.kinds)
+	return checkpoints
+}
+
+// compare fails at the first checkpoint that is not as recorded: the difference is between it and the one before.
+func compare(t *testing.T, name string, recorded map[string]checkpoint, checkpoints []checkpoint) {
+	for i, got := range checkpoints {
+		if want := recorded[checkpointName(name, i)]; got != want {
+			t.Fatalf("checkpoint %d of %d: %d records with digest %.12s, recorded were %d with %.12s",
+				i+1, len(checkpoints), got.records, got.digest, want.records, want.digest)
+		}
+	}
+}
+
+func checkpointName(script string, number int) string { return fmt.Sprintf("%s/%d", script, number+1) }
+
+// readDigests reads lines of a checkpoint's name, its number of records and its digest.
+func readDigests(t *testing.T) map[string]checkpoint {
+	if *recordDigests {
+		if err := os.WriteFile(digestFile, nil, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return nil
+	}
+	text, err := os.ReadFile(digestFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := map[string]checkpoint{}
+	for line := range strings.Lines(string(text)) {
+		var name string
+		var c checkpoint
+		if _, err := fmt.Sscanf(line, "%s %d %s", &name, &c.records, &c.digest); err != nil {
+			t.Fatalf("%s: %q: %v", digestFile, line, err)
+		}
+		recorded[name] = c
+	}
+	return recorded
+}
+
+func writeDigests(t *testing.T, script string, checkpoints []checkpoint) {
+	file, err := os.OpenFile(digestFile, os.O_APPEND|os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	var lines strings.Builder
+	for i, c := range checkpoints {
+		fmt.Fprintf(&lines, "%s %d %s\n", checkpointName(script, i), c.records, c.digest)
+	}
+	if _, err := file.WriteString(lines.String()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// runSessions has more sessions write than are remembered apart, and reads of early, late and unknown ones.
+func runSessions(recorder *recorder) ([]checkpoint, error) {
+	quiet := &script{name: "sessions", seed: 14, groups: 1, positions: true, answersTellPositions: true, roles: true,
+		change: func(s *rules.Settings) { s.Remembered, s.MaxAttempts = true, 2 }}
+	s, err := newSimulation(quiet, recorder)
+	if err != nil {
+		return nil, err
+	}
+	s.addServer(rules.Member{Group: 1, State: rules.Ready, Primary: true})
+	s.addServer(rules.Member{Group: 1, State: rules.Ready})
+	s.servers[0].slowdown, s.servers[1].slowdown = 0, 0
+	s.servers[1].lag = 4 * time.Second // longer than what is remembered lasts
+	s.router.List(s.clock, rules.ListFull, s.listed())
+	s.submit(classFresh, rules.Request{Group: 1, Patience: time.Second}) // has the primary looked for
+	s.runUntil(s.clock + time.Second)
+	const sessions = 3 << 16
+	var checkpoints []checkpoint
+	for session := uint64(1); session <= sessions; session++ {
+		s.answerAtOnce(s.submit(classUnsafeWrite, rules.Request{Group: 1, Session: session, Patience: time.Second}))
+		if session%32 == 0 {
+			s.runUntil(s.clock + 2*millisecond)
+		}
+		if session%512 == 0 {
+			for _, reader := range []uint64{session, session - 300, session / 2, session / 4, 1 << 40} {
+				s.submit(classSession, rules.Request{Group: 1, Session: reader, Patience: time.Second})
+			}
+		}
+		if session%(sessions/4) == 0 {
+			checkpoints = append(checkpoints, recorder.checkpoint())
+		}
+	}
+	return checkpoints, nil
+}
+
+// answerAtOnce ends a request's attempts as served, without the simulation's own course.
+func (s *simulation) answerAtOnce(request *modelRequest) {
+	for _, attempt := range request.attempts {
+		s.end(attempt, rules.OK)
+	}
+}
+
+// runValidate records which of many settings are refused.
+func runValidate(recorder *recorder) ([]checkpoint, error) {
+	for _, change := range settingsToValidate() {
+		settings := (&script{}).settings()
+		change(&settings)
+		recorder.add(0, recordValidate, integer(settings.Validate() == nil))
+		_, err := rules.New(settings, 1, nil)
+		recorder.add(0, recordValidate, integer(err == nil))
+	}
+	return []checkpoint{recorder.checkpoint()}, nil
+}
+
+// settingsToValidate sets each field that is checked to values on both sides of its bounds.
+func settingsToValidate() []func(*rules.Settings) {
+	var changes []func(*rules.Settings)
+	for _, number := range []int{-1, 0, 1} {
+		span := time.Duration(number)
+		changes = append(changes,
+			func(s *rules.Settings) { s.Balancers = number }, func(s *rules.Settings) { s.Me = number },
+			func(s *rules.Settings) { s.Zone = number }, func(s *rules.Settings) { s.MaxAttempts = number },
+			func(s *rules.Settings) { s.BehindWait = span }, func(s *rules.Settings) { s.MaxRetryAfter = span },
+			func(s *rules.Settings) { s.MustAsk = span }, func(s *rules.Settings) { s.Tick = span },
+			func(s *rules.Settings) { s.DrainGrace = span }, func(s *rules.Settings) { s.ColdFor = span },
+			func(s *rules.Settings) { s.ColdSpan = span }, func(s *rules.Settings) { s.Classes[0].Bound = span },
+			func(s *rules.Settings) { s.Classes[1].Window = span }, func(s *rules.Settings) { s.Classes[2].Aim = span },
+			func(s *rules.Settings) { s.Classes[3].Deadline = span })
+	}
+	for _, share := range []float64{-0.01, 0, 1, 1.01} {
+		changes = append(changes, func(s *rules.Settings) { s.ColdFrom = share },
+			func(s *rules.Settings) { s.ColdMultiple = share }, func(s *rules.Settings) { s.Classes[4].Worth = share })
+	}
+	for number := range uint8(6) {
+		changes = append(changes, func(s *rules.Settings) { s.Behind = rules.Behind(number) },
+			func(s *rules.Settings) { s.Classes[5].Need = rules.Need(number) },
+			func(s *rules.Settings) { s.Classes[5].Effect = rules.Effect(number) },
+			func(s *rules.Settings) { s.Classes[5].Scope = rules.Scope(number) })
+	}
+	return changes
+}
