--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -176,16 +176,16 @@
 func (f *front) Attempt(id, store uint32, timeout time.Duration) {
 	f.reply.Attempt(f.who, id, store, toMs(timeout))
 }
-func (f *front) Refuse(id uint32, after time.Duration) { f.reply.TurnAway(f.who, id, toMs(after)) }
+func (f *front) Reject(id uint32, after time.Duration) { f.reply.TurnAway(f.who, id, toMs(after)) }
 func (f *front) Fail(id uint32)                        { f.reply.GiveUp(f.who, id) }
-func (f *front) Cancel(id uint32, attempt int)         { f.reply.Abandon(f.who, id, uint8(attempt)) }
+func (f *front) CancelAttempt(id uint32, attempt int)         { f.reply.Abandon(f.who, id, uint8(attempt)) }
 func (f *front) Probe(store uint32)                    { f.reply.Sample(f.who, store) }
 func (f *front) SetTimer(after time.Duration)          { f.reply.WakeMe(f.who, toMs(after), 0) }
-func (f *front) CloseIdle(store uint32)                { f.reply.ShutIdle(f.who, store) }
-func (f *front) Watch()                                { f.reply.Observe(f.who, true) }
+func (f *front) CloseIdleConnections(store uint32)                { f.reply.ShutIdle(f.who, store) }
+func (f *front) WatchList()                                { f.reply.Observe(f.who, true) }
 func (f *front) Log(text string)                       { f.reply.Emit(f.who, text) }
 
-func (f *front) Primary(n policy.PrimaryEvent) {
+func (f *front) PrimaryChanged(n policy.PrimaryEvent) {
 	if text := n.LogText(); text != "" {
 		f.Log(text)
 	}
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -494,7 +494,7 @@
 	c.enqueue(func() { c.attempt(id, store, timeout, chosen) })
 }
 
-func (a *actions) Refuse(id uint32, after time.Duration) {
+func (a *actions) Reject(id uint32, after time.Duration) {
 	a.core().enqueue(func() {
 		a.core().endRequest(id, func(o *OpenRequest) {
 			o.counters.Rejected++
@@ -514,7 +514,7 @@
 	})
 }
 
-func (a *actions) Cancel(id uint32, attempt int) {
+func (a *actions) CancelAttempt(id uint32, attempt int) {
 	c := a.core()
 	c.enqueue(func() {
 		if o := c.openRequests[id]; o != nil && o.inFlight[attempt] != nil {
@@ -531,7 +531,7 @@
 	c.loop.After(after, func() { c.router.HandleTimer(c.loop.Now()) })
 }
 
-func (a *actions) CloseIdle(store uint32) {
+func (a *actions) CloseIdleConnections(store uint32) {
 	c := a.core()
 	c.enqueue(func() {
 		if addr := c.addresses[store]; addr != "" {
@@ -540,10 +540,10 @@
 	})
 }
 
-func (a *actions) Watch()          { a.core().enqueue(a.core().options.Watch) }
+func (a *actions) WatchList()          { a.core().enqueue(a.core().options.Watch) }
 func (a *actions) Log(text string) { a.core().options.Log(text) }
 
-func (a *actions) Primary(n policy.PrimaryEvent) {
+func (a *actions) PrimaryChanged(n policy.PrimaryEvent) {
 	if text := n.LogText(); text != "" {
 		a.Log(text)
 	}
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -220,22 +220,22 @@
 type Actions interface {
 	// Attempt sends a request to a store; timeout 0 is the client's patience.
 	Attempt(id, store uint32, timeout time.Duration)
-	// Refuse is the final answer that invites a retry, after the given wait if any.
-	Refuse(id uint32, after time.Duration)
+	// Reject is the final answer that invites a retry, after the given wait if any.
+	Reject(id uint32, after time.Duration)
 	// Fail is the final answer that promises nothing.
 	Fail(id uint32)
-	// Cancel stops waiting for one attempt.
-	Cancel(id uint32, attempt int)
+	// CancelAttempt stops waiting for one attempt.
+	CancelAttempt(id uint32, attempt int)
 	// Probe checks a store.
 	Probe(store uint32)
 	// SetTimer asks for a Timer call after the given time.
 	SetTimer(after time.Duration)
-	// CloseIdle closes the idle connections to a store.
-	CloseIdle(store uint32)
-	// Watch subscribes to changes of the list.
-	Watch()
-	// Primary tells news of a group's recorded primary; hosts log its Text.
-	Primary(n PrimaryEvent)
+	// CloseIdleConnections closes the idle connections to a store.
+	CloseIdleConnections(store uint32)
+	// WatchList subscribes to changes of the list.
+	WatchList()
+	// PrimaryChanged tells news of a group's recorded primary; hosts log its Text.
+	PrimaryChanged(n PrimaryEvent)
 	// Log adds a line to the front's log.
 	Log(text string)
 }
--- a/internal/policy/decisions_simulation_test.go
+++ b/internal/policy/decisions_simulation_test.go
@@ -117,7 +117,7 @@
 }
 
 // Refuse is a final answer.
-func (s *simulation) Refuse(id uint32, after time.Duration) {
+func (s *simulation) Reject(id uint32, after time.Duration) {
 	s.record(recordRefuse, int64(id), int64(after))
 	s.close(id)
 }
@@ -129,7 +129,7 @@
 }
 
 // Cancel ends an attempt.
-func (s *simulation) Cancel(id uint32, number int) {
+func (s *simulation) CancelAttempt(id uint32, number int) {
 	s.record(recordCancel, int64(id), int64(number))
 	if request := s.requests[id]; request != nil {
 		attempt := request.attempts[number]
@@ -158,10 +158,10 @@
 }
 
 // CloseIdle is only recorded.
-func (s *simulation) CloseIdle(store uint32) { s.record(recordCloseIdle, int64(store)) }
+func (s *simulation) CloseIdleConnections(store uint32) { s.record(recordCloseIdle, int64(store)) }
 
 // Watch answers with a full list, or fails.
-func (s *simulation) Watch() {
+func (s *simulation) WatchList() {
 	s.record(recordWatch)
 	failed := s.chance(0.3)
 	s.schedule(s.between(10*millisecond, 80*millisecond), func() {
@@ -174,7 +174,7 @@
 }
 
 // Primary records the numbers of a news, without its text.
-func (s *simulation) Primary(news policy.PrimaryEvent) {
+func (s *simulation) PrimaryChanged(news policy.PrimaryEvent) {
 	s.record(recordPrimary, int64(news.Kind), int64(news.Group), int64(news.Server), int64(news.AsOf), integer(news.Repeated))
 }
 
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -13,14 +13,14 @@
 func (printer) Attempt(id, store uint32, _ time.Duration) {
 	fmt.Printf("attempt %d at store %d\n", id, store)
 }
-func (printer) Refuse(id uint32, _ time.Duration) { fmt.Printf("refuse %d\n", id) }
+func (printer) Reject(id uint32, _ time.Duration) { fmt.Printf("refuse %d\n", id) }
 func (printer) Fail(id uint32)                    { fmt.Printf("fail %d\n", id) }
-func (printer) Cancel(id uint32, attempt int)     { fmt.Printf("cancel %d.%d\n", id, attempt) }
+func (printer) CancelAttempt(id uint32, attempt int)     { fmt.Printf("cancel %d.%d\n", id, attempt) }
 func (printer) Probe(store uint32)                { fmt.Printf("probe %d\n", store) }
 func (printer) SetTimer(time.Duration)            {}
-func (printer) CloseIdle(store uint32)            { fmt.Printf("close idle %d\n", store) }
-func (printer) Watch()                            { fmt.Println("watch") }
-func (p printer) Primary(n policy.PrimaryEvent)   { p.Log(n.LogText()) }
+func (printer) CloseIdleConnections(store uint32)            { fmt.Printf("close idle %d\n", store) }
+func (printer) WatchList()                            { fmt.Println("watch") }
+func (p printer) PrimaryChanged(n policy.PrimaryEvent)   { p.Log(n.LogText()) }
 func (printer) Log(text string)                   { fmt.Println("log:", text) }
 
 // A write, the loss of its group's primary, a held write, and the new primary.
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -100,7 +100,7 @@
 		}
 	}
 	if len(s.inFlight) == 0 && s.connectionsScarceAt > 0 && r.now < s.connectionsScarceAt+scarcityDuration {
-		r.actions.CloseIdle(s.ID) // leave the connection to fronts that have none
+		r.actions.CloseIdleConnections(s.ID) // leave the connection to fronts that have none
 	}
 }
 
@@ -226,7 +226,7 @@
 		case r.settings.HedgingAllowed && r.dispatch(q):
 			r.retryBudget--
 		case !r.settings.HedgingAllowed && r.settings.CancelAllowed:
-			r.actions.Cancel(q.id, attemptIndex(q, a))
+			r.actions.CancelAttempt(q.id, attemptIndex(q, a))
 		}
 	}
 }
--- a/internal/policy/list.go
+++ b/internal/policy/list.go
@@ -50,7 +50,7 @@
 		(p == nil || p.role == RoleUnknown) {
 		// Rounds by all at a start are a storm: the list's word, some seconds old, stands until an answer.
 		g.primary, s.primaryClaimAsOf = s, max(s.primaryClaimAsOf, r.now-typicalFailover)
-		r.actions.Primary(PrimaryEvent{Kind: PrimaryListed, Group: g.id, Server: s.ID, AsOf: s.primaryClaimAsOf})
+		r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryListed, Group: g.id, Server: s.ID, AsOf: s.primaryClaimAsOf})
 	}
 	g.updateWeightsDiffer()
 }
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -36,7 +36,7 @@
 		return
 	}
 	g.primary, g.primaryNotFound, g.primaryRemoved, g.leaderRoundsUntil = s, false, false, 0
-	r.actions.Primary(PrimaryEvent{Kind: PrimaryFound, Group: g.id, Server: s.ID, AsOf: asOf})
+	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryFound, Group: g.id, Server: s.ID, AsOf: asOf})
 	if !g.pingScheduled {
 		r.schedulePing(g, firstPingDelay)
 	}
@@ -60,7 +60,7 @@
 		return false
 	}
 	g.primary, g.primaryDownAt, g.expectedOutage = nil, r.now, typicalFailover
-	r.actions.Primary(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: why})
+	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: why})
 	r.startRound(g)
 	return true
 }
--- a/internal/policy/repeats.go
+++ b/internal/policy/repeats.go
@@ -69,7 +69,7 @@
 		} else if r.settings.RetryAfterSupported && r.failoverTooLate(q) { // when this try's time would have been over
 			away = min(r.settings.MaxRetryAfter, max(q.deadline-r.now, 0))
 		}
-		r.actions.Refuse(q.id, away)
+		r.actions.Reject(q.id, away)
 	} else {
 		r.actions.Fail(q.id)
 	}
@@ -83,7 +83,7 @@
 		q.finished, q.clientDisconnected = true, true
 		for i, a := range q.attempts {
 			if !a.finished && r.settings.CancelAllowed {
-				r.actions.Cancel(id, i) // nobody waits for it: it must not stand in a queue
+				r.actions.CancelAttempt(id, i) // nobody waits for it: it must not stand in a queue
 			}
 		}
 		r.forgetFinished(q)
--- a/internal/policy/rounds.go
+++ b/internal/policy/rounds.go
@@ -60,7 +60,7 @@
 		r.dropPrimary(s, "does not answer its ping")
 	}
 	if g.recordRoundAnswer(s, reached) && g.primary == nil {
-		r.actions.Primary(PrimaryEvent{Kind: PrimaryNotFound, Group: g.id, Repeated: g.primaryNotFound})
+		r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryNotFound, Group: g.id, Repeated: g.primaryNotFound})
 		g.primaryNotFound = true
 		r.scheduleRound(g, map[bool]time.Duration{true: roundInterval, false: silentRoundInterval}[g.roundAnswered])
 	}
--- a/internal/policy/rules_test.go
+++ b/internal/policy/rules_test.go
@@ -30,14 +30,14 @@
 	f.attempts[id] = append(f.attempts[id], s)
 	f.record("attempt %d %d", id, s)
 }
-func (f *fakeHost) Refuse(id uint32, _ time.Duration) { f.record("refuse %d", id) }
+func (f *fakeHost) Reject(id uint32, _ time.Duration) { f.record("refuse %d", id) }
 func (f *fakeHost) Fail(id uint32)                    { f.record("fail %d", id) }
-func (f *fakeHost) Cancel(id uint32, n int)           { f.record("cancel %d %d", id, n) }
+func (f *fakeHost) CancelAttempt(id uint32, n int)           { f.record("cancel %d %d", id, n) }
 func (f *fakeHost) Probe(s uint32)                    { f.probedServers = append(f.probedServers, s) }
 func (f *fakeHost) SetTimer(d time.Duration)          { f.timersDue = append(f.timersDue, f.now+d) }
-func (f *fakeHost) CloseIdle(s uint32)                { f.record("close %d", s) }
-func (f *fakeHost) Watch()                            { f.record("watch") }
-func (f *fakeHost) Primary(n PrimaryEvent) {
+func (f *fakeHost) CloseIdleConnections(s uint32)                { f.record("close %d", s) }
+func (f *fakeHost) WatchList()                            { f.record("watch") }
+func (f *fakeHost) PrimaryChanged(n PrimaryEvent) {
 	f.logLines, f.primaryEvents = append(f.logLines, n.LogText()), append(f.primaryEvents, n)
 }
 func (f *fakeHost) Log(text string) { f.logLines = append(f.logLines, text) }
--- a/internal/policy/scale_test.go
+++ b/internal/policy/scale_test.go
@@ -209,14 +209,14 @@
 type discardActions struct{}
 
 func (discardActions) Attempt(uint32, uint32, time.Duration) {}
-func (discardActions) Refuse(uint32, time.Duration)          {}
+func (discardActions) Reject(uint32, time.Duration)          {}
 func (discardActions) Fail(uint32)                           {}
-func (discardActions) Cancel(uint32, int)                    {}
+func (discardActions) CancelAttempt(uint32, int)                    {}
 func (discardActions) Probe(uint32)                          {}
 func (discardActions) SetTimer(time.Duration)                {}
-func (discardActions) CloseIdle(uint32)                      {}
-func (discardActions) Watch()                                {}
-func (discardActions) Primary(PrimaryEvent)                  {}
+func (discardActions) CloseIdleConnections(uint32)                      {}
+func (discardActions) WatchList()                                {}
+func (discardActions) PrimaryChanged(PrimaryEvent)                  {}
 func (discardActions) Log(string)                            {}
 
 // The cost of a request and its outcome at a front that knows 60 stores.
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -319,7 +319,7 @@
 		r.listPollScheduled = true
 		r.schedule(d, func() {
 			r.listPollScheduled = false
-			r.actions.Watch()
+			r.actions.WatchList()
 		})
 	}
 }
