--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -540,7 +540,7 @@
 	})
 }
 
-func (a *actions) WatchList()          { a.core().enqueue(a.core().options.Watch) }
+func (a *actions) WatchList()      { a.core().enqueue(a.core().options.Watch) }
 func (a *actions) Log(text string) { a.core().options.Log(text) }
 
 func (a *actions) PrimaryChanged(n policy.PrimaryEvent) {
--- /dev/null
+++ b/internal/policy/admission.go
@@ -0,0 +1,160 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// Admission: a request without a server waits in its group's queue, where it can still be rejected,
+// and is sent by what its answer is worth for the work.
+
+const (
+	// minFailoverWaitFraction: a wait shorter than this part of what is left of an outage is not
+	// worth a late rejection.
+	minFailoverWaitFraction = 0.3
+	// rejectMargin is how long before its client gives up a queued request is rejected.
+	rejectMargin = 5 * time.Millisecond
+	// positionRefreshInterval is how often a queue is looked after, and replicas are asked for
+	// positions meanwhile.
+	positionRefreshInterval = 60 * time.Millisecond
+)
+
+// requestQueue holds the queued requests of a group, those first that are worth most for the work.
+type requestQueue struct {
+	requests       []*request
+	checkScheduled bool
+	nextRefreshAt  time.Duration // when replicas that are far behind may be asked for positions again
+}
+
+// insert puts a request before the first one that is worth no more.
+func (u *requestQueue) insert(q *request, worthNoMore func(*request) bool) {
+	i := slices.IndexFunc(u.requests, worthNoMore)
+	if i < 0 {
+		i = len(u.requests)
+	}
+	u.requests = slices.Insert(u.requests, i, q)
+	q.queued = true
+}
+
+func (u *requestQueue) remove(q *request) {
+	if i := slices.Index(u.requests, q); i >= 0 {
+		u.requests = slices.Delete(u.requests, i, i+1)
+		q.queued = false
+	}
+}
+
+func (u *requestQueue) has(is func(*request) bool) bool { return slices.ContainsFunc(u.requests, is) }
+
+// enqueue puts a request into its group's queue, and schedules what may end or reorder its wait.
+func (r *Router) enqueue(q *request) {
+	weight := r.weightPerWork(q)
+	q.group.queue.insert(q, func(other *request) bool { return r.weightPerWork(other) <= weight })
+	if q.lastUsefulSendAt > r.now {
+		r.schedule(q.lastUsefulSendAt-r.now, func() { r.reassessLate(q) })
+	}
+	halfTimeAt := (q.arrivedAt+q.deadline)/2 - rejectMargin - r.settings.EventInterval
+	if halfTimeAt > r.now {
+		r.schedule(halfTimeAt-r.now, func() { r.rejectBeforeFailover(q) })
+	}
+	r.superviseQueue(q.group)
+}
+
+// rejectBeforeFailover ends a request that has waited for half of its time if it will hardly see
+// the next primary, so that its client can come again.
+func (r *Router) rejectBeforeFailover(q *request) {
+	if q.queued && !q.finished && !q.reachedServer && r.failoverTooLate(q) {
+		r.finishRequest(q)
+	}
+}
+
+// failoverTooLate reports whether a wait for a primary will hardly end in time.
+func (r *Router) failoverTooLate(q *request) bool {
+	g := q.group
+	if g.primary != nil || !g.outage.confirmed {
+		return false
+	}
+	expected := g.outage.expectedLength
+	left := max(expected-(r.now-g.outage.beganAt), expected/2)
+	return float64(q.deadline-r.now) < minFailoverWaitFraction*float64(left)
+}
+
+// reassessLate ends a queued request whose answer earns nothing from now on, and moves one that
+// earns less behind the others.
+func (r *Router) reassessLate(q *request) {
+	if q.finished || !q.queued {
+		return
+	}
+	if q.class.LateWeightFraction == 0 {
+		r.finishRequest(q)
+		return
+	}
+	q.group.queue.remove(q)
+	r.enqueue(q)
+}
+
+// dispatchQueued tries to send the queued requests of a group, in their order.
+func (r *Router) dispatchQueued(g *group) {
+	waiting := g.queue.requests
+	if len(waiting) == 0 {
+		return
+	}
+	g.queue.requests = nil // what is queued meanwhile comes after those that stay
+	staying := waiting[:0]
+	for _, q := range waiting {
+		if q.finished {
+			continue
+		}
+		q.queued = false
+		if !r.dispatch(q) && !q.finished {
+			q.queued = true
+			staying = append(staying, q)
+		}
+	}
+	g.queue.requests = append(staying, g.queue.requests...)
+}
+
+// superviseQueue asks replicas for their positions while reads wait for one, and comes back until
+// the queue is empty.
+func (r *Router) superviseQueue(g *group) {
+	if g.queue.checkScheduled {
+		return
+	}
+	if r.refreshesQueuedReads(g) {
+		r.refreshAllPositions(g)
+	}
+	g.queue.checkScheduled = true
+	r.schedule(positionRefreshInterval, func() {
+		g.queue.checkScheduled = false
+		r.dispatchQueued(g)
+		if len(g.queue.requests) > 0 {
+			r.superviseQueue(g)
+		}
+	})
+}
+
+// refreshesQueuedReads reports whether replicas are asked for their positions now: in a small
+// fleet, for a read that a replica will soon be fresh enough for, and as seldom as rounds are
+// repeated for one that all are far behind for.
+func (r *Router) refreshesQueuedReads(g *group) bool {
+	if !r.settings.ProbesAllowed || r.pace.largeFleet {
+		return false
+	}
+	if g.queue.has(func(q *request) bool { return q.catchUpExpected }) {
+		return true
+	}
+	return r.now >= g.queue.nextRefreshAt && g.queue.has(func(q *request) bool { return q.blockedByLag })
+}
+
+// refreshAllPositions asks the ready replicas of a group for their positions, unless an answer is
+// outstanding or recent.
+func (r *Router) refreshAllPositions(g *group) {
+	g.queue.nextRefreshAt = r.now + roundInterval
+	for _, s := range g.members {
+		if !g.isReadyReplica(s) || s.ejection.ejected || s.health.inRound {
+			continue
+		}
+		if r.now >= s.replication.probedAt+positionRefreshInterval {
+			r.probePosition(s, probeForRefresh)
+		}
+	}
+}
--- a/internal/policy/counters.go
+++ b/internal/policy/counters.go
@@ -7,90 +7,115 @@
 	"time"
 )
 
-// counterLogInterval is how often a front tells its log what it could not serve and what its probes were for. A line costs
-// as much processor time as a request or two.
 const (
+	// counterLogInterval is how often the counters are logged. A line costs as much processor time
+	// as a request or two.
 	counterLogInterval = 5 * time.Second
-	countersPerLine    = 4
+	// countersPerLine keeps a line within the length that a log takes.
+	countersPerLine = 4
 )
 
-// reasonCounters counts what went wrong since its last line, so that the logs of a fleet can be added up. It decides nothing.
+// probeReason is why a probe is sent, as the log has it.
+type probeReason string
+
+// The reasons of probes.
+const (
+	probeForPing     probeReason = "ping"     // the recorded primary's steady ping
+	probeForRound    probeReason = "round"    // a round finds the primary
+	probeForPosition probeReason = "position" // a read may need the position
+	probeForRefresh  probeReason = "refresh"  // queued reads need the position
+	probeForTrial    probeReason = "trial"    // an ejected server must answer before it is tried
+)
+
+// reasonCounters counts by reason the probes that were sent and the requests that were not served
+// since the last log lines, so that the logs of a fleet can be added up. Nothing is decided by
+// them.
 type reasonCounters struct {
 	loggedAt time.Duration
 	counts   map[string]int
 }
 
-// countReason counts one event and, now and then, writes the line.
-func (r *Router) countReason(what string) {
-	l := &r.counters
-	if l.counts == nil {
-		l.loggedAt, l.counts = r.now, map[string]int{}
+// countReason counts one event, and logs the counters when they are due.
+func (r *Router) countReason(reason string) {
+	c := &r.counters
+	if c.counts == nil {
+		c.loggedAt = r.now
+		c.counts = map[string]int{}
 	}
-	l.counts[what]++
-	if r.now < l.loggedAt+counterLogInterval {
+	c.counts[reason]++
+	if r.now < c.loggedAt+counterLogInterval {
 		return
 	}
-	words := make([]string, 0, len(l.counts))
-	for k, n := range l.counts {
-		words = append(words, fmt.Sprintf("%s=%d", k, n))
+	r.logCounters()
+}
+
+// logCounters logs the counters, sorted by their reasons, and starts them anew.
+func (r *Router) logCounters() {
+	c := &r.counters
+	entries := make([]string, 0, len(c.counts))
+	for reason, count := range c.counts {
+		entries = append(entries, fmt.Sprintf("%s=%d", reason, count))
 	}
-	slices.Sort(words)
-	for line := range slices.Chunk(words, countersPerLine) { // the log bounds its lines
+	slices.Sort(entries)
+	for line := range slices.Chunk(entries, countersPerLine) {
 		r.actions.Log("ledger: " + strings.Join(line, " "))
 	}
-	l.loggedAt = r.now
-	clear(l.counts)
+	c.loggedAt = r.now
+	clear(c.counts)
 }
 
-// sendProbe asks a store and counts what for.
-func (r *Router) sendProbe(s *server, why string) {
+// sendProbe probes a server and counts the reason.
+func (r *Router) sendProbe(s *server, reason probeReason) {
 	r.actions.Probe(s.ID)
-	r.countReason("probe-" + why)
+	r.countReason("probe-" + string(reason))
 }
 
-// countRejection says why a request that is given up now has found no store.
-func (r *Router) countRejection(q *request) {
-	what := "end-" + q.classSettings.Name
-	switch n := len(q.attempts); {
-	case n > 0 && q.inFlight > 0:
-		r.countReason(what + "-waiting")
-		return
-	case n > 0:
-		what += "-again"
-	}
-	if q.classSettings.Access == Write || q.classSettings.Access == ReadLatest {
-		if p := q.group.primary; p == nil {
-			what += "-noprimary"
-		} else {
-			what += "-" + r.rejectionReason(q, p)
+// countUnserved counts why a request that gets its final answer now has found no server.
+func (r *Router) countUnserved(q *request) {
+	reason := "end-" + q.class.Name
+	if len(q.attempts) > 0 {
+		if q.inFlight > 0 {
+			r.countReason(reason + "-waiting")
+			return
 		}
-		r.countReason(what)
+		reason += "-again"
+	}
+	if q.class.needsPrimary() {
+		r.countReason(reason + "-" + r.primaryObstacle(q))
 		return
 	}
-	var all []string
+	var obstacles []string
 	for _, s := range q.group.members {
 		if s != q.group.primary {
-			all = append(all, r.rejectionReason(q, s))
+			obstacles = append(obstacles, r.obstacle(q, s))
 		}
 	}
-	slices.Sort(all)
-	r.countReason(what + "-" + strings.Join(slices.Compact(all), "+"))
+	slices.Sort(obstacles)
+	r.countReason(reason + "-" + strings.Join(slices.Compact(obstacles), "+"))
+}
+
+// primaryObstacle names what keeps the recorded primary from taking a request.
+func (r *Router) primaryObstacle(q *request) string {
+	if q.group.primary == nil {
+		return "noprimary"
+	}
+	return r.obstacle(q, q.group.primary)
 }
 
-// rejectionReason names what keeps a store from taking a request.
-func (r *Router) rejectionReason(q *request, s *server) string {
+// obstacle names what keeps a server from taking a request.
+func (r *Router) obstacle(q *request, s *server) string {
 	switch {
 	case s.State != Ready:
 		return "drain"
-	case s.unreachable:
+	case s.health.unreachable:
 		return "unreach"
-	case s.ejected:
+	case s.ejection.ejected:
 		return "lost"
 	case s != q.group.primary && !r.freshEnough(q, s):
 		return "stale"
-	case r.now < s.pausedUntil:
+	case r.now < s.pause.until:
 		return "paused"
-	case float64(len(s.inFlight)) >= max(s.window, 1):
+	case float64(s.outstanding.count()) >= s.window.limit():
 		return "window"
 	case r.inSlowStart(s) && !r.slowStartAllows(s, q.classIndex):
 		return "cold"
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -2,91 +2,123 @@
 
 import "time"
 
-// Requests: what the answer to one is worth, when, and where it goes.
+// Dispatch: what a request's answer is worth and until when, and its send to the server that is
+// chosen for it.
 
-// HandleRequest takes in a client's request.
+// minAttemptTimeout is the least timeout of an attempt: 0 would stand for the client's own.
+const minAttemptTimeout = time.Millisecond
+
+// HandleRequest takes in a client's request: it is sent, queued, or given its final answer.
 func (r *Router) HandleRequest(now time.Duration, in Request) {
-	r.advanceClock(now)
+	r.clock.advance(now)
 	if in.Class < 0 || in.Class >= len(r.settings.Classes) {
 		r.actions.Fail(in.ID)
 		return
 	}
 	g := r.groupFor(in.Group)
-	if g.lastRequestAt = r.now; !g.pingScheduled {
+	g.lastRequestAt = r.now
+	if !g.ping.scheduled {
 		r.pingPrimary(g)
 	}
-	q := &request{id: in.ID, classIndex: in.Class, classSettings: &r.settings.Classes[in.Class], sessionID: in.Session, group: g,
-		maxAttempts: r.settings.MaxAttempts, arrivedAt: r.now, deadline: r.now + in.Timeout}
-	r.requests[q.id] = q
-	if q.classSettings.Access == ReadSession {
-		q.requiredPosition = r.sessionPosition(in)
-	}
-	r.setObjective(q, in.Timeout)
+	q := r.addRequest(in, g)
 	r.retryBudget = min(r.retryBudget+retryBudgetRatio, maxRetryBudget)
-	if !g.initialRoundTriggered && (!r.largeFleet || q.classSettings.Access == ReadLatest || q.classSettings.Access == Write) {
-		if g.initialRoundTriggered = true; !r.largeFleet || g.primary == nil { // the list may have named one
-			r.startRound(g)
-		}
-	}
+	r.startInitialRound(q)
 	r.schedule(max(in.Timeout-rejectMargin-r.settings.EventInterval, 0), func() {
-		if q.inFlight == 0 { // else the last attempt's time-out is still to come, and ends it in time
+		if q.inFlight == 0 { // else the last attempt's timeout is still to come, and ends the request in time
 			r.finishRequest(q)
 		}
 	})
-	if r.now >= q.lastUsefulSendAt && q.classSettings.LateWeightFraction == 0 {
+	if r.worthless(q) {
 		r.finishRequest(q)
-	} else if !r.dispatch(q) {
+		return
+	}
+	if !r.dispatch(q) {
 		r.enqueue(q)
 	}
 }
 
-// setObjective sets when the answer must come to earn its full worth. A try whose patience is not the usual one of its
-// class is a later one: its time has run since the first. One in a hurry is judged by what it has.
-func (r *Router) setObjective(q *request, patience time.Duration) {
-	c := q.classSettings
-	q.objectiveAt = q.arrivedAt + min(c.LatencyObjective, patience)
-	if patience >= c.LatencyObjective && !r.majorityTimeouts[q.classIndex].vote(patience, c.TotalTimeout/timeoutToleranceDivisor) {
-		q.objectiveAt -= max(c.TotalTimeout-patience, 0)
+// addRequest records a request and what it is judged by.
+func (r *Router) addRequest(in Request, g *group) *request {
+	q := &request{
+		id:            in.ID,
+		session:       in.Session,
+		group:         g,
+		class:         &r.settings.Classes[in.Class],
+		classIndex:    in.Class,
+		maxAttempts:   r.settings.MaxAttempts,
+		requestTiming: requestTiming{arrivedAt: r.now, deadline: r.now + in.Timeout},
+	}
+	r.requests[q.id] = q
+	if q.class.Access == ReadSession {
+		q.sessionPosition = r.sessionPosition(in)
 	}
-	q.lastUsefulSendAt = q.objectiveAt - min(2*r.baselines[q.classIndex].value, c.LatencyObjective/2, patience/2)
+	r.setObjective(q, in.Timeout)
+	return q
 }
 
-// dispatch sends a request if there is a store for it now.
+// setObjective sets when the answer must come to earn its full weight. A try whose timeout is not
+// the usual one of its class is a later try of its client: its time has run since the first one. A
+// try with less time than the class's objective is judged by what it has.
+func (r *Router) setObjective(q *request, timeout time.Duration) {
+	c := q.class
+	estimate := r.estimates.of(q)
+	q.objectiveAt = q.arrivedAt + min(c.LatencyObjective, timeout)
+	tolerance := c.TotalTimeout / timeoutToleranceDivisor
+	if timeout >= c.LatencyObjective && !estimate.usualTimeout.vote(timeout, tolerance) {
+		q.objectiveAt -= max(c.TotalTimeout-timeout, 0)
+	}
+	q.lastUsefulSendAt = q.objectiveAt - min(2*estimate.baseline.value, c.LatencyObjective/2, timeout/2)
+}
+
+// late reports whether an attempt sent now would hardly earn the full weight.
+func (r *Router) late(q *request) bool { return r.now >= q.lastUsefulSendAt }
+
+// worthless reports whether a late answer earns nothing, and any answer would be late now.
+func (r *Router) worthless(q *request) bool { return r.late(q) && q.class.LateWeightFraction == 0 }
+
+// weightPerWork returns what an answer is still worth for the work that it takes.
+func (r *Router) weightPerWork(q *request) float64 {
+	weight := q.class.PriorityWeight / float64(r.estimates.of(q).baseline.value)
+	if r.late(q) {
+		weight *= q.class.LateWeightFraction
+	}
+	return weight
+}
+
+// dispatch sends a request if there is a server for it now, and reports whether it did.
 func (r *Router) dispatch(q *request) bool {
-	if q.inFlight > 0 && (!r.settings.HedgingAllowed || q.classSettings.Idempotency != Idempotent) || r.attemptsExhausted(q) {
+	hedged := r.settings.HedgingAllowed && q.class.Idempotency == Idempotent
+	if q.inFlight > 0 && !hedged || r.attemptsExhausted(q) {
 		return false
 	}
-	choose := r.chooseReplica
-	if q.classSettings.Access == Write || q.classSettings.Access == ReadLatest {
-		choose = r.choosePrimary
+	s := r.chooseServer(q)
+	if s == nil {
+		return false
 	}
-	s := choose(q)
-	if s != nil {
-		r.sendAttempt(q, s)
+	r.sendAttempt(q, s)
+	return true
+}
+
+// chooseServer returns the server that a request is sent to now, nil if there is none.
+func (r *Router) chooseServer(q *request) *server {
+	if q.class.needsPrimary() {
+		return r.choosePrimary(q)
 	}
-	return s != nil
+	return r.chooseReplica(q)
 }
 
+// sendAttempt sends a request to a server.
 func (r *Router) sendAttempt(q *request, s *server) {
 	r.recordAttempt(q, s)
-	if s.ejected {
-		s.nextTrialAt, s.trialInterval = r.now+s.trialInterval, min(2*s.trialInterval, maxTrialInterval)
+	if s.ejection.ejected {
+		s.ejection.startTrial(r.now)
 	}
 	timeout := time.Duration(0)
-	if c := q.classSettings; c.LateWeightFraction == 0 && c.Idempotency == Idempotent {
-		timeout = max(q.objectiveAt-r.now, ms) // nothing is spent on an answer past all worth
+	if q.class.LateWeightFraction == 0 && q.class.Idempotency == Idempotent {
+		timeout = max(q.objectiveAt-r.now, minAttemptTimeout) // no work is spent on an answer that earns nothing
 	}
 	r.actions.Attempt(q.id, s.ID, timeout)
-	if !s.silenceCheckScheduled {
+	if !s.health.silenceCheckScheduled {
 		r.checkSilence(s)
 	}
 }
-
-// valueDensity is what the answer is still worth for the work; past the aim only the late share is left.
-func (r *Router) valueDensity(q *request) float64 {
-	w := q.classSettings.PriorityWeight / float64(r.baselines[q.classIndex].value)
-	if r.now >= q.lastUsefulSendAt {
-		w *= q.classSettings.LateWeightFraction
-	}
-	return w
-}
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -2,108 +2,178 @@
 
 import "time"
 
-// The list: who is a member, who drains, and when the list is asked for.
+// Endpoints: what a change of the endpoint list means for a server, how a draining server is left,
+// and when the list is polled.
 
 const (
-	MaxListRetryDelay = 1500 * ms       // at most from a failed call to the next: what is listed counts as told 6 s later
-	MaxFirstPollDelay = 3 * time.Second // and from a start to the first call
-	listPollSpacing   = 80 * ms         // between two fronts' first calls: a list service bore some ten a second from 80
+	// MaxListRetryDelay is the longest wait from a failed poll of the list to the next one: with it
+	// a change of the list is known 6 s later, also when a poll fails.
+	MaxListRetryDelay = 1500 * time.Millisecond
+	// MaxFirstPollDelay is the longest wait from a start to the first poll of the list.
+	MaxFirstPollDelay = 3 * time.Second
+	// listPollSpacing is the span between the first polls of two poolers: a list service bore some
+	// ten a second of 80.
+	listPollSpacing = 80 * time.Millisecond
+	// removedServerRetention is how long a server that has left the list is remembered.
+	removedServerRetention = time.Minute
 )
 
-// HandleList takes in what discovery says.
+// HandleList takes in the endpoint list, or that it could not be read.
 func (r *Router) HandleList(now time.Duration, kind ListKind, entries []Member) {
-	r.advanceClock(now)
-	if kind == ListFailed { // keep the old list and ask again
-		r.scheduleListPoll(r.jitter(r.listRetryDelay))
+	r.clock.advance(now)
+	if kind == ListFailed { // the old list stays in force
+		r.scheduleListPoll(r.jitter(r.pace.listRetryDelay))
 		return
 	}
-	seen := map[uint32]bool{}
+	listed := make(map[uint32]bool, len(entries))
 	for _, m := range entries {
-		seen[m.ID] = true
+		listed[m.ID] = true
 		if s := r.serverFor(m); s != nil {
 			r.updateMember(s, m)
 		}
 	}
-	for _, s := range r.serverOrder {
-		if kind != ListDelta && s.listed && !seen[s.ID] && s.State != Removed {
-			r.withdrawMember(s, Removed)
-		}
+	if kind != ListDelta {
+		r.withdrawUnlisted(listed)
 	}
 	if kind == ListCached {
-		r.scheduleListPoll(r.stagger(r.firstPollSpread))
+		r.scheduleListPoll(r.stagger(r.pace.firstPollSpread))
+	}
+}
+
+// scheduleListPoll schedules a poll of the list unless one is scheduled.
+func (r *Router) scheduleListPoll(after time.Duration) {
+	if !r.settings.PollList || r.listPollScheduled {
+		return
+	}
+	r.listPollScheduled = true
+	r.schedule(after, func() {
+		r.listPollScheduled = false
+		r.actions.WatchList()
+	})
+}
+
+// serverFor returns the server of an entry and creates it if need be; nil if it was removed before
+// it was known. Its slow start counts from the latest start that an entry has told.
+func (r *Router) serverFor(m Member) *server {
+	s := r.servers.byID[m.ID]
+	if s == nil && m.State == Removed {
+		return nil
+	}
+	if s == nil {
+		s = &server{
+			endpoint: endpoint{Member: m},
+			latency:  serverLatency{ratio: 1},
+			window:   concurrencyWindow{size: max(initialFleetWindow/float64(r.settings.Poolers), r.pace.minWindow)},
+		}
+		r.servers.add(s)
+		r.addMember(s)
 	}
+	s.slowStart.since = max(s.slowStart.since, m.StartedAt)
+	return s
 }
 
+// updateMember takes in a server's entry.
 func (r *Router) updateMember(s *server, m Member) {
 	if m.State != Ready {
-		r.withdrawMember(s, m.State)
+		r.withdraw(s, m.State)
 		return
 	}
-	if m.StartedAt > s.StartedAt && m.StartedAt > s.roleAsOf && s.role == RolePrimary {
+	restarted := m.StartedAt > s.StartedAt && m.StartedAt > s.role.asOf
+	if restarted && s.role.role == RolePrimary {
 		r.observeReplicaClaim(s, m.StartedAt) // a process that starts again comes back as a replica
 	}
 	r.addMember(s)
-	s.Member, s.sendUntil = m, 0
+	s.Member = m
+	s.sendUntil = 0
 	g := r.groupFor(s.Group)
-	g.primaryRemoved = g.primaryRemoved && g.primary != s
-	if p := g.primary; r.largeFleet && m.Primary && s.role == RoleUnknown && g.primaryDownAt == 0 &&
-		(p == nil || p.role == RoleUnknown) {
-		// Rounds by all at a start are a storm: the list's word, some seconds old, stands until an answer.
-		g.primary, s.primaryClaimAsOf = s, max(s.primaryClaimAsOf, r.now-typicalFailover)
-		r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryListed, Group: g.id, Server: s.ID, AsOf: s.primaryClaimAsOf})
+	if g.primary == s {
+		g.outage.memberRemoved = false
+	}
+	if r.takesListedPrimary(g, s) {
+		g.primary = s
+		s.role.claimedAt = max(s.role.claimedAt, r.now-typicalFailover)
+		event := PrimaryEvent{Kind: PrimaryListed, Group: g.id, Server: s.ID, AsOf: s.role.claimedAt}
+		r.actions.PrimaryChanged(event)
 	}
 	g.updateWeightsDiffer()
 }
 
-// pastDrainGrace tells whether a store that drains gets no more attempts: once less of its grace is left, less a tick,
-// than a send has lately taken; graceMargin at the least.
-func (r *Router) pastDrainGrace(s *server) bool {
-	return s.sendUntil > 0 && r.now >= s.sendUntil-max(r.sendDuration-sendMargin, 0)
+// takesListedPrimary reports whether a server that the list names as primary is recorded without
+// evidence. That is so at the start of a large fleet, where probe rounds by all poolers would be a
+// storm: the entry, some seconds old, stands until there is an answer.
+func (r *Router) takesListedPrimary(g *group, s *server) bool {
+	if !r.pace.largeFleet || !s.Primary || s.role.role != RoleUnknown || g.outage.beganAt != 0 {
+		return false
+	}
+	return g.primary == nil || g.primary.role.role == RoleUnknown
+}
+
+// withdrawUnlisted withdraws the servers that a complete list does not name.
+func (r *Router) withdrawUnlisted(listed map[uint32]bool) {
+	for _, s := range r.servers.ordered {
+		if s.listed && !listed[s.ID] && s.State != Removed {
+			r.withdraw(s, Removed)
+		}
+	}
 }
 
-// withdrawMember stops reads at once; writes may use the grace, less a margin, until the hand-over.
-func (r *Router) withdrawMember(s *server, st MemberState) {
-	s.wasDraining = s.wasDraining || st == Draining
-	if st == Removed && r.settings.IgnoreRemoval && !s.wasDraining {
-		return // the list does not prove what is up
-	}
-	s.State = st
-	if st == Removed {
+// withdraw takes in that a server drains or has left the list. Reads stop at once; a primary takes
+// writes until its grace period is over, less a margin.
+func (r *Router) withdraw(s *server, state MemberState) {
+	if state == Draining {
+		s.wasDraining = true
+	}
+	if state == Removed && r.settings.IgnoreRemoval && !s.wasDraining {
+		return
+	}
+	s.State = state
+	if state == Removed {
 		g := r.groupFor(s.Group)
-		g.primaryRemoved = g.primaryRemoved || g.primary == s // what stays may be about to be promoted, or not: no write tries it out
+		if g.primary == s {
+			// Another member may be about to be promoted, so that no write is tried at one of them.
+			g.outage.memberRemoved = true
+		}
 		r.schedule(removedServerRetention, func() { r.forgetRemovedServer(s) })
 	}
 	if s.sendUntil > 0 {
 		return
 	}
-	s.sendUntil = max(r.now+r.settings.DrainGracePeriod-sendMargin-r.settings.EventInterval, 1)
-	r.schedule(max(s.sendUntil-r.now, 0), func() {
-		if s.State != Ready && r.now >= s.sendUntil {
-			r.removeMember(s)
-			if r.dropPrimary(s, "has left") {
-				r.groupFor(s.Group).primaryRemoved = true
-			}
-		}
-	})
+	grace := r.settings.DrainGracePeriod - sendMargin - r.settings.EventInterval
+	s.sendUntil = max(r.now+grace, 1)
+	r.schedule(max(s.sendUntil-r.now, 0), func() { r.endGracePeriod(s) })
 }
 
-// applyPendingSettings has what the old settings had put off or counted be as the new ones would have it: the gap between
-// pings, the time over which first calls are spread, the grace of a drain.
-func (r *Router) applyPendingSettings(pings, span, grace time.Duration) {
-	if r.listPollScheduled && r.firstPollSpread < span { // the call that is due may be as far off as the larger fleet had it
-		r.listPollScheduled = false
-		r.scheduleListPoll(r.stagger(r.firstPollSpread))
+// endGracePeriod takes a server out of its group unless it was listed as ready again, or its grace
+// period lasts longer.
+func (r *Router) endGracePeriod(s *server) {
+	if s.State == Ready || r.now < s.sendUntil {
+		return
 	}
-	for _, g := range r.sortedGroups() {
-		g.rankedFrom, g.initialRoundTriggered = nil, false // rounds may be allowed only now
-		if g.pingScheduled && r.pingInterval != pings {
-			r.schedulePing(g, r.pingInterval)
-		}
+	r.removeMember(s)
+	if r.dropPrimary(s, "has left") {
+		r.groupFor(s.Group).outage.memberRemoved = true
 	}
-	for _, s := range r.serverOrder {
-		s.window = max(s.window, r.minWindow)
-		if s.sendUntil > 0 { // a longer grace is for those that drain from now on
-			s.sendUntil = max(s.sendUntil+min(r.settings.DrainGracePeriod-grace, 0), 1)
-		}
+}
+
+// gracePeriodOver reports whether a server that drains is sent nothing more: when less of its grace
+// period is left, less the events' interval, than a send has lately taken, and sendMargin at the
+// least.
+func (r *Router) gracePeriodOver(s *server) bool {
+	return s.sendUntil > 0 && r.now >= s.sendUntil-max(r.sendDuration-sendMargin, 0)
+}
+
+// SetSendDuration takes in the longest time that a send has lately taken, from its choice to its
+// last byte.
+func (r *Router) SetSendDuration(d time.Duration) { r.sendDuration = d }
+
+// forgetRemovedServer drops a server that has left the list for good, once nothing of it is under
+// way: over a long time every server is replaced.
+func (r *Router) forgetRemovedServer(s *server) {
+	switch {
+	case s.State != Removed || r.servers.byID[s.ID] != s:
+	case s.listed || s.health.inRound || s.outstanding.count() > 0:
+		r.schedule(removedServerRetention, func() { r.forgetRemovedServer(s) })
+	default:
+		r.servers.remove(s)
 	}
 }
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -124,14 +124,14 @@
 	f := newHostWithPrimary(t, nil)
 	f.sendRequest(2, classByKey)
 	f.wantAction("attempt 2 1")
-	s := f.router.servers[1]
-	slow, all, fails, retry, mean := s.latencyRatio, f.router.latencyRatio, s.failureRate, f.router.retryBudget, f.router.meanLatencies[classByKey]
+	s := f.server(1)
+	slow, all, fails, retry, mean := s.latency.ratio, f.router.overall.latencyRatio, s.ejection.failureRate, f.router.retryBudget, f.router.estimates.classes[classByKey].meanLatency
 	f.advanceTo(f.now + 1200*ms)
 	f.probeAnswered(1, true, f.now)
 	f.router.HandleDisconnect(f.now, 2)
 	f.wantAction("cancel 2 0")
 	f.endAttempt(2, 0, Cancelled, RoleUnknown)
-	if s.latencyRatio != slow || f.router.latencyRatio != all || s.failureRate != fails || f.router.retryBudget != retry || f.router.meanLatencies[classByKey] != mean || s.ejected {
-		t.Errorf("slowness %v and %v, failures %v, retries %v, mean %v", s.latencyRatio, f.router.latencyRatio, s.failureRate, f.router.retryBudget, f.router.meanLatencies[classByKey])
+	if s.latency.ratio != slow || f.router.overall.latencyRatio != all || s.ejection.failureRate != fails || f.router.retryBudget != retry || f.router.estimates.classes[classByKey].meanLatency != mean || s.ejection.ejected {
+		t.Errorf("slowness %v and %v, failures %v, retries %v, mean %v", s.latency.ratio, f.router.overall.latencyRatio, s.ejection.failureRate, f.router.retryBudget, f.router.estimates.classes[classByKey].meanLatency)
 	}
 }
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -13,15 +13,15 @@
 func (printer) Attempt(id, store uint32, _ time.Duration) {
 	fmt.Printf("attempt %d at store %d\n", id, store)
 }
-func (printer) Reject(id uint32, _ time.Duration) { fmt.Printf("refuse %d\n", id) }
-func (printer) Fail(id uint32)                    { fmt.Printf("fail %d\n", id) }
-func (printer) CancelAttempt(id uint32, attempt int)     { fmt.Printf("cancel %d.%d\n", id, attempt) }
-func (printer) Probe(store uint32)                { fmt.Printf("probe %d\n", store) }
-func (printer) SetTimer(time.Duration)            {}
-func (printer) CloseIdleConnections(store uint32)            { fmt.Printf("close idle %d\n", store) }
-func (printer) WatchList()                            { fmt.Println("watch") }
-func (p printer) PrimaryChanged(n policy.PrimaryEvent)   { p.Log(n.LogText()) }
-func (printer) Log(text string)                   { fmt.Println("log:", text) }
+func (printer) Reject(id uint32, _ time.Duration)      { fmt.Printf("refuse %d\n", id) }
+func (printer) Fail(id uint32)                         { fmt.Printf("fail %d\n", id) }
+func (printer) CancelAttempt(id uint32, attempt int)   { fmt.Printf("cancel %d.%d\n", id, attempt) }
+func (printer) Probe(store uint32)                     { fmt.Printf("probe %d\n", store) }
+func (printer) SetTimer(time.Duration)                 {}
+func (printer) CloseIdleConnections(store uint32)      { fmt.Printf("close idle %d\n", store) }
+func (printer) WatchList()                             { fmt.Println("watch") }
+func (p printer) PrimaryChanged(n policy.PrimaryEvent) { p.Log(n.LogText()) }
+func (printer) Log(text string)                        { fmt.Println("log:", text) }
 
 // A write, the loss of its group's primary, a held write, and the new primary.
 func Example() {
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -1,240 +1,215 @@
 package policy
 
 import (
-	"fmt"
 	"slices"
 	"time"
 )
 
-// Health: a store holds as much of this front as its answers bear; silence and failures cost it its turn.
+// Health check: what the end of an attempt says of its server, and which servers are silent or out
+// of reach.
 
 const (
-	initialFleetWindow       = 8.0  // attempts that a store may hold of all fronts together until its answers tell more
-	minFleetWindow           = 6.0  // and of these at least; under one is a rest between a front's reads in a jam
-	congestedLatencyRatio    = 1.3  // undisturbed answer times at which a queue costs more than it hides
-	windowCutFactor          = 0.85 // window kept at such an answer, at most once per cutGap
-	windowCutInterval        = 100 * ms
-	baselineObjectiveDivisor = 4               // part of the aim that a class's undisturbed time is taken for at first
-	baselineWithoutObjective = 100 * ms        // and where it has no aim
-	latencyRatioGain         = 0.15            // weight of one answer in a store's slowness
-	overallLatencyRatioGain  = 0.1             // and in that of all stores together
-	latencyRatioHalfLife     = 8 * time.Second // slowness halves its excess in this time, so that a store is tried again
-	meanLatencyGain          = 0.03            // weight of one answer in a class's mean answer time
-	silenceMeanLatencies     = 10.0            // mean answer times waited without a word: rarely by chance, heavy tails too
-	minSilence               = 150 * ms        // shorter pauses are no silence
-	initialOverloadPause     = 50 * ms         // after being sent away unseen; doubles up to fullMost
-	maxOverloadPause         = 800 * ms
-	ejectionFailureRate      = 0.5      // share of recent attempts failing at which a store loses its turn
-	failureRateGain          = 0.3      // weight of one outcome in that share
-	overallFailureRateGain   = 0.1      // and in the share that fails everywhere
-	initialTrialInterval     = 300 * ms // from losing its turn to the first trial
-	maxTrialInterval         = 3 * time.Second
-	scarcityDuration         = 10 * time.Second // after a refused connection: none is kept idle
-	minRestartOutage         = time.Second      // no process is back sooner
+	// silenceMeanLatencies: a server is silent when its attempts have waited for this many mean
+	// latencies, summed over them, since it last answered any. That is rare by chance, also where
+	// latencies have a heavy tail.
+	silenceMeanLatencies = 10.0
+	// minSilence is the shortest wait that counts as silence.
+	minSilence = 150 * time.Millisecond
+	// minSilenceCheckInterval is the least span between two checks of a server.
+	minSilenceCheckInterval = 20 * time.Millisecond
+	// minRestartOutage is how long a server is out of reach at the least when its process has been
+	// restarted.
+	minRestartOutage = time.Second
+	// initialPause is how long a server is left alone after it turned an attempt away unseen. The
+	// pause doubles each time.
+	initialPause = 50 * time.Millisecond
+	// maxPause bounds that pause.
+	maxPause = 800 * time.Millisecond
+	// scarcityDuration is how long no connection to a server is kept idle after it refused some
+	// again and again.
+	scarcityDuration = 10 * time.Second
 )
 
-// HandleOutcome takes in the end of an attempt.
-func (r *Router) HandleOutcome(now time.Duration, o Outcome) {
-	r.advanceClock(now)
-	a := r.finishAttempt(o)
-	if a == nil {
-		return
-	}
-	q, s := a.request, a.server
-	r.observeHealth(s, a, o)
-	switch o.Role {
-	case RolePrimary:
-		r.observePrimaryClaim(s, r.now-r.settings.EventInterval)
-	case RoleReplica:
-		r.observeReplicaClaim(s, r.now)
-	}
-	r.observeStatus(s, o.Status)
-	q.finished = q.finished || o.Answered
-	if !q.finished && q.inFlight == 0 {
-		r.retryOrFinish(q, s, o.Result)
-	}
-	r.forgetFinished(q)
-	r.dispatchQueued(q.group)
+// serverHealth is whether a server answers, on the request path and to probes.
+type serverHealth struct {
+	lastAnswerAt          time.Duration // on the request path; 0 for never, or after a failed connect
+	lastReachedAt         time.Duration // to a request or a probe
+	unreachable           bool          // its last probe failed
+	silent                bool          // attempts wait in vain; no claim to be primary counts meanwhile
+	silenceCheckScheduled bool
+	inRound               bool // a running probe round waits for it
+}
+
+// answeredRecently reports whether the server has answered on the request path within
+// recentAnswerAge.
+func (h *serverHealth) answeredRecently(now time.Duration) bool {
+	return now < h.lastAnswerAt+recentAnswerAge
+}
+
+// overloadPause is how long a server is left alone because it has no work or connections to spare.
+type overloadPause struct {
+	until              time.Duration
+	length             time.Duration // of the last pause; 0 once an attempt is served
+	connectionScarceAt time.Duration // when it last refused connections again and again; 0 for never
+}
+
+func (p *overloadPause) begin(now time.Duration) {
+	p.length = min(max(2*p.length, initialPause), maxPause)
+	p.until = now + p.length
+}
+
+// connectionsScarce reports whether a server has refused connections again and again of late.
+func (p *overloadPause) connectionsScarce(now time.Duration) bool {
+	return p.connectionScarceAt > 0 && now < p.connectionScarceAt+scarcityDuration
 }
 
-func (r *Router) observeHealth(s *server, a *attempt, o Outcome) {
-	switch o.Result {
+// observeHealth takes in what the end of an attempt says of its server.
+func (r *Router) observeHealth(a *attempt, result Result) {
+	s := a.server
+	switch result {
 	case TimedOut, Cancelled:
-		if !a.request.clientDisconnected { // a client's own cancel says nothing of the store
+		if !a.request.clientDisconnected { // a client's own cancel says nothing of the server
 			r.observeLatency(s, a, false)
 		}
 	case OK, Misdirected:
-		r.observeReachable(s)
-		s.lastAnswerAt, s.silent = r.now, false
-		s.failureRate *= 1 - failureRateGain
-		r.failureRate *= 1 - overallFailureRateGain
-		if o.Result == OK {
-			s.overloadPause = 0
-			if e := a.request.possiblyExecuted; e != nil && e.serverErrored && e.server != s {
-				r.observeFailure(e.server) // an error is the store's, not the request's, if another store then served it
-			}
-			r.observeBaseline(a.request.classIndex, r.observeLatency(s, a, true))
-			if s.ejected && s.failureRate < ejectionFailureRate {
-				s.ejected, s.ejectedByFleet = false, false
-				r.actions.Log(fmt.Sprintf("group %d: store %d has its turn back", s.Group, s.ID))
-			}
-		}
-	case Overloaded, ConnectFailed: // work or connections are scarce: a pause; a round tells whether the store is gone
-		s.overloadPause = min(max(2*s.overloadPause, initialOverloadPause), maxOverloadPause)
-		s.pausedUntil = r.now + s.overloadPause
-		if s.lastAnswerAt = r.now; o.Result == Overloaded {
-			s.window = max(s.window/2, r.minWindow)
-			break
-		}
-		if s.lastAnswerAt = 0; s.overloadPause > 2*initialOverloadPause { // thrice with nothing served between: one may just have broken
-			s.connectionsScarceAt = r.now
-		}
+		r.observeAnswer(a, result)
+	case Overloaded:
+		s.pause.begin(r.now)
+		s.health.lastAnswerAt = r.now
+		s.window.size = max(s.window.size/2, r.pace.minWindow)
+	case ConnectFailed:
+		r.observeConnectFailure(s)
+	case ServerError:
+		s.health.lastAnswerAt = r.now
+		a.serverError = true
+	case ConnectionReset:
+		s.health.lastAnswerAt = r.now
 		r.observeFailure(s)
-		if g := r.groupFor(s.Group); g.primary == s {
-			r.startRound(g)
-		}
-	case ServerError, ConnectionReset:
-		if s.lastAnswerAt, a.serverErrored = r.now, o.Result == ServerError; o.Result == ConnectionReset {
-			r.observeFailure(s)
-			r.dropPrimary(s, "cannot be reached")
-		}
+		r.dropPrimary(s, "cannot be reached")
 	}
-	if len(s.inFlight) == 0 && s.connectionsScarceAt > 0 && r.now < s.connectionsScarceAt+scarcityDuration {
-		r.actions.CloseIdleConnections(s.ID) // leave the connection to fronts that have none
+	if s.outstanding.count() == 0 && s.pause.connectionsScarce(r.now) {
+		r.actions.CloseIdleConnections(s.ID) // leave the connection to poolers that have none
 	}
 }
 
-// observeFailure counts a failure against a store, as far as it fails more than all do: where all refuse, connections
-// are scarce, and that costs no store its turn.
-func (r *Router) observeFailure(s *server) {
-	s.failureRate += failureRateGain * (1 - s.failureRate)
-	if (s.failureRate-r.failureRate)/(1-r.failureRate) >= ejectionFailureRate {
-		r.eject(s, "fails")
+// observeAnswer takes in that a server has served an attempt or turned it away by its role or
+// position.
+func (r *Router) observeAnswer(a *attempt, result Result) {
+	s := a.server
+	r.observeReachable(s)
+	s.health.lastAnswerAt = r.now
+	s.health.silent = false
+	s.ejection.failureRate *= 1 - failureRateGain
+	r.overall.failureRate *= 1 - overallFailureRateGain
+	if result != OK {
+		return
+	}
+	s.pause.length = 0
+	if first := a.request.possiblyExecuted; first != nil && first.serverError && first.server != s {
+		// Another server has served the request: the error was the first server's own.
+		r.observeFailure(first.server)
 	}
-	r.failureRate += overallFailureRateGain * (1 - r.failureRate)
+	latency := r.observeLatency(s, a, true)
+	r.estimates.of(a.request).baseline.observe(r.now, latency)
+	r.endEjectionByAnswer(s)
 }
 
-// hasCapacity tells whether a store may hold one more attempt of this front. Work beyond the window waits here
-// and not in the store's queue, whatever made the store slow: overload, a neighbour, a cold start, a jam.
-func (r *Router) hasCapacity(s *server, class int) bool {
-	rest := time.Duration(0)
-	if s.window < 1 && max(r.decayedLatencyRatio(s), r.latencyRatio) > congestedLatencyRatio && r.settings.Classes[class].Access != Write {
-		rest = time.Duration((1/s.window - 1) * float64(s.lastAttemptDuration))
+// observeConnectFailure takes in that no connection came up: connections are scarce, or the server
+// is gone. It is paused for the first, and a probe round finds out about the second if it is the
+// primary.
+func (r *Router) observeConnectFailure(s *server) {
+	s.pause.begin(r.now)
+	s.health.lastAnswerAt = 0
+	// One connection may just have broken: it takes three failures with nothing served in between.
+	if s.pause.length > 2*initialPause {
+		s.pause.connectionScarceAt = r.now
+	}
+	r.observeFailure(s)
+	if g := r.groupFor(s.Group); g.primary == s {
+		r.startRound(g)
 	}
-	held := s.inFlight
-	for s.ejected && len(held) > 0 && held[0].sentAt < s.ejectedAt {
-		held = held[1:] // what hangs there since before must not keep it from its trial
-	}
-	return float64(len(held)) < max(s.window, 1) && r.now >= s.pausedUntil && r.now >= s.lastAttemptEndedAt+rest &&
-		(!r.inSlowStart(s) || r.slowStartAllows(s, class))
 }
 
-// adjustWindow moves a window: up when it was used up and answers come in good time, down when they show a queue.
-func (r *Router) adjustWindow(s *server) {
-	switch {
-	case s.latencyRatio > congestedLatencyRatio:
-		if r.now >= s.windowCutAt+windowCutInterval {
-			s.window, s.windowCutAt = max(s.window*windowCutFactor, r.minWindow), r.now
-		}
-	case s.window < 1 && r.latencyRatio > congestedLatencyRatio: // only then has it been in force
-		s.window = min(s.window/windowCutFactor, 1)
-	case s.window >= 1 && float64(len(s.inFlight)+1) >= s.window:
-		s.window += min(1/s.window, s.window)
+// observeReachable takes in an answer to a request or a probe. A server that has been out of reach
+// for longer than a connection takes to come back may have been restarted: it is in slow start
+// then.
+func (r *Router) observeReachable(s *server) {
+	h := &s.health
+	wasAway := h.unreachable || h.silent || s.ejection.ejected && h.lastAnswerAt == 0
+	if wasAway && r.now >= h.lastReachedAt+minRestartOutage {
+		s.slowStart.since = max(s.slowStart.since, r.now)
 	}
+	h.unreachable = false
+	h.lastReachedAt = r.now
 }
 
-// observeLatency enters how long an attempt lasted, or at least, if it was not waited out.
-func (r *Router) observeLatency(s *server, a *attempt, answered bool) time.Duration {
-	took := r.now - a.sentAt
-	ratio := min(float64(took)/float64(r.baselines[a.request.classIndex].value), 20)
-	if answered || ratio > r.decayedLatencyRatio(s) {
-		s.latencyRatio = r.decayedLatencyRatio(s)*(1-latencyRatioGain) + latencyRatioGain*ratio
-	}
-	if answered || ratio > r.latencyRatio && r.now < s.lastAnswerAt+recentAnswerAge { // silence is no jam
-		r.latencyRatio += overallLatencyRatioGain * (ratio - r.latencyRatio)
+// silence is how long a server's attempts have waited since it last answered.
+type silence struct {
+	waited float64       // in mean latencies, summed over the attempts
+	rate   float64       // what is added to waited a nanosecond; 0 where no attempt counts
+	oldest time.Duration // the longest wait of one attempt
+}
+
+// detected reports whether the server counts as silent.
+func (w silence) detected() bool { return w.waited >= silenceMeanLatencies && w.oldest >= minSilence }
+
+// measureSilence returns how long a server's attempts have waited. An attempt does not count once a
+// later one has been answered: it may be lost, but the server is not silent.
+func (r *Router) measureSilence(s *server) silence {
+	var measured silence
+	for _, a := range s.outstanding.attempts {
+		if a.sentAt < s.outstanding.latestAnsweredSendAt {
+			continue
+		}
+		waited := r.now - max(a.sentAt, s.health.lastAnswerAt)
+		mean := float64(r.estimates.of(a.request).meanLatency) / r.slowStartWeight(s)
+		measured.waited += float64(waited) / mean
+		measured.rate += 1 / mean
+		measured.oldest = max(measured.oldest, waited)
 	}
-	s.latencyRatioAt, s.lastAttemptDuration = r.now, took
-	r.adjustWindow(s)
-	m := &r.meanLatencies[a.request.classIndex]
-	*m = max(*m+time.Duration(meanLatencyGain*float64(min(took, 8**m)-*m)), ms)
-	return took
+	return measured
 }
 
-// checkSilence looks for silence: the time that the store's attempts have waited since it last answered any, in mean
-// answer times, summed: hangs, stalls, slow hosts and cut links, where a shallow probe may still succeed.
+// checkSilence ejects a server that is silent and schedules the next check. It finds hangs, stalls,
+// slow hosts and cut links, where a shallow probe may still succeed.
 func (r *Router) checkSilence(s *server) {
-	s.silenceCheckScheduled = false
-	if len(s.inFlight) == 0 {
+	s.health.silenceCheckScheduled = false
+	if s.outstanding.count() == 0 {
 		return
 	}
-	waited, rate, oldest := 0.0, 0.0, time.Duration(0)
-	for _, a := range s.inFlight {
-		if a.sentAt < s.latestAnsweredSendAt {
-			continue // a later one has been answered: this one may be lost, but the store is not silent
-		}
-		m := float64(r.meanLatencies[a.request.classIndex]) / r.slowStartWeight(s)
-		waited += float64(r.now-max(a.sentAt, s.lastAnswerAt)) / m
-		rate += 1 / m
-		oldest = max(oldest, r.now-max(a.sentAt, s.lastAnswerAt))
-	}
-	if rate == 0 {
+	measured := r.measureSilence(s)
+	if measured.rate == 0 {
 		return
 	}
-	if waited >= silenceMeanLatencies && oldest >= minSilence {
-		s.silent = true // no claim counts until it answers a request: a shallow probe may succeed on a hung one
+	if measured.detected() {
+		s.health.silent = true
 		r.eject(s, "is silent")
 		r.dropPrimary(s, "is silent")
 		r.retrySilentElsewhere(s)
-		waited = 0
-	}
-	wait := max(time.Duration((silenceMeanLatencies-waited)/rate), minSilence-oldest, 20*ms)
-	s.silenceCheckScheduled = true
-	r.schedule(wait, func() { r.checkSilence(s) })
-}
-
-// ObserveFleetEjection takes in the fleet's word that a store is bad, or no longer: it loses its turn until a trial or the
-// next word, unless it has just answered here, or no other member of its group has its turn.
-func (r *Router) ObserveFleetEjection(now time.Duration, id uint32, bad bool) {
-	r.advanceClock(now)
-	s := r.servers[id]
-	if s == nil || bad && (s.ejected || s.lastAnswerAt > 0 && r.now < s.lastAnswerAt+recentAnswerAge) || !bad && !s.ejectedByFleet {
-		return
-	}
-	g := r.groupFor(s.Group)
-	if !bad {
-		s.ejected, s.ejectedByFleet = false, false
-		r.dispatchQueued(g)
-	} else if slices.ContainsFunc(g.members, func(x *server) bool { return x != s && !r.Avoids(x.ID) }) {
-		r.eject(s, "is bad by the fleet's word")
-		s.ejectedByFleet = true
+		measured.waited = 0
 	}
+	expected := time.Duration((silenceMeanLatencies - measured.waited) / measured.rate)
+	s.health.silenceCheckScheduled = true
+	r.schedule(max(expected, minSilence-measured.oldest, minSilenceCheckInterval), func() { r.checkSilence(s) })
 }
 
-func (r *Router) eject(s *server, why string) {
-	if s.ejectedByFleet = false; s.ejected {
-		return
-	}
-	s.ejected, s.ejectedAt, s.trialInterval, s.nextTrialAt = true, r.now, initialTrialInterval, r.now+initialTrialInterval
-	r.actions.Log(fmt.Sprintf("group %d: store %d %s and loses its turn", s.Group, s.ID, why))
-}
-
-// retrySilentElsewhere takes the safe requests of a silent store elsewhere.
+// retrySilentElsewhere sends the idempotent requests that wait at a silent server to another one,
+// within the retry budget: beside the first attempt where that is allowed, else after its
+// cancellation.
 func (r *Router) retrySilentElsewhere(s *server) {
-	for _, a := range append([]*attempt(nil), s.inFlight...) {
-		switch q := a.request; {
-		case q.finished || q.classSettings.Idempotency != Idempotent || q.inFlight > 1 || r.retryBudget < 1:
-		case r.settings.HedgingAllowed && r.dispatch(q):
-			r.retryBudget--
-		case !r.settings.HedgingAllowed && r.settings.CancelAllowed:
-			r.actions.CancelAttempt(q.id, attemptIndex(q, a))
+	for _, a := range slices.Clone(s.outstanding.attempts) {
+		q := a.request
+		if q.finished || q.class.Idempotency != Idempotent || q.inFlight > 1 || r.retryBudget < 1 {
+			continue
+		}
+		if r.settings.HedgingAllowed {
+			if r.dispatch(q) {
+				r.retryBudget--
+			}
+			continue
+		}
+		if r.settings.CancelAllowed {
+			r.actions.CancelAttempt(q.id, q.number(a))
 		}
 	}
 }
-
-// observeReachable notes an answer: after a while out of reach, longer than a break, a store may have restarted cold.
-func (r *Router) observeReachable(s *server) {
-	if (s.unreachable || s.silent || s.ejected && s.lastAnswerAt == 0) && r.now >= s.lastReachedAt+minRestartOutage {
-		s.slowStartSince = max(s.slowStartSince, r.now)
-	}
-	s.unreachable, s.lastReachedAt = false, r.now
-}
--- a/internal/policy/large_fleet_test.go
+++ b/internal/policy/large_fleet_test.go
@@ -129,7 +129,7 @@
 		}
 	}
 	for s := uint32(2); s <= 3; s++ {
-		if f.router.servers[s].ejected {
+		if f.server(s).ejection.ejected {
 			t.Errorf("store %d lost its turn to errors that all stores give", s)
 		}
 	}
@@ -139,14 +139,14 @@
 func TestGoneIsCancelledAndNoGoodTime(t *testing.T) {
 	f := newHostWithPrimary(t, nil)
 	f.sendRequest(2, classLatest)
-	p := f.router.servers[1]
-	p.latencyRatio, p.latencyRatioAt, f.router.latencyRatio = 3, f.now, 3
+	p := f.server(1)
+	p.latency.ratio, p.latency.measuredAt, f.router.overall.latencyRatio = 3, f.now, 3
 	f.advanceTo(f.now + 20*ms)
 	f.router.HandleDisconnect(f.now, 2)
 	f.wantAction("cancel 2 0")
 	f.endAttempt(2, 0, Cancelled, RoleUnknown)
-	if p.latencyRatio < 3 || f.router.latencyRatio < 3 {
-		t.Fatalf("slowness %.2f and %.2f after a cancelled attempt, want 3", p.latencyRatio, f.router.latencyRatio)
+	if p.latency.ratio < 3 || f.router.overall.latencyRatio < 3 {
+		t.Fatalf("slowness %.2f and %.2f after a cancelled attempt, want 3", p.latency.ratio, f.router.overall.latencyRatio)
 	}
 }
 
@@ -168,10 +168,10 @@
 		sent         bool
 	}{{1, 1, true}, {1, 3, true}, {3, 1, false}} {
 		f := newHostWithPrimary(t, withPoolers(400))
-		p := f.router.servers[1]
-		p.latencyRatio, p.latencyRatioAt, f.router.latencyRatio = c.primary, f.now, c.all
-		f.router.withdrawMember(f.router.servers[2], Draining)
-		f.router.withdrawMember(f.router.servers[3], Draining)
+		p := f.server(1)
+		p.latency.ratio, p.latency.measuredAt, f.router.overall.latencyRatio = c.primary, f.now, c.all
+		f.router.withdraw(f.server(2), Draining)
+		f.router.withdraw(f.server(3), Draining)
 		f.sendRequest(2, classAny)
 		f.advanceTo(f.now + 200*ms)
 		if sent := len(f.attempts[2]) > 0; sent != c.sent {
@@ -211,12 +211,12 @@
 func (discardActions) Attempt(uint32, uint32, time.Duration) {}
 func (discardActions) Reject(uint32, time.Duration)          {}
 func (discardActions) Fail(uint32)                           {}
-func (discardActions) CancelAttempt(uint32, int)                    {}
+func (discardActions) CancelAttempt(uint32, int)             {}
 func (discardActions) Probe(uint32)                          {}
 func (discardActions) SetTimer(time.Duration)                {}
-func (discardActions) CloseIdleConnections(uint32)                      {}
-func (discardActions) WatchList()                                {}
-func (discardActions) PrimaryChanged(PrimaryEvent)                  {}
+func (discardActions) CloseIdleConnections(uint32)           {}
+func (discardActions) WatchList()                            {}
+func (discardActions) PrimaryChanged(PrimaryEvent)           {}
 func (discardActions) Log(string)                            {}
 
 // The cost of a request and its outcome at a front that knows 60 stores.
@@ -294,7 +294,7 @@
 	f.probeAnswered(3, false, f.now)
 	f.wantAction("attempt 2 3")
 	f.endAttempt(2, 0, OK, RoleReplica)
-	f.router.withdrawMember(f.router.servers[3], Draining)
+	f.router.withdraw(f.server(3), Draining)
 	for id := uint32(3); id < 6; id++ {
 		f.router.HandleRequest(f.now, Request{ID: id, Class: classBounded, Group: 7, Timeout: time.Second})
 	}
@@ -383,15 +383,15 @@
 			f.advanceTo(f.now + 5*time.Second)
 			home, one := f.router.rankedReplicas(f.router.groups[7])[0].ID, 0
 			for id := uint32(10); id < 30; id++ {
-				for _, s := range f.router.serverOrder[:4] {
-					s.latencyRatio, s.latencyRatioAt, s.window = slow, f.now, 1
+				for _, s := range f.router.servers.ordered[:4] {
+					s.latency.ratio, s.latency.measuredAt, s.window.size = slow, f.now, 1
 				}
 				f.sendRequest(id, classAny)
 				if f.attempts[id][0] == 5 {
 					one++
 				}
 				f.endAttempt(id, 0, OK, RoleReplica)
-				clear(f.router.warmLoad)
+				clearWarmLoad(f.router)
 			}
 			if one > 1 || one > 0 && home != 5 && slow == 1 {
 				t.Errorf("slowness %v: front %d, whose home is %d, sends %d of 20 reads to the cold one", slow, me, home, one)
@@ -416,14 +416,14 @@
 		first, next time.Duration // the store has held an attempt so long, and may be sent the next one so much later
 	}{{1, classBounded, 200 * ms, 0}, {3, classBounded, 100 * ms, 900 * ms}, {3, classBounded, 300 * ms, 2700 * ms}, {3, classNotIdempotent, 200 * ms, 0}} {
 		f := newHostWithPrimary(t, withPoolers(80))
-		f.router.latencyRatio = c.slow
+		f.router.overall.latencyRatio = c.slow
 		f.sendRequest(2, classAny)
-		s := f.router.servers[f.attempts[2][0]]
+		s := f.server(f.attempts[2][0])
 		f.advanceTo(f.now + c.first)
 		f.endAttempt(2, 0, OK, RoleReplica)
-		s.window, s.latencyRatio, f.router.latencyRatio = 0.1, 1, c.slow
+		s.window.size, s.latency.ratio, f.router.overall.latencyRatio = 0.1, 1, c.slow
 		for _, wait := range []time.Duration{c.next - 10*ms, c.next} {
-			f.router.advanceClock(s.lastAttemptEndedAt + wait)
+			f.router.clock.advance(s.outstanding.lastEndedAt + wait)
 			if got, want := f.router.hasCapacity(s, c.class), wait >= c.next || c.next == 0; got != want {
 				t.Errorf("%+v: room after %v is %v", c, wait, got)
 			}
@@ -439,10 +439,10 @@
 		for id := uint32(2); id < 12; id++ {
 			f.sendRequest(id, classLatest)
 			f.advanceTo(f.now + 20*ms)
-			f.router.latencyRatio = slow
+			f.router.overall.latencyRatio = slow
 			f.endAttempt(id, 0, OK, RolePrimary)
 		}
-		if w := f.router.servers[1].window; (w > 0.1) != (slow > congestedLatencyRatio) {
+		if w := f.server(1).window.size; (w > 0.1) != (slow > congestedLatencyRatio) {
 			t.Errorf("slowness %v: window %v after ten good answers, from 0.1", slow, w)
 		}
 	}
@@ -453,14 +453,14 @@
 	for _, heard := range []time.Duration{200 * ms, 5 * time.Second} {
 		f := newHostWithPrimary(t, withPoolers(80))
 		f.advanceTo(startTime + 10*time.Second)
-		s := f.router.servers[2]
-		f.router.advanceClock(f.now)
-		s.lastAnswerAt = f.now - heard
+		s := f.server(2)
+		f.router.clock.advance(f.now)
+		s.health.lastAnswerAt = f.now - heard
 		for range 20 {
 			f.router.observeLatency(s, &attempt{server: s, sentAt: f.now - 500*ms, request: &request{}}, false)
 		}
-		if jam := f.router.latencyRatio > congestedLatencyRatio; jam != (heard < recentAnswerAge) || s.latencyRatio < 2 {
-			t.Errorf("heard %v ago: slowness of all %.1f, of the store %.1f", heard, f.router.latencyRatio, s.latencyRatio)
+		if jam := f.router.overall.latencyRatio > congestedLatencyRatio; jam != (heard < recentAnswerAge) || s.latency.ratio < 2 {
+			t.Errorf("heard %v ago: slowness of all %.1f, of the store %.1f", heard, f.router.overall.latencyRatio, s.latency.ratio)
 		}
 	}
 }
@@ -548,8 +548,8 @@
 		before := len(f.probedServers)
 		for end := f.now + d; f.now < end; {
 			f.advanceTo(min(f.now+100*ms, end))
-			for _, s := range f.router.serverOrder {
-				if s.inRound {
+			for _, s := range f.router.servers.ordered {
+				if s.health.inRound {
 					f.probeAnswered(s.ID, false, f.now)
 				}
 			}
@@ -584,7 +584,7 @@
 	}
 	f.router.ObservePrimary(f.now, 7, 0, false, 0)
 	f.probeAnswered(3, true, f.now+2*ms)
-	if f.router.groupFor(7).leaderRoundsUntil != 0 {
+	if f.router.groupFor(7).round.leaderUntil != 0 {
 		t.Error("with a primary found, the rounds of a next loss are still left to another")
 	}
 	f.router.ObservePrimary(f.now, 7, 2, true, f.now+3*ms)
--- a/internal/policy/outlier_detection_test.go
+++ b/internal/policy/outlier_detection_test.go
@@ -8,28 +8,28 @@
 // The fleet's word costs a store its turn only where this front has no answer of its own, and never a group's last one.
 func TestVerdict(t *testing.T) {
 	f := newHostWithPrimary(t, nil)
-	f.router.servers[2].lastAnswerAt = f.now
+	f.server(2).health.lastAnswerAt = f.now
 	f.router.ObserveFleetEjection(f.now, 2, true)
-	if f.router.servers[2].ejected {
+	if f.server(2).ejection.ejected {
 		t.Error("a store that has just answered here lost its turn by the fleet's word")
 	}
 	f.advanceTo(startTime + recentAnswerAge)
 	f.router.ObserveFleetEjection(f.now, 2, true)
-	if !f.router.servers[2].ejected || f.router.servers[2].nextTrialAt != f.now+initialTrialInterval {
+	if !f.server(2).ejection.ejected || f.server(2).ejection.nextTrialAt != f.now+initialTrialInterval {
 		t.Error("a store that the fleet calls bad keeps its turn, or has no trial")
 	}
 	f.router.ObserveFleetEjection(f.now, 2, false)
-	if f.router.servers[2].ejected {
+	if f.server(2).ejection.ejected {
 		t.Error("the word was taken back, and the store has no turn")
 	}
-	f.router.eject(f.router.servers[2], "is silent")
+	f.router.eject(f.server(2), "is silent")
 	f.router.ObserveFleetEjection(f.now, 2, false)
-	if !f.router.servers[2].ejected {
+	if !f.server(2).ejection.ejected {
 		t.Error("the fleet's word gave back a turn that was lost by own evidence")
 	}
-	f.router.eject(f.router.servers[3], "is silent")
+	f.router.eject(f.server(3), "is silent")
 	f.router.ObserveFleetEjection(f.now, 1, true)
-	if f.router.servers[1].ejected {
+	if f.server(1).ejection.ejected {
 		t.Error("the last member with a turn lost it by the fleet's word")
 	}
 	f.router.ObserveFleetEjection(f.now, 99, true)
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -2,83 +2,187 @@
 
 import "time"
 
-// Finding the primary: the record of a group, its ping, and the evidence that moves it.
+// Primary tracking: the record of a group's primary, its ping, and the evidence that changes the
+// record.
 
 const (
-	primaryPingInterval = 100 * ms        // steady ping of the recorded primary
-	maxSmallFleet       = 5               // fronts whose pings at 100 ms each take a primary 1% of its time at most
-	recentAnswerAge     = time.Second     // an answer on the request path outweighs failed probes this long
-	firstPingDelay      = 10 * ms         // from finding a primary to its first ping
-	typicalHandover     = 700 * ms        // and from a drained one's last write
-	typicalFailover     = 4 * time.Second // from a primary's death until another takes writes, more or less
+	// primaryPingInterval is the steady interval between two pings of a recorded primary.
+	primaryPingInterval = 100 * time.Millisecond
+	// maxSmallFleet is the number of poolers whose pings at primaryPingInterval each take 1% of a
+	// primary's time at most.
+	maxSmallFleet = 5
+	// recentAnswerAge is how long an answer on the request path outweighs failed probes.
+	recentAnswerAge = time.Second
+	// firstPingDelay is the span from finding a primary to its first ping.
+	firstPingDelay = 10 * time.Millisecond
+	// typicalHandover is about how long a group has no primary after the old one was demoted.
+	typicalHandover = 700 * time.Millisecond
+	// typicalFailover is about how long a group has no primary after the old one died.
+	typicalFailover = 4 * time.Second
 )
 
-// pingPrimary is every 100 ms. All fronts of a large fleet together ping as often as one alone would, and only
-// groups in use, where no answer has said the same since.
+// roleEvidence is what is known of a server's role. Evidence counts by the time that it is true as
+// of: the latest wins, in whatever order it arrives.
+type roleEvidence struct {
+	role      Role
+	asOf      time.Duration // the time of the evidence for role
+	claimedAt time.Duration // the time of the latest evidence that the server is primary
+}
+
+// recordClaim takes in evidence that the server is primary and reports whether it is now held to
+// be.
+func (e *roleEvidence) recordClaim(asOf time.Duration) bool {
+	e.claimedAt = max(e.claimedAt, asOf)
+	if asOf < e.asOf && e.role != RolePrimary {
+		return false
+	}
+	e.role = RolePrimary
+	e.asOf = max(e.asOf, asOf)
+	return true
+}
+
+// recordDenial takes in evidence that the server is a replica and reports whether it is now held to
+// be.
+func (e *roleEvidence) recordDenial(asOf time.Duration) bool {
+	if asOf < e.asOf || asOf < e.claimedAt {
+		return false
+	}
+	e.role = RoleReplica
+	e.asOf = asOf
+	return true
+}
+
+// primaryOutage is what is known of a span in which a group has no recorded primary.
+type primaryOutage struct {
+	confirmed      bool          // a probe round has found no primary
+	memberRemoved  bool          // the recorded primary has left the list, and no other has shown itself
+	beganAt        time.Duration // when the last primary was dropped; 0 for never
+	expectedLength time.Duration // how long the group is without a primary then, more or less
+}
+
+// pingSchedule is the next ping of a group's primary.
+type pingSchedule struct {
+	scheduled bool
+	dueAt     time.Duration // the ping at another time has been replaced
+}
+
+// pingPrimary pings the recorded primary and schedules the next ping. All poolers of a large fleet
+// together ping as often as one would, and only groups in use whose primary has not answered since.
 func (r *Router) pingPrimary(g *group) {
-	if g.pingScheduled = g.primary != nil && r.settings.ProbesAllowed && (!r.largeFleet || r.now < g.lastRequestAt+r.pingInterval); g.pingScheduled {
-		if !r.largeFleet || r.now >= g.primary.primaryClaimAsOf+r.pingInterval {
-			r.sendProbe(g.primary, "ping")
-		}
-		r.schedulePing(g, r.pingInterval)
+	inUse := !r.pace.largeFleet || r.now < g.lastRequestAt+r.pace.pingInterval
+	g.ping.scheduled = g.primary != nil && r.settings.ProbesAllowed && inUse
+	if !g.ping.scheduled {
+		return
+	}
+	if !r.pace.largeFleet || r.now >= g.primary.role.claimedAt+r.pace.pingInterval {
+		r.sendProbe(g.primary, probeForPing)
 	}
+	r.schedulePing(g, r.pace.pingInterval)
+}
+
+// schedulePing schedules a ping of a group's primary in place of the one that is due.
+func (r *Router) schedulePing(g *group, after time.Duration) {
+	dueAt := r.now + after
+	g.ping.scheduled = true
+	g.ping.dueAt = dueAt
+	r.schedule(after, func() {
+		if g.ping.dueAt == dueAt {
+			r.pingPrimary(g)
+		}
+	})
 }
 
-// observePrimaryClaim and deny weigh role evidence by its as-of time: the latest wins, whatever was under way meanwhile.
+// observePrimaryClaim takes in evidence that a server is primary. The server becomes the record
+// unless the recorded primary has as late a claim, or the server has left the list or is silent.
 func (r *Router) observePrimaryClaim(s *server, asOf time.Duration) {
-	s.primaryClaimAsOf = max(s.primaryClaimAsOf, asOf)
-	if asOf < s.roleAsOf && s.role != RolePrimary {
+	if !s.role.recordClaim(asOf) {
 		return
 	}
-	s.role, s.roleAsOf = RolePrimary, max(s.roleAsOf, asOf)
 	g := r.groupFor(s.Group)
-	if !s.listed || s.silent || g.primary == s || g.primary != nil && g.primary.primaryClaimAsOf >= asOf {
+	if !s.listed || s.health.silent || g.primary == s {
+		return
+	}
+	if g.primary != nil && g.primary.role.claimedAt >= asOf {
 		return
 	}
-	g.primary, g.primaryNotFound, g.primaryRemoved, g.leaderRoundsUntil = s, false, false, 0
+	g.primary = s
+	g.outage.confirmed = false
+	g.outage.memberRemoved = false
+	g.round.leaderUntil = 0
 	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryFound, Group: g.id, Server: s.ID, AsOf: asOf})
-	if !g.pingScheduled {
+	if !g.ping.scheduled {
 		r.schedulePing(g, firstPingDelay)
 	}
 	r.dispatchQueued(g)
 }
 
+// observeReplicaClaim takes in evidence that a server is a replica. A recorded primary that says so
+// has been demoted.
 func (r *Router) observeReplicaClaim(s *server, asOf time.Duration) {
-	if asOf < s.roleAsOf || asOf < s.primaryClaimAsOf {
+	if !s.role.recordDenial(asOf) {
 		return
 	}
-	s.role, s.roleAsOf = RoleReplica, asOf
 	if r.dropPrimary(s, "says it is a replica") {
-		r.groupFor(s.Group).expectedOutage = typicalHandover
+		r.groupFor(s.Group).outage.expectedLength = typicalHandover
 	}
 }
 
-// dropPrimary drops a store from the record, if it stands there, and starts a round.
-func (r *Router) dropPrimary(s *server, why string) bool {
+// dropPrimary takes a server off the record if it stands there, starts a probe round, and reports
+// whether it stood there.
+func (r *Router) dropPrimary(s *server, reason string) bool {
 	g := r.groupFor(s.Group)
 	if g.primary != s {
 		return false
 	}
-	g.primary, g.primaryDownAt, g.expectedOutage = nil, r.now, typicalFailover
-	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: why})
+	g.primary = nil
+	g.outage.beganAt = r.now
+	g.outage.expectedLength = typicalFailover
+	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: reason})
 	r.startRound(g)
 	return true
 }
 
-func (r *Router) observeStatus(s *server, rep ServerStatus) {
-	asOf := r.now - primaryPingInterval // where its age is untold
-	if rep.HasPosition {
-		r.advancePosition(s, rep.Position)
-		if !rep.RoleIsCurrent {
-			asOf = rep.Position // exact as of the report
+// observeStatus takes in a server's report of itself.
+func (r *Router) observeStatus(s *server, status ServerStatus) {
+	asOf := r.now - primaryPingInterval // where the report does not tell its age
+	if status.HasPosition {
+		s.replication.advance(status.Position, r.now)
+		if !status.RoleIsCurrent {
+			asOf = status.Position
 		}
 	}
-	if rep.Utilization > 0 {
-		s.utilization, s.utilizationAt = rep.Utilization, r.now
+	if status.Utilization > 0 {
+		s.utilization = reportedUtilization{share: status.Utilization, reportedAt: r.now}
 	}
-	if rep.HasRole && rep.IsPrimary {
+	switch {
+	case status.HasRole && status.IsPrimary:
 		r.observePrimaryClaim(s, asOf)
-	} else if rep.HasRole {
+	case status.HasRole:
 		r.observeReplicaClaim(s, asOf)
 	}
 }
+
+// ObservePrimary takes in what the pooler that repeats probe rounds for all found of a group: its
+// primary, as of a time, or none yet. It is evidence like an answer's, and newer evidence of this
+// pooler outweighs it.
+func (r *Router) ObservePrimary(now time.Duration, group int, id uint32, found bool, asOf time.Duration) {
+	r.clock.advance(now)
+	if s := r.servers.byID[id]; found && s != nil && s.Group == group {
+		r.observePrimaryClaim(s, asOf)
+		return
+	}
+	if g := r.groups[group]; g != nil && !found {
+		g.round.leaderUntil = r.now + leaderRoundsTrust
+	}
+}
+
+// ReportPrimaryDown takes in that another pooler has found a group's primary down. The pooler that
+// repeats rounds for all starts one at once, but not before a round would be repeated anyway: its
+// own pings may notice seconds later only.
+func (r *Router) ReportPrimaryDown(now time.Duration, group int) {
+	r.clock.advance(now)
+	g := r.groups[group]
+	if g != nil && r.roundLeader && r.now >= g.round.startedAt+roundInterval {
+		r.startRound(g)
+	}
+}
--- a/internal/policy/probe_rounds.go
+++ b/internal/policy/probe_rounds.go
@@ -2,67 +2,150 @@
 
 import "time"
 
-// Rounds: all members of a group without a primary are probed until one reports itself primary.
+// Probe rounds: all members of a group without a primary are probed until one reports itself
+// primary.
 
 const (
-	roundInterval       = 500 * ms    // to the next round when some member answered
-	silentRoundInterval = time.Second // to the next round when none did
-	minRoundGap         = 50 * ms     // no two rounds of a group start closer than this: a storm of misses is one cause
+	// roundInterval is the span from a round to the next when some member answered.
+	roundInterval = 500 * time.Millisecond
+	// silentRoundInterval is the span from a round to the next when no member answered.
+	silentRoundInterval = time.Second
+	// minRoundGap is the least span between the starts of two rounds of a group: several failures
+	// at once have one cause.
+	minRoundGap = 50 * time.Millisecond
+	// leaderRoundsTrust is how long the pooler that repeats rounds for all is believed to go on
+	// with a group after it was heard of: three of its rounds, of which two reports may be lost on
+	// the way.
+	leaderRoundsTrust = 3 * roundInterval
 )
 
-// startRound probes all members of a group in parallel; the one that reports itself primary becomes the record.
+// probeRound is the running or last round of a group, and when the next one is due.
+type probeRound struct {
+	pending          int           // members whose answer is outstanding; 0 when no round is running
+	answered         bool          // some member has answered the round
+	startedAt        time.Duration // 0 for never
+	nextAt           time.Duration // a round scheduled for another time has been replaced
+	leaderUntil      time.Duration // until then the round leader repeats this group's rounds
+	initialTriggered bool          // the round that the first request starts is over, under way or not needed
+}
+
+// recordAnswer takes a member's answer into the running round and reports whether it was the last
+// one.
+func (p *probeRound) recordAnswer(s *server, reached bool) bool {
+	if !s.health.inRound {
+		return false
+	}
+	s.health.inRound = false
+	p.pending--
+	p.answered = p.answered || reached
+	return p.pending == 0
+}
+
+// nextInterval returns the span from this round to the next.
+func (p *probeRound) nextInterval() time.Duration {
+	if p.answered {
+		return roundInterval
+	}
+	return silentRoundInterval
+}
+
+// startRound probes all members of a group in parallel: the one that reports itself primary becomes
+// the record.
 func (r *Router) startRound(g *group) {
 	switch {
-	case g.roundPending > 0 || !r.settings.ProbesAllowed:
+	case g.round.pending > 0 || !r.settings.ProbesAllowed:
 		return
-	case r.now < g.leaderRoundsUntil && !r.roundLeader: // another front is at it for all
+	case r.now < g.round.leaderUntil && !r.roundLeader:
 		r.scheduleRound(g, roundInterval)
 		return
-	case g.roundStartedAt > 0 && r.now < g.roundStartedAt+minRoundGap:
-		r.scheduleRound(g, g.roundStartedAt+minRoundGap-r.now)
+	case g.round.startedAt > 0 && r.now < g.round.startedAt+minRoundGap:
+		r.scheduleRound(g, g.round.startedAt+minRoundGap-r.now)
 		return
 	}
-	g.roundStartedAt, g.roundAnswered = r.now, false
+	g.round.startedAt = r.now
+	g.round.answered = false
 	for _, s := range g.members {
-		if s.listed && !s.inRound {
-			s.inRound = true
-			g.roundPending++
-			r.sendProbe(s, "round")
+		if s.listed && !s.health.inRound {
+			s.health.inRound = true
+			g.round.pending++
+			r.sendProbe(s, probeForRound)
 		}
 	}
-	if g.roundPending == 0 {
+	if g.round.pending == 0 {
 		r.scheduleRound(g, silentRoundInterval)
 	}
 }
 
-// repeatRound is a round that is due: in a large fleet for fronts that hold work for the group, or one for all.
+// startInitialRound starts the round of a group that is used for the first time. The poolers of a
+// large fleet leave it out where the list names a primary, and for reads that need none.
+func (r *Router) startInitialRound(q *request) {
+	g := q.group
+	if g.round.initialTriggered || r.pace.largeFleet && !q.class.needsPrimary() {
+		return
+	}
+	g.round.initialTriggered = true
+	if !r.pace.largeFleet || g.primary == nil {
+		r.startRound(g)
+	}
+}
+
+// scheduleRound schedules a round unless one is due sooner.
+func (r *Router) scheduleRound(g *group, after time.Duration) {
+	dueAt := r.now + after
+	if g.round.nextAt > r.now && g.round.nextAt <= dueAt {
+		return
+	}
+	g.round.nextAt = dueAt
+	r.schedule(after, func() {
+		if g.round.nextAt == dueAt {
+			r.repeatRound(g)
+		}
+	})
+}
+
+// repeatRound starts a round that is due. In a large fleet only the poolers with queued requests
+// for the group do, and the round leader.
 func (r *Router) repeatRound(g *group) {
-	if g.primary == nil && (!r.largeFleet || len(g.queue) > 0 || r.roundLeader) {
+	if g.primary != nil {
+		return
+	}
+	if !r.pace.largeFleet || len(g.queue.requests) > 0 || r.roundLeader {
 		r.startRound(g)
 	}
 }
 
-// HandleProbeResult takes in what a probe found.
+// endRound reports a round without a primary and schedules the next.
+func (r *Router) endRound(g *group) {
+	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryNotFound, Group: g.id, Repeated: g.outage.confirmed})
+	g.outage.confirmed = true
+	r.scheduleRound(g, g.round.nextInterval())
+}
+
+// HandleProbeResult takes in the end of a probe.
 func (r *Router) HandleProbeResult(now time.Duration, p ProbeResult) {
-	r.advanceClock(now)
-	s := r.servers[p.Server]
+	r.clock.advance(now)
+	s := r.servers.byID[p.Server]
 	if s == nil {
 		return
 	}
 	g := r.groupFor(s.Group)
 	reached := p.Result == OK || p.Result == Overloaded || p.Result == ServerError
-	if p.Result == OK {
+	switch {
+	case p.Result == OK:
 		r.observeReachable(s)
 		r.observeStatus(s, p.Status)
-	} else if p.Result == ConnectFailed || !reached && r.now >= s.lastAnswerAt+recentAnswerAge {
-		// An error, or silence where requests have just been answered, says nothing: probes fail by themselves.
-		s.unreachable = true
+	case p.Result == ConnectFailed || !reached && !s.health.answeredRecently(r.now):
+		// An error, or silence where requests have just been answered, says nothing: probes fail by
+		// themselves.
+		s.health.unreachable = true
 		r.dropPrimary(s, "does not answer its ping")
 	}
-	if g.recordRoundAnswer(s, reached) && g.primary == nil {
-		r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryNotFound, Group: g.id, Repeated: g.primaryNotFound})
-		g.primaryNotFound = true
-		r.scheduleRound(g, map[bool]time.Duration{true: roundInterval, false: silentRoundInterval}[g.roundAnswered])
+	if g.round.recordAnswer(s, reached) && g.primary == nil {
+		r.endRound(g)
 	}
 	r.dispatchQueued(g)
 }
+
+// SetRoundLeader has this pooler repeat probe rounds for all poolers, also of groups that it has no
+// requests for, or leaves that to another pooler.
+func (r *Router) SetRoundLeader(leader bool) { r.roundLeader = leader }
--- a/internal/policy/read_staleness_test.go
+++ b/internal/policy/read_staleness_test.go
@@ -12,7 +12,7 @@
 		s.Poolers, s.StaleReads, s.StaleReadWait = fronts, StaleReadWaits, 100*ms
 		s.Classes[classBounded].MaxStaleness = 3 * time.Second
 	})
-	f.router.baselines[classAny].value, f.router.baselines[classBounded].value = 500*ms, 50*ms
+	f.router.estimates.classes[classAny].baseline.value, f.router.estimates.classes[classBounded].baseline.value = 500*ms, 50*ms
 	return f
 }
 
@@ -55,7 +55,7 @@
 func TestLongReadsKeepToReplicasBehind(t *testing.T) {
 	for seed := uint64(1); seed < 6; seed++ {
 		f := newLaggingHost(t, 2)
-		f.router.randomState = seed
+		f.router.random.state = seed
 		f.advanceTo(startTime + 200*ms)
 		f.probeAnswered(3, false, f.now)
 		sent := func(id, want uint32) {
@@ -66,9 +66,9 @@
 			}
 		}
 		sent(2, 2)
-		f.router.servers[2].window = 1
+		f.server(2).window.size = 1
 		sent(3, 1)
-		f.router.servers[2].position, f.router.servers[3].position = f.now-5*time.Second, f.now-4*time.Second
+		f.server(2).replication.position, f.server(3).replication.position = f.now-5*time.Second, f.now-4*time.Second
 		sent(4, 3)
 	}
 }
@@ -91,7 +91,7 @@
 		}
 	}
 	f.probeAnswered(behind, false, f.now)
-	if s := f.router.servers[behind]; !f.router.freshEnough(&request{classSettings: &f.router.settings.Classes[classBounded]}, s) {
+	if s := f.server(behind); !f.router.freshEnough(&request{class: &f.router.settings.Classes[classBounded]}, s) {
 		t.Error("a replica that proved a new position is passed over for what it turned away before")
 	}
 }
--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -6,165 +6,227 @@
 	"time"
 )
 
-// Other reads: to replicas by turns, as fresh as their class needs.
+// Replica selection: reads go to replicas by turns, as fresh as their class needs.
 
 const (
-	positionTolerance        = 2 * ms // positions and ages are rounded on their way here
-	positionRefreshFraction  = 0.5    // of a bound: a position this old is asked for anew, in time for the next reads
-	positionProbeGapFraction = 0.125  // of a bound: least time between two such questions
-	longReadRatio            = 3      // times the time of a bounded read: one that long is kept apart from those
-	fallbackWaitFraction     = 0.25   // of the aim: how long a read waits before the primary may take it
-	nonPreferredCost         = 0.5    // of one request, for each replica that a front of a large fleet prefers
-	crossZoneCost            = 0.3    // of one request: crossing zones costs a little time and money
+	// fallbackWaitFraction is the part of its latency objective that a read waits before the
+	// primary may take it.
+	fallbackWaitFraction = 0.25
+	// nonPreferredCost is the cost, in requests, of each place in a large fleet's ranking of
+	// replicas.
+	nonPreferredCost = 0.5
+	// crossZoneCost is the cost, in requests, of another zone: it takes a little time and money.
+	crossZoneCost = 0.3
+	// utilizationMaxAge is how long a reported utilization counts.
+	utilizationMaxAge = time.Second
 )
 
-// chooseReplica gives a read to the replica whose turn it is: of those fresh enough and healthy the one
-// that holds least for its speed, ties by turn. A front of a large fleet, which sees few requests, keeps to
-// one replica of a group while that is not busy: it has fewer connections, and knows that one better.
+// replicaSearch is one pass over the replicas of a group for a read.
+type replicaSearch struct {
+	request      *request
+	fallbackWait time.Duration // how long the read may wait for a replica to catch up
+	minLag       time.Duration // as longReadMinLag has it; 0 for none
+	mostLagged   *server
+	placeCost    float64 // cost of each place in the order of the pass
+
+	best       *server
+	bestCost   float64
+	turnCredit float64 // sum of the turns credited in this pass, in weights
+	trial      *server // an ejected replica that is due for a trial
+	stale      *server // a replica that is to be asked for its position
+}
+
+// chooseReplica gives a read to the replica whose turn it is: of those that are fresh enough and
+// healthy the one that holds least for its speed, ties by turn. A pooler of a large fleet, which
+// sees few requests, keeps to its home while that is not busy: so it has fewer connections, and
+// better estimates.
 func (r *Router) chooseReplica(q *request) *server {
 	g := q.group
-	var best, trial, ask *server
-	q.blockedByLag, q.catchUpExpected = false, false
-	holdFor := time.Duration(fallbackWaitFraction * float64(q.classSettings.LatencyObjective))
-	cost, turns := math.Inf(1), 0.0
-	members, at, away := g.members, g.turnCursor, 0.0
-	if r.largeFleet {
-		members, at, away = r.rankedReplicas(g), 0, nonPreferredCost
-	}
-	apart, last := r.longReadLag(q), g.mostLaggedReplica()
-	for i := range members {
-		s := members[(at+i)%len(members)]
-		if s == g.primary {
-			continue
-		}
-		r.refreshPosition(q.classSettings, s)
-		if s.ReadWeight == NoReads || !r.canTake(q, s) || apart > 0 && s != last && r.now-s.position < apart {
-			continue
-		}
-		if !r.freshEnough(q, s) {
-			q.blockedByLag = true
-			q.catchUpExpected = q.catchUpExpected || !s.ejected && r.lagShortfall(q, s) <= holdFor
-			wait := positionRefreshInterval
-			if r.lagShortfall(q, s) > 0 || s.positionProbedAt > s.positionProvenAt { // was too far behind, or has not answered yet
-				wait = roundInterval
-			}
-			if r.largeFleet && r.settings.ProbesAllowed && !s.ejected && ask == nil && r.now >= s.positionProbedAt+wait {
-				ask = s
-			}
-			continue
-		}
-		if s.ejected {
-			if due := q.attempts == nil && r.now >= s.nextTrialAt; due && s.unreachable && r.settings.ProbesAllowed {
-				s.nextTrialAt = r.now + maxTrialInterval // it must answer a probe before a request is tried there
-				r.sendProbe(s, "trial")
-			} else if due && trial == nil {
-				trial = s
-			}
-			continue
-		}
-		c := r.loadCost(s)
-		if !r.inSlowStart(s) { // what cold ones may be sent is to come from all fronts
-			c += away * float64(i)
-		}
-		if g.weightsDiffer { // smooth turns; a store that is cold or jammed has fewer
-			w := float64(max(s.ReadWeight, 1)) * r.slowStartWeight(s) / max(r.decayedLatencyRatio(s)/congestedLatencyRatio, 1)
-			s.roundRobinCredit, turns = s.roundRobinCredit+w, turns+w
-			c = -s.roundRobinCredit
-		}
-		if apart > 0 {
-			c = s.position.Seconds()
-		}
-		if c < cost {
-			best, cost = s, c
-		}
+	search := replicaSearch{
+		request:      q,
+		fallbackWait: time.Duration(fallbackWaitFraction * float64(q.class.LatencyObjective)),
+		minLag:       r.longReadMinLag(q),
+		mostLagged:   g.mostLaggedReplica(),
+		bestCost:     math.Inf(1),
+	}
+	q.blockedByLag = false
+	q.catchUpExpected = false
+	members, first := g.members, g.turnCursor
+	if r.pace.largeFleet {
+		members, first = r.rankedReplicas(g), 0
+		search.placeCost = nonPreferredCost
 	}
-	if best != nil {
-		best.roundRobinCredit -= turns
-	} else if ask != nil { // one is enough: asked of all by each front, it is more than the reads themselves
-		ask.positionProbedAt = r.now
-		r.sendProbe(ask, "position")
+	for place := range members {
+		s := members[(first+place)%len(members)]
+		if s != g.primary {
+			r.considerReplica(&search, s, place)
+		}
 	}
-	if best = cmp.Or(trial, best); best == nil && (!q.catchUpExpected && g.primary != nil || r.now-q.arrivedAt >= holdFor) {
-		best = r.chooseFallback(q)
+	r.settleTurn(&search)
+	chosen := cmp.Or(search.trial, search.best)
+	if chosen == nil && r.mayFallBack(&search) {
+		chosen = r.chooseFallback(q)
 	}
-	if best != nil {
+	if chosen != nil {
 		g.turnCursor++
 	}
-	return best
+	return chosen
 }
 
-// probesPositionsAhead tells whether replicas are asked for positions ahead of bounded reads, so that none is turned away:
-// where answers tell none, and all fronts ask one replica no more often than a small fleet pings a primary.
-func (r *Router) probesPositionsAhead(c *Class) bool {
-	return c.Access == ReadBounded && r.positionsOmitted && r.settings.ProbesAllowed &&
-		float64(r.settings.Poolers)*float64(primaryPingInterval) <= maxSmallFleet*positionProbeGapFraction*float64(c.MaxStaleness)
+// considerReplica takes one replica into a search.
+func (r *Router) considerReplica(search *replicaSearch, s *server, place int) {
+	q := search.request
+	r.keepPositionProven(q.class, s)
+	if s.ReadWeight == NoReads || !r.canTake(q, s) || r.tooFreshForLongRead(search, s) {
+		return
+	}
+	if !r.freshEnough(q, s) {
+		r.considerStale(search, s)
+		return
+	}
+	if s.ejection.ejected {
+		r.considerTrial(search, s)
+		return
+	}
+	if cost := r.turnCost(search, s, place); cost < search.bestCost {
+		search.best = s
+		search.bestCost = cost
+	}
 }
 
-func (r *Router) refreshPosition(c *Class, s *server) {
-	old, gap := time.Duration(positionRefreshFraction*float64(c.MaxStaleness)), time.Duration(positionProbeGapFraction*float64(c.MaxStaleness))
-	if r.probesPositionsAhead(c) && s.State == Ready && !s.ejected && r.now >= max(s.position+old, s.positionProbedAt+gap) {
-		s.positionProbedAt = r.now
-		r.sendProbe(s, "position")
+// considerStale notes that a replica lacks only the position. A pooler of a large fleet asks one
+// such replica for it: where that was too far behind, or has not answered, as seldom as rounds are
+// repeated.
+func (r *Router) considerStale(search *replicaSearch, s *server) {
+	q := search.request
+	q.blockedByLag = true
+	lag := r.missingLag(q, s)
+	if !s.ejection.ejected && lag <= search.fallbackWait {
+		q.catchUpExpected = true
+	}
+	if !r.pace.largeFleet || !r.settings.ProbesAllowed || s.ejection.ejected || search.stale != nil {
+		return
+	}
+	wait := positionRefreshInterval
+	if lag > 0 || s.replication.probedAt > s.replication.provenAt {
+		wait = roundInterval
+	}
+	if r.now >= s.replication.probedAt+wait {
+		search.stale = s
 	}
 }
 
-// longReadLag is the lag from which on a replica is of no use to bounded reads, where this one may keep its replica
-// from applying the log for long. It goes to the replica furthest behind, which all fronts see alike, or one
-// behind by that, else to the primary, which applies nothing: spread out, such reads leave no replica fresh.
-func (r *Router) longReadLag(q *request) time.Duration {
-	for i := range r.settings.Classes {
-		c := &r.settings.Classes[i]
-		if q.classSettings.Access == ReadAny && r.probesPositionsAhead(c) && r.baselines[q.classIndex].value > longReadRatio*r.baselines[i].value {
-			return c.MaxStaleness
-		}
+// considerTrial notes that an ejected replica may be tried by a read's first attempt. One that is
+// out of reach must answer a probe before.
+func (r *Router) considerTrial(search *replicaSearch, s *server) {
+	if len(search.request.attempts) > 0 || r.now < s.ejection.nextTrialAt {
+		return
+	}
+	if s.health.unreachable && r.settings.ProbesAllowed {
+		s.ejection.nextTrialAt = r.now + maxTrialInterval
+		r.sendProbe(s, probeForTrial)
+		return
+	}
+	if search.trial == nil {
+		search.trial = s
 	}
-	return 0
 }
 
-// canTake tells whether a store may take the read but for its freshness.
-func (r *Router) canTake(q *request, s *server) bool {
-	n := len(q.attempts)
-	again := n > 0 && q.attempts[n-1].server == s && (!q.attempts[n-1].finished || r.now < q.attempts[n-1].sentAt+positionRefreshInterval)
-	return s.State == Ready && !again && r.attemptAllowed(q, s) && r.hasCapacity(s, q.classIndex)
+// turnCost returns what a replica's turn is chosen by, the least first: its load, or the turns that
+// it has had where members differ in weight, or its position where a long read goes to the replica
+// furthest behind.
+func (r *Router) turnCost(search *replicaSearch, s *server, place int) float64 {
+	cost := r.loadCost(s)
+	if !r.inSlowStart(s) { // what is sent to a server in slow start is to come from all poolers
+		cost += search.placeCost * float64(place)
+	}
+	if search.request.group.weightsDiffer {
+		weight := r.turnWeight(s)
+		s.turnCredit += weight
+		search.turnCredit += weight
+		cost = -s.turnCredit
+	}
+	if search.minLag > 0 {
+		cost = s.replication.position.Seconds()
+	}
+	return cost
+}
+
+// turnWeight returns a replica's share of turns: a server that is in slow start or congested has
+// fewer.
+func (r *Router) turnWeight(s *server) float64 {
+	congestion := max(s.latency.decayedRatio(r.now)/congestedLatencyRatio, 1)
+	return float64(max(s.ReadWeight, 1)) * r.slowStartWeight(s) / congestion
+}
+
+// loadCost returns what a replica holds for its speed.
+func (r *Router) loadCost(s *server) float64 {
+	cost := (float64(s.outstanding.count()) + 1) * s.latency.decayedRatio(r.now)
+	if s.utilization.reportedAt > 0 && r.now-s.utilization.reportedAt < utilizationMaxAge {
+		cost *= 1 + s.utilization.share
+	}
+	if r.pace.largeFleet { // a pooler's share of a server in slow start is so small that it bears all poolers
+		return cost
+	}
+	cost /= r.slowStartWeight(s)
+	if s.Zone != r.settings.Zone {
+		cost += crossZoneCost
+	}
+	return cost
 }
 
-// chooseFallback is the bounded way out when no replica has qualified for a share of the aim, or none soon
-// will: the primary, else a fresh enough replica that has lost its turn.
+// settleTurn charges the best replica for the turns that were credited, or asks a replica for its
+// position if there is none. One replica is enough: asked of all of them by each pooler it would be
+// more than the reads themselves.
+func (r *Router) settleTurn(search *replicaSearch) {
+	switch {
+	case search.best != nil:
+		search.best.turnCredit -= search.turnCredit
+	case search.stale != nil:
+		r.probePosition(search.stale, probeForPosition)
+	}
+}
+
+// mayFallBack reports whether a read that no replica can take goes elsewhere: once it has waited
+// for its share of the objective, or at once where none will soon be fresh enough and there is a
+// primary.
+func (r *Router) mayFallBack(search *replicaSearch) bool {
+	q := search.request
+	return !q.catchUpExpected && q.group.primary != nil || r.now-q.arrivedAt >= search.fallbackWait
+}
+
+// chooseFallback returns the primary, unless that is congested in a large fleet, or else an ejected
+// replica that is fresh enough.
 func (r *Router) chooseFallback(q *request) *server {
-	if p := q.group.primary; p != nil && r.canTake(q, p) && (!r.largeFleet || r.decayedLatencyRatio(p) <= congestedLatencyRatio) {
-		return p
+	p := q.group.primary
+	if p != nil && r.canTake(q, p) {
+		if !r.pace.largeFleet || p.latency.decayedRatio(r.now) <= congestedLatencyRatio {
+			return p
+		}
 	}
 	var best *server
 	for _, s := range q.group.members {
-		if s.ejected && !s.unreachable && r.canTake(q, s) && r.freshEnough(q, s) && (best == nil || len(s.inFlight) < len(best.inFlight)) {
+		if !s.ejection.ejected || s.health.unreachable || !r.canTake(q, s) || !r.freshEnough(q, s) {
+			continue
+		}
+		if best == nil || s.outstanding.count() < best.outstanding.count() {
 			best = s
 		}
 	}
 	return best
 }
 
-// freshEnough tells whether a store's proven position satisfies the read. Where stores check by themselves
-// a miss is cheap, so a replica is also tried when it would do if it kept the lag it last showed.
-func (r *Router) freshEnough(q *request, s *server) bool {
-	need := r.requiredPosition(q)
-	if need <= 0 || s.position >= need+positionTolerance {
-		return true
-	}
-	turned := s.lagRejectedAt >= max(s.positionProvenAt, ms) && r.now < s.lagRejectedAt+roundInterval // with no newer position
-	return r.settings.StaleReads != StaleReadAnswered && !turned &&
-		(s.positionProvenAt == 0 && !r.inSlowStart(s) || !r.probesPositionsAhead(q.classSettings) && r.lagShortfall(q, s) <= 0)
+// canTake reports whether a server may take a read but for its freshness.
+func (r *Router) canTake(q *request, s *server) bool {
+	return s.State == Ready && !r.justTried(q, s) && r.attemptAllowed(q, s) && r.hasCapacity(s, q.classIndex)
 }
 
-func (r *Router) loadCost(s *server) float64 {
-	c := (float64(len(s.inFlight)) + 1) * r.decayedLatencyRatio(s)
-	if s.utilizationAt > 0 && r.now-s.utilizationAt < time.Second {
-		c *= 1 + s.utilization
-	}
-	if r.largeFleet { // where a cold store's share for each front is so small that it bears them all
-		return c
-	}
-	if c /= r.slowStartWeight(s); s.Zone != r.settings.Zone {
-		c += crossZoneCost
+// justTried reports whether a request's latest attempt went to a server and is in flight, or was
+// sent a moment ago.
+func (r *Router) justTried(q *request, s *server) bool {
+	last := q.last()
+	if last == nil || last.server != s {
+		return false
 	}
-	return c
+	return !last.finished || r.now < last.sentAt+positionRefreshInterval
 }
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -32,11 +32,11 @@
 }
 func (f *fakeHost) Reject(id uint32, _ time.Duration) { f.record("refuse %d", id) }
 func (f *fakeHost) Fail(id uint32)                    { f.record("fail %d", id) }
-func (f *fakeHost) CancelAttempt(id uint32, n int)           { f.record("cancel %d %d", id, n) }
+func (f *fakeHost) CancelAttempt(id uint32, n int)    { f.record("cancel %d %d", id, n) }
 func (f *fakeHost) Probe(s uint32)                    { f.probedServers = append(f.probedServers, s) }
 func (f *fakeHost) SetTimer(d time.Duration)          { f.timersDue = append(f.timersDue, f.now+d) }
-func (f *fakeHost) CloseIdleConnections(s uint32)                { f.record("close %d", s) }
-func (f *fakeHost) WatchList()                            { f.record("watch") }
+func (f *fakeHost) CloseIdleConnections(s uint32)     { f.record("close %d", s) }
+func (f *fakeHost) WatchList()                        { f.record("watch") }
 func (f *fakeHost) PrimaryChanged(n PrimaryEvent) {
 	f.logLines, f.primaryEvents = append(f.logLines, n.LogText()), append(f.primaryEvents, n)
 }
@@ -247,7 +247,7 @@
 	for f.now < startTime+3*time.Second {
 		f.advanceTo(f.now + 50*ms)
 		f.probeAnswered(1, true, startTime)
-		if len(f.router.groups[7].queue) == 0 && f.router.groups[7].primary == nil {
+		if len(f.router.groups[7].queue.requests) == 0 && f.router.groups[7].primary == nil {
 			break
 		}
 	}
@@ -344,7 +344,7 @@
 	}{{100 * ms, true}, {700*ms - sendMargin - ms, true}, {700*ms - sendMargin, false}, {time.Second, false}} {
 		f := newHostWithPrimary(t, nil)
 		f.sendRequest(2, classByKey)
-		f.router.groups[7].primary.lastAnswerAt = startTime + 2*time.Second // no silence here
+		f.router.groups[7].primary.health.lastAnswerAt = startTime + 2*time.Second // no silence here
 		f.advanceTo(startTime + c.after)
 		f.endAttempt(2, 0, ServerError, RolePrimary)
 		f.advanceTo(f.now + 20*ms)
@@ -390,8 +390,8 @@
 	}{{time.Second - positionTolerance, true}, {time.Second - positionTolerance + time.Microsecond, false}, {3 * time.Second, false}} {
 		f := newHostWithPrimary(t, nil)
 		for s := uint32(2); s <= 3; s++ {
-			f.router.servers[s].position = f.now - c.age
-			f.router.servers[s].positionProvenAt = f.now
+			f.server(s).replication.position = f.now - c.age
+			f.server(s).replication.provenAt = f.now
 		}
 		f.sendRequest(2, classBounded)
 		if got := len(f.attempts[2]) == 1 && f.attempts[2][0] != 1; got != c.replica {
@@ -521,11 +521,11 @@
 	f.sendRequest(2, classNotIdempotent)
 	f.advanceTo(startTime + 10*ms)
 	f.endAttempt(2, 0, Overloaded, RolePrimary)
-	f.advanceTo(startTime + 10*ms + initialOverloadPause - ms)
+	f.advanceTo(startTime + 10*ms + initialPause - ms)
 	if len(f.attempts[2]) != 1 {
 		t.Fatalf("sent %d times within the pause", len(f.attempts[2]))
 	}
-	f.advanceTo(startTime + 10*ms + initialOverloadPause + 2*positionRefreshInterval)
+	f.advanceTo(startTime + 10*ms + initialPause + 2*positionRefreshInterval)
 	if len(f.attempts[2]) != 2 {
 		t.Fatalf("sent %d times after the pause, want 2", len(f.attempts[2]))
 	}
@@ -536,12 +536,12 @@
 	for id := uint32(2); id < 12; id++ {
 		f.sendRequest(id, classNotIdempotent)
 	}
-	if n := len(f.router.servers[1].inFlight); n != int(initialFleetWindow)/2 {
+	if n := len(f.server(1).outstanding.attempts); n != int(initialFleetWindow)/2 {
 		t.Fatalf("%d writes out at the primary, want %v", n, initialFleetWindow/2)
 	}
 	f.advanceTo(startTime + 10*ms)
 	f.endAttempt(2, 0, OK, RolePrimary)
-	if n := len(f.router.servers[1].inFlight); n < int(initialFleetWindow)/2 {
+	if n := len(f.server(1).outstanding.attempts); n < int(initialFleetWindow)/2 {
 		t.Fatalf("%d writes out after an answer, want the window full again", n)
 	}
 }
@@ -554,10 +554,10 @@
 	}{{3, false}, {24, true}} {
 		f := newHostWithPrimary(t, func(s *Settings) { s.Poolers = c.fronts })
 		for i := 0; i < 200; i++ { // answers that show a queue
-			s := f.router.servers[1]
+			s := f.server(1)
 			f.now += windowCutInterval
-			s.latencyRatio, s.latencyRatioAt = 3, f.now
-			f.router.advanceClock(f.now)
+			s.latency.ratio, s.latency.measuredAt = 3, f.now
+			f.router.clock.advance(f.now)
 			f.router.adjustWindow(s)
 		}
 		f.sendRequest(2, classLatest)
@@ -592,7 +592,7 @@
 	f.sendRequest(1, classLatest)
 	f.advanceTo(startTime + 20*ms)
 	f.sendRequest(2, classLatest)
-	held := f.router.groups[7].queue
+	held := f.router.groups[7].queue.requests
 	if len(held) != 2 || held[0].id != 2 {
 		t.Fatalf("%d held, want request 2 before 1", len(held))
 	}
@@ -605,10 +605,10 @@
 func TestNoFallbackToTheUnreachable(t *testing.T) {
 	f := newHostWithPrimary(t, nil)
 	f.router.groups[7].primary = nil
-	f.router.servers[1].ejected, f.router.servers[1].unreachable = true, true
-	f.router.servers[2].ejected, f.router.servers[3].ejected = true, true
-	f.router.servers[2].nextTrialAt, f.router.servers[3].nextTrialAt = startTime+time.Hour, startTime+time.Hour
-	f.router.servers[3].unreachable = true
+	f.server(1).ejection.ejected, f.server(1).health.unreachable = true, true
+	f.server(2).ejection.ejected, f.server(3).ejection.ejected = true, true
+	f.server(2).ejection.nextTrialAt, f.server(3).ejection.nextTrialAt = startTime+time.Hour, startTime+time.Hour
+	f.server(3).health.unreachable = true
 	f.sendRequest(2, classAny)
 	f.advanceTo(startTime + 300*ms)
 	if len(f.attempts[2]) != 1 || f.attempts[2][0] != 2 {
@@ -639,7 +639,7 @@
 
 func TestFailingStoreLosesItsTurn(t *testing.T) {
 	f := newHostWithPrimary(t, nil)
-	for id := uint32(2); id < 40 && !f.router.servers[2].ejected; id++ {
+	for id := uint32(2); id < 40 && !f.server(2).ejection.ejected; id++ {
 		f.advanceTo(f.now + 10*ms)
 		f.sendRequest(id, classAny)
 		res := OK
@@ -651,7 +651,7 @@
 			f.endAttempt(id, n, OK, RoleReplica)
 		}
 	}
-	if !f.router.servers[2].ejected || f.router.servers[3].ejected {
+	if !f.server(2).ejection.ejected || f.server(3).ejection.ejected {
 		t.Fatal("the store that fails keeps its turn, or the good one lost it")
 	}
 }
@@ -786,11 +786,11 @@
 		change func(*Settings)
 		want   string
 	}{
-		{func(s *Settings) { s.EventInterval = -1 }, "Tick is -1ns"},
-		{func(s *Settings) { s.SlowStartCapacity = 1.5 }, "ColdFrom is 1.5"},
-		{func(s *Settings) { s.Poolers = -2 }, "Balancers is -2"},
-		{func(s *Settings) { s.Classes[0].Access = 77 }, "Need 77"},
-		{func(s *Settings) { s.Classes[0].LatencyObjective = -ms }, "Aim -1ms"},
+		{func(s *Settings) { s.EventInterval = -1 }, "EventInterval is -1ns"},
+		{func(s *Settings) { s.SlowStartCapacity = 1.5 }, "SlowStartCapacity is 1.5"},
+		{func(s *Settings) { s.Poolers = -2 }, "Poolers is -2"},
+		{func(s *Settings) { s.Classes[0].Access = 77 }, "Access 77"},
+		{func(s *Settings) { s.Classes[0].LatencyObjective = -ms }, "LatencyObjective -1ms"},
 	} {
 		s := testSettings()
 		c.change(&s)
@@ -803,46 +803,44 @@
 	}
 }
 
-// The policy files are those that deploy/balancer.toml names; together they have a limit.
+// The policy files are those that deploy/balancer.toml names: each is there, and short enough to be read at once.
 func TestLineLimits(t *testing.T) {
+	const maxLines, maxColumns = 400, 110
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, list, _ := strings.Cut(string(deploy), "\npolicy = [")
 	list, _, _ = strings.Cut(list, "]")
-	lines := 0
 	for _, name := range strings.Split(list, ",") {
 		name = strings.Trim(name, ` "`)
 		text, err := os.ReadFile("../../" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for at, line := range strings.Split(string(text), "\n") {
-			if strings.TrimSpace(line) != "" {
-				lines++
-			}
-			if n := utf8.RuneCountInString(line); n > 110 {
-				t.Errorf("%s: line %d has %d characters", name, at+1, n)
+		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+		if len(lines) > maxLines {
+			t.Errorf("%s has %d lines, want %d at most", name, len(lines), maxLines)
+		}
+		for at, line := range lines {
+			if n := utf8.RuneCountInString(line); n > maxColumns {
+				t.Errorf("%s: line %d has %d characters, want %d at most", name, at+1, n, maxColumns)
 			}
 		}
 	}
-	if lines < 300 || lines > 950 {
-		t.Errorf("the policy files have %d non-blank lines, want 300 to 950", lines)
-	}
 }
 
 // An attempt that hangs at a store that has lost its turn must not keep it from its trial until it times out: it may be
 // a lost connection, and the store well.
 func TestHungAttemptLeavesRoomForTheTrial(t *testing.T) {
 	f := newHost(t, nil)
-	s := f.router.servers[2]
-	s.window = 1
-	f.router.sendAttempt(&request{classSettings: &f.router.settings.Classes[classNotIdempotent], classIndex: classNotIdempotent, group: f.router.groupFor(7)}, s)
+	s := f.server(2)
+	s.window.size = 1
+	f.router.sendAttempt(&request{class: &f.router.settings.Classes[classNotIdempotent], classIndex: classNotIdempotent, group: f.router.groupFor(7)}, s)
 	if f.router.hasCapacity(s, classNotIdempotent) {
 		t.Fatal("a full window has room")
 	}
-	f.router.advanceClock(f.now + ms)
+	f.router.clock.advance(f.now + ms)
 	f.router.eject(s, "is silent")
 	if !f.router.hasCapacity(s, classNotIdempotent) {
 		t.Error("no room for a trial beside the attempt that hangs")
@@ -858,7 +856,7 @@
 	f.advanceTo(f.now + 10*ms)
 	f.endAttempt(3, 0, OK, RolePrimary)
 	f.advanceTo(f.now + 1500*ms)
-	if s := f.router.servers[1]; s.silent || s.ejected {
+	if s := f.server(1); s.health.silent || s.ejection.ejected {
 		t.Error("the store counts as silent")
 	}
 }
@@ -872,8 +870,8 @@
 	f.advanceTo(f.now + removedServerRetention/2)
 	f.router.HandleList(f.now, ListDelta, []Member{{ID: 3, Group: 7, State: Ready}})
 	f.advanceTo(f.now + removedServerRetention)
-	if len(f.router.servers) != 2 || len(f.router.serverOrder) != 2 || f.router.servers[2] != nil {
-		t.Errorf("%d stores are known, want 1 and 3", len(f.router.servers))
+	if len(f.router.servers.byID) != 2 || len(f.router.servers.ordered) != 2 || f.server(2) != nil {
+		t.Errorf("%d stores are known, want 1 and 3", len(f.router.servers.byID))
 	}
 }
 
@@ -885,7 +883,7 @@
 		f.advanceTo(f.now + away)
 		f.probeUnreachable(2)
 		f.probeAnswered(2, false, f.now)
-		if s := f.router.servers[2]; s.slowStartSince > 0 != cold {
+		if s := f.server(2); s.slowStart.since > 0 != cold {
 			t.Errorf("out of reach for %v: cold %v, want %v", away, !cold, cold)
 		}
 	}
@@ -896,7 +894,7 @@
 func TestHopelessWaitEndsAtHalfItsTime(t *testing.T) {
 	f := newHostWithPrimary(t, func(s *Settings) { s.RetryAfterSupported, s.MaxRetryAfter = true, time.Second })
 	f.advanceTo(f.now + 100*ms)
-	f.router.eject(f.router.servers[1], "fails")
+	f.router.eject(f.server(1), "fails")
 	f.probeUnreachable(1)
 	f.probeUnreachable(1)
 	f.probeAnswered(2, false, f.now)
@@ -987,7 +985,7 @@
 				return len(f.probedServers) > 5 && f.hasAction("watch")
 			}},
 		"and fewer share a server": {old: func(s *Settings) { s.Poolers = 300 },
-			ok: func(f *fakeHost) bool { return f.router.servers[2].window >= f.router.minWindow }},
+			ok: func(f *fakeHost) bool { return f.server(2).window.size >= f.router.pace.minWindow }},
 		"a shorter grace holds for what drains": {old: func(s *Settings) { s.DrainGracePeriod = 2 * time.Second },
 			before: func(f *fakeHost) {
 				f.router.HandleList(f.now, ListDelta, draining)
@@ -1003,13 +1001,13 @@
 			},
 			ok: func(f *fakeHost) bool { return !f.router.MayStillSend(f.now, 2, 0) }},
 		"a server is cold for longer": {next: func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
-			before: func(f *fakeHost) { f.router.slowStartWeight(f.router.servers[2]) },
-			ok:     func(f *fakeHost) bool { return f.router.slowStartWeight(f.router.servers[2]) < 1 }},
+			before: func(f *fakeHost) { f.router.slowStartWeight(f.server(2)) },
+			ok:     func(f *fakeHost) bool { return f.router.slowStartWeight(f.server(2)) < 1 }},
 		"or not at all": {old: func(s *Settings) { s.SlowStartDuration = 30 * time.Second }, next: func(s *Settings) { s.SlowStartDuration, s.OverloadFactor = 30*time.Second, 0 },
-			before: func(f *fakeHost) { f.router.servers[2].workBudget = -1e12 },
-			ok:     func(f *fakeHost) bool { return f.router.hasCapacity(f.router.servers[2], classAny) }},
+			before: func(f *fakeHost) { f.server(2).slowStart.budget = -1e12 },
+			ok:     func(f *fakeHost) bool { return f.router.hasCapacity(f.server(2), classAny) }},
 		"probes that are allowed find the primary": {old: func(s *Settings) { s.ProbesAllowed = false },
-			before: func(f *fakeHost) { f.router.dropPrimary(f.router.servers[1], "is lost"); f.probedServers = nil },
+			before: func(f *fakeHost) { f.router.dropPrimary(f.server(1), "is lost"); f.probedServers = nil },
 			ok:     func(f *fakeHost) bool { f.sendRequest(2, classNotIdempotent); return len(f.probedServers) == 3 }},
 		"a session's writes were not remembered": {next: func(s *Settings) { s.TrackSessions = true },
 			ok: func(f *fakeHost) bool { return f.router.sessionPosition(Request{Session: 5}) == f.now }},
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -7,60 +7,159 @@
 	"threadsail/internal/rendezvous"
 )
 
-// Cold servers: few fronts save up a part each of what all may send; more take turns by a plan.
+// Slow start: a server that has just been started has only a share of its capacity. Where there are
+// few poolers for the work that it bears, each saves up its part of it; where there are many, they
+// take turns in short slots by a plan that all of them compute alike.
 
 const (
-	slotUtilization        = 0.75 // of what a server may be sent, in turns; with less, they stay open for longer
-	savedBudgetUtilization = 0.9  // and where fronts save it up
-	minServerCores         = 2.0  // no database host is smaller than this
-	minSlowStartCapacity   = 0.05 // of its capacity that a server has at its start
-	evenShareFraction      = 0.1  // dealt evenly: all fronts have some; the rest goes by load, to where it is used
+	// slotUtilization is the part of what a server bears that is planned for the slots; with less,
+	// slots stay open for longer.
+	slotUtilization = 0.75
+	// savedBudgetUtilization is that part where poolers save up their parts.
+	savedBudgetUtilization = 0.9
+	// minServerCores is the number of cores of the smallest database host.
+	minServerCores = 2.0
+	// minSlowStartCapacity is the share of its capacity that a server has at its start at the
+	// least.
+	minSlowStartCapacity = 0.05
+	// evenShareFraction is the part that is shared out evenly, so that all poolers have some. The
+	// rest goes by their load, to where it is used.
+	evenShareFraction = 0.1
+	// chanceMargin, in square roots of the planned number, is what may be sent beyond the plan by
+	// chance.
+	chanceMargin = 1.5
+	// slotsPerInterval is the number of slots in an overload interval.
+	slotsPerInterval = 128
 )
 
-// inSlowStart tells whether a store has not had its time yet since its last start that was told or seen.
+// slowStart is a server's slow start and what this pooler may send it.
+type slowStart struct {
+	since       time.Duration // its last start, as reported or seen; 0 for long ago
+	slotBeganAt time.Duration // when the last slot began that this pooler used
+	budget      float64       // work, in nanoseconds of a core, that may be sent: saved up, or left of the slot
+	budgetAt    time.Duration // when the saved budget was brought up to date
+}
+
+// save adds to the budget what has come together since it was last brought up to date, at a rate of
+// work a nanosecond.
+func (w *slowStart) save(now time.Duration, rate, limit float64) {
+	w.budget = min(w.budget+rate*float64(now-w.budgetAt), limit)
+	w.budgetAt = now
+}
+
+// inSlowStart reports whether a server has not had its time yet since its last start.
 func (r *Router) inSlowStart(s *server) bool {
-	return s.slowStartSince > 0 && r.now < s.slowStartSince+r.settings.SlowStartDuration
+	return s.slowStart.since > 0 && r.now < s.slowStart.since+r.settings.SlowStartDuration
 }
 
-// slowStartWeight is the share of its capacity that a store has at the least, by the time since its start.
+// slowStartWeight returns the share of its capacity that a server has at the least, by the time
+// since its start.
 func (r *Router) slowStartWeight(s *server) float64 {
 	if !r.inSlowStart(s) {
 		return 1
 	}
-	f := max(r.settings.SlowStartCapacity, minSlowStartCapacity)
-	return f + (1-f)*float64(max(r.now-s.slowStartSince, 0))/float64(r.settings.SlowStartDuration)
+	initial := max(r.settings.SlowStartCapacity, minSlowStartCapacity)
+	age := max(r.now-s.slowStart.since, 0)
+	return initial + (1-initial)*float64(age)/float64(r.settings.SlowStartDuration)
 }
 
-// estimateWork is the work of a request of the heaviest class that has been measured and that a store may get, or
-// of the one in question, and how many cores this front keeps busy at each warm store.
-func (r *Router) estimateWork(s *server, class int) (heaviest, busy float64) {
-	heaviest, primary := float64(r.meanLatencies[class]), r.groupFor(s.Group).primary == s
-	for i, b := range r.baselines {
-		busy += r.warmLoad[i] * float64(r.meanLatencies[i])
-		if (b.measuredAt > 0 || b.count > 0) && (primary || r.settings.Classes[i].Access < ReadLatest) {
-			heaviest = max(heaviest, float64(r.meanLatencies[i]))
-		}
+// slowStartPlan is what a server in slow start bears, and this pooler's part of it.
+type slowStartPlan struct {
+	workPerRequest  float64 // of the heaviest class that may come, in nanoseconds of a core
+	rate            float64 // this pooler's part of the work, in nanoseconds of a core a nanosecond
+	requests        float64 // requests of that work that the server bears in an overload interval now
+	requestsAtStart float64 // and that it bore at its start
+}
+
+// planSlowStart computes the plan for a server.
+func (r *Router) planSlowStart(s *server, classIndex int) slowStartPlan {
+	work := r.heaviestWork(s, classIndex)
+	busyCores := r.busyCoresPerServer()
+	interval := float64(r.settings.OverloadInterval)
+	poolers := float64(r.settings.Poolers)
+	weight := r.slowStartWeight(s)
+	// full is the work, in nanoseconds of a core a nanosecond, that a server bears after its slow start.
+	full := minServerCores * r.settings.OverloadFactor
+	share := evenShareFraction/poolers + (1-evenShareFraction)*busyCores/minServerCores
+	return slowStartPlan{
+		workPerRequest:  work,
+		rate:            full * weight * share,
+		requests:        full * weight * interval / work,
+		requestsAtStart: full * r.settings.SlowStartCapacity * interval / work,
 	}
-	return heaviest, busy * loadDecay(r.now-r.warmLoadAt) / (1 - loadDecay(r.now-r.startedAt)) / float64(loadAveragingTime)
 }
 
-// slowStartAllows tells whether this front may send: N + 1.5 root N may go out within a span; the rest is chance.
-func (r *Router) slowStartAllows(s *server, class int) bool {
-	work, busy := r.estimateWork(s, class)
-	span, fronts := float64(r.settings.OverloadInterval), float64(r.settings.Poolers)
-	all := minServerCores * r.settings.OverloadFactor // what a warm one may be sent, and this front of it now
-	dealt := all * r.slowStartWeight(s) * (evenShareFraction/fronts + (1-evenShareFraction)*busy/minServerCores)
-	n, first := all*r.slowStartWeight(s)*span/work, all*r.settings.SlowStartCapacity*span/work
-	slot, open := max(r.settings.OverloadInterval/128, 1), time.Duration(((1+1.5/math.Sqrt(n))/slotUtilization-1)*span)
-	if (1-savedBudgetUtilization)*first+1.5*math.Sqrt(first) >= fronts { // a part holds a request from the start on
-		most := ((1-savedBudgetUtilization)*n + 1.5*math.Sqrt(n)) * work / fronts
-		s.workBudget, s.workBudgetAt = min(s.workBudget+savedBudgetUtilization*dealt*float64(r.now-s.workBudgetAt), most), r.now
-	} else if dealt *= slotUtilization * float64(slot); s.slotBeganAt <= r.now-open || s.workBudget < float64(r.meanLatencies[class]) {
-		at := rendezvous.NextTurn(r.settings.PoolerIndex, r.settings.Poolers, s.ID, slot, max(r.now-open, s.slotBeganAt), r.now, dealt/work)
-		if at == 0 {
-			return false
+// heaviestWork returns the work of a request of the heaviest class that has been measured and that
+// a server may get, and no less than that of the class in question.
+func (r *Router) heaviestWork(s *server, classIndex int) float64 {
+	heaviest := float64(r.estimates.classes[classIndex].meanLatency)
+	isPrimary := r.groupFor(s.Group).primary == s
+	for i := range r.estimates.classes {
+		e := &r.estimates.classes[i]
+		if e.baseline.measured() && (isPrimary || !r.settings.Classes[i].needsPrimary()) {
+			heaviest = max(heaviest, float64(e.meanLatency))
 		}
-		s.slotBeganAt, s.workBudget = at, max(work, dealt)
 	}
-	return s.workBudget >= float64(r.meanLatencies[class])
+	return heaviest
+}
+
+// busyCoresPerServer returns how many cores this pooler keeps busy at each server out of slow
+// start.
+func (r *Router) busyCoresPerServer() float64 {
+	work := 0.0
+	for i := range r.estimates.classes {
+		e := &r.estimates.classes[i]
+		work += e.warmLoad * float64(e.meanLatency)
+	}
+	present := work * loadDecay(r.now-r.estimates.warmLoadAt)
+	return present / (1 - loadDecay(r.now-r.startedAt)) / float64(loadAveragingTime)
+}
+
+// slowStartAllows reports whether this pooler may send a server in slow start one more request. Of
+// N requests that the server bears in an overload interval N and chanceMargin times the root of N
+// may be sent; the rest is chance.
+func (r *Router) slowStartAllows(s *server, classIndex int) bool {
+	plan := r.planSlowStart(s, classIndex)
+	work := float64(r.estimates.classes[classIndex].meanLatency)
+	if plan.sharesHoldARequest(r.settings.Poolers) {
+		limit := plan.unplannedRequests(plan.requests) * plan.workPerRequest / float64(r.settings.Poolers)
+		s.slowStart.save(r.now, savedBudgetUtilization*plan.rate, limit)
+	} else if !r.takeSlot(s, plan, work) {
+		return false
+	}
+	return s.slowStart.budget >= work
+}
+
+// unplannedRequests returns how many requests may be sent at once beside those that are saved up
+// for, out of a number that the server bears.
+func (p slowStartPlan) unplannedRequests(borne float64) float64 {
+	return (1-savedBudgetUtilization)*borne + chanceMargin*math.Sqrt(borne)
+}
+
+// sharesHoldARequest reports whether each pooler's part of the unplanned requests is at least one
+// from the start on, so that poolers can save up.
+func (p slowStartPlan) sharesHoldARequest(poolers int) bool {
+	return p.unplannedRequests(p.requestsAtStart) >= float64(poolers)
+}
+
+// takeSlot reports whether this pooler has a slot open with budget for the given work, or can open
+// one now.
+func (r *Router) takeSlot(s *server, plan slowStartPlan, work float64) bool {
+	slot := max(r.settings.OverloadInterval/slotsPerInterval, 1)
+	interval := float64(r.settings.OverloadInterval)
+	openFor := time.Duration(((1+chanceMargin/math.Sqrt(plan.requests))/slotUtilization - 1) * interval)
+	w := &s.slowStart
+	if w.slotBeganAt > r.now-openFor && w.budget >= work {
+		return true
+	}
+	slotWork := plan.rate * (slotUtilization * float64(slot))
+	after := max(r.now-openFor, w.slotBeganAt)
+	share := slotWork / plan.workPerRequest
+	began := rendezvous.NextTurn(r.settings.PoolerIndex, r.settings.Poolers, s.ID, slot, after, r.now, share)
+	if began == 0 {
+		return false
+	}
+	w.slotBeganAt = began
+	w.budget = max(plan.workPerRequest, slotWork)
+	return true
 }
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -94,7 +94,7 @@
 			for n := rate * share[me]; rng.Float64() < n; n-- {
 				request(x, warmGroup)
 			}
-			if now >= began+d.idleFor && len(x.router.groups[coldGroup].queue) == 0 {
+			if now >= began+d.idleFor && len(x.router.groups[coldGroup].queue.requests) == 0 {
 				request(x, coldGroup)
 			}
 		}
@@ -176,21 +176,21 @@
 	}
 	hang := func(f *fakeHost, away time.Duration) { // the requests that it holds wait for so long, and then one is answered
 		for id := uint32(20); id < 30; id++ {
-			f.router.sendAttempt(&request{id: id, classSettings: &f.router.settings.Classes[classAny], group: f.router.groups[7], deadline: f.now + time.Minute}, f.router.servers[2])
-			f.router.requests[id] = f.router.servers[2].inFlight[len(f.router.servers[2].inFlight)-1].request
+			f.router.sendAttempt(&request{id: id, class: &f.router.settings.Classes[classAny], group: f.router.groups[7], requestTiming: requestTiming{deadline: f.now + time.Minute}}, f.server(2))
+			f.router.requests[id] = f.server(2).outstanding.attempts[len(f.server(2).outstanding.attempts)-1].request
 		}
 		f.advanceTo(f.now + away)
 		f.endAttempt(20, 0, OK, RoleReplica)
 	}
 	refuse := func(f *fakeHost, away time.Duration) {
-		s := f.router.servers[2]
+		s := f.server(2)
 		f.router.observeReachable(s)
 		for range 3 {
-			f.router.observeHealth(s, &attempt{server: s, request: &request{}}, Outcome{Result: ConnectFailed})
+			f.router.observeHealth(&attempt{server: s, request: &request{}}, ConnectFailed)
 		}
 		f.advanceTo(f.now + away)
-		f.router.advanceClock(f.now)
-		f.router.observeHealth(s, &attempt{server: s, sentAt: f.now, request: &request{}}, Outcome{Result: OK})
+		f.router.clock.advance(f.now)
+		f.router.observeHealth(&attempt{server: s, sentAt: f.now, request: &request{}}, OK)
 	}
 	const never = -time.Hour
 	for name, c := range map[string]struct {
@@ -212,11 +212,11 @@
 	} {
 		f := newHostWithPrimary(t, nil)
 		c.does(f)
-		s := f.router.servers[2]
+		s := f.server(2)
 		if cold := f.router.inSlowStart(s); cold != (c.cold != never) {
 			t.Errorf("%s: cold is %v", name, cold)
-		} else if cold && s.slowStartSince != startTime+c.cold {
-			t.Errorf("%s: cold since %v, want %v", name, s.slowStartSince-startTime, c.cold)
+		} else if cold && s.slowStart.since != startTime+c.cold {
+			t.Errorf("%s: cold since %v, want %v", name, s.slowStart.since-startTime, c.cold)
 		}
 	}
 }
--- a/internal/policy/write_routing.go
+++ b/internal/policy/write_routing.go
@@ -1,109 +1,70 @@
 package policy
 
-import "slices"
-
-// Writes and fresh reads go to the recorded primary. What finds no store is held: it can still be refused.
-
-const (
-	minFailoverWaitFraction = 0.3     // a wait that meets a primary less often is not worth a late refusal
-	rejectMargin            = 5 * ms  // a held request is refused this long before its client leaves
-	positionRefreshInterval = 60 * ms // replicas are asked for positions this often while a read is held
-)
+// Write routing: writes and reads of the latest data go to the recorded primary. A request that
+// finds none is queued, where it can still be rejected.
 
+// choosePrimary returns the primary that may take a request now, nil if there is none.
 func (r *Router) choosePrimary(q *request) *server {
 	s := q.group.primary
-	if s == nil && (!r.settings.ProbesAllowed || !r.settings.RolesReported || q.group.primaryNotFound && !q.group.primaryRemoved) {
+	if s == nil && r.mayGuessPrimary(q.group) {
 		s = r.guessPrimary(q)
 	}
-	if s == nil || !r.attemptAllowed(q, s) || r.pastDrainGrace(s) || !r.hasCapacity(s, q.classIndex) {
+	if s == nil || !r.attemptAllowed(q, s) || r.gracePeriodOver(s) || !r.hasCapacity(s, q.classIndex) {
 		return nil
 	}
 	return s
 }
 
-// guessPrimary serves where probes cannot tell the role, or fail while requests are served: a try is harmless, since
-// a member that is not the primary turns a write away untouched. First the last primary, then the listed one.
+// mayGuessPrimary reports whether a request may be tried at a member that is not known to be
+// primary: where probes cannot tell the role, or a round has found no primary although the last one
+// is still listed.
+func (r *Router) mayGuessPrimary(g *group) bool {
+	if !r.settings.ProbesAllowed || !r.settings.RolesReported {
+		return true
+	}
+	return g.outage.confirmed && !g.outage.memberRemoved
+}
+
+// guessPrimary returns the member that is most likely the primary: the last one, then the listed
+// one, then any. A try is harmless, since a member that is not the primary turns a write away
+// untouched.
 func (r *Router) guessPrimary(q *request) *server {
 	g := q.group
 	var best *server
-	bestRank := -1
+	bestLikelihood := -1
 	for i := range g.members {
 		s := g.members[(g.turnCursor+i)%len(g.members)]
-		rank := 0
-		if s.role == RolePrimary {
-			rank = 2
-		} else if s.Primary {
-			rank = 1
+		likelihood := primaryLikelihood(s)
+		if s.ejection.ejected || r.wouldAnswerStale(q, likelihood) || r.deniedRecently(s) {
+			continue
 		}
-		blind := q.classSettings.Access == ReadLatest && r.settings.StaleReads == StaleReadAnswered && rank == 0 // would answer from old data
-		denied := s.role == RoleReplica && r.now < s.roleAsOf+roundInterval
-		if !s.ejected && !blind && !denied && rank > bestRank && r.canTake(q, s) {
-			best, bestRank = s, rank
+		if likelihood > bestLikelihood && r.canTake(q, s) {
+			best = s
+			bestLikelihood = likelihood
 		}
 	}
 	return best
 }
 
-// enqueue queues a request here, where it can still be refused, most worth for the work first.
-func (r *Router) enqueue(q *request) {
-	q.queued = true
-	q.group.queue = insertBefore(q.group.queue, q, func(x *request) bool { return r.valueDensity(x) <= r.valueDensity(q) })
-	if q.lastUsefulSendAt > r.now {
-		r.schedule(q.lastUsefulSendAt-r.now, func() { r.reassessQueued(q) })
-	}
-	if half := (q.arrivedAt+q.deadline)/2 - rejectMargin - r.settings.EventInterval; half > r.now {
-		r.schedule(half-r.now, func() {
-			if q.queued && !q.finished && !q.reachedServer && r.failoverTooLate(q) {
-				r.finishRequest(q)
-			}
-		})
-	}
-	r.superviseQueue(q.group)
-}
-
-// failoverTooLate tells whether a wait for a primary will hardly end in time; it is given up at half the patience.
-func (r *Router) failoverTooLate(q *request) bool {
-	g := q.group
-	if g.primary != nil || !g.primaryNotFound {
-		return false
+// primaryLikelihood ranks a member: 2 for the last known primary, 1 for the listed one, 0 for any
+// other.
+func primaryLikelihood(s *server) int {
+	switch {
+	case s.role.role == RolePrimary:
+		return 2
+	case s.Primary:
+		return 1
 	}
-	rest := max(g.expectedOutage-(r.now-g.primaryDownAt), g.expectedOutage/2)
-	return float64(q.deadline-r.now) < minFailoverWaitFraction*float64(rest)
+	return 0
 }
 
-// reassessQueued ends a held request that is past all worth, and puts one past its aim behind the others.
-func (r *Router) reassessQueued(q *request) {
-	switch {
-	case q.finished || !q.queued:
-	case q.classSettings.LateWeightFraction == 0:
-		r.finishRequest(q)
-	default:
-		r.dequeue(q)
-		r.enqueue(q)
-	}
+// wouldAnswerStale reports whether a member that is hardly the primary would answer a read of the
+// latest data from its own.
+func (r *Router) wouldAnswerStale(q *request, likelihood int) bool {
+	return q.class.Access == ReadLatest && r.settings.StaleReads == StaleReadAnswered && likelihood == 0
 }
 
-// superviseQueue looks after held requests: replicas are asked for their positions while a read waits for one.
-func (r *Router) superviseQueue(g *group) {
-	if g.queueCheckScheduled {
-		return
-	}
-	soon := slices.ContainsFunc(g.queue, func(q *request) bool { return q.catchUpExpected })
-	stale := slices.ContainsFunc(g.queue, func(q *request) bool { return q.blockedByLag })
-	if r.settings.ProbesAllowed && !r.largeFleet && (soon || stale && r.now >= g.nextPositionRefreshAt) {
-		g.nextPositionRefreshAt = r.now + roundInterval // replicas far behind are asked as seldom as rounds are held
-		for _, s := range g.members {
-			if s != g.primary && !s.ejected && s.State == Ready && !s.inRound && r.now >= s.positionProbedAt+positionRefreshInterval {
-				s.positionProbedAt = r.now
-				r.sendProbe(s, "refresh")
-			}
-		}
-	}
-	g.queueCheckScheduled = true
-	r.schedule(positionRefreshInterval, func() {
-		g.queueCheckScheduled = false
-		if r.dispatchQueued(g); len(g.queue) > 0 {
-			r.superviseQueue(g)
-		}
-	})
+// deniedRecently reports whether a member has said within a round's interval that it is a replica.
+func (r *Router) deniedRecently(s *server) bool {
+	return s.role.role == RoleReplica && r.now < s.role.asOf+roundInterval
 }
