--- a/internal/fleet/consensus/disk_test.go
+++ b/internal/fleet/consensus/retrying_store_test.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// fullStore takes nothing while it is full.
+// fullStore fails every write while it is full.
 type fullStore struct {
 	*raft.InmemStore
 	mu   sync.Mutex
@@ -21,13 +21,13 @@
 
 var errFull = errors.New("no space left")
 
-func (f *fullStore) set(full bool) {
+func (f *fullStore) setFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
 }
 
-func (f *fullStore) room() error {
+func (f *fullStore) writeError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.full {
@@ -37,25 +37,27 @@
 }
 
 func (f *fullStore) StoreLogs(l []*raft.Log) error {
-	return errors.Join(f.room(), f.InmemStore.StoreLogs(l))
+	return errors.Join(f.writeError(), f.InmemStore.StoreLogs(l))
 }
 
 func (f *fullStore) SetUint64(key []byte, val uint64) error {
-	if err := f.room(); err != nil {
+	if err := f.writeError(); err != nil {
 		return err
 	}
 	return f.InmemStore.SetUint64(key, val)
 }
 
-// A term waits for the disk and never goes back; a vote and a log fail at once; at the end nothing waits.
-func TestFullDisk(t *testing.T) {
+// A raft term waits for the disk and never goes back; a vote and a log fail at once; after the shutdown nothing waits.
+func TestRetryingStoreOnFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inner, said, ending := &fullStore{InmemStore: raft.NewInmemStore()}, make(chan string, 9), make(chan struct{})
-		d := &retryingStore{raftStore: inner, shutdown: ending, log: func(line string) { said <- line }}
+		inner := &fullStore{InmemStore: raft.NewInmemStore()}
+		logged := make(chan string, 9)
+		shutdown := make(chan struct{})
+		d := &retryingStore{raftStore: inner, shutdown: shutdown, log: func(line string) { logged <- line }}
 		if err := errors.Join(d.SetUint64(currentTermKey, 3), d.StoreLogs([]*raft.Log{{Index: 1}})); err != nil {
 			t.Fatal(err)
 		}
-		inner.set(true)
+		inner.setFull(true)
 		if err := d.StoreLogs([]*raft.Log{{Index: 2}}); !errors.Is(err, errFull) || !d.WriteFailed() {
 			t.Error(err)
 		}
@@ -76,57 +78,57 @@
 		if len(wrote) > 0 {
 			t.Errorf("%d terms were taken on a full disk", len(wrote))
 		}
-		inner.set(false)
+		inner.setFull(false)
 		time.Sleep(time.Second)
 		if term, err := d.GetUint64(currentTermKey); term != 5 || err != nil || d.WriteFailed() || len(wrote) != 2 {
 			t.Errorf("term %d %v, full %v, %d returned", term, err, d.WriteFailed(), len(wrote))
 		}
-		inner.set(true)
+		inner.setFull(true)
 		go func() { _ = d.SetUint64(currentTermKey, 6); wrote <- 6 }()
 		synctest.Wait()
-		close(ending)
+		close(shutdown)
 		synctest.Wait()
 		if len(wrote) != 3 {
-			t.Error("a term still waits at the end")
+			t.Error("a term still waits after the shutdown")
 		}
-		if len(said) != 3 {
-			t.Errorf("said %d lines", len(said))
+		if len(logged) != 3 {
+			t.Errorf("logged %d lines", len(logged))
 		}
 	})
 }
 
-// slowStore takes its time over the first writes to the log.
+// slowStore delays the first writes to the log.
 type slowStore struct {
 	raftStore
-	slow atomic.Int32
-	each time.Duration
+	delayedWrites atomic.Int32
+	delay         time.Duration
 }
 
 func (s *slowStore) StoreLogs(l []*raft.Log) error {
-	if s.slow.Add(-1) >= 0 {
-		time.Sleep(s.each)
+	if s.delayedWrites.Add(-1) >= 0 {
+		time.Sleep(s.delay)
 	}
 	return s.raftStore.StoreLogs(l)
 }
 
-// A leader whose disk takes longer over its first entries than an election lasts comes to its office all the same: without it
+// A leader whose disk takes longer over its first entries than an election lasts starts its clock all the same: without it
 // there would be a leader that answers nobody, for good.
-func TestSlowDisk(t *testing.T) {
+func TestLeaderOnSlowDisk(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	slow := &slowStore{each: 3 * election}
-	slow.slow.Store(1)
-	s, err := Start(Options{Name: "s", ListenAddr: addr, Dir: t.TempDir(), Voters: []Peer{{"s", addr}}, ElectionTimeout: election,
+	slow := &slowStore{delay: 3 * electionTimeout}
+	slow.delayedWrites.Store(1)
+	s, err := Start(Options{Name: "s", ListenAddr: addr, Dir: t.TempDir(), Voters: []Peer{{"s", addr}}, ElectionTimeout: electionTimeout,
 		wrapStore: func(inner raftStore) raftStore { slow.raftStore = inner; return slow }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	c := &Client{Holder: "a", Voters: []Peer{{"s", addr}}, Timeout: 3 * election}
+	c := &Client{Holder: "a", Voters: []Peer{{"s", addr}}, Timeout: 3 * electionTimeout}
 	defer c.Close()
 	acquire(t, c, time.Minute)
 }
--- a/internal/fleet/consensus/set_test.go
+++ b/internal/fleet/consensus/voter_set_test.go
@@ -9,12 +9,12 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Two stewards are added to three under way, and one of the three is removed, by files of which the newest counts wherever it is met
-// first; what was written stays, and the set bears the loss of two then.
-func TestReform(t *testing.T) {
-	g := start(t, 3)
+// Two voters are added to three that run, and one of the three is removed, by files of which the newest counts wherever it is seen
+// first; what was written stays, and the set then tolerates the loss of two.
+func TestSetVoters(t *testing.T) {
+	g := startCluster(t, 3)
 	ctx := t.Context()
-	c := NewClientPool(1, "a", g.outside, 3*election)
+	c := NewClientPool(1, "a", g.clientPeers, 3*electionTimeout)
 	t.Cleanup(c.Close)
 	put := func(key string) {
 		t.Helper()
@@ -29,7 +29,7 @@
 		t.Fatalf("%s is never written", key)
 	}
 	put("p/before")
-	all := append([]Peer(nil), g.outside...)
+	all := append([]Peer(nil), g.clientPeers...)
 	for i := 3; i < 5; i++ {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -39,63 +39,63 @@
 		_ = ln.Close()
 	}
 	for i := 3; i < 5; i++ {
-		g.options = append(g.options, Options{Name: all[i].Name, ListenAddr: all[i].Addr, Dir: t.TempDir(), Voters: all, Join: true, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: election})
-		g.stewards = append(g.stewards, nil)
-		g.run(t, i)
+		g.options = append(g.options, Options{Name: all[i].Name, ListenAddr: all[i].Addr, Dir: t.TempDir(), Voters: all, Join: true, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout})
+		g.voters = append(g.voters, nil)
+		g.start(t, i)
 	}
 	lead := g.leader(t)
-	g.stewards[lead].SetVoters(1, all)
-	names := func(n int, without string) {
+	g.voters[lead].SetVoters(1, all)
+	awaitVoters := func(n int, without string) {
 		t.Helper()
 		for range 1000 {
-			set, has := 0, false
-			for _, s := range g.stewards {
+			count, found := 0, false
+			for _, s := range g.voters {
 				if s == nil || s.options.Name == without {
 					continue
 				}
 				f := s.raft.GetConfiguration()
-				has, set = false, 0
+				count, found = 0, false
 				if f.Error() == nil {
 					for _, v := range f.Configuration().Servers {
-						set++
-						has = has || string(v.ID) == without
+						count++
+						found = found || string(v.ID) == without
 					}
 				}
-				if set != n || has {
+				if count != n || found {
 					break
 				}
 			}
-			if set == n && !has {
+			if count == n && !found {
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Fatalf("it never comes that all know %d stewards", n)
+		t.Fatalf("not in time: all know %d voters", n)
 	}
-	names(5, "")
-	gone := (lead + 1) % 3
+	awaitVoters(5, "")
+	removed := (lead + 1) % 3
 	var rest []Peer
 	for i, p := range all {
-		if i != gone {
+		if i != removed {
 			rest = append(rest, p)
 		}
 	}
-	for i, s := range g.stewards {
-		if i != gone {
+	for i, s := range g.voters {
+		if i != removed {
 			s.SetVoters(2, rest)
 		}
 	}
-	g.stewards[gone].SetVoters(1, all) // on an older file
-	names(4, all[gone].Name)
+	g.voters[removed].SetVoters(1, all) // on an older file
+	awaitVoters(4, all[removed].Name)
 	put("p/after")
-	g.end(gone)
-	g.end(lead) // three of four are left
-	c5 := NewClientPool(1, "b", all, 3*election)
+	g.stop(removed)
+	g.stop(lead) // three of four are left
+	c5 := NewClientPool(1, "b", all, 3*electionTimeout)
 	t.Cleanup(c5.Close)
 	for range 100 {
 		if d, err := c5.Read(ctx, "p/before"); err == nil {
 			if d.Version == 0 {
-				t.Error("what was written before is gone")
+				t.Error("what was written before is lost")
 			}
 			return
 		}
--- a/internal/fleet/consensus/steward_test.go
+++ b/internal/fleet/consensus/voter_test.go
@@ -17,19 +17,19 @@
 	"threadsail/internal/lab/relay"
 )
 
-const election = 300 * time.Millisecond
+const electionTimeout = 300 * time.Millisecond
 
-// group is a set of stewards of this process, each behind a relay of its own on every link.
-type group struct {
-	stewards []*Voter
-	options  []Options
-	links    map[[2]int]*relay.Link // from steward i to steward j
-	outside  []Peer                 // as a pooler reaches them
+// cluster is a set of voters of this process, each behind a relay of its own on every link.
+type cluster struct {
+	voters      []*Voter
+	options     []Options
+	links       map[[2]int]*relay.Link // from voter i to voter j
+	clientPeers []Peer                 // as a pooler reaches them
 }
 
-func start(t *testing.T, n int) *group {
+func startCluster(t *testing.T, n int) *cluster {
 	t.Helper()
-	g := &group{links: map[[2]int]*relay.Link{}}
+	g := &cluster{links: map[[2]int]*relay.Link{}}
 	var addrs []string
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 		_ = ln.Close()
 	}
 	for i := range n {
-		o := Options{Name: fmt.Sprint("s", i), ListenAddr: addrs[i], Dir: t.TempDir(), MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: election}
+		o := Options{Name: fmt.Sprint("s", i), ListenAddr: addrs[i], Dir: t.TempDir(), MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout}
 		for j := range n {
 			addr := addrs[j]
 			if i != j {
@@ -54,12 +54,12 @@
 			o.Voters = append(o.Voters, Peer{fmt.Sprint("s", j), addr})
 		}
 		g.options = append(g.options, o)
-		g.outside = append(g.outside, Peer{o.Name, addrs[i]})
-		g.stewards = append(g.stewards, nil)
-		g.run(t, i)
+		g.clientPeers = append(g.clientPeers, Peer{o.Name, addrs[i]})
+		g.voters = append(g.voters, nil)
+		g.start(t, i)
 	}
 	t.Cleanup(func() {
-		for _, s := range g.stewards {
+		for _, s := range g.voters {
 			if s != nil {
 				s.Close()
 			}
@@ -68,27 +68,27 @@
 	return g
 }
 
-func (g *group) run(t *testing.T, i int) {
+func (g *cluster) start(t *testing.T, i int) {
 	t.Helper()
 	s, err := Start(g.options[i])
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.stewards[i] = s
+	g.voters[i] = s
 }
 
-func (g *group) end(i int) {
-	g.stewards[i].Close()
-	g.stewards[i] = nil
+func (g *cluster) stop(i int) {
+	g.voters[i].Close()
+	g.voters[i] = nil
 }
 
-func (g *group) client(t *testing.T, holder string, stewards ...Peer) *Client {
-	c := &Client{Holder: holder, Voters: stewards, Timeout: 3 * election}
+func (g *cluster) client(t *testing.T, holder string, voters ...Peer) *Client {
+	c := &Client{Holder: holder, Voters: voters, Timeout: 3 * electionTimeout}
 	t.Cleanup(c.Close)
 	return c
 }
 
-// acquire asks until the stewards decide.
+// acquire requests the lease until the voters decide.
 func acquire(t *testing.T, c *Client, term time.Duration) (lease.Lease, bool) {
 	t.Helper()
 	for range 50 {
@@ -96,34 +96,34 @@
 			return g, ok
 		}
 	}
-	t.Fatal("the stewards never decide")
+	t.Fatal("the voters never decide")
 	return lease.Lease{}, false
 }
 
-func (g *group) leader(t *testing.T) int {
+func (g *cluster) leader(t *testing.T) int {
 	t.Helper()
 	for range 500 {
-		for i, s := range g.stewards {
+		for i, s := range g.voters {
 			if s != nil {
 				s.mu.Lock()
-				leads := s.clock.RaftTerm != 0
+				leading := s.clock.RaftTerm != 0
 				s.mu.Unlock()
-				if leads {
+				if leading {
 					return i
 				}
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("no steward leads")
+	t.Fatal("no voter leads")
 	return 0
 }
 
-// A lease passes on only when its term is over, with a newer token; it outlives its stewards' restart, one by one and all
+// A lease passes on only when its duration is over, with a newer token; it outlives its voters' restart, one by one and all
 // at once.
-func TestLeaseAcrossStewards(t *testing.T) {
-	g := start(t, 3)
-	a, b := g.client(t, "a", g.outside...), g.client(t, "b", g.outside...)
+func TestLeaseAcrossVoters(t *testing.T) {
+	g := startCluster(t, 3)
+	a, b := g.client(t, "a", g.clientPeers...), g.client(t, "b", g.clientPeers...)
 	first, ok := acquire(t, a, time.Minute)
 	if !ok || first.Token == 0 {
 		t.Fatalf("a: %+v %v", first, ok)
@@ -132,17 +132,17 @@
 		t.Fatalf("b: %+v %v, want a's", got, ok)
 	}
 	lead := g.leader(t)
-	g.end(lead)
+	g.stop(lead)
 	if got, ok := acquire(t, b, time.Minute); ok || got.Holder != "a" || got.Token != first.Token {
 		t.Fatalf("b, the leader gone: %+v %v, want a's", got, ok)
 	}
-	for i := range g.stewards {
-		if g.stewards[i] != nil {
-			g.end(i)
+	for i := range g.voters {
+		if g.voters[i] != nil {
+			g.stop(i)
 		}
 	}
-	for i := range g.stewards {
-		g.run(t, i)
+	for i := range g.voters {
+		g.start(t, i)
 	}
 	if got, ok := acquire(t, b, time.Minute); ok || got.Holder != "a" || got.Token != first.Token {
 		t.Fatalf("b, all restarted: %+v %v, want a's", got, ok)
@@ -153,7 +153,7 @@
 	if got, ok := acquire(t, b, 50*time.Millisecond); !ok || got.Token <= first.Token {
 		t.Fatalf("b, released: %+v %v, want a token above %d", got, ok, first.Token)
 	}
-	for { // b's term of 50 ms and the drift go by
+	for { // b's duration of 50 ms and the clock drift go by
 		if got, ok := acquire(t, a, time.Minute); ok {
 			if got.Token <= first.Token {
 				t.Errorf("token %d after %d", got.Token, first.Token)
@@ -163,18 +163,18 @@
 	}
 }
 
-// A leader cut off from the others can't give leases; the majority elects another, and the old one follows once it is back.
+// A leader cut off from the others can't grant leases; the majority elects another, and the old one follows once it is back.
 func TestMinority(t *testing.T) {
-	g := start(t, 3)
-	first, _ := acquire(t, g.client(t, "a", g.outside...), time.Minute)
+	g := startCluster(t, 3)
+	first, _ := acquire(t, g.client(t, "a", g.clientPeers...), time.Minute)
 	cut := g.leader(t)
 	for link, l := range g.links {
 		if link[0] == cut || link[1] == cut {
 			l.Set(relay.Fault{Drop: true})
 		}
 	}
-	alone := g.client(t, "b", g.outside[cut])
-	for { // until it gives its office up it may still tell who has the lease
+	alone := g.client(t, "b", g.clientPeers[cut])
+	for { // until it steps down it may still say who has the lease
 		got, ok, err := alone.Acquire(t.Context(), "lists", time.Minute)
 		if ok {
 			t.Errorf("the minority decides: %+v", got)
@@ -183,43 +183,43 @@
 			break
 		}
 	}
-	others := append(append([]Peer(nil), g.outside[:cut]...), g.outside[cut+1:]...)
+	others := append(append([]Peer(nil), g.clientPeers[:cut]...), g.clientPeers[cut+1:]...)
 	if got, ok := acquire(t, g.client(t, "b", others...), time.Minute); ok || got.Token != first.Token {
 		t.Errorf("the majority: %+v %v, want a's", got, ok)
 	}
 	for _, l := range g.links {
 		l.Set(relay.Fault{})
 	}
-	if got, ok := acquire(t, g.client(t, "a", append([]Peer{g.outside[cut]}, others...)...), time.Minute); !ok || got.Token != first.Token {
-		t.Errorf("a, asking the healed one first: %+v %v, want its own", got, ok)
+	if got, ok := acquire(t, g.client(t, "a", append([]Peer{g.clientPeers[cut]}, others...)...), time.Minute); !ok || got.Token != first.Token {
+		t.Errorf("a, with the healed voter first: %+v %v, want its own", got, ok)
 	}
 }
 
-// What is no request gets an error or a close, never a lease, and does not end the steward.
-func TestBadCallers(t *testing.T) {
-	g := start(t, 1)
+// What is no request gets an error or a close, never a lease, and does not end the voter.
+func TestMalformedRequests(t *testing.T) {
+	g := startCluster(t, 1)
 	for _, text := range []string{"X", "L\n", "L{}\n", "L{\"duty\":\"d\"}\n", "L" + string(make([]byte, 2*maxRequestBytes)), "R\x00\x01garbage"} {
-		c, err := net.Dial("tcp", g.outside[0].Addr)
+		c, err := net.Dial("tcp", g.clientPeers[0].Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write([]byte(text))
 		_ = c.Close()
 	}
-	if got, ok := acquire(t, g.client(t, "a", g.outside...), time.Minute); !ok {
-		t.Errorf("after bad callers: %+v", got)
+	if got, ok := acquire(t, g.client(t, "a", g.clientPeers...), time.Minute); !ok {
+		t.Errorf("after malformed requests: %+v", got)
 	}
-	if _, err := Start(Options{Name: "s", ListenAddr: "127.0.0.1:0", Dir: "/dev/null/x", Voters: g.outside, ElectionTimeout: election}); err == nil {
-		t.Error("a steward starts without its folder")
+	if _, err := Start(Options{Name: "s", ListenAddr: "127.0.0.1:0", Dir: "/dev/null/x", Voters: g.clientPeers, ElectionTimeout: electionTimeout}); err == nil {
+		t.Error("a voter starts without its directory")
 	}
 }
 
 // Documents are written by version and under a lease's token, read as of the last write, and outlive the leader and a restart of
 // all; an old holder's write is refused.
 func TestDocuments(t *testing.T) {
-	g := start(t, 3)
+	g := startCluster(t, 3)
 	ctx := t.Context()
-	a, b := NewClientPool(2, "a", g.outside, 3*election), NewClientPool(2, "b", g.outside, 3*election)
+	a, b := NewClientPool(2, "a", g.clientPeers, 3*electionTimeout), NewClientPool(2, "b", g.clientPeers, 3*electionTimeout)
 	t.Cleanup(a.Close)
 	t.Cleanup(b.Close)
 	put := func(c *ClientPool, key string, expect uint64, value string, f replication.Fence) (version uint64, err error) {
@@ -229,10 +229,10 @@
 				return version, err
 			}
 		}
-		t.Fatal("the stewards never decide: ", err)
+		t.Fatal("the voters never decide: ", err)
 		return 0, nil
 	}
-	grant, ok := acquire(t, g.client(t, "a", g.outside...), time.Second)
+	grant, ok := acquire(t, g.client(t, "a", g.clientPeers...), time.Second)
 	if !ok {
 		t.Fatal("no lease")
 	}
@@ -250,7 +250,7 @@
 	if _, err := b.Put(ctx, "p/z", 0, largest, replication.Fence{}); err != nil {
 		t.Errorf("the largest: %v", err)
 	}
-	for { // a's term and the drift go by: its token stands no longer, though nobody else has the lease
+	for { // a's duration and the clock drift go by: its token is no longer valid, though nobody else has the lease
 		if _, err := put(a, "p/fenced", 0, "x", replication.Fence{Lease: "lists", Token: grant.Token}); errors.Is(err, replication.ErrFenced) {
 			break
 		} else if !errors.Is(err, replication.ErrConflict) && err != nil {
@@ -259,7 +259,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	lead := g.leader(t)
-	g.end(lead)
+	g.stop(lead)
 	v2, err := put(b, "p/x", v1, "2", replication.Fence{})
 	if err != nil || v2 <= v1 {
 		t.Fatalf("version %d after %d, %v", v2, v1, err)
@@ -277,20 +277,20 @@
 		t.Errorf("%s: never read", what)
 	}
 	read("the old leader gone")
-	for i := range g.stewards {
-		if g.stewards[i] != nil {
-			if err := g.stewards[i].raft.Snapshot().Error(); err != nil {
+	for i := range g.voters {
+		if g.voters[i] != nil {
+			if err := g.voters[i].raft.Snapshot().Error(); err != nil {
 				t.Fatal(err)
 			}
-			g.end(i)
+			g.stop(i)
 		}
 	}
-	for i := range g.stewards {
-		g.run(t, i)
+	for i := range g.voters {
+		g.start(t, i)
 	}
 	read("all restarted from snapshots")
 	var state replication.Snapshot
-	for range 500 { // of whichever steward is asked, which may not have caught up yet
+	for range 500 { // of whichever voter is asked, which may not have caught up yet
 		if next, ok, err := a.Fetch(ctx, state.Version, false); err != nil {
 			t.Fatal(err)
 		} else if ok {
@@ -308,15 +308,15 @@
 		t.Errorf("nothing newer: %v %v", ok, err)
 	}
 	lead = g.leader(t)
-	if version, at, ok := g.stewards[lead].ConfirmVersion(); !ok || version != state.Version || time.Since(at) > time.Minute {
+	if version, at, ok := g.voters[lead].ConfirmVersion(); !ok || version != state.Version || time.Since(at) > time.Minute {
 		t.Errorf("the leader confirms %d at %v: %v", version, at, ok)
 	}
-	if _, _, ok := g.stewards[(lead+1)%3].ConfirmVersion(); ok {
-		t.Error("one that does not lead confirms")
+	if _, _, ok := g.voters[(lead+1)%3].ConfirmVersion(); ok {
+		t.Error("a voter that does not lead confirms")
 	}
 }
 
-// A snapshot from before there were documents is taken over: its leases stand, and there are no documents.
+// A snapshot from before there were documents is taken over: its leases are kept, and there are no documents.
 func TestOldSnapshot(t *testing.T) {
 	var old lease.Lessor
 	want, _ := old.Apply(lease.Command{Name: "d", Holder: "a", Duration: time.Minute, RaftTerm: 1}, 7, 1)
@@ -351,12 +351,12 @@
 		}
 	}
 	if _, token := next.lessor.Holder("d"); token != want.Token {
-		t.Error("a snapshot that can't be read has changed the table")
+		t.Error("a snapshot that can't be decoded has changed the state")
 	}
 }
 
-// A write whose first try got no answer is not said to be refused when the second is.
-func TestUnsure(t *testing.T) {
+// A write whose first attempt got no response is not said to be refused when the second is.
+func TestMaybeAppliedWrite(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -370,7 +370,7 @@
 			}
 			go func() {
 				defer c.Close()
-				for in := bufio.NewReader(c); i > 0; { // the first hears nothing
+				for in := bufio.NewReader(c); i > 0; { // the first attempt gets no response
 					if _, err := in.ReadString('\n'); err != nil {
 						return
 					}
@@ -383,7 +383,7 @@
 	c := &Client{Holder: "a", Voters: []Peer{p, p, p}, Timeout: 10 * time.Second}
 	defer c.Close()
 	if _, err := c.Put(t.Context(), replication.Write{Key: "k"}); err == nil || errors.Is(err, replication.ErrConflict) {
-		t.Errorf("after a try that may have been taken: %v", err)
+		t.Errorf("after an attempt that may have been applied: %v", err)
 	}
 	if _, err := c.Put(t.Context(), replication.Write{Key: "k"}); !errors.Is(err, replication.ErrConflict) {
 		t.Errorf("after one that says so itself: %v", err)
