--- a/internal/fleet/discoveryleader/least_test.go
+++ b/internal/fleet/discoveryleader/minimum_version_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-func TestLeast(t *testing.T) {
+func TestMinimumVersion(t *testing.T) {
 	for _, c := range []struct {
-		least  MinimumVersion
-		build  string
-		config uint64
-		want   bool
+		minimum        MinimumVersion
+		build          string
+		configRevision uint64
+		want           bool
 	}{
 		{MinimumVersion{}, "(devel)", 0, false},
 		{MinimumVersion{Build: "v1.4.0"}, "v1.4.0", 0, false},
@@ -18,8 +18,8 @@
 		{MinimumVersion{ConfigRevision: 7}, "v1.4.0", 7, false},
 		{MinimumVersion{Build: "v1.4.0", ConfigRevision: 7}, "v1.3.0", 8, true},
 	} {
-		if got := c.least.Excludes(c.build, c.config); got != c.want {
-			t.Errorf("%+v bars %s on %d: %v", c.least, c.build, c.config, got)
+		if got := c.minimum.Excludes(c.build, c.configRevision); got != c.want {
+			t.Errorf("%+v excludes %s on %d: %v", c.minimum, c.build, c.configRevision, got)
 		}
 	}
 }
--- a/internal/pooler/fleet_lists.go
+++ b/internal/pooler/fleet_lists.go
@@ -37,7 +37,7 @@
 func newListLeadership(m *fleetMember, w *watcher, core *dispatch.Dispatcher, cfg *config.Config, fc *config.Fleet, ready func(bool)) *listLeadership {
 	d := &listLeadership{fleetMember: m, watcher: w, dispatcher: core, sharedAddresses: fc.SharedAddresses, setAdmitted: ready, configRevision: fc.ConfigRevision,
 		list:     discovery.List{Complete: true, Revision: cfg.Known.Revision, Members: cfg.Known.Members},
-		election: discoveryleader.Participant{Name: fc.Name, LeaseDuration: fc.Term, MaxClockDrift: fc.Drift, FollowOnly: !fc.Gossips(), MaxListLag: fc.Bound, JitterFraction: Spread(cfg), PoolerCount: max(cfg.Settings.Poolers, 1)}}
+		election: discoveryleader.Participant{Options: discoveryleader.Options{Name: fc.Name, LeaseDuration: fc.Term, MaxClockDrift: fc.Drift, FollowOnly: !fc.Gossips(), MaxListLag: fc.Bound, JitterFraction: Spread(cfg), PoolerCount: max(cfg.Settings.Poolers, 1)}}}
 	w.leadership = d
 	if w.pushed { // else the module asks
 		w.loop.After(0, d.requestWatch)
