--- a/internal/fleet/gossip/bus.go
+++ b/internal/fleet/gossip/bus.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"slices"
@@ -11,65 +10,63 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// busMessageMarker begins a message of the bus; every other one is JSON. Behind it come the sender's name and the topic, each with its
-// length as a uvarint before it, and the body.
-const busMessageMarker = 1
-
 const (
-	maxTopicBytes = 128
-	// maxGossipBytes is the largest body that is also passed on by gossip, whose packets hold 1400 bytes with other words beside it.
+	// maxGossipBytes is the largest message that is also passed on by gossip, whose packets hold 1400 bytes with other messages
+	// beside it.
 	maxGossipBytes = 1 << 10
-	// maxConcurrentSends is how many messages may be on their way to connections at once: a descriptor each.
+	// maxConcurrentSends is how many messages may be on their way to connections at the same time: a descriptor each.
 	maxConcurrentSends = 8
 )
 
-// Bus is the parts' way to the other poolers, over Peers.
+// Bus is the components' way to the other poolers, over a Node.
 type Bus struct {
 	node      *Node
 	sendSlots chan struct{}
+	wake      chan struct{} // wakes broadcastPending
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	handlers      map[string]func(from string, body []byte)
-	pending       map[string][]byte // by topic: the newest that waits to be given to all
-	pendingTopics []string          // of those topics
-	wake          chan struct{}
+	pending       map[string][]byte // by topic: the newest message that waits to be broadcast
+	pendingTopics []string          // in the order of their first messages
 }
 
 var _ bus.Bus = (*Bus)(nil)
 
-func newBus(p *Node) *Bus {
-	return &Bus{node: p, sendSlots: make(chan struct{}, maxConcurrentSends), handlers: map[string]func(string, []byte){}, pending: map[string][]byte{},
-		wake: make(chan struct{}, 1)}
+func newBus(n *Node) *Bus {
+	return &Bus{
+		node:      n,
+		sendSlots: make(chan struct{}, maxConcurrentSends),
+		wake:      make(chan struct{}, 1),
+		handlers:  map[string]func(string, []byte){},
+		pending:   map[string][]byte{},
+	}
 }
 
-// Bus is the parts' way to the other poolers.
-func (p *Node) Bus() *Bus { return p.bus }
-
 // Self is documented with bus.Bus.
 func (b *Bus) Self() string { return b.node.options.Name }
 
 // Members is documented with bus.Bus.
 func (b *Bus) Members() []string {
-	nodes := b.node.nodes() // by name alone: what they tell of themselves takes longer to read than all else here
-	out := make([]string, len(nodes))
+	nodes := b.node.nodes() // by name alone: decoding their metas takes longer than all else here
+	names := make([]string, len(nodes))
 	for i, n := range nodes {
-		out[i] = n.Name
+		names[i] = n.Name
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
 // Size is documented with bus.Bus.
 func (b *Bus) Size() int { return max(len(b.node.nodes()), 1) }
 
-// Send is documented with bus.Bus. To this pooler itself it goes without the network.
+// Send is documented with bus.Bus. A message to this pooler itself goes without the network.
 func (b *Bus) Send(ctx context.Context, to, topic string, body []byte) error {
-	text, err := encodeMessage(b.Self(), topic, body)
+	message, err := encodeMessage(b.Self(), topic, body)
 	if err != nil {
 		return err
 	}
 	if to == b.Self() {
-		b.deliver(text)
+		b.deliver(message)
 		return nil
 	}
 	select {
@@ -78,13 +75,9 @@
 		return ctx.Err()
 	}
 	sent := make(chan error, 1)
-	go func() {
-		err := b.node.Send(to, text)
-		<-b.sendSlots
-		if errors.Is(err, ErrUnknownMember) {
-			err = fmt.Errorf("%w: %s", bus.ErrUnknownMember, to)
-		}
-		sent <- err
+	go func() { // ends with the send, after tcpTimeout at the latest; the context may end before
+		defer func() { <-b.sendSlots }()
+		sent <- b.send(to, message)
 	}()
 	select {
 	case err := <-sent:
@@ -94,9 +87,18 @@
 	}
 }
 
+// send waits for the network.
+func (b *Bus) send(to string, message []byte) error {
+	err := b.node.Send(to, message)
+	if errors.Is(err, ErrUnknownMember) {
+		return fmt.Errorf("%w: %s", bus.ErrUnknownMember, to)
+	}
+	return err
+}
+
 // Broadcast is documented with bus.Bus.
 func (b *Bus) Broadcast(topic string, body []byte) {
-	text, err := encodeMessage(b.Self(), topic, body)
+	message, err := encodeMessage(b.Self(), topic, body)
 	if err != nil {
 		b.node.log("bus: " + err.Error())
 		return
@@ -105,7 +107,7 @@
 	if _, waits := b.pending[topic]; !waits {
 		b.pendingTopics = append(b.pendingTopics, topic)
 	}
-	b.pending[topic] = text
+	b.pending[topic] = message
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
@@ -114,13 +116,14 @@
 }
 
 // Handle is documented with bus.Bus.
-func (b *Bus) Handle(topic string, f func(from string, body []byte)) {
+func (b *Bus) Handle(topic string, handler func(from string, body []byte)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.handlers[topic] = f
+	b.handlers[topic] = handler
 }
 
-// broadcastPending gives all others what waits, the newest of each topic: hundreds of datagrams must hold nobody.
+// broadcastPending sends all other poolers the messages that wait, the newest of each topic, until the node is closed. It has
+// a goroutine of its own, because hundreds of datagrams must not delay a caller of Broadcast.
 func (b *Bus) broadcastPending() {
 	for {
 		select {
@@ -129,72 +132,51 @@
 		case <-b.wake:
 		}
 		for {
-			b.mu.Lock()
-			if len(b.pendingTopics) == 0 {
-				b.mu.Unlock()
+			topic, message, ok := b.nextPending()
+			if !ok {
 				break
 			}
-			topic := b.pendingTopics[0]
-			text := b.pending[topic]
-			b.pendingTopics = b.pendingTopics[1:]
-			delete(b.pending, topic)
-			b.mu.Unlock()
-			if len(text) <= maxGossipBytes {
-				b.node.broadcasts.QueueBroadcast(broadcast{"bus/" + topic, text})
-			}
-			for _, n := range b.node.nodes() {
-				if n.Name != b.Self() {
-					_ = b.node.memberlist.SendBestEffort(n, text)
-				}
-			}
+			b.broadcast(topic, message)
 		}
 	}
 }
 
-// deliver takes a message of the bus. One that can't be read, or that nobody handles, has no effect.
-func (b *Bus) deliver(text []byte) {
-	from, topic, body, err := decodeMessage(text)
-	if err != nil {
-		b.node.log("bus: " + err.Error())
-		return
-	}
+// nextPending takes the message that has waited longest.
+func (b *Bus) nextPending() (topic string, message []byte, ok bool) {
 	b.mu.Lock()
-	f := b.handlers[topic]
-	b.mu.Unlock()
-	if f != nil {
-		f(from, body)
-	}
+	defer b.mu.Unlock()
+	if len(b.pendingTopics) == 0 {
+		return "", nil, false
+	}
+	topic = b.pendingTopics[0]
+	b.pendingTopics = b.pendingTopics[1:]
+	message = b.pending[topic]
+	delete(b.pending, topic)
+	return topic, message, true
 }
 
-func encodeMessage(from, topic string, body []byte) ([]byte, error) {
-	if len(topic) == 0 || len(topic) > maxTopicBytes {
-		return nil, fmt.Errorf("a topic of %d bytes", len(topic))
+func (b *Bus) broadcast(topic string, message []byte) {
+	if len(message) <= maxGossipBytes {
+		b.node.broadcasts.QueueBroadcast(broadcast{"bus/" + topic, message})
 	}
-	text := make([]byte, 0, 1+2*binary.MaxVarintLen16+len(from)+len(topic)+len(body))
-	text = append(text, busMessageMarker)
-	for _, s := range []string{from, topic} {
-		text = append(binary.AppendUvarint(text, uint64(len(s))), s...)
+	for _, n := range b.node.nodes() {
+		if n.Name != b.Self() {
+			_ = b.node.memberlist.SendBestEffort(n, message)
+		}
 	}
-	return append(text, body...), nil
 }
 
-var errMalformedMessage = errors.New("a message that can't be read")
-
-// decodeMessage undoes seal.
-func decodeMessage(text []byte) (from, topic string, body []byte, err error) {
-	if len(text) == 0 || text[0] != busMessageMarker {
-		return "", "", nil, errMalformedMessage
-	}
-	text = text[1:]
-	for _, s := range []*string{&from, &topic} {
-		n, used := binary.Uvarint(text)
-		if used <= 0 || n > uint64(len(text)-used) {
-			return "", "", nil, errMalformedMessage
-		}
-		*s, text = string(text[used:used+int(n)]), text[used+int(n):]
+// deliver passes a message to its topic's handler. One that can't be decoded, or that nobody handles, has no effect.
+func (b *Bus) deliver(message []byte) {
+	from, topic, body, err := decodeMessage(message)
+	if err != nil {
+		b.node.log("bus: " + err.Error())
+		return
 	}
-	if from == "" || topic == "" || len(topic) > maxTopicBytes {
-		return "", "", nil, errMalformedMessage
+	b.mu.Lock()
+	handler := b.handlers[topic]
+	b.mu.Unlock()
+	if handler != nil {
+		handler(from, body)
 	}
-	return from, topic, text, nil
 }
--- a/internal/fleet/gossip/bus_test.go
+++ b/internal/fleet/gossip/bus_test.go
@@ -10,48 +10,48 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// Messages to one and to all arrive with their sender, the newest of a topic at the last.
+// Messages to one and to all arrive with their sender, the newest of a topic last.
 func TestBus(t *testing.T) {
-	f := start(t, 3)
-	heard := make(chan string, 1000)
-	for i, p := range f.members {
-		p.Bus().Handle("t", func(from string, body []byte) { heard <- fmt.Sprint(from, ">", i, " ", string(body)) })
+	c := startCluster(t, 3)
+	received := make(chan string, 1000)
+	for i, p := range c.nodes {
+		p.Bus().Handle("t", func(from string, body []byte) { received <- fmt.Sprint(from, ">", i, " ", string(body)) })
 	}
-	until(t, "all know all", f.all(3))
-	if err := f.members[0].Bus().Send(t.Context(), "n2", "t", []byte("to one")); err != nil {
+	await(t, "all know all", c.allKnow(3))
+	if err := c.nodes[0].Bus().Send(t.Context(), "n2", "t", []byte("to one")); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-heard; got != "n0>2 to one" {
+	if got := <-received; got != "n0>2 to one" {
 		t.Error(got)
 	}
-	if err := f.members[0].Bus().Send(t.Context(), "n0", "t", []byte("to itself")); err != nil {
+	if err := c.nodes[0].Bus().Send(t.Context(), "n0", "t", []byte("to itself")); err != nil {
 		t.Fatal(err)
 	}
-	if got := <-heard; got != "n0>0 to itself" {
+	if got := <-received; got != "n0>0 to itself" {
 		t.Error(got)
 	}
-	if err := f.members[0].Bus().Send(t.Context(), "nobody", "t", nil); !errors.Is(err, bus.ErrUnknownMember) {
+	if err := c.nodes[0].Bus().Send(t.Context(), "nobody", "t", nil); !errors.Is(err, bus.ErrUnknownMember) {
 		t.Errorf("to nobody: %v", err)
 	}
-	over, end := context.WithCancel(t.Context())
-	end()
-	if err := f.members[0].Bus().Send(over, "n1", "none", nil); !errors.Is(err, context.Canceled) {
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := c.nodes[0].Bus().Send(canceled, "n1", "none", nil); !errors.Is(err, context.Canceled) {
 		t.Errorf("with an ended context: %v", err)
 	}
 	for i := range 20 {
-		f.members[1].Bus().Broadcast("t", fmt.Append(nil, i))
+		c.nodes[1].Bus().Broadcast("t", fmt.Append(nil, i))
 	}
 	for last := map[string]bool{}; !last["n1>0 19"] || !last["n1>2 19"]; {
-		last[<-heard] = true
+		last[<-received] = true
 	}
-	if got := f.members[0].Bus().Members(); len(got) == 0 || got[0] != "n0" {
+	if got := c.nodes[0].Bus().Members(); len(got) == 0 || got[0] != "n0" {
 		t.Errorf("members %v", got)
 	}
 }
 
-func FuzzOpen(f *testing.F) {
-	sealed, _ := encodeMessage("n1", "t", []byte("body"))
-	f.Add(sealed)
+func FuzzDecodeMessage(f *testing.F) {
+	encoded, _ := encodeMessage("n1", "t", []byte("body"))
+	f.Add(encoded)
 	f.Add([]byte{busMessageMarker, 200, 1})
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/fleet/gossip/count_test.go
+++ b/internal/fleet/gossip/counting_transport_test.go
@@ -10,11 +10,11 @@
 	"threadsail/internal/lab/relay"
 )
 
-// What one member counts as gone the other counts as come, by its kind: memberlist's own, a bus's topics over packets and over
-// streams, and the list duty's.
+// What one node counts as sent the other counts as received, by its kind: memberlist's own, a bus's topics over packets and over
+// streams, and the discovery leader's.
 func TestTraffic(t *testing.T) {
 	var counters [2]traffic.Counter
-	var members [2]*Node
+	var nodes [2]*Node
 	var addrs [2]string
 	for i := range addrs {
 		ln, err := relay.ListenBoth("127.0.0.1:1", 0)
@@ -24,23 +24,23 @@
 		addrs[i] = ln.Addr()
 		ln.Close()
 	}
-	for i := range members {
+	for i := range nodes {
 		p, err := Start(Options{Name: "n" + string(rune('0'+i)), Listen: addrs[i], Peers: []Peer{{"n0", addrs[0]}, {"n1", addrs[1]}},
 			OnMessage: func([]byte) {}, Traffic: &counters[i]}, Meta{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer p.Close()
-		members[i] = p
+		nodes[i] = p
 	}
-	until(t, "both know both", func() bool { return len(members[0].Members()) == 2 && len(members[1].Members()) == 2 })
+	await(t, "both know both", func() bool { return len(nodes[0].Members()) == 2 && len(nodes[1].Members()) == 2 })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	if err := members[0].Bus().Send(ctx, "n1", "part/ask", []byte(strings.Repeat("x", 300))); err != nil {
+	if err := nodes[0].Bus().Send(ctx, "n1", "part/ask", []byte(strings.Repeat("x", 300))); err != nil {
 		t.Fatal(err)
 	}
-	members[0].Bus().Broadcast("part/word", []byte("y"))
-	members[0].Broadcast("lists", []byte(`{"kind":"word","word":{}}`), time.Now().Add(time.Minute))
+	nodes[0].Bus().Broadcast("part/word", []byte("y"))
+	nodes[0].Broadcast("lists", []byte(`{"kind":"word","word":{}}`), time.Now().Add(time.Minute))
 	of := func(i int, kind string) (c traffic.Count) {
 		for _, c := range counters[i].Snapshot() {
 			if c.Kind == kind {
@@ -49,15 +49,15 @@
 		}
 		return c
 	}
-	until(t, "all of it is counted", func() bool {
-		gone, come := of(0, "part/ask"), of(1, "part/ask")
-		return gone.BytesOut > 300 && gone.BytesOut == come.BytesIn && gone.MessagesOut == 1 && come.MessagesIn == 1 &&
+	await(t, "all of it is counted", func() bool {
+		sent, received := of(0, "part/ask"), of(1, "part/ask")
+		return sent.BytesOut > 300 && sent.BytesOut == received.BytesIn && sent.MessagesOut == 1 && received.MessagesIn == 1 &&
 			of(0, "part/word").BytesOut > 0 && of(1, "part/word").BytesIn > 0 && of(0, "duty/word").MessagesOut > 0 && of(1, "duty/word").MessagesIn > 0 &&
 			of(0, "ping").MessagesOut > 0 && of(0, "ack").BytesIn > 0 && of(0, "push_pull").BytesOut+of(1, "push_pull").BytesOut > 0 && of(0, "frame").BytesIn > 0
 	})
 	for i := range counters {
 		if c := of(i, traffic.Other); c.MessagesIn+c.MessagesOut > 0 {
-			t.Errorf("member %d has no kind for %+v", i, c)
+			t.Errorf("node %d has no kind for %+v", i, c)
 		}
 	}
 }
--- a/internal/fleet/gossip/log.go
+++ b/internal/fleet/gossip/log.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// logWriter gives memberlist's lines of warnings and errors to a function; it tells every probe at a lower level.
-type logWriter func(string)
+// logWriter passes memberlist's lines of warnings and errors to a function; memberlist logs every probe at a lower level.
+type logWriter func(line string)
 
-func (l logWriter) Write(b []byte) (int, error) {
+// Write implements io.Writer.
+func (w logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if strings.Contains(text, "[WARN]") || strings.Contains(text, "[ERR]") {
-		l(text)
+		w(text)
 	}
 	return len(b), nil
 }
