--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,14 +15,13 @@
 
 	"threadsail/internal/config"
 	"threadsail/internal/fleet/consensus"
+	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/distribution"
 	"threadsail/internal/fleet/gossip"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
 	"threadsail/internal/fleet/traffic"
-	"threadsail/internal/pooler"
-	"threadsail/internal/pooler/admin"
 )
 
 const (
@@ -52,7 +51,7 @@
 	config         *config.Fleet
 	instance       string // this process among the holders: a restarted pooler does not own what the one before it held
 	network        network
-	events         pooler.FleetEvents
+	events         coordination.Events
 	voter          *consensus.Voter // nil: this pooler is none
 	leaseRequests  chan func()
 	announcements  chan func()
@@ -81,7 +80,7 @@
 }
 
 // Start starts the pooler's part and returns at once; errors are of its addresses and folders.
-func Start(o Options, events pooler.FleetEvents) (*Coordinator, error) {
+func Start(o Options, events coordination.Events) (*Coordinator, error) {
 	c, log := o.Config, o.Log
 	f := &Coordinator{config: c, instance: fmt.Sprintf("%s/%d-%d", c.Name, os.Getpid(), time.Now().UnixNano()), events: events, leaseRequests: make(chan func(), maxQueuedLeaseRequests), announcements: make(chan func(), maxQueuedAnnouncements), shutdown: make(chan struct{}),
 		listTransfers: make(chan struct{}, maxListTransfers), log: log.With().Str("part", "fleet").Logger()}
@@ -162,7 +161,7 @@
 }
 
 // dispatch sorts what other poolers say. What can't be read is logged and has no effect.
-func (f *Coordinator) dispatch(text []byte, events pooler.FleetEvents) {
+func (f *Coordinator) dispatch(text []byte, events coordination.Events) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
 		f.log.Warn().Err(err).Msg("a message of another pooler can't be read")
@@ -319,7 +318,7 @@
 }
 
 // Status are documented with program.Fleet.
-func (f *Coordinator) Status() admin.FleetStatus {
+func (f *Coordinator) Status() coordination.Status {
 	out := f.components.status()
 	out.Traffic = f.traffic.Snapshot()
 	f.network.fillStatus(&out)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,16 +12,16 @@
 	"threadsail/internal/config"
 	"threadsail/internal/fleet/audit"
 	"threadsail/internal/fleet/consensus"
+	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
-	"threadsail/internal/pooler"
 )
 
 // What was asked before the end is answered, and what comes after it does no harm: where a start fails, the loop still runs.
 func TestAfterTheEnd(t *testing.T) {
 	f, err := Start(Options{Config: &config.Fleet{Name: "a", Listen: "127.0.0.1:0", Stewards: []config.Peer{{Name: "s", Addr: "127.0.0.1:1"}}, Term: 400 * time.Millisecond},
-		Log: zerolog.Nop()}, pooler.FleetEvents{})
+		Log: zerolog.Nop()}, coordination.Events{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	c := &config.Fleet{Name: "a", Listen: "127.0.0.1:0", Stewards: []config.Peer{{Name: "a", Addr: addr}}, Term: 900 * time.Millisecond,
 		Drift: 30 * time.Millisecond, Election: 300 * time.Millisecond, Steward: config.StewardPart{Listen: addr, Dir: t.TempDir()}, Shared: config.SharedPart{Dir: dir}}
 	f, err := Start(Options{Config: c, Components: []Component{failing{}, running(grounds)}, Log: zerolog.Nop()},
-		pooler.FleetEvents{Failed: func(err error) { failed <- err }, Audit: func(r audit.Record) { acts <- r }})
+		coordination.Events{Failed: func(err error) { failed <- err }, Audit: func(r audit.Record) { acts <- r }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/ground.go
+++ b/internal/fleet/ground.go
@@ -12,10 +12,9 @@
 	"threadsail/internal/fleet/audit"
 	"threadsail/internal/fleet/bus"
 	"threadsail/internal/fleet/consensus"
+	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
-	"threadsail/internal/pooler"
-	"threadsail/internal/pooler/admin"
 )
 
 const (
@@ -32,7 +31,7 @@
 	keeper         *replication.Persister // nil: the copy is kept in memory alone
 	documentClient *consensus.ClientPool
 	leaseClient    *consensus.ClientPool
-	events         pooler.FleetEvents
+	events         coordination.Events
 	log            zerolog.Logger
 	ctx            context.Context
 	cancel         context.CancelFunc
@@ -40,7 +39,7 @@
 }
 
 // newComponentHost begins with the copy on disk. A damaged one is set aside by the first that replaces it, and none is begun with.
-func newComponentHost(o Options, holder string, stewards []consensus.Peer, events pooler.FleetEvents) (*componentHost, error) {
+func newComponentHost(o Options, holder string, stewards []consensus.Peer, events coordination.Events) (*componentHost, error) {
 	g := &componentHost{options: o, events: events, log: o.Log.With().Str("part", "shared").Logger()}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	timeout := o.Config.Term / 4 // so that a renewal, a third of the term in, can be tried twice
@@ -144,8 +143,8 @@
 }
 
 // status may be called on any goroutine.
-func (g *componentHost) status() admin.FleetStatus {
-	f := admin.FleetStatus{DocumentsVersion: g.replica.Version(), DocumentsAge: -1}
+func (g *componentHost) status() coordination.Status {
+	f := coordination.Status{DocumentsVersion: g.replica.Version(), DocumentsAge: -1}
 	if at := g.replica.ConfirmedAt(); !at.IsZero() {
 		f.DocumentsAge = time.Since(at)
 	}
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -9,11 +9,11 @@
 
 	"threadsail/internal/config"
 	"threadsail/internal/fleet/bus"
+	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/distribution"
 	"threadsail/internal/fleet/gossip"
 	"threadsail/internal/fleet/traffic"
-	"threadsail/internal/pooler/admin"
 )
 
 // network is the way to the other poolers: gossip among all, or streams by way of distributors.
@@ -25,7 +25,7 @@
 	SendBestEffort(name string, text []byte)                           // may be lost
 	SetStatus(w discoveryleader.Announcement, build, config string)    // what the others see of this pooler
 	ListSource(w discoveryleader.Announcement) (name string, ask bool) // whom to ask for the list of a word; ask false: it comes by itself
-	fillStatus(*admin.FleetStatus)                                     // fills in Poolers and all after it
+	fillStatus(*coordination.Status)                                   // fills in Poolers and all after it
 	Close()
 }
 
@@ -51,7 +51,9 @@
 	return name, true
 }
 
-func (g gossipNetwork) fillStatus(f *admin.FleetStatus) { f.Poolers, f.Way = g.Bus().Size(), "gossip" }
+func (g gossipNetwork) fillStatus(f *coordination.Status) {
+	f.Poolers, f.Way = g.Bus().Size(), "gossip"
+}
 
 // The topics by which the list duty's words go along streams.
 const (
@@ -123,7 +125,7 @@
 	return "", false
 }
 
-func (n *streamNetwork) fillStatus(f *admin.FleetStatus) {
+func (n *streamNetwork) fillStatus(f *coordination.Status) {
 	f.Poolers = n.bus.Size()
 	switch {
 	case n.distributor != nil:
--- a/internal/pooler/admin/admin.go
+++ b/internal/pooler/admin/admin.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"threadsail/internal/dispatch"
-	"threadsail/internal/fleet/traffic"
+	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/protocol/admin"
 	"threadsail/internal/transport"
 )
@@ -34,20 +34,7 @@
 }
 
 // FleetStatus is how the pooler's part in its fleet stands.
-type FleetStatus struct {
-	DocumentsVersion      uint64        // of the documents that it acts on
-	DocumentsAge          time.Duration // since nothing newer was known to a steward; below 0: not since the start
-	ReplicaWriteFailing   bool          // its copy can't be written to its disk
-	VoterWriteFailing     bool          // its steward's log can't be written
-	JournalRecordsDropped uint64        // acts that are not in its journal
-	JournalWriteFailing   bool          // the last act could not be written
-	Traffic               []traffic.Count
-	Poolers               int    // held to be alive, this one among them
-	Way                   string // by which it hears of what all share: "gossip", "stream", "distributor", or "none" where it has no stream
-	Streams               int    // of a distributor: poolers that hang on it
-	PoolersBehind         int    // of a distributor: of all poolers with a stream anywhere, how many have older documents in force than their distributor
-	OldestVersion         uint64 // and the oldest version in force among them
-}
+type FleetStatus = coordination.Status
 
 // ListStatus is how a front's list of servers stands.
 type ListStatus struct {
--- a/internal/pooler/fleet.go
+++ b/internal/pooler/fleet.go
@@ -10,6 +10,7 @@
 	"threadsail/internal/config"
 	"threadsail/internal/dispatch"
 	"threadsail/internal/fleet/audit"
+	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/policy"
@@ -56,16 +57,8 @@
 	Close()
 }
 
-// FleetEvents is what a Fleet tells, on any goroutine.
-type FleetEvents struct {
-	Announced           func(w discoveryleader.Announcement, least discoveryleader.MinimumVersion) // least: what the holder's operators allow
-	ListRequested       func(from string)
-	ListReceived        func(w discoveryleader.Announcement, list []byte)
-	PrimaryReportedDown func(group int)
-	PrimaryAnnounced    func(token uint64, group int, server string, asOf time.Duration)
-	Audit               func(audit.Record) // for the journal; what the pooler knows of itself is filled in
-	Failed              func(error)        // the pooler must not serve on
-}
+// FleetEvents is what a Fleet reports, on any goroutine.
+type FleetEvents = coordination.Events
 
 // fleetDescriptors is how many a fleet may hold: listeners, the log, connections to and from other poolers.
 const fleetDescriptors = 48
