--- /dev/null
+++ b/internal/fleet/coordinator_test.go
@@ -0,0 +1,108 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"threadsail/internal/config"
+	"threadsail/internal/fleet/audit"
+	"threadsail/internal/fleet/consensus"
+	"threadsail/internal/fleet/coordination"
+	"threadsail/internal/fleet/discoveryleader"
+	"threadsail/internal/fleet/lease"
+	"threadsail/internal/fleet/replication"
+)
+
+// Requests before Close are answered, and calls after it do no harm: where a start fails, the event loop still runs.
+func TestCallsAfterClose(t *testing.T) {
+	coordinator, err := Start(Options{Config: &config.Fleet{Name: "a", Listen: "127.0.0.1:0", Stewards: []config.Peer{{Name: "s", Addr: "127.0.0.1:1"}}, Term: 400 * time.Millisecond},
+		Log: zerolog.Nop()}, coordination.Events{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	answered := make(chan error, maxQueuedLeaseRequests)
+	for range 3 {
+		coordinator.AcquireLease(func(_ lease.Lease, _ bool, err error) { answered <- err })
+	}
+	coordinator.Close()
+	for range 3 {
+		if err := <-answered; err == nil || !errors.Is(err, consensus.ErrNoLeader) {
+			t.Errorf("a request without voters ends with %v", err)
+		}
+	}
+	for range 2 * maxQueuedAnnouncements {
+		coordinator.Announce(discoveryleader.Announcement{Token: 1}, time.Minute, func(bool) {})
+		coordinator.AcquireLease(func(lease.Lease, bool, error) {})
+	}
+}
+
+// failingComponent is a component that the pooler must not serve without.
+type failingComponent struct{}
+
+func (failingComponent) Run(_ context.Context, r Runtime) error {
+	r.Audit(audit.Record{Act: audit.ReplicaSaved})
+	return errors.New("broken")
+}
+
+// A component's failure is reported; and documents are written and read, and a lease is won, through a voter of this process, whose
+// replica shows them and keeps them on its disk.
+func TestRuntime(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := ln.Addr().String()
+	_ = ln.Close()
+	failed := make(chan error, 1)
+	records := make(chan audit.Record, 9)
+	runtimes := make(chan Runtime, 1)
+	dir := t.TempDir()
+	c := &config.Fleet{Name: "a", Listen: "127.0.0.1:0", Stewards: []config.Peer{{Name: "a", Addr: addr}}, Term: 900 * time.Millisecond,
+		Drift: 30 * time.Millisecond, Election: 300 * time.Millisecond, Steward: config.StewardPart{Listen: addr, Dir: t.TempDir()}, Shared: config.SharedPart{Dir: dir}}
+	coordinator, err := Start(Options{Config: c, Components: []Component{failingComponent{}, runningComponent(runtimes)}, Log: zerolog.Nop()},
+		coordination.Events{Failed: func(err error) { failed <- err }, Audit: func(r audit.Record) { records <- r }})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer coordinator.Close()
+	if err := <-failed; err == nil || (<-records).Act != audit.ReplicaSaved {
+		t.Error(err)
+	}
+	r, ctx := <-runtimes, t.Context()
+	leadership := r.Campaign(ctx, "d")
+	changed, version := r.View.Changed(), uint64(0)
+	for version == 0 { // a slow disk may cost the lease, or the answer to a write that is taken
+		leadershipChanged := leadership.Changed()
+		if token, _, ok := leadership.Token(); !ok {
+			<-leadershipChanged
+		} else if version, err = r.Store.Put(ctx, "p/a", 0, []byte("x"), replication.Fence{Lease: "d", Token: token}); err != nil {
+			d, _ := r.Store.Read(ctx, "p/a")
+			version = d.Version
+		}
+	}
+	<-changed
+	if d, err := r.Store.Read(ctx, "p/a"); err != nil || d.Version != version {
+		t.Errorf("%+v %v, want version %d", d, err, version)
+	}
+	for { // on the disk and confirmed, some time
+		status := coordinator.Status()
+		if s, _, err := replication.LoadSnapshot(dir); err == nil && s.Version == version && status.DocumentsVersion == version && status.DocumentsAge >= 0 {
+			break
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// runningComponent is a component that hands out its runtime.
+type runningComponent chan Runtime
+
+func (c runningComponent) Run(ctx context.Context, r Runtime) error {
+	c <- r
+	<-ctx.Done()
+	return nil
+}
--- a/internal/fleet/lists_test.go
+++ b/internal/fleet/server_list_test.go
@@ -12,25 +12,25 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// However holders follow each other, of whom each may have missed what others handed on last, a pooler that has the list of any word
-// which a distributor has noted comes by that distributor's delta to just the list of the newest word.
-func TestListsOfManyHolders(t *testing.T) {
+// However leaders follow each other, of whom each may have missed what others published last, a pooler that has the list of any
+// announcement which a distributor has recorded comes by that distributor's delta to just the list of the newest announcement.
+func TestListsOfManyLeaders(t *testing.T) {
 	type entry struct{ ID, HostPort string }
 	rapid.Check(t, func(t *rapid.T) {
-		holders := []*serverListReplica{newServerListReplica(), newServerListReplica(), newServerListReplica()}
+		leaders := []*serverListReplica{newServerListReplica(), newServerListReplica(), newServerListReplica()}
 		distributor := replication.History{FullReplacement: true}
 		var versions []replication.Snapshot // as the distributor had them
 		want := map[uint64]map[string]string{}
-		w := discoveryleader.Announcement{Token: 5}
-		holder := 0
+		a := discoveryleader.Announcement{Token: 5}
+		leader := 0
 		for range rapid.IntRange(1, 25).Draw(t, "lists") {
-			if rapid.IntRange(0, 3).Draw(t, "another holder") == 0 {
-				holder = rapid.IntRange(0, 2).Draw(t, "holder")
-				w = discoveryleader.Announcement{Token: w.Token + 7}
+			if rapid.IntRange(0, 3).Draw(t, "another leader") == 0 {
+				leader = rapid.IntRange(0, 2).Draw(t, "leader")
+				a = discoveryleader.Announcement{Token: a.Token + 7}
 			}
-			w.Sequence++
-			w.Holder = fmt.Sprint("h", holder)
-			in, servers := encodedList{Revision: w.Sequence, Complete: true}, map[string]string{}
+			a.Sequence++
+			a.Holder = fmt.Sprint("h", leader)
+			in, servers := encodedList{Revision: a.Sequence, Complete: true}, map[string]string{}
 			for i := range 5 {
 				if addr := rapid.IntRange(0, 2).Draw(t, "address"); addr > 0 {
 					e := entry{fmt.Sprint("s", i), fmt.Sprint("a", addr)}
@@ -40,17 +40,17 @@
 				}
 			}
 			text, _ := json.Marshal(in)
-			if err := holders[holder].publish(w, text); err != nil {
+			if err := leaders[leader].publish(a, text); err != nil {
 				t.Fatal(err)
 			}
-			s := holders[holder].replica.Snapshot()
+			s := leaders[leader].replica.Snapshot()
 			want[s.Version] = servers
-			for i, other := range holders { // some hear of it
-				if i != holder && rapid.Bool().Draw(t, "heard") {
+			for i, other := range leaders { // some hear of it
+				if i != leader && rapid.Bool().Draw(t, "received") {
 					other.replica.Install(s)
 				}
 			}
-			if rapid.Bool().Draw(t, "noted") {
+			if rapid.Bool().Draw(t, "recorded") {
 				distributor.Record(s)
 				versions = append(versions, distributor.Snapshot())
 			}
@@ -62,15 +62,15 @@
 		for _, v := range versions[:len(versions)-1] {
 			d, ok := distributor.DeltaSince(v.Version)
 			if !ok {
-				t.Fatalf("no delta since %d, which was noted", v.Version)
+				t.Fatalf("no delta since %d, which was recorded", v.Version)
 			}
 			got, ok := d.ApplyTo(v)
 			if !ok {
 				t.Fatalf("%+v does not follow %d", d, v.Version)
 			}
-			word, text, err := decodeList(got)
-			if err != nil || announcementVersion(word) != newest.Version {
-				t.Fatalf("%+v, %v", word, err)
+			announcement, text, err := decodeList(got)
+			if err != nil || announcementVersion(announcement) != newest.Version {
+				t.Fatalf("%+v, %v", announcement, err)
 			}
 			var list encodedList
 			if err := json.Unmarshal(text, &list); err != nil {
@@ -87,13 +87,13 @@
 			}
 		}
 		if _, ok := distributor.DeltaSince(newest.Version - 1); ok && versions[max(len(versions)-2, 0)].Version != newest.Version-1 {
-			t.Errorf("a delta since a version that was not noted")
+			t.Errorf("a delta since a version that was not recorded")
 		}
 	})
 }
 
-// What is no list of a word, or no list at all, is not handed on and not told.
-func TestListsThatCantBeRead(t *testing.T) {
+// What is no list of an announcement, or no list at all, is not published and not reported.
+func TestMalformedLists(t *testing.T) {
 	l := newServerListReplica()
 	for _, text := range []string{"", "{", `{"members":[{"host_port":"a"}]}`, `{"members":[3]}`} {
 		if err := l.publish(discoveryleader.Announcement{Token: 1, Sequence: 1}, []byte(text)); err == nil || l.replica.Version() > 0 {
@@ -109,9 +109,9 @@
 	}
 	s.Version++
 	if _, _, err := decodeList(s); err == nil {
-		t.Error("a list under another word's version")
+		t.Error("a list under another announcement's version")
 	}
 	if _, _, err := decodeList(replication.Snapshot{Version: 3}); err == nil {
-		t.Error("a list without a head")
+		t.Error("a list without a header")
 	}
 }
