--- a/internal/fleet/traffic/traffic.go
+++ b/internal/fleet/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts what a pooler says to the others of its fleet and hears from them, at its sockets: payload bytes and
-// messages, both ways, by kind of message. It decides nothing.
+// Package traffic counts what a pooler sends to the other poolers of its fleet and receives from them, at its sockets: bytes of
+// payload and messages, both ways, by kind of message. It decides nothing and runs no goroutine; any goroutine may call it.
 package traffic
 
 import (
@@ -10,13 +10,13 @@
 	"sync/atomic"
 )
 
-// maxKinds bounds the kinds that are kept apart: some come from other processes.
+// maxKinds bounds the kinds that are counted separately: some come from other processes.
 const maxKinds = 128
 
-// Other is the kind of what no longer has one of its own.
+// Other is the kind of all that is not counted separately.
 const Other = "other"
 
-// Count is what went of one kind, since the start.
+// Count is what was sent and received of one kind, since the start.
 type Count struct {
 	Kind        string `json:"kind"`
 	BytesIn     uint64 `json:"bytes_in"`
@@ -25,15 +25,21 @@
 	MessagesOut uint64 `json:"messages_out"`
 }
 
-// Counter counts by kind. It is safe for use by several goroutines; the zero Counter is ready, and a nil one counts nothing.
+// Counter counts by kind. It is safe for use by several goroutines. The zero Counter is ready for use, and a nil one counts nothing.
 type Counter struct {
-	mu    sync.RWMutex
+	mu    sync.RWMutex // guards kinds, not the counts in it
 	kinds map[string]*counts
 }
 
-type counts struct{ bytesIn, bytesOut, messagesIn, messagesOut atomic.Uint64 }
+// counts are the numbers of one kind.
+type counts struct {
+	bytesIn     atomic.Uint64
+	bytesOut    atomic.Uint64
+	messagesIn  atomic.Uint64
+	messagesOut atomic.Uint64
+}
 
-// In counts messages and bytes of a kind that came. A part of a message that came in several has messages 0.
+// In counts received messages and bytes of a kind. A later part of a message that came in several has messages 0.
 func (c *Counter) In(kind string, messages, bytes int) {
 	if c == nil {
 		return
@@ -43,7 +49,7 @@
 	k.messagesIn.Add(uint64(messages))
 }
 
-// Out counts messages and bytes that went, as In.
+// Out counts sent messages and bytes, as In.
 func (c *Counter) Out(kind string, messages, bytes int) {
 	if c == nil {
 		return
@@ -53,6 +59,7 @@
 	k.messagesOut.Add(uint64(messages))
 }
 
+// countsFor is the counts of a kind, or those of Other where there are too many kinds.
 func (c *Counter) countsFor(kind string) *counts {
 	c.mu.RLock()
 	k := c.kinds[kind]
@@ -75,42 +82,51 @@
 	return k
 }
 
-// Snapshot is all kinds as they are now, by name.
+// Snapshot returns the counts of all kinds, by name.
 func (c *Counter) Snapshot() []Count {
 	if c == nil {
 		return nil
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	out := make([]Count, 0, len(c.kinds))
+	snapshot := make([]Count, 0, len(c.kinds))
 	for kind, k := range c.kinds {
-		out = append(out, Count{kind, k.bytesIn.Load(), k.bytesOut.Load(), k.messagesIn.Load(), k.messagesOut.Load()})
+		snapshot = append(snapshot, Count{
+			Kind:        kind,
+			BytesIn:     k.bytesIn.Load(),
+			BytesOut:    k.bytesOut.Load(),
+			MessagesIn:  k.messagesIn.Load(),
+			MessagesOut: k.messagesOut.Load(),
+		})
 	}
-	slices.SortFunc(out, func(a, b Count) int { return strings.Compare(a.Kind, b.Kind) })
-	return out
+	slices.SortFunc(snapshot, func(a, b Count) int { return strings.Compare(a.Kind, b.Kind) })
+	return snapshot
 }
 
-// Conn counts what a connection reads and writes as of one kind, each read and write as a message.
+// Conn returns a connection that counts what it reads and writes as of one kind, each read and write as a message.
 func (c *Counter) Conn(conn net.Conn, kind string) net.Conn { return &countingConn{conn, c, kind} }
 
+// countingConn is a connection that counts for Conn.
 type countingConn struct {
 	net.Conn
 	counter *Counter
 	kind    string
 }
 
-func (n *countingConn) Read(b []byte) (int, error) {
-	got, err := n.Conn.Read(b)
-	if got > 0 {
-		n.counter.In(n.kind, 1, got)
+// Read implements net.Conn.
+func (c *countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if n > 0 {
+		c.counter.In(c.kind, 1, n)
 	}
-	return got, err
+	return n, err
 }
 
-func (n *countingConn) Write(b []byte) (int, error) {
-	put, err := n.Conn.Write(b)
-	if put > 0 {
-		n.counter.Out(n.kind, 1, put)
+// Write implements net.Conn.
+func (c *countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	if n > 0 {
+		c.counter.Out(c.kind, 1, n)
 	}
-	return put, err
+	return n, err
 }
--- a/internal/fleet/traffic/traffic_test.go
+++ b/internal/fleet/traffic/traffic_test.go
@@ -35,7 +35,7 @@
 		c.In(fmt.Sprint("k", i), 1, 1)
 	}
 	if n := len(c.Snapshot()); n > maxKinds+1 {
-		t.Errorf("%d kinds are kept apart", n)
+		t.Errorf("%d kinds are counted separately", n)
 	}
 }
 
