--- a/internal/fleet/consensus/voter_set_test.go
+++ b/internal/fleet/consensus/voter_set_test.go
@@ -3,102 +3,120 @@
 import (
 	"fmt"
 	"net"
+	"slices"
 	"testing"
 	"time"
 
 	"threadsail/internal/fleet/replication"
 )
 
-// Two voters are added to three that run, and one of the three is removed, by files of which the newest counts wherever it is seen
-// first; what was written stays, and the set then tolerates the loss of two.
-func TestSetVoters(t *testing.T) {
-	g := startCluster(t, 3)
-	ctx := t.Context()
-	c := NewClientPool(1, "a", g.clientPeers, 3*electionTimeout)
-	t.Cleanup(c.Close)
-	put := func(key string) {
-		t.Helper()
-		for range 100 {
-			if _, err := c.Put(ctx, key, 0, []byte("x"), replication.Fence{}); err == nil {
-				return
-			}
-			if d, err := c.Read(ctx, key); err == nil && d.Version > 0 {
-				return
-			}
+// putOnce writes a document that must not exist, until it is there.
+func putOnce(t *testing.T, c *ClientPool, key string) {
+	t.Helper()
+	for range 100 {
+		if _, err := c.Put(t.Context(), key, 0, []byte("x"), replication.Fence{}); err == nil {
+			return
+		}
+		if d, err := c.Read(t.Context(), key); err == nil && d.Version > 0 {
+			return
+		}
+	}
+	t.Fatalf("%s is never written", key)
+}
+
+// voterNames are the voters as a voter's raft engine has them; nil if it can't tell.
+func voterNames(v *Voter) (names []string) {
+	future := v.raft.GetConfiguration()
+	if future.Error() != nil {
+		return nil
+	}
+	for _, server := range future.Configuration().Servers {
+		names = append(names, string(server.ID))
+	}
+	return names
+}
+
+// awaitVoters waits until all voters but the one removed know a set of a size without it; removed "": none is.
+func (g *cluster) awaitVoters(t *testing.T, size int, removed string) {
+	t.Helper()
+	known := func(v *Voter) bool {
+		if v == nil || v.options.Name == removed {
+			return true
 		}
-		t.Fatalf("%s is never written", key)
+		names := voterNames(v)
+		return len(names) == size && !slices.Contains(names, removed)
 	}
-	put("p/before")
-	all := append([]Peer(nil), g.clientPeers...)
-	for i := 3; i < 5; i++ {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+	for range 1000 {
+		if !slices.ContainsFunc(g.voters, func(v *Voter) bool { return !known(v) }) {
+			return
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	t.Fatalf("not in time: all know %d voters", size)
+}
+
+// addVoters starts further voters, which join the set, and returns the peers of all.
+func (g *cluster) addVoters(t *testing.T, count int) (all []Peer) {
+	t.Helper()
+	all = slices.Clone(g.clientPeers)
+	for range count {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, Peer{fmt.Sprint("s", i), ln.Addr().String()})
-		_ = ln.Close()
+		all = append(all, Peer{fmt.Sprint("s", len(all)), listener.Addr().String()})
+		_ = listener.Close()
 	}
-	for i := 3; i < 5; i++ {
-		g.options = append(g.options, Options{Name: all[i].Name, ListenAddr: all[i].Addr, Dir: t.TempDir(), Voters: all, Join: true, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout})
+	for i := len(g.voters); i < len(all); i++ {
+		g.options = append(g.options, Options{
+			Name:            all[i].Name,
+			ListenAddr:      all[i].Addr,
+			Dir:             t.TempDir(),
+			Voters:          all,
+			Join:            true,
+			MaxClockDrift:   100 * time.Millisecond,
+			ElectionTimeout: electionTimeout,
+		})
 		g.voters = append(g.voters, nil)
 		g.start(t, i)
 	}
-	lead := g.leader(t)
-	g.voters[lead].SetVoters(1, all)
-	awaitVoters := func(n int, without string) {
-		t.Helper()
-		for range 1000 {
-			count, found := 0, false
-			for _, s := range g.voters {
-				if s == nil || s.options.Name == without {
-					continue
-				}
-				f := s.raft.GetConfiguration()
-				count, found = 0, false
-				if f.Error() == nil {
-					for _, v := range f.Configuration().Servers {
-						count++
-						found = found || string(v.ID) == without
-					}
-				}
-				if count != n || found {
-					break
-				}
-			}
-			if count == n && !found {
-				return
-			}
-			time.Sleep(20 * time.Millisecond)
-		}
-		t.Fatalf("not in time: all know %d voters", n)
-	}
-	awaitVoters(5, "")
-	removed := (lead + 1) % 3
-	var rest []Peer
-	for i, p := range all {
-		if i != removed {
-			rest = append(rest, p)
-		}
-	}
-	for i, s := range g.voters {
+	return all
+}
+
+// Two voters are added to three that run, and one of the three is removed, by files of which the newest counts wherever it is
+// seen first; what was written stays, and the set then tolerates the loss of two.
+func TestSetVoters(t *testing.T) {
+	g := startCluster(t, 3)
+	c := NewClientPool(1, "a", g.clientPeers, 3*electionTimeout)
+	t.Cleanup(c.Close)
+	putOnce(t, c, "p/before")
+	all := g.addVoters(t, 2)
+	leader := g.leader(t)
+	g.voters[leader].SetVoters(1, all)
+	g.awaitVoters(t, 5, "")
+	removed := (leader + 1) % 3
+	rest := slices.Delete(slices.Clone(all), removed, removed+1)
+	for i, v := range g.voters {
 		if i != removed {
-			s.SetVoters(2, rest)
+			v.SetVoters(2, rest)
 		}
 	}
-	g.voters[removed].SetVoters(1, all) // on an older file
-	awaitVoters(4, all[removed].Name)
-	put("p/after")
+	g.voters[removed].SetVoters(1, all) // an older file
+	g.awaitVoters(t, 4, all[removed].Name)
+	putOnce(t, c, "p/after")
 	g.stop(removed)
-	g.stop(lead) // three of four are left
-	c5 := NewClientPool(1, "b", all, 3*electionTimeout)
-	t.Cleanup(c5.Close)
+	g.stop(leader) // three of four are left
+	d := NewClientPool(1, "b", all, 3*electionTimeout)
+	t.Cleanup(d.Close)
 	for range 100 {
-		if d, err := c5.Read(ctx, "p/before"); err == nil {
-			if d.Version == 0 {
-				t.Error("what was written before is lost")
-			}
-			return
+		document, err := d.Read(t.Context(), "p/before")
+		if err != nil {
+			continue
+		}
+		if document.Version == 0 {
+			t.Error("what was written before is lost")
 		}
+		return
 	}
 	t.Error("the new set never answers")
 }
