--- a/cmd/threadsail-fleet/shardmap.go
+++ b/cmd/threadsail-fleet/shardmap.go
@@ -41,7 +41,7 @@
 
 // reload takes over what the operators order.
 func (c *shardComponent) reload(_ *config.Config, fleetSettings *config.Fleet) {
-	c.Component.Reload(shardOptions(fleetSettings))
+	c.Reload(shardOptions(fleetSettings))
 }
 
 // shardOptions is what the operators' file says of the map and its moves.
--- a/internal/fleet/gossip/bus_test.go
+++ b/internal/fleet/gossip/bus_test.go
@@ -17,7 +17,7 @@
 	for i, p := range c.nodes {
 		p.Bus().Handle("t", func(from string, body []byte) { received <- fmt.Sprint(from, ">", i, " ", string(body)) })
 	}
-	await(t, "all know all", c.allKnow(3))
+	await(t, "all know all", c.allKnowAll)
 	if err := c.nodes[0].Bus().Send(t.Context(), "n2", "t", []byte("to one")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/gossip/counting_transport_test.go
+++ b/internal/fleet/gossip/counting_transport_test.go
@@ -41,27 +41,36 @@
 	}
 	nodes[0].Bus().Broadcast("part/word", []byte("y"))
 	nodes[0].Broadcast("lists", []byte(`{"kind":"word","word":{}}`), time.Now().Add(time.Minute))
-	of := func(i int, kind string) (c traffic.Count) {
-		for _, c := range counters[i].Snapshot() {
-			if c.Kind == kind {
-				return c
-			}
-		}
-		return c
-	}
-	await(t, "all of it is counted", func() bool {
-		sent, received := of(0, "part/ask"), of(1, "part/ask")
-		return sent.BytesOut > 300 && sent.BytesOut == received.BytesIn && sent.MessagesOut == 1 && received.MessagesIn == 1 &&
-			of(0, "part/word").BytesOut > 0 && of(1, "part/word").BytesIn > 0 && of(0, "duty/word").MessagesOut > 0 && of(1, "duty/word").MessagesIn > 0 &&
-			of(0, "ping").MessagesOut > 0 && of(0, "ack").BytesIn > 0 && of(0, "push_pull").BytesOut+of(1, "push_pull").BytesOut > 0 && of(0, "frame").BytesIn > 0
-	})
+	await(t, "all of it is counted", func() bool { return trafficCounted(&counters[0], &counters[1]) })
 	for i := range counters {
-		if c := of(i, traffic.Other); c.MessagesIn+c.MessagesOut > 0 {
+		if c := countOf(&counters[i], traffic.Other); c.MessagesIn+c.MessagesOut > 0 {
 			t.Errorf("node %d has no kind for %+v", i, c)
 		}
 	}
 }
 
+// trafficCounted reports whether both nodes of TestTraffic have counted all that the first one has sent.
+func trafficCounted(first, second *traffic.Counter) bool {
+	sent, received := countOf(first, "part/ask"), countOf(second, "part/ask")
+	largeMessage := sent.BytesOut > 300 && sent.BytesOut == received.BytesIn && sent.MessagesOut == 1 && received.MessagesIn == 1
+	busBroadcast := countOf(first, "part/word").BytesOut > 0 && countOf(second, "part/word").BytesIn > 0
+	broadcast := countOf(first, "duty/word").MessagesOut > 0 && countOf(second, "duty/word").MessagesIn > 0
+	probes := countOf(first, "ping").MessagesOut > 0 && countOf(first, "ack").BytesIn > 0
+	exchange := countOf(first, "push_pull").BytesOut+countOf(second, "push_pull").BytesOut > 0
+	frames := countOf(first, "frame").BytesIn > 0
+	return largeMessage && busBroadcast && broadcast && probes && exchange && frames
+}
+
+// countOf is what a counter has of a kind.
+func countOf(counter *traffic.Counter, kind string) traffic.Count {
+	for _, c := range counter.Snapshot() {
+		if c.Kind == kind {
+			return c
+		}
+	}
+	return traffic.Count{}
+}
+
 // No packet is counted as more or less than it is, whatever it holds.
 func FuzzCountPacket(f *testing.F) {
 	f.Add([]byte{typeCRC, 1, 2, 3, 4, typeCompound, 2, 0, 1, 0, 2, 0, 2, 2})
--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -65,21 +65,20 @@
 	}
 }
 
-func (c *cluster) allKnow(n int) func() bool {
-	return func() bool {
-		for _, p := range c.nodes {
-			if len(p.Members()) != n {
-				return false
-			}
+// allKnowAll reports whether each node considers all nodes alive.
+func (c *cluster) allKnowAll() bool {
+	for _, n := range c.nodes {
+		if len(n.Members()) != len(c.nodes) {
+			return false
 		}
-		return true
 	}
+	return true
 }
 
 // Nodes find each other through relays, receive messages and versions, see one that is cut off leave, and find it again.
 func TestMembership(t *testing.T) {
 	c := startCluster(t, 3)
-	await(t, "all know all", c.allKnow(3))
+	await(t, "all know all", c.allKnowAll)
 	if c.nodes[0].Broadcast("lists", []byte("late"), time.Now()) {
 		t.Error("a broadcast is complete after its deadline")
 	}
@@ -113,13 +112,13 @@
 	set(relay.Fault{Drop: true})
 	await(t, "the node cut off is considered dead", func() bool { return len(c.nodes[0].Members()) == 2 && len(c.nodes[2].Members()) == 1 })
 	set(relay.Fault{})
-	await(t, "all know all again", c.allKnow(3))
+	await(t, "all know all again", c.allKnowAll)
 }
 
 // A meta that memberlist has taken is not published again, whether or not it has been passed on yet.
 func TestMetaIsPublishedOnce(t *testing.T) {
 	c := startCluster(t, 3)
-	await(t, "all know all", c.allKnow(3))
+	await(t, "all know all", c.allKnowAll)
 	m := c.nodes[0]
 	for i := range 20 {
 		m.mu.Lock()
@@ -140,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	for _, o := range []Options{{Name: "a", Listen: "nowhere"}, {Name: "a", Listen: "localhost:0"}, {Name: "a", Listen: ln.Addr().String()},
 		{Name: "a", Listen: "127.0.0.1:0", Advertise: "nowhere"}} {
 		if p, err := Start(o, Meta{}); err == nil {
--- a/internal/fleet/server_list_test.go
+++ b/internal/fleet/server_list_test.go
@@ -12,15 +12,101 @@
 	"threadsail/internal/fleet/replication"
 )
 
+// listedServer is a server as a list has it.
+type listedServer struct{ ID, HostPort string }
+
+// drawList draws some of five servers at one of two addresses each, and returns the list's text and its addresses by server.
+func drawList(t *rapid.T, revision uint64) (text []byte, addresses map[string]string) {
+	list := encodedList{Revision: revision, Complete: true}
+	addresses = map[string]string{}
+	for i := range 5 {
+		address := rapid.IntRange(0, 2).Draw(t, "address")
+		if address == 0 {
+			continue
+		}
+		server := listedServer{fmt.Sprint("s", i), fmt.Sprint("a", address)}
+		addresses[server.ID] = server.HostPort
+		member, _ := json.Marshal(server)
+		list.Members = append(list.Members, member)
+	}
+	text, _ = json.Marshal(list)
+	return text, addresses
+}
+
+// decodedAddresses returns the version and the addresses by server of a replica's list.
+func decodedAddresses(t *rapid.T, s replication.Snapshot) (version uint64, addresses map[string]string) {
+	a, text, err := decodeList(s)
+	if err != nil {
+		t.Fatalf("%+v, %v", a, err)
+	}
+	var list encodedList
+	if err := json.Unmarshal(text, &list); err != nil {
+		t.Fatal(err)
+	}
+	addresses = map[string]string{}
+	for _, m := range list.Members {
+		var server listedServer
+		_ = json.Unmarshal(m, &server)
+		addresses[server.ID] = server.HostPort
+	}
+	return announcementVersion(a), addresses
+}
+
+// publications are the lists that some leaders have published in turn, and what a distributor has recorded of them.
+type publications struct {
+	leaders     []*serverListReplica
+	distributor replication.History
+	recorded    []replication.Snapshot       // as the distributor had them
+	addresses   map[uint64]map[string]string // by version, then server
+}
+
+// publish has a leader publish a list; some of the others receive it, and the distributor may record it.
+func (p *publications) publish(t *rapid.T, leader int, a discoveryleader.Announcement) {
+	text, addresses := drawList(t, a.Sequence)
+	if err := p.leaders[leader].publish(a, text); err != nil {
+		t.Fatal(err)
+	}
+	published := p.leaders[leader].replica.Snapshot()
+	p.addresses[published.Version] = addresses
+	for i, other := range p.leaders {
+		if i != leader && rapid.Bool().Draw(t, "received") {
+			other.replica.Install(published)
+		}
+	}
+	if rapid.Bool().Draw(t, "recorded") {
+		p.distributor.Record(published)
+		p.recorded = append(p.recorded, p.distributor.Snapshot())
+	}
+}
+
+// checkDelta checks that the distributor's delta leads from an old list to the newest one.
+func (p *publications) checkDelta(t *rapid.T, old, newest replication.Snapshot) {
+	delta, ok := p.distributor.DeltaSince(old.Version)
+	if !ok {
+		t.Fatalf("no delta since %d, which was recorded", old.Version)
+	}
+	got, ok := delta.ApplyTo(old)
+	if !ok {
+		t.Fatalf("%+v does not follow %d", delta, old.Version)
+	}
+	version, addresses := decodedAddresses(t, got)
+	if version != newest.Version {
+		t.Fatalf("from %d: version %d, want %d", old.Version, version, newest.Version)
+	}
+	if want := p.addresses[newest.Version]; !reflect.DeepEqual(addresses, want) {
+		t.Fatalf("from %d: %v, want %v", old.Version, addresses, want)
+	}
+}
+
 // However leaders follow each other, of whom each may have missed what others published last, a pooler that has the list of any
 // announcement which a distributor has recorded comes by that distributor's delta to just the list of the newest announcement.
 func TestListsOfManyLeaders(t *testing.T) {
-	type entry struct{ ID, HostPort string }
 	rapid.Check(t, func(t *rapid.T) {
-		leaders := []*serverListReplica{newServerListReplica(), newServerListReplica(), newServerListReplica()}
-		distributor := replication.History{FullReplacement: true}
-		var versions []replication.Snapshot // as the distributor had them
-		want := map[uint64]map[string]string{}
+		p := &publications{
+			leaders:     []*serverListReplica{newServerListReplica(), newServerListReplica(), newServerListReplica()},
+			distributor: replication.History{FullReplacement: true},
+			addresses:   map[uint64]map[string]string{},
+		}
 		a := discoveryleader.Announcement{Token: 5}
 		leader := 0
 		for range rapid.IntRange(1, 25).Draw(t, "lists") {
@@ -30,63 +116,17 @@
 			}
 			a.Sequence++
 			a.Holder = fmt.Sprint("h", leader)
-			in, servers := encodedList{Revision: a.Sequence, Complete: true}, map[string]string{}
-			for i := range 5 {
-				if addr := rapid.IntRange(0, 2).Draw(t, "address"); addr > 0 {
-					e := entry{fmt.Sprint("s", i), fmt.Sprint("a", addr)}
-					servers[e.ID] = e.HostPort
-					text, _ := json.Marshal(e)
-					in.Members = append(in.Members, text)
-				}
-			}
-			text, _ := json.Marshal(in)
-			if err := leaders[leader].publish(a, text); err != nil {
-				t.Fatal(err)
-			}
-			s := leaders[leader].replica.Snapshot()
-			want[s.Version] = servers
-			for i, other := range leaders { // some hear of it
-				if i != leader && rapid.Bool().Draw(t, "received") {
-					other.replica.Install(s)
-				}
-			}
-			if rapid.Bool().Draw(t, "recorded") {
-				distributor.Record(s)
-				versions = append(versions, distributor.Snapshot())
-			}
+			p.publish(t, leader, a)
 		}
-		if len(versions) == 0 {
+		if len(p.recorded) == 0 {
 			return
 		}
-		newest := versions[len(versions)-1]
-		for _, v := range versions[:len(versions)-1] {
-			d, ok := distributor.DeltaSince(v.Version)
-			if !ok {
-				t.Fatalf("no delta since %d, which was recorded", v.Version)
-			}
-			got, ok := d.ApplyTo(v)
-			if !ok {
-				t.Fatalf("%+v does not follow %d", d, v.Version)
-			}
-			announcement, text, err := decodeList(got)
-			if err != nil || announcementVersion(announcement) != newest.Version {
-				t.Fatalf("%+v, %v", announcement, err)
-			}
-			var list encodedList
-			if err := json.Unmarshal(text, &list); err != nil {
-				t.Fatal(err)
-			}
-			servers := map[string]string{}
-			for _, m := range list.Members {
-				var e entry
-				_ = json.Unmarshal(m, &e)
-				servers[e.ID] = e.HostPort
-			}
-			if !reflect.DeepEqual(servers, want[newest.Version]) {
-				t.Fatalf("from %d: %v, want %v", v.Version, servers, want[newest.Version])
-			}
+		last := len(p.recorded) - 1
+		newest := p.recorded[last]
+		for _, old := range p.recorded[:last] {
+			p.checkDelta(t, old, newest)
 		}
-		if _, ok := distributor.DeltaSince(newest.Version - 1); ok && versions[max(len(versions)-2, 0)].Version != newest.Version-1 {
+		if _, ok := p.distributor.DeltaSince(newest.Version - 1); ok && p.recorded[max(last-1, 0)].Version != newest.Version-1 {
 			t.Errorf("a delta since a version that was not recorded")
 		}
 	})
--- a/internal/fleet/traffic/traffic_test.go
+++ b/internal/fleet/traffic/traffic_test.go
@@ -42,7 +42,7 @@
 func TestConn(t *testing.T) {
 	var c Counter
 	a, b := net.Pipe()
-	defer b.Close()
+	defer func() { _ = b.Close() }()
 	go func() {
 		_, _ = b.Write([]byte("hello"))
 		_, _ = io.ReadAll(b)
