--- a/internal/fleet/component_host.go
+++ b/internal/fleet/component_host.go
@@ -139,7 +139,7 @@
 		Bus:               w.replicationBus,
 		HeartbeatInterval: h.options.Config.Term / 3,
 		JitterFraction:    h.options.JitterFraction,
-		Log:               h.logWarning,
+		Log:               h.log,
 	}
 	documents := o
 	documents.Replica = h.replica
--- a/internal/fleet/replication/delta_test.go
+++ b/internal/fleet/replication/delta_test.go
@@ -10,67 +10,67 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// Of any history of writes, the delta from one version to a later one makes that one of every version between, and is refused by
-// all others.
+// Of any history of writes, the delta from one version to a later one makes the later one of every version between, and is refused
+// for all others.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var docs DocumentTable
-		states := []Snapshot{docs.Snapshot()}
+		var table DocumentTable
+		snapshots := []Snapshot{table.Snapshot()}
 		for i := range uint64(rapid.IntRange(1, 30).Draw(t, "writes")) {
 			key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
-			w := Write{Key: key, ExpectedVersion: docs.Get(key).Version, Value: []byte(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value"))}
+			w := Write{Key: key, ExpectedVersion: table.Get(key).Version, Value: []byte(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value"))}
 			if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
 				w.Value = nil
 			}
-			if _, err := docs.Apply(w, 2*i+2, &lease.Lessor{}); err != nil {
+			if _, err := table.Apply(w, 2*i+2, &lease.Lessor{}); err != nil {
 				t.Fatal(err)
 			}
-			states = append(states, docs.Snapshot())
+			snapshots = append(snapshots, table.Snapshot())
 		}
-		at := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
-		last := len(states) - 1
-		from := at("from", 0, last-1)
-		to := at("to", from+1, last)
-		d, ok := diffSnapshots(states[from], states[to])
+		drawIndex := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
+		last := len(snapshots) - 1
+		from := drawIndex("from", 0, last-1)
+		to := drawIndex("to", from+1, last)
+		d, ok := diffSnapshots(snapshots[from], snapshots[to])
 		text, err := json.Marshal(d)
-		var read Delta
+		var decoded Delta
 		if err == nil {
-			err = json.Unmarshal(text, &read)
+			err = json.Unmarshal(text, &decoded)
 		}
 		if !ok || err != nil {
 			t.Fatal(ok, err)
 		}
-		for i, s := range states {
-			got, ok := read.ApplyTo(s)
+		for i, s := range snapshots {
+			got, ok := decoded.ApplyTo(s)
 			if between := i >= from && i < to; ok != between {
 				t.Fatalf("from %d to %d, on %d: %v", from, to, i, ok)
 			}
-			if want := states[to]; ok && (got.Version != want.Version || len(got.Documents) != len(want.Documents) || len(want.Documents) > 0 && !reflect.DeepEqual(got.Documents, want.Documents)) {
+			if want := snapshots[to]; ok && (got.Version != want.Version || len(got.Documents) != len(want.Documents) || len(want.Documents) > 0 && !reflect.DeepEqual(got.Documents, want.Documents)) {
 				t.Fatalf("from %d to %d, on %d: %v, want %v", from, to, i, got, want)
 			}
 		}
 	})
 	if _, ok := diffSnapshots(Snapshot{}, Snapshot{Version: 1, Documents: map[string]Document{"a": {"a", 1, make([]byte, maxDeltaSize)}}}); ok {
-		t.Error("too large for a word")
+		t.Error("a delta that is too large for an announcement is made")
 	}
 }
 
-// A document that has come and gone between the two versions is named by neither, and goes from a copy that has met it. A delta that
-// told only what had changed and what was gone kept it.
-func TestDeltaDropsWhatCameAndWent(t *testing.T) {
-	var docs DocumentTable
-	states := []Snapshot{docs.Snapshot()}
+// A document that was written and removed between the two versions is not named by the delta, and is dropped from a replica that has
+// it. A delta that only named what had changed and what was removed once left it there.
+func TestDeltaDropsTransientDocument(t *testing.T) {
+	var table DocumentTable
+	snapshots := []Snapshot{table.Snapshot()}
 	for i, value := range [][]byte{[]byte("x"), nil} {
-		if _, err := docs.Apply(Write{Key: "b", ExpectedVersion: docs.Get("b").Version, Value: value}, uint64(2*i+2), &lease.Lessor{}); err != nil {
+		if _, err := table.Apply(Write{Key: "b", ExpectedVersion: table.Get("b").Version, Value: value}, uint64(2*i+2), &lease.Lessor{}); err != nil {
 			t.Fatal(err)
 		}
-		states = append(states, docs.Snapshot())
+		snapshots = append(snapshots, table.Snapshot())
 	}
-	d, ok := diffSnapshots(states[0], states[2])
+	d, ok := diffSnapshots(snapshots[0], snapshots[2])
 	if !ok {
 		t.Fatal("no delta")
 	}
-	if got, ok := d.ApplyTo(states[1]); !ok || len(got.Documents) > 0 {
+	if got, ok := d.ApplyTo(snapshots[1]); !ok || len(got.Documents) > 0 {
 		t.Errorf("%v, %v: want no document", got, ok)
 	}
 }
--- a/internal/fleet/replication/history.go
+++ b/internal/fleet/replication/history.go
@@ -2,40 +2,42 @@
 
 import (
 	"bytes"
+	"cmp"
 	"slices"
 	"time"
 )
 
-// The bounds of a History: two hours of 4,000 changes a day are 333. What is older, or more, is brought by a whole copy.
+// Bounds of a History: two hours of 4,000 changes a day are 333 versions. A replica of an older version is brought up to date by a
+// snapshot.
 const (
 	historyRetention   = 2 * time.Hour
 	maxHistoryVersions = 4096
-	maxRemovedKeyBytes = 256 << 10 // bytes of the keys that are gone
+	maxRemovedKeyBytes = 256 << 10
 )
 
-// History is what must be kept of older versions to tell what has changed since them: which they were, and which keys have gone.
-// The values are those of the newest version alone, so that what changes often is told once. It is not safe for use by several
-// goroutines. The zero History has seen nothing.
+// History is what must be kept of earlier versions to tell what has changed since each: which versions there were, and which keys
+// were removed. Of the documents' values only those of the newest version are kept, so a document that changes often is sent once.
+// It is not safe for concurrent use. The zero History has recorded no version.
 type History struct {
-	// FullReplacement: each version is written whole by whoever has the right to, who may not have seen the one before. The versions of its
-	// documents then say nothing of what another version holds: what has changed is found here by comparing what was noted, and a
-	// copy of any version that was not noted here needs the whole.
+	// FullReplacement says that each version replaces all documents, by a writer that may not have seen the version before. The
+	// versions of the documents then tell nothing about other versions of the whole: changes are found by comparing the recorded
+	// snapshots, and a replica of a version that was not recorded here needs a snapshot.
 	FullReplacement bool
 
 	newest          Snapshot
-	versions        []recordedVersion // oldest first; the version of each is a base for deltas
-	removedKeyBytes int
+	versions        []recordedVersion // oldest first; each is a base for deltas
+	removedKeyBytes int               // of all versions
 }
 
-// recordedVersion is a version that was noted, and which keys of the one noted before it are gone in it. It is kept for keptFor from when the next
-// one took its place: until then every copy is at it.
+// recordedVersion is a version that was recorded, and the keys of the version recorded before that are missing in it. It is kept for
+// historyRetention from when the next version was recorded: until then every replica is at it.
 type recordedVersion struct {
 	version     uint64
 	recordedAt  time.Time
 	removedKeys []string
 }
 
-// Record takes in a newer version; any other is passed over.
+// Record adds a version that is newer than all those recorded; any other is ignored.
 func (h *History) Record(s Snapshot) {
 	if s.Version <= h.newest.Version && len(h.versions) > 0 {
 		return
@@ -43,78 +45,95 @@
 	if h.FullReplacement {
 		s = restampDocuments(h.newest, s)
 	}
-	next := recordedVersion{version: s.Version, recordedAt: time.Now()}
+	added := recordedVersion{version: s.Version, recordedAt: time.Now()}
 	for key := range h.newest.Documents {
-		if _, there := s.Documents[key]; !there {
-			next.removedKeys = append(next.removedKeys, key)
+		if _, present := s.Documents[key]; !present {
+			added.removedKeys = append(added.removedKeys, key)
 			h.removedKeyBytes += len(key)
 		}
 	}
-	h.newest, h.versions = s, append(h.versions, next)
-	drop := 0
-	for ; drop < len(h.versions)-1 && (time.Since(h.versions[drop+1].recordedAt) > historyRetention || len(h.versions)-drop > maxHistoryVersions || h.removedKeyBytes > maxRemovedKeyBytes); drop++ {
-		for _, key := range h.versions[drop].removedKeys {
+	h.newest = s
+	h.versions = append(h.versions, added)
+	h.trim()
+}
+
+// trim drops the oldest versions until the history is within its bounds. The newest version always stays.
+func (h *History) trim() {
+	dropped := 0
+	for dropped < len(h.versions)-1 && h.mustDrop(dropped) {
+		for _, key := range h.versions[dropped].removedKeys {
 			h.removedKeyBytes -= len(key)
 		}
+		dropped++
 	}
-	h.versions = slices.Delete(h.versions, 0, drop)
+	h.versions = slices.Delete(h.versions, 0, dropped)
+}
+
+// mustDrop reports whether the version at an index, the oldest that is left, is over a bound. It is followed by another version.
+func (h *History) mustDrop(oldest int) bool {
+	expired := time.Since(h.versions[oldest+1].recordedAt) > historyRetention
+	tooMany := len(h.versions)-oldest > maxHistoryVersions
+	return expired || tooMany || h.removedKeyBytes > maxRemovedKeyBytes
 }
 
-// restampDocuments has each document tell at which of the versions noted it was last another one.
+// restampDocuments returns s with the version of each document changed to the recorded version at which its value last changed.
 func restampDocuments(old, s Snapshot) Snapshot {
-	out := Snapshot{Version: s.Version, Documents: make(map[string]Document, len(s.Documents))}
-	for key, d := range s.Documents {
-		d.Version = s.Version
-		if same, ok := old.Documents[key]; ok && bytes.Equal(same.Value, d.Value) {
-			d.Version = same.Version
+	restamped := Snapshot{Version: s.Version, Documents: make(map[string]Document, len(s.Documents))}
+	for key, document := range s.Documents {
+		document.Version = s.Version
+		if same, ok := old.Documents[key]; ok && bytes.Equal(same.Value, document.Value) {
+			document.Version = same.Version
 		}
-		out.Documents[key] = d
+		restamped.Documents[key] = document
 	}
-	return out
+	return restamped
 }
 
-// Version is the newest that was noted.
+// Version returns the newest version that was recorded.
 func (h *History) Version() uint64 { return h.newest.Version }
 
-// Snapshot is the newest that was noted.
+// Snapshot returns the newest snapshot that was recorded.
 func (h *History) Snapshot() Snapshot { return h.newest }
 
-// DeltaSince is what brings a copy of a version to the newest one. ok false: the version is older than what is kept, and the whole is
-// needed. The delta begins at the newest noted version that is not newer than the copy's: of what was written between the two the
-// copy may hold documents that were gone before the next version was noted here, and Delta.On drops those.
+// DeltaSince returns the delta that brings a replica of a version to the newest version. ok is false if the version is older than
+// what is kept, or the newest already: the replica needs a snapshot, or nothing.
+//
+// The delta begins at the newest recorded version that is not newer than the replica's. Between the two the replica may have seen
+// documents that were removed before the next version was recorded here; Delta.ApplyTo drops those.
 func (h *History) DeltaSince(version uint64) (d Delta, ok bool) {
-	base, found := slices.BinarySearchFunc(h.versions, version, func(s recordedVersion, v uint64) int {
-		switch {
-		case s.version < v:
-			return -1
-		case s.version > v:
-			return 1
-		}
-		return 0
+	base, recorded := slices.BinarySearchFunc(h.versions, version, func(r recordedVersion, version uint64) int {
+		return cmp.Compare(r.version, version)
 	})
-	if !found && h.FullReplacement {
-		return d, false
-	}
-	if !found {
+	if !recorded {
+		if h.FullReplacement {
+			return d, false
+		}
 		base--
 	}
 	if base < 0 || version >= h.newest.Version {
 		return d, false
 	}
-	d.BaseVersion, d.Version = h.versions[base].version, h.newest.Version
-	for _, doc := range h.newest.Documents {
-		if doc.Version > d.BaseVersion {
-			d.Documents = append(d.Documents, doc)
+	d.BaseVersion = h.versions[base].version
+	d.Version = h.newest.Version
+	for _, document := range h.newest.Documents {
+		if document.Version > d.BaseVersion {
+			d.Documents = append(d.Documents, document)
 		}
 	}
-	for _, s := range h.versions[base+1:] {
-		for _, key := range s.removedKeys {
-			if _, back := h.newest.Documents[key]; !back {
-				d.RemovedKeys = append(d.RemovedKeys, key)
+	d.RemovedKeys = h.removedSince(base)
+	return d, true
+}
+
+// removedSince returns the keys, sorted, that were removed after the version at an index and are not in the newest version.
+func (h *History) removedSince(base int) []string {
+	var removed []string
+	for _, recorded := range h.versions[base+1:] {
+		for _, key := range recorded.removedKeys {
+			if _, present := h.newest.Documents[key]; !present {
+				removed = append(removed, key)
 			}
 		}
 	}
-	slices.Sort(d.RemovedKeys)
-	d.RemovedKeys = slices.Compact(d.RemovedKeys)
-	return d, true
+	slices.Sort(removed)
+	return slices.Compact(removed)
 }
--- a/internal/fleet/replication/leadership.go
+++ b/internal/fleet/replication/leadership.go
@@ -8,30 +8,39 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// LeaseClient asks the stewards for leases, for one pooler. It is safe for use by several goroutines.
-type LeaseClient interface {
-	Acquire(ctx context.Context, d lease.Name, term time.Duration) (lease.Lease, bool, error)
-	Release(ctx context.Context, d lease.Name) error
+// Leadership is a lease that this pooler campaigns for. It is safe for concurrent use, and no method blocks.
+type Leadership interface {
+	// Token returns the fencing token under which this pooler may act as the leader, and until when; ok is false if it may not.
+	Token() (token uint64, until time.Time, ok bool)
+	// Changed returns a channel that is closed when the leadership is next won or lost.
+	Changed() <-chan struct{}
 }
 
-var _ Leadership = (*Candidate)(nil)
+// LeaseClient acquires and releases leases for one pooler. It is safe for concurrent use.
+type LeaseClient interface {
+	Acquire(ctx context.Context, name lease.Name, term time.Duration) (lease.Lease, bool, error)
+	Release(ctx context.Context, name lease.Name) error
+}
 
-// CandidateOptions is how a pooler stands for a duty.
+// CandidateOptions say how a pooler campaigns for a lease.
 type CandidateOptions struct {
-	LeaseTerm      time.Duration // of the lease
-	MaxClockDrift  time.Duration // as in lease.Table
-	JitterFraction float64       // from 0 up to 1, by the pooler's own seed: when it asks, among all
+	LeaseTerm time.Duration
+	// MaxClockDrift is the most by which two monotonic clocks differ over a term, as in lease.Lessor.
+	MaxClockDrift time.Duration
+	// JitterFraction, from 0 up to 1, is this pooler's place among those that campaign: the higher, the later it requests a lease that
+	// has become free.
+	JitterFraction float64
 }
 
-// Campaign stands for a duty until ctx ends, and then gives it up.
-func Campaign(ctx context.Context, ask LeaseClient, d lease.Name, t CandidateOptions) *Candidate {
-	s := &Candidate{leases: ask, leaseName: d, options: t, startedAt: time.Now(), changed: make(chan struct{}), done: make(chan struct{}), unansweredSince: -1}
-	s.holder.MaxClockDrift = t.MaxClockDrift
-	go s.run(ctx)
-	return s
+// requestTimeout bounds a request for the lease, so that a renewal can be tried twice before the lease ends.
+func (o CandidateOptions) requestTimeout() time.Duration { return o.LeaseTerm / 4 }
+
+// jitter is how long this pooler waits before it requests a lease that may be free, so that of many poolers the first comes soon.
+func (o CandidateOptions) jitter() time.Duration {
+	return time.Duration(o.JitterFraction * float64(o.LeaseTerm) / 2)
 }
 
-// Candidate is a Tenure under way. Its clock is monotonic, from start on.
+// Candidate campaigns for a lease. It implements Leadership. Its durations are on its monotonic clock, since startedAt.
 type Candidate struct {
 	leases    LeaseClient
 	leaseName lease.Name
@@ -39,107 +48,147 @@
 	startedAt time.Time
 	done      chan struct{}
 
-	mu              sync.Mutex
-	holder          lease.LocalLease
-	unansweredSince time.Duration // the ask since which nothing was answered; below 0: the last one was
-	leading         bool          // as was last told by changed
-	changed         chan struct{}
-	expiryTimer     *time.Timer
+	mu              sync.Mutex // guards the fields below
+	held            lease.LocalLease
+	unansweredSince time.Duration // when the first of the requests that got no answer was sent; notUnanswered: the last got one
+	leading         bool          // as changed last announced
+	changed         chan struct{} // closed, and replaced, when leading changes
+	expiryTimer     *time.Timer   // runs while leading, up to the end of the lease
+}
+
+var _ Leadership = (*Candidate)(nil)
+
+// notUnanswered is the value of Candidate.unansweredSince while requests are answered.
+const notUnanswered = time.Duration(-1)
+
+// Campaign campaigns for a lease until ctx ends, and then releases it.
+func Campaign(ctx context.Context, leases LeaseClient, name lease.Name, o CandidateOptions) *Candidate {
+	c := &Candidate{leases: leases, leaseName: name, options: o, startedAt: time.Now(), changed: make(chan struct{}), done: make(chan struct{}),
+		unansweredSince: notUnanswered}
+	c.held.MaxClockDrift = o.MaxClockDrift
+	go c.run(ctx) // ends, and closes done, once ctx has ended and the lease is released
+	return c
+}
+
+// Token implements Leadership. Leadership ends a clock drift before the lease does, and the lease's term counts from the request.
+func (c *Candidate) Token() (token uint64, until time.Time, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	token, ok = c.held.ValidToken(c.now())
+	if !ok {
+		return 0, time.Time{}, false
+	}
+	return token, c.startedAt.Add(c.held.RenewDeadline()), true
 }
 
-// run asks, and asks again, one ask at a time.
-func (s *Candidate) run(ctx context.Context) {
-	defer close(s.done)
+// Changed implements Leadership.
+func (c *Candidate) Changed() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.changed
+}
+
+// Done returns a channel that is closed once the campaign's context has ended and the lease was released.
+func (c *Candidate) Done() <-chan struct{} { return c.done }
+
+// now is the time on the candidate's clock.
+func (c *Candidate) now() time.Duration { return time.Since(c.startedAt) }
+
+// run requests the lease again and again, one request at a time, and releases it at the end.
+func (c *Candidate) run(ctx context.Context) {
+	defer close(c.done)
 	for ctx.Err() == nil {
-		asked := time.Since(s.startedAt)
-		call, cancel := context.WithTimeout(ctx, s.options.LeaseTerm/4) // so that a renewal can be tried twice
-		g, ok, err := s.leases.Acquire(call, s.leaseName, s.options.LeaseTerm)
-		cancel()
-		s.mu.Lock()
-		if err == nil {
-			s.unansweredSince = -1
-			s.holder.HandleResponse(asked, g, ok)
-		} else if s.unansweredSince < 0 {
-			s.unansweredSince = asked
-		}
-		s.updateLeading()
-		next := s.nextRequestDelay(time.Since(s.startedAt), g, err)
-		s.mu.Unlock()
-		select {
-		case <-ctx.Done():
-		case <-time.After(next):
-		}
+		sleep(ctx, c.request(ctx))
 	}
-	s.mu.Lock()
-	held := s.leading
-	s.holder.Drop()
-	s.updateLeading()
-	s.mu.Unlock()
-	if held {
-		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.LeaseTerm/4)
+	if c.resign() {
+		call, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.options.requestTimeout())
 		defer cancel()
-		_ = s.leases.Release(call, s.leaseName) // else it runs out by itself
+		_ = c.leases.Release(call, c.leaseName) // the lease ends by itself otherwise
+	}
+}
+
+// request requests the lease once, and returns how long to wait before the next request.
+func (c *Candidate) request(ctx context.Context) time.Duration {
+	requestedAt := c.now()
+	call, cancel := context.WithTimeout(ctx, c.options.requestTimeout())
+	granted, ok, err := c.leases.Acquire(call, c.leaseName, c.options.LeaseTerm)
+	cancel()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case err == nil:
+		c.unansweredSince = notUnanswered
+		c.held.HandleResponse(requestedAt, granted, ok)
+	case c.unansweredSince == notUnanswered:
+		c.unansweredSince = requestedAt
 	}
+	c.updateLeading()
+	return c.nextRequestDelay(c.now(), granted, err)
 }
 
-// nextRequestDelay is how long to wait: until a third of the term is over for the holder, a twelfth after a renewal that failed, as long
-// as another's lease has left and a share of half a term by the spread, so that of many the first comes soon; two terms after a term of
-// silence, for stewards that hear this pooler and that it does not hear give it a lease by each ask. The caller has the lock.
-func (s *Candidate) nextRequestDelay(now time.Duration, g lease.Lease, err error) time.Duration {
-	spread := time.Duration(s.options.JitterFraction * float64(s.options.LeaseTerm) / 2)
-	switch _, acts := s.holder.ValidToken(now); {
-	case acts && err != nil:
-		return s.options.LeaseTerm / 12
-	case acts:
-		return max(s.holder.RenewAt()-now, 0)
-	case err != nil && now-s.unansweredSince >= s.options.LeaseTerm:
-		return 2 * s.options.LeaseTerm
+// nextRequestDelay decides how long to wait before the next request, after an answer or an error. The caller holds the mutex.
+//   - The leader renews a third of the term in, and a twelfth of the term after a renewal that failed.
+//   - While another pooler leads, a candidate waits for the end of that lease and for its jitter.
+//   - After an error a candidate waits for a quarter of the term and for its jitter. After a term of errors it waits for two terms:
+//     voters that hear this pooler, while it does not hear them, grant it the lease with every request, and keep it from others.
+func (c *Candidate) nextRequestDelay(now time.Duration, other lease.Lease, err error) time.Duration {
+	term := c.options.LeaseTerm
+	_, leading := c.held.ValidToken(now)
+	switch {
+	case leading && err != nil:
+		return term / 12
+	case leading:
+		return max(c.held.RenewAt()-now, 0)
+	case err != nil && now-c.unansweredSince >= term:
+		return 2 * term
 	case err != nil:
-		return s.options.LeaseTerm/4 + spread
-	default:
-		return min(max(g.Duration, 0), s.options.LeaseTerm) + s.options.MaxClockDrift + spread
+		return term/4 + c.options.jitter()
 	}
+	return min(max(other.Duration, 0), term) + c.options.MaxClockDrift + c.options.jitter()
 }
 
-// updateLeading tells whether the duty was won or lost since it was last told, and has it looked again when acting must stop. The caller
-// has the lock.
-func (s *Candidate) updateLeading() {
-	now := time.Since(s.startedAt)
-	_, acts := s.holder.ValidToken(now)
-	if acts != s.leading {
-		s.leading = acts
-		close(s.changed)
-		s.changed = make(chan struct{})
+// resign drops the lease here, and reports whether it was held.
+func (c *Candidate) resign() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	wasLeading := c.leading
+	c.held.Drop()
+	c.updateLeading()
+	return wasLeading
+}
+
+// updateLeading announces a leadership that was won or lost, and sets expiryTimer for the end of one that is held. The caller holds
+// the mutex.
+func (c *Candidate) updateLeading() {
+	now := c.now()
+	_, leading := c.held.ValidToken(now)
+	if leading != c.leading {
+		c.leading = leading
+		close(c.changed)
+		c.changed = make(chan struct{})
 	}
-	if s.expiryTimer != nil {
-		s.expiryTimer.Stop()
-		s.expiryTimer = nil
+	if c.expiryTimer != nil {
+		c.expiryTimer.Stop()
+		c.expiryTimer = nil
 	}
-	if acts {
-		s.expiryTimer = time.AfterFunc(s.holder.RenewDeadline()-now, func() {
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.updateLeading()
-		})
+	if leading {
+		c.expiryTimer = time.AfterFunc(c.held.RenewDeadline()-now, c.handleExpiry)
 	}
 }
 
-// Token is documented with Tenure: acting ends a drift bound before the term does, counted from the asking.
-func (s *Candidate) Token() (token uint64, until time.Time, ok bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if token, ok = s.holder.ValidToken(time.Since(s.startedAt)); !ok {
-		return 0, time.Time{}, false
-	}
-	return token, s.startedAt.Add(s.holder.RenewDeadline()), true
+// handleExpiry looks at the lease again when it may have ended.
+func (c *Candidate) handleExpiry() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.updateLeading()
 }
 
-// Done is closed once the duty has been given up, after ctx has ended.
-func (s *Candidate) Done() <-chan struct{} { return s.done }
-
-// Changed is documented with Tenure.
-func (s *Candidate) Changed() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.changed
+// sleep waits for a duration, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
 }
--- a/internal/fleet/replication/replica.go
+++ b/internal/fleet/replication/replica.go
@@ -5,78 +5,81 @@
 	"time"
 )
 
-// Replica is a pooler's copy of the documents. It is safe for use by several goroutines. What holds: its documents are those of one
-// version, and the version never falls.
+// Replica is a pooler's copy of the documents. It is safe for concurrent use, and no method blocks. Its documents are those of one
+// version, and its version never falls.
 type Replica struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	snapshot    Snapshot
-	installedAt time.Time // when state came; the zero time: it was begun with
-	confirmedAt time.Time
-	changed     chan struct{}
+	installedAt time.Time     // when snapshot was installed; the zero time: the replica began with it
+	confirmedAt time.Time     // as of when the replica was last known to be current; the zero time: never
+	changed     chan struct{} // closed, and replaced, when a snapshot is installed
 }
 
 var _ View = (*Replica)(nil)
 
-// NewReplica is a copy that begins with what is known already: of the disk, or nothing.
-func NewReplica(s Snapshot) *Replica { return &Replica{snapshot: s, changed: make(chan struct{})} }
+// NewReplica returns a replica that begins with the snapshot that was loaded from disk, or with an empty one.
+func NewReplica(s Snapshot) *Replica {
+	return &Replica{snapshot: s, changed: make(chan struct{})}
+}
 
-// Install puts documents in force if they are newer than those here, and tells whether they were.
-func (c *Replica) Install(s Snapshot) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if s.Version <= c.snapshot.Version {
+// Install replaces the documents if those of s are newer, and reports whether they were.
+func (r *Replica) Install(s Snapshot) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if s.Version <= r.snapshot.Version {
 		return false
 	}
-	c.snapshot, c.installedAt = s, time.Now()
-	close(c.changed)
-	c.changed = make(chan struct{})
+	r.snapshot = s
+	r.installedAt = time.Now()
+	close(r.changed)
+	r.changed = make(chan struct{})
 	return true
 }
 
-// Confirm takes in that at a time nothing newer than a version was in the log. It confirms the copy only if that is what the
-// copy holds: one that is behind may hold anything. ok false: the copy held a newer version before that time already, so it is of
-// another log, which has been lost; nothing that is said of this one confirms it.
-func (c *Replica) Confirm(version uint64, at time.Time) (ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if version < c.snapshot.Version && at.After(c.installedAt) {
+// Confirm records that the newest version in the log at an instant was version. The replica is confirmed as of that instant only if
+// it had that version: a replica that lags may differ from the log in any document. ok is false if the replica had a newer version
+// before that instant: the replica is then of another log, which was lost, and nothing that is said of this log confirms it.
+func (r *Replica) Confirm(version uint64, at time.Time) (ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if version < r.snapshot.Version && at.After(r.installedAt) {
 		return false
 	}
-	if version <= c.snapshot.Version && at.After(c.confirmedAt) {
-		c.confirmedAt = at
+	if version <= r.snapshot.Version && at.After(r.confirmedAt) {
+		r.confirmedAt = at
 	}
 	return true
 }
 
-// Snapshot is all that the copy holds, of one version.
-func (c *Replica) Snapshot() Snapshot {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.snapshot
+// Snapshot returns the documents of the replica, all of one version.
+func (r *Replica) Snapshot() Snapshot {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.snapshot
 }
 
-// Get is documented with View.
-func (c *Replica) Get(key string) (Document, bool) {
-	d, ok := c.Snapshot().Documents[key]
-	return d, ok
+// Get implements View.
+func (r *Replica) Get(key string) (Document, bool) {
+	document, ok := r.Snapshot().Documents[key]
+	return document, ok
 }
 
-// List is documented with View.
-func (c *Replica) List(prefix string) []Document { return c.Snapshot().List(prefix) }
+// List implements View.
+func (r *Replica) List(prefix string) []Document { return r.Snapshot().List(prefix) }
 
-// Version is documented with View.
-func (c *Replica) Version() uint64 { return c.Snapshot().Version }
+// Version implements View.
+func (r *Replica) Version() uint64 { return r.Snapshot().Version }
 
-// ConfirmedAt is documented with View.
-func (c *Replica) ConfirmedAt() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.confirmedAt
+// ConfirmedAt implements View.
+func (r *Replica) ConfirmedAt() time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.confirmedAt
 }
 
-// Changed is documented with View.
-func (c *Replica) Changed() <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.changed
+// Changed implements View.
+func (r *Replica) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
--- a/internal/fleet/replication/replication.go
+++ b/internal/fleet/replication/replication.go
@@ -1,9 +1,19 @@
-// Package shared holds what all poolers of a fleet agree on: small versioned documents (limits, calendars, purge orders, shard
-// maps, moves) that the stewards keep in their log beside the leases. A writer names the version that it has read, so that
-// nothing is overwritten unseen; every pooler holds a copy, which is never wrong but may be old, and tells its age.
+// Package replication gives every pooler of a fleet a copy of the documents that all poolers agree on: limits, calendars, purge
+// orders, shard maps and moves. The voters (package consensus) keep the documents in their replicated log, beside the leases.
 //
-// What holds: versions are log indices, so they only grow over all keys together; a copy's documents are those of one version of
-// the log, whole; a value is never taken in part.
+// It decides which writes the log accepts (DocumentTable), what has changed between two versions (Delta, History), when a pooler's
+// Replica is confirmed to be current, from whom a Replica that lags is brought up to date (Replicator), and when a pooler may act as
+// the holder of a lease (Candidate). It owns the Replica and its file on disk (Persister). It does not order writes, which is the
+// log's work, and does not interpret a document's value.
+//
+// Store, View and Leadership are what a component of the fleet works with. Their methods are called on the goroutines of the
+// components; Replicator, Persister and Candidate run goroutines of their own, which end with the context that they are started with.
+//
+// Invariants:
+//   - A version is the log index of a write, so versions grow over all documents together.
+//   - The documents of a Replica are all those of one version, and a Replica's version never falls.
+//   - A Replica is confirmed as of an instant only if no newer version was in the log at that instant. It may lag; it is never wrong.
+//   - A document's value is accepted or refused as a whole.
 package replication
 
 import (
@@ -14,58 +24,55 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// MaxDocumentSize bounds one document, and MaxDocs how many there are: they are read by every pooler whole.
+// Bounds of the documents. Every pooler holds all of them.
 const (
-	MaxDocumentSize = 64 << 10
+	MaxDocumentSize = 64 << 10 // bytes of one document's value
 	MaxDocuments    = 1024
+	MaxTotalSize    = 4 << 20 // bytes of all keys and values: a pooler has 32 MB, and fetches the documents all at once
+	maxKeyLength    = 256     // bytes
 )
 
-// What Put can say. Any other error decides nothing either way: the value may have been taken, or may be yet.
+// Errors of Store.Put. Any other error leaves open whether the write was accepted, or will be.
 var (
-	ErrConflict = errors.New("shared: the document has another version")
-	ErrFenced   = errors.New("shared: the lease that the writer names has passed on")
-	ErrTooLarge = errors.New("shared: the document is too large, or there are too many")
+	ErrConflict = errors.New("replication: the document has another version")
+	ErrFenced   = errors.New("replication: the lease that the write names is no longer held")
+	ErrTooLarge = errors.New("replication: the document is too large, or there are too many")
 )
 
-// Document is a document. Version 0 stands for one that does not exist; a deleted one keeps none.
+// Document is one document. Version 0 stands for a document that does not exist; a deleted document has no version.
 type Document struct {
-	Key     string `json:"key"`     // "PART/NAME"
-	Version uint64 `json:"version"` // the log index of the write that made it so
+	Key     string `json:"key"`     // "COMPONENT/NAME"
+	Version uint64 `json:"version"` // log index of the write that made the document
 	Value   []byte `json:"value"`
 }
 
-// Fence ties a write to a lease: it is refused unless the table holds the duty with this token when the write is applied.
-// The zero Fence ties it to none.
+// Fence ties a write to a lease: the write is refused unless the lease is held with this token at the moment that the write is
+// applied. The zero Fence ties a write to no lease.
 type Fence struct {
-	Lease lease.Name `json:"duty,omitempty"`
+	Lease lease.Name `json:"duty,omitempty"` // encoded as "duty", its earlier name
 	Token uint64     `json:"token,omitempty"`
 }
 
-// Store writes documents, through whichever steward leads. It is safe for use by several goroutines.
+// Store reads and writes documents through the leading voter. It is safe for concurrent use.
 type Store interface {
-	// Put writes a document if its version is still expect (0: it must not exist); value nil deletes it. The version that it
-	// returns is in the log of a majority.
+	// Put writes a document if its version is still expect; 0 means that the document must not exist. A nil value deletes the
+	// document. The returned version is in the log of a majority of the voters.
 	Put(ctx context.Context, key string, expect uint64, value []byte, f Fence) (version uint64, err error)
-	// Read asks the leading steward, so that it misses no write that had returned before: slower than View, and fails in a cut.
+	// Read returns the document as the leading voter has it, so it misses no write that had returned before the call. It is slower
+	// than a View and fails while no voter can be reached.
 	Read(ctx context.Context, key string) (Document, error)
 }
 
-// View is a pooler's own copy. It is safe for use by several goroutines, and never waits.
+// View reads this pooler's replica of the documents. It is safe for concurrent use, and no method blocks.
 type View interface {
 	Get(key string) (Document, bool)
-	List(prefix string) []Document // by key
-	// Version is the log index that the copy is as of; 0: it holds nothing yet.
+	// List returns the documents whose key has a prefix, in the order of their keys.
+	List(prefix string) []Document
+	// Version returns the log index that the replica is as of; 0 means that the replica is still empty.
 	Version() uint64
-	// ConfirmedAt is when a steward or another pooler last said that nothing newer was known, on this process's clock; the zero
-	// time: not since its start, whatever the copy on disk holds.
+	// ConfirmedAt returns the latest instant, on this process's clock, at which the replica is known to have been current. The zero
+	// time means that the replica has not been confirmed since the process began, whatever was loaded from disk.
 	ConfirmedAt() time.Time
-	// Changed is closed at the next change of any document; ask for it before reading.
+	// Changed returns a channel that is closed at the next change of any document. Callers take the channel before they read.
 	Changed() <-chan struct{}
 }
-
-// Leadership is a duty that this pooler stands for. It is safe for use by several goroutines, and never waits.
-type Leadership interface {
-	// Token is the fencing token while this pooler may act, and until when.
-	Token() (token uint64, until time.Time, ok bool)
-	Changed() <-chan struct{} // closed when the duty is won or lost
-}
--- a/internal/fleet/replication/replicator_test.go
+++ b/internal/fleet/replication/replicator_test.go
@@ -13,83 +13,84 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// source is the stewards, as bringing needs them.
-type source struct {
-	mu    sync.Mutex
-	state replication.Snapshot
-	out   bool
-	asked int
+// fakeVoters is a SnapshotFetcher with one snapshot.
+type fakeVoters struct {
+	mu          sync.Mutex
+	snapshot    replication.Snapshot
+	unreachable bool
+	fetches     int
 }
 
-func (s *source) Fetch(_ context.Context, since uint64, _ bool) (replication.Snapshot, bool, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.asked++
-	if s.out {
-		return replication.Snapshot{}, false, errors.New("out")
+func (v *fakeVoters) Fetch(_ context.Context, since uint64, _ bool) (replication.Snapshot, bool, error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.fetches++
+	if v.unreachable {
+		return replication.Snapshot{}, false, errors.New("unreachable")
 	}
-	return s.state, s.state.Version > since, nil
+	return v.snapshot, v.snapshot.Version > since, nil
 }
 
-// Twelve poolers, one of them the leading steward's, in a network that loses and doubles datagrams: a change reaches all from
-// each other; one that is cut off from the others asks a steward; one cut off from all grows old and says so, and is brought up
-// after it.
-func TestBring(t *testing.T) {
+// Twelve poolers, one of them with the leading voter, in a network that loses and duplicates datagrams: a change reaches all of them
+// through each other; a pooler that is cut off from the others asks a voter; the replica of a pooler that is cut off from all grows
+// old, and catches up once the cut is healed.
+func TestReplicator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const beat = time.Second
-		n := bustest.New(7)
-		n.SetDelay(time.Millisecond, 5*time.Millisecond)
-		n.SetLoss(0.2, 0.2)
-		stewards, cut := &source{}, &source{out: true}
+		const heartbeat = time.Second
+		network := bustest.New(7)
+		network.SetDelay(time.Millisecond, 5*time.Millisecond)
+		network.SetLoss(0.2, 0.2)
+		voters := &fakeVoters{}
+		unreachable := &fakeVoters{unreachable: true}
 		ctx, end := context.WithCancel(t.Context())
-		var copies []*replication.Replica
+		var replicas []*replication.Replica
 		for i := range 12 {
-			c := replication.NewReplica(replication.Snapshot{})
-			copies = append(copies, c)
-			o := replication.ReplicatorOptions{Bus: n.Join(fmt.Sprint("n", i)), Replica: c, Voters: stewards, HeartbeatInterval: beat, JitterFraction: float64(i) / 12, Log: func(string) {}}
+			replica := replication.NewReplica(replication.Snapshot{})
+			replicas = append(replicas, replica)
+			o := replication.ReplicatorOptions{Bus: network.Join(fmt.Sprint("n", i)), Replica: replica, Voters: voters, HeartbeatInterval: heartbeat, JitterFraction: float64(i) / 12}
 			if i == 0 {
-				o.Confirm = func() (uint64, time.Time, bool) { return c.Version(), time.Now(), true }
+				o.Confirm = func() (uint64, time.Time, bool) { return replica.Version(), time.Now(), true }
 			}
 			if i == 11 {
-				o.Voters = cut
+				o.Voters = unreachable
 			}
 			replication.StartReplicator(ctx, o)
 		}
 		change := func(version uint64) {
 			s := replication.Snapshot{Version: version, Documents: map[string]replication.Document{"p/a": {Key: "p/a", Version: version, Value: []byte("x")}}}
-			stewards.mu.Lock()
-			stewards.state = s
-			stewards.mu.Unlock()
-			copies[0].Install(s)
+			voters.mu.Lock()
+			voters.snapshot = s
+			voters.mu.Unlock()
+			replicas[0].Install(s)
 		}
-		are := func(what string, version uint64, whom ...*replication.Replica) {
+		wantCurrent := func(what string, version uint64, replicas ...*replication.Replica) {
 			t.Helper()
-			for i, c := range whom {
-				if d, _ := c.Get("p/a"); c.Version() != version || d.Version != version || time.Since(c.ConfirmedAt()) > 5*beat {
-					t.Errorf("%s: copy %d is at %d, confirmed %v ago", what, i, c.Version(), time.Since(c.ConfirmedAt()))
+			for i, c := range replicas {
+				if d, _ := c.Get("p/a"); c.Version() != version || d.Version != version || time.Since(c.ConfirmedAt()) > 5*heartbeat {
+					t.Errorf("%s: replica %d is at %d, confirmed %v ago", what, i, c.Version(), time.Since(c.ConfirmedAt()))
 				}
 			}
 		}
 		change(5)
-		time.Sleep(5 * beat)
-		are("a change", 5, copies...)
-		if stewards.asked > 0 {
-			t.Errorf("the stewards were asked %d times", stewards.asked)
+		time.Sleep(5 * heartbeat)
+		wantCurrent("a change", 5, replicas...)
+		if voters.fetches > 0 {
+			t.Errorf("the voters were asked %d times", voters.fetches)
 		}
-		n.SetIsolated("n10", true)
-		n.SetIsolated("n11", true)
-		since := time.Now()
-		time.Sleep(beat)
+		network.SetIsolated("n10", true)
+		network.SetIsolated("n11", true)
+		cutAt := time.Now()
+		time.Sleep(heartbeat)
 		change(9)
-		time.Sleep(8 * beat)
-		are("in a cut", 9, copies[:11]...)
-		if c := copies[11]; c.Version() != 5 || c.ConfirmedAt().After(since) {
-			t.Errorf("cut off from all: version %d, confirmed %v after the cut", c.Version(), c.ConfirmedAt().Sub(since))
+		time.Sleep(8 * heartbeat)
+		wantCurrent("in a cut", 9, replicas[:11]...)
+		if c := replicas[11]; c.Version() != 5 || c.ConfirmedAt().After(cutAt) {
+			t.Errorf("cut off from all: version %d, confirmed %v after the cut", c.Version(), c.ConfirmedAt().Sub(cutAt))
 		}
-		n.SetIsolated("n10", false)
-		n.SetIsolated("n11", false)
-		time.Sleep(5 * beat)
-		are("healed", 9, copies...)
+		network.SetIsolated("n10", false)
+		network.SetIsolated("n11", false)
+		time.Sleep(5 * heartbeat)
+		wantCurrent("healed", 9, replicas...)
 		end()
 		time.Sleep(time.Minute)
 	})
--- a/internal/fleet/replication/snapshot_file.go
+++ b/internal/fleet/replication/snapshot_file.go
@@ -12,34 +12,63 @@
 	"time"
 )
 
-// The copy on disk is one file: a mark, the length of what follows and its CRC-32C, both little-endian, then one JSON object. It is
-// written beside the old one and takes its name once it is whole and on the disk: a crash leaves the old one or the new one.
+// The replica on disk is one file, snapshotFileName, in a directory of its own:
+//
+//	magic    8 bytes, snapshotFileMagic
+//	length   4 bytes, little-endian: bytes of the text
+//	checksum 4 bytes, little-endian: CRC-32C of the text
+//	text     one JSON object, snapshotFile
+//
+// Invariants:
+//   - The file is never changed in place: a new one is written beside it, synced, renamed over it, and the directory synced. A crash
+//     at any moment leaves the old file or the new one, whole, and perhaps a temporary file beside it.
+//   - A file that is shorter, longer or otherwise not what was written is never read as a snapshot.
+//
+// Recovery: LoadSnapshot removes temporary files and reads the file. A file that is damaged is ErrDamaged and stays in place until
+// the next SaveSnapshot replaces it; the pooler begins with an empty replica and fetches the documents.
 const (
 	snapshotFileName       = "documents"
 	snapshotFileMagic      = "tsdocs1\n"
-	snapshotFileHeaderSize = len(snapshotFileMagic) + 8
+	snapshotFileHeaderSize = len(snapshotFileMagic) + 4 + 4
 )
 
-// ErrDamaged tells that the copy on disk is not what was written.
-var ErrDamaged = errors.New("shared: the copy on disk is damaged")
+// ErrDamaged is the error of LoadSnapshot for a file that is not what SaveSnapshot wrote.
+var ErrDamaged = errors.New("replication: the snapshot file is damaged")
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
+// snapshotFile is the text of the file.
 type snapshotFile struct {
 	ConfirmedAt time.Time `json:"as_of"`
 	Snapshot    Snapshot  `json:"state"`
 }
 
-// SaveSnapshot writes a copy into a folder; asOf is when it was last confirmed, the zero time if never. After an error the copy that was
-// there stands.
-func SaveSnapshot(dir string, s Snapshot, asOf time.Time) (err error) {
-	text, err := encodeSnapshotFile(s, asOf)
+// SaveSnapshot writes a replica's snapshot, and when it was last confirmed, into a directory. The zero time stands for never. After an
+// error the file that was there before is unchanged.
+func SaveSnapshot(dir string, s Snapshot, confirmedAt time.Time) error {
+	content, err := encodeSnapshotFile(s, confirmedAt)
 	if err != nil {
-		return err
+		return fmt.Errorf("replication: encode snapshot: %w", err)
+	}
+	temporary, err := writeTemporary(dir, content)
+	if err != nil {
+		return fmt.Errorf("replication: write snapshot: %w", err)
+	}
+	if err := os.Rename(temporary, filepath.Join(dir, snapshotFileName)); err != nil {
+		_ = os.Remove(temporary) // LoadSnapshot removes it otherwise
+		return fmt.Errorf("replication: replace snapshot: %w", err)
 	}
+	if err := syncDir(dir); err != nil {
+		return fmt.Errorf("replication: sync directory: %w", err)
+	}
+	return nil
+}
+
+// writeTemporary writes and syncs a file beside the snapshot file, and returns its name. After an error there is no such file.
+func writeTemporary(dir string, content []byte) (name string, err error) {
 	file, err := os.CreateTemp(dir, snapshotFileName+".*")
 	if err != nil {
-		return err
+		return "", err
 	}
 	defer func() {
 		if err != nil {
@@ -47,72 +76,72 @@
 			_ = os.Remove(file.Name())
 		}
 	}()
-	if _, err = file.Write(text); err != nil {
-		return err
-	}
-	if err = file.Sync(); err != nil {
-		return err
+	if _, err := file.Write(content); err != nil {
+		return "", err
 	}
-	if err = file.Close(); err != nil {
-		return err
+	if err := file.Sync(); err != nil {
+		return "", err
 	}
-	if err = os.Rename(file.Name(), filepath.Join(dir, snapshotFileName)); err != nil {
-		return err
+	if err := file.Close(); err != nil {
+		return "", err
 	}
-	return syncDir(dir)
+	return file.Name(), nil
 }
 
-// syncDir has a name that was given in a folder outlive a crash of the machine.
+// syncDir makes a rename within a directory outlive a crash of the machine.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	return errors.Join(d.Sync(), d.Close())
 }
 
-func encodeSnapshotFile(s Snapshot, asOf time.Time) ([]byte, error) {
-	text, err := json.Marshal(snapshotFile{asOf, s})
+// encodeSnapshotFile returns the content of the file.
+func encodeSnapshotFile(s Snapshot, confirmedAt time.Time) ([]byte, error) {
+	text, err := json.Marshal(snapshotFile{ConfirmedAt: confirmedAt, Snapshot: s})
 	if err != nil {
 		return nil, err
 	}
-	b := append(make([]byte, 0, snapshotFileHeaderSize+len(text)), snapshotFileMagic...)
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(text, castagnoliTable))
-	return append(b, text...), nil
+	content := make([]byte, 0, snapshotFileHeaderSize+len(text))
+	content = append(content, snapshotFileMagic...)
+	content = binary.LittleEndian.AppendUint32(content, uint32(len(text)))
+	content = binary.LittleEndian.AppendUint32(content, crc32.Checksum(text, castagnoliTable))
+	return append(content, text...), nil
 }
 
-// LoadSnapshot reads the copy in a folder; without one it is empty. One that was damaged is ErrDamaged, and stays as it is. What a crash
-// left half-written is removed.
-func LoadSnapshot(dir string) (s Snapshot, asOf time.Time, err error) {
-	if left, err := filepath.Glob(filepath.Join(dir, snapshotFileName+".*")); err == nil {
-		for _, name := range left {
-			_ = os.Remove(name)
+// LoadSnapshot reads the snapshot in a directory, and when it was last confirmed. Without a file the snapshot is empty. The error of a
+// damaged file is ErrDamaged. Temporary files that a crash has left are removed.
+func LoadSnapshot(dir string) (s Snapshot, confirmedAt time.Time, err error) {
+	if temporary, err := filepath.Glob(filepath.Join(dir, snapshotFileName+".*")); err == nil {
+		for _, name := range temporary {
+			_ = os.Remove(name) // a later start tries again; the file is never read
 		}
 	}
-	b, err := os.ReadFile(filepath.Join(dir, snapshotFileName))
+	content, err := os.ReadFile(filepath.Join(dir, snapshotFileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return Snapshot{}, asOf, nil
+		return Snapshot{}, time.Time{}, nil
 	}
 	if err != nil {
-		return Snapshot{}, asOf, err
+		return Snapshot{}, time.Time{}, fmt.Errorf("replication: read snapshot: %w", err)
 	}
-	return decodeSnapshotFile(b)
+	return decodeSnapshotFile(content)
 }
 
-func decodeSnapshotFile(b []byte) (s Snapshot, asOf time.Time, err error) {
-	if len(b) < snapshotFileHeaderSize || string(b[:len(snapshotFileMagic)]) != snapshotFileMagic {
-		return s, asOf, ErrDamaged
+// decodeSnapshotFile reads what encodeSnapshotFile returned. Its error is ErrDamaged.
+func decodeSnapshotFile(content []byte) (s Snapshot, confirmedAt time.Time, err error) {
+	if len(content) < snapshotFileHeaderSize || string(content[:len(snapshotFileMagic)]) != snapshotFileMagic {
+		return Snapshot{}, time.Time{}, ErrDamaged
 	}
-	size, sum := binary.LittleEndian.Uint32(b[len(snapshotFileMagic):]), binary.LittleEndian.Uint32(b[len(snapshotFileMagic)+4:])
-	text := b[snapshotFileHeaderSize:]
-	if uint64(len(text)) != uint64(size) || crc32.Checksum(text, castagnoliTable) != sum {
-		return s, asOf, ErrDamaged
+	length := binary.LittleEndian.Uint32(content[len(snapshotFileMagic):])
+	checksum := binary.LittleEndian.Uint32(content[len(snapshotFileMagic)+4:])
+	text := content[snapshotFileHeaderSize:]
+	if uint64(len(text)) != uint64(length) || crc32.Checksum(text, castagnoliTable) != checksum {
+		return Snapshot{}, time.Time{}, ErrDamaged
 	}
-	var d snapshotFile
-	if err := json.Unmarshal(text, &d); err != nil {
-		return s, asOf, fmt.Errorf("%w: %w", ErrDamaged, err)
+	var file snapshotFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return Snapshot{}, time.Time{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return d.Snapshot, d.ConfirmedAt, nil
+	return file.Snapshot, file.ConfirmedAt, nil
 }
--- a/internal/fleet/replication/table.go
+++ b/internal/fleet/replication/table.go
@@ -5,68 +5,74 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"slices"
-	"strings"
 
 	"threadsail/internal/fleet/lease"
 )
 
-// MaxTotalSize bounds the bytes of all documents together: a pooler has 32 MB, and fetches them whole.
-const MaxTotalSize = 4 << 20
-
-// maxKeyLength bounds a document's name.
-const maxKeyLength = 256
-
-// Write is a write as the log carries it, stamped by the leader that proposed it.
+// Write is one write as the log carries it.
 type Write struct {
 	Key             string `json:"key"`
-	ExpectedVersion uint64 `json:"expect,omitempty"`
-	Value           []byte `json:"value"` // nil: the document is deleted
+	ExpectedVersion uint64 `json:"expect,omitempty"` // 0: the document must not exist
+	Value           []byte `json:"value"`            // nil: the document is deleted
 	Fence           Fence  `json:"fence"`
 }
 
-// DocumentTable is the documents as the log has made them up to an index, the same at every steward. It is not safe for use by several
-// goroutines. The zero Docs holds none. Values are never changed once they are in it.
+// DocumentTable is the voters' state machine of documents: what the log has made of them up to an index, the same at every voter.
+// It is not safe for concurrent use. The zero DocumentTable is empty. Values never change once they are in the table.
 type DocumentTable struct {
-	version   uint64 // the index of the last write that was taken
+	version   uint64 // index of the last write that was accepted
 	documents map[string]Document
 	totalSize int // bytes of all keys and values
 }
 
-// Apply carries out a write that is committed at a log index. The lease table is that of the same index, its time moved on to
-// the write's stamp (lease.Table.Pass). The error is ErrConflict, ErrFenced or ErrTooLarge, and then nothing has changed.
-func (d *DocumentTable) Apply(w Write, index uint64, leases *lease.Lessor) (version uint64, err error) {
-	old := d.documents[w.Key]
-	total := d.totalSize - documentSize(old)
+// Apply carries out a write that is committed at a log index. leases is the lessor as of the same index, its time advanced to the
+// write's stamp (lease.Lessor.AdvanceTime). The error is ErrConflict, ErrFenced or ErrTooLarge, and the table is unchanged then.
+func (t *DocumentTable) Apply(w Write, index uint64, leases *lease.Lessor) (version uint64, err error) {
+	old := t.documents[w.Key]
+	totalSize := t.totalSize - documentSize(old)
 	if w.Value != nil {
-		total += documentSize(Document{Key: w.Key, Value: w.Value})
+		totalSize += documentSize(Document{Key: w.Key, Value: w.Value})
 	}
 	switch {
-	case w.Fence != (Fence{}) && !fenceHolds(w.Fence, leases):
+	case w.Fence != Fence{} && !fenceHolds(w.Fence, leases):
 		return 0, ErrFenced
 	case old.Version != w.ExpectedVersion:
 		return 0, fmt.Errorf("%w: %s is at %d, not %d", ErrConflict, w.Key, old.Version, w.ExpectedVersion)
 	case w.Value == nil:
-		delete(d.documents, w.Key)
-	case w.Key == "" || len(w.Key) > maxKeyLength || len(w.Value) > MaxDocumentSize || total > MaxTotalSize || old.Version == 0 && len(d.documents) >= MaxDocuments:
+		delete(t.documents, w.Key)
+	case !t.fits(w, old, totalSize):
 		return 0, fmt.Errorf("%w: %q with %d bytes", ErrTooLarge, w.Key, len(w.Value))
 	default:
-		if d.documents == nil {
-			d.documents = map[string]Document{}
+		if t.documents == nil {
+			t.documents = map[string]Document{}
 		}
-		d.documents[w.Key] = Document{Key: w.Key, Version: index, Value: w.Value}
+		t.documents[w.Key] = Document{Key: w.Key, Version: index, Value: w.Value}
 	}
-	d.version, d.totalSize = index, total
+	t.version = index
+	t.totalSize = totalSize
 	return index, nil
 }
 
-// fenceHolds tells whether the duty is held with the token now, by the table's time: not by one whose term and drift are over,
-// even if no other holds it yet.
+// fits reports whether the table stays within its bounds with a write that takes the place of old and leads to totalSize.
+func (t *DocumentTable) fits(w Write, old Document, totalSize int) bool {
+	isNew := old.Version == 0
+	switch {
+	case w.Key == "", len(w.Key) > maxKeyLength, len(w.Value) > MaxDocumentSize:
+		return false
+	case isNew && len(t.documents) >= MaxDocuments:
+		return false
+	}
+	return totalSize <= MaxTotalSize
+}
+
+// fenceHolds reports whether the fence's lease is held with its token at the lessor's time. A lease whose term and drift are over is
+// not held, even if nobody else has acquired it.
 func fenceHolds(f Fence, leases *lease.Lessor) bool {
 	_, token := leases.Holder(f.Lease)
 	return token != 0 && token == f.Token
 }
 
+// documentSize returns the bytes that a document counts for; the zero Document counts for none.
 func documentSize(d Document) int {
 	if d.Key == "" {
 		return 0
@@ -74,81 +80,36 @@
 	return len(d.Key) + len(d.Value)
 }
 
-// Get is a document; its Version is 0 if there is none.
-func (d *DocumentTable) Get(key string) Document {
-	doc := d.documents[key]
-	doc.Key = key
-	return doc
-}
-
-// Version is the log index of the last write that was taken.
-func (d *DocumentTable) Version() uint64 { return d.version }
-
-// Snapshot is all documents as of one version, for a copy.
-func (d *DocumentTable) Snapshot() Snapshot {
-	return Snapshot{Version: d.version, Documents: maps.Clone(d.documents)}
-}
-
-// Snapshot is all documents as of one version of the log. It is never changed once made.
-type Snapshot struct {
-	Version   uint64
-	Documents map[string]Document
+// Get returns a document; its Version is 0 if there is none of that key.
+func (t *DocumentTable) Get(key string) Document {
+	document := t.documents[key]
+	document.Key = key
+	return document
 }
 
-// List are the documents whose key has a prefix, by key.
-func (s Snapshot) List(prefix string) (out []Document) {
-	for k, d := range s.Documents {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, d)
-		}
-	}
-	slices.SortFunc(out, func(a, b Document) int { return strings.Compare(a.Key, b.Key) })
-	return out
-}
+// Version returns the log index of the last write that was accepted.
+func (t *DocumentTable) Version() uint64 { return t.version }
 
-// encodedSnapshot is a State as a snapshot, a fetch and the copy on disk hold it.
-type encodedSnapshot struct {
-	Version   uint64     `json:"version"`
-	Documents []Document `json:"docs"`
-}
-
-// MarshalJSON lists the documents by key.
-func (s Snapshot) MarshalJSON() ([]byte, error) {
-	return json.Marshal(encodedSnapshot{s.Version, s.List("")})
-}
-
-// UnmarshalJSON reads what MarshalJSON wrote, and refuses what no log can have made.
-func (s *Snapshot) UnmarshalJSON(text []byte) error {
-	var in encodedSnapshot
-	if err := json.Unmarshal(text, &in); err != nil {
-		return err
-	}
-	out := Snapshot{Version: in.Version, Documents: make(map[string]Document, len(in.Documents))}
-	for _, d := range in.Documents {
-		if _, twice := out.Documents[d.Key]; twice || d.Key == "" || d.Version == 0 || d.Version > in.Version || d.Value == nil {
-			return fmt.Errorf("shared: document %q of version %d in documents of version %d", d.Key, d.Version, in.Version)
-		}
-		out.Documents[d.Key] = d
-	}
-	*s = out
-	return nil
+// Snapshot returns all documents as of the table's version.
+func (t *DocumentTable) Snapshot() Snapshot {
+	return Snapshot{Version: t.version, Documents: maps.Clone(t.documents)}
 }
 
-// MarshalJSON gives the documents for a snapshot.
-func (d *DocumentTable) MarshalJSON() ([]byte, error) { return json.Marshal(d.Snapshot()) }
+// MarshalJSON encodes the table for a snapshot of the log.
+func (t *DocumentTable) MarshalJSON() ([]byte, error) { return json.Marshal(t.Snapshot()) }
 
-// UnmarshalJSON takes a snapshot's documents over; a text that can't be read changes nothing. null, as of a snapshot from before
-// there were documents, is none.
-func (d *DocumentTable) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON replaces the table by that of a snapshot of the log. A text that can't be decoded leaves the table as it is. null, as
+// in a snapshot from before there were documents, stands for an empty table.
+func (t *DocumentTable) UnmarshalJSON(text []byte) error {
 	var s Snapshot
 	if !bytes.Equal(text, []byte("null")) {
 		if err := json.Unmarshal(text, &s); err != nil {
 			return err
 		}
 	}
-	*d = DocumentTable{version: s.Version, documents: s.Documents}
-	for _, doc := range s.Documents {
-		d.totalSize += documentSize(doc)
+	*t = DocumentTable{version: s.Version, documents: s.Documents}
+	for _, document := range s.Documents {
+		t.totalSize += documentSize(document)
 	}
 	return nil
 }
