--- a/internal/fleet/replication/replicationtest/replicationtest.go
+++ b/internal/fleet/replication/replicationtest/replicationtest.go
@@ -1,6 +1,7 @@
-// Package sharedtest is the stewards' register within one process, for tests of parts that share documents: the real documents
-// and the real lease table behind one lock, without a log or a network. Poolers' ways to it are cut, or lose the answer to a
-// write that was taken; their copies are late, or cut off. It reads the time plainly, so that testing/synctest gives it a clock.
+// Package replicationtest is a consensus cluster within one process, for tests of components that share documents: the real document
+// table and the real lessor behind one mutex, without a log or a network. A pooler's Client is cut off, or loses the answers to requests
+// that took effect; its View lags, or is cut off. The package reads the time from package time, so testing/synctest can provide the
+// clock. It is for tests alone.
 package replicationtest
 
 import (
@@ -13,40 +14,69 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// ErrUnreachable is what a pooler gets that is cut off, or whose answer is lost. It decides nothing either way.
-var ErrUnreachable = errors.New("sharedtest: no steward answered")
+// ErrUnreachable is the error of a request that did not reach the cluster, or whose answer was lost. Whether the request took effect
+// is open.
+var ErrUnreachable = errors.New("replicationtest: no voter answered")
 
-// Cluster is what a set of stewards decides. It is safe for use by several goroutines.
+const (
+	// partitionedCallTimeout is how long a partitioned client's call takes to fail, if its context does not end earlier.
+	partitionedCallTimeout = time.Second
+	// raftTerm and raftEpoch are those of the only leader that the cluster ever has.
+	raftTerm  = 1
+	raftEpoch = 1
+)
+
+// Cluster is the voters' state. It is safe for concurrent use.
 type Cluster struct {
-	mu        sync.Mutex
 	startedAt time.Time
-	index     uint64
+
+	mu        sync.Mutex // guards the fields below
+	index     uint64     // of the last log entry
 	documents replication.DocumentTable
 	leases    lease.Lessor
 	views     []*View
 }
 
-// New is an empty register; drift is lease.Table's.
-func New(drift time.Duration) *Cluster {
-	return &Cluster{startedAt: time.Now(), leases: lease.Lessor{MaxClockDrift: drift}}
+// New returns a cluster without documents and leases. maxClockDrift is lease.Lessor's.
+func New(maxClockDrift time.Duration) *Cluster {
+	return &Cluster{startedAt: time.Now(), leases: lease.Lessor{MaxClockDrift: maxClockDrift}}
+}
+
+// nextEntry begins the next entry of the log, and advances the lessor's time to it. The caller holds the mutex.
+func (c *Cluster) nextEntry() (index uint64, now time.Duration) {
+	c.index++
+	now = time.Since(c.startedAt)
+	c.leases.AdvanceTime(now, raftTerm, raftEpoch)
+	return c.index, now
+}
+
+// apply applies a write as the next entry, and distributes the documents if the write is accepted. The caller holds the mutex.
+func (c *Cluster) apply(w replication.Write) (version uint64, err error) {
+	index, _ := c.nextEntry()
+	version, err = c.documents.Apply(w, index, &c.leases)
+	if err == nil {
+		c.distribute()
+	}
+	return version, err
 }
 
-// nextEntry is the next entry of the log. The caller has the lock.
-func (r *Cluster) nextEntry() (index uint64, now time.Duration) {
-	r.index++
-	now = time.Since(r.startedAt)
-	r.leases.AdvanceTime(now, 1, 1)
-	return r.index, now
+// distribute brings all views to the cluster's documents, at once or after their delay. The caller holds the mutex.
+func (c *Cluster) distribute() {
+	snapshot := c.documents.Snapshot()
+	for _, view := range c.views {
+		view.receive(snapshot)
+	}
 }
 
-// Client is one pooler's way to the register. It implements shared.Store and shared.Asker.
+// Client is one pooler's connection to the cluster. It implements replication.Store and replication.LeaseClient, and is safe for
+// concurrent use.
 type Client struct {
 	cluster *Cluster
 	holder  string
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	partitioned   bool
-	answersToLose int // answers to lose
+	answersToLose int
 }
 
 var (
@@ -54,37 +84,36 @@
 	_ replication.LeaseClient = (*Client)(nil)
 )
 
-// Client is a pooler's way to the register, by the name that it holds leases under.
-func (r *Cluster) Client(holder string) *Client { return &Client{cluster: r, holder: holder} }
+// Client returns a connection to the cluster, of a pooler that holds its leases under a name.
+func (c *Cluster) Client(holder string) *Client { return &Client{cluster: c, holder: holder} }
 
-// SetPartitioned has every call fail without effect from now on, once its context ends; or heals that.
-func (c *Client) SetPartitioned(cut bool) {
+// SetPartitioned makes every later call fail without effect, or heals that.
+func (c *Client) SetPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partitioned = cut
+	c.partitioned = partitioned
 }
 
-// LoseAnswers loses the answers to the next n calls that reach the register: they take effect, and the caller gets an error.
+// LoseAnswers makes the next n calls that reach the cluster take effect and fail with ErrUnreachable.
 func (c *Client) LoseAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answersToLose = n
 }
 
-// Campaign is as in fleet.Ground.
-func (c *Client) Campaign(ctx context.Context, d lease.Name, t replication.CandidateOptions) replication.Leadership {
-	return replication.Campaign(ctx, c, d, t)
+// Campaign campaigns for a lease through this client until ctx ends.
+func (c *Client) Campaign(ctx context.Context, name lease.Name, o replication.CandidateOptions) replication.Leadership {
+	return replication.Campaign(ctx, c, name, o)
 }
 
-// call does something at the register, unless the way is cut.
+// call calls do while the cluster's mutex is held, unless the client is partitioned.
 func (c *Client) call(ctx context.Context, do func()) error {
-	c.mu.Lock()
-	cut := c.partitioned
-	c.mu.Unlock()
-	if cut {
+	if c.isPartitioned() {
+		timer := time.NewTimer(partitionedCallTimeout)
+		defer timer.Stop()
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Second):
+		case <-timer.C:
 		}
 		return ErrUnreachable
 	}
@@ -94,24 +123,34 @@
 	c.cluster.mu.Lock()
 	do()
 	c.cluster.mu.Unlock()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.answersToLose > 0 {
-		c.answersToLose--
+	if c.losesAnswer() {
 		return ErrUnreachable
 	}
 	return nil
 }
 
-// Put is documented with shared.Store.
+func (c *Client) isPartitioned() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.partitioned
+}
+
+// losesAnswer reports whether the answer to the call that has just taken effect is lost.
+func (c *Client) losesAnswer() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.answersToLose == 0 {
+		return false
+	}
+	c.answersToLose--
+	return true
+}
+
+// Put implements replication.Store.
 func (c *Client) Put(ctx context.Context, key string, expect uint64, value []byte, f replication.Fence) (version uint64, err error) {
 	var refused error
 	err = c.call(ctx, func() {
-		index, _ := c.cluster.nextEntry()
-		version, refused = c.cluster.documents.Apply(replication.Write{Key: key, ExpectedVersion: expect, Value: value, Fence: f}, index, &c.cluster.leases)
-		if refused == nil {
-			c.cluster.distribute()
-		}
+		version, refused = c.cluster.apply(replication.Write{Key: key, ExpectedVersion: expect, Value: value, Fence: f})
 	})
 	if err == nil {
 		err = refused
@@ -122,113 +161,114 @@
 	return version, nil
 }
 
-// Read is documented with shared.Store.
-func (c *Client) Read(ctx context.Context, key string) (d replication.Document, err error) {
-	err = c.call(ctx, func() { d = c.cluster.documents.Get(key) })
-	return d, err
+// Read implements replication.Store.
+func (c *Client) Read(ctx context.Context, key string) (document replication.Document, err error) {
+	err = c.call(ctx, func() { document = c.cluster.documents.Get(key) })
+	return document, err
 }
 
-// Acquire is documented with shared.Asker.
-func (c *Client) Acquire(ctx context.Context, d lease.Name, term time.Duration) (g lease.Lease, ok bool, err error) {
+// Acquire implements replication.LeaseClient.
+func (c *Client) Acquire(ctx context.Context, name lease.Name, term time.Duration) (granted lease.Lease, ok bool, err error) {
 	err = c.call(ctx, func() {
 		index, now := c.cluster.nextEntry()
-		g, ok = c.cluster.leases.Apply(lease.Command{Name: d, Holder: c.holder, Duration: term, Now: now, RaftTerm: 1}, index, 1)
+		command := lease.Command{Name: name, Holder: c.holder, Duration: term, Now: now, RaftTerm: raftTerm}
+		granted, ok = c.cluster.leases.Apply(command, index, raftEpoch)
 	})
-	return g, ok && err == nil, err
+	return granted, ok && err == nil, err
 }
 
-// Release is documented with shared.Asker.
-func (c *Client) Release(ctx context.Context, d lease.Name) error {
+// Release implements replication.LeaseClient.
+func (c *Client) Release(ctx context.Context, name lease.Name) error {
 	return c.call(ctx, func() {
 		index, now := c.cluster.nextEntry()
-		c.cluster.leases.Apply(lease.Command{Release: true, Name: d, Holder: c.holder, Now: now, RaftTerm: 1}, index, 1)
+		command := lease.Command{Release: true, Name: name, Holder: c.holder, Now: now, RaftTerm: raftTerm}
+		c.cluster.leases.Apply(command, index, raftEpoch)
 	})
 }
 
-// View is a pooler's copy, which follows the register at once while it is not cut off or delayed.
+// View is a pooler's replica, which follows the cluster at once while it is neither partitioned nor delayed. It implements
+// replication.View, and is safe for concurrent use.
 type View struct {
 	*replication.Replica
 	cluster *Cluster
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	partitioned bool
-	delay       time.Duration
+	delay       time.Duration // from a change until the replica has it
 }
 
 var _ replication.View = (*View)(nil)
 
-// View is a new copy that holds what the register holds.
-func (r *Cluster) View() *View {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	v := &View{Replica: replication.NewReplica(r.documents.Snapshot()), cluster: r}
-	r.views = append(r.views, v)
-	return v
+// View returns a replica that has what the cluster has.
+func (c *Cluster) View() *View {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	view := &View{Replica: replication.NewReplica(c.documents.Snapshot()), cluster: c}
+	c.views = append(c.views, view)
+	return view
 }
 
-// Restart is a copy as a pooler has it that starts from its disk while it is cut off: what v held, and not confirmed. v follows
-// no longer.
+// Restart returns the view of a pooler that restarts from its disk while it is partitioned: it has the documents that v has, and is
+// not confirmed. v is partitioned from then on.
 func (v *View) Restart() *View {
 	v.SetPartitioned(true)
 	v.cluster.mu.Lock()
 	defer v.cluster.mu.Unlock()
-	next := &View{Replica: replication.NewReplica(v.Snapshot()), cluster: v.cluster, partitioned: true}
-	v.cluster.views = append(v.cluster.views, next)
-	return next
+	restarted := &View{Replica: replication.NewReplica(v.Snapshot()), cluster: v.cluster, partitioned: true}
+	v.cluster.views = append(v.cluster.views, restarted)
+	return restarted
 }
 
-// SetPartitioned cuts the copy off, so that it grows old, or heals that: it then holds what the register holds.
-func (v *View) SetPartitioned(cut bool) {
-	v.ConfirmedAt() // as of now, before the cut
+// SetPartitioned cuts the view off, so that it grows old, or heals that: it then has what the cluster has.
+func (v *View) SetPartitioned(partitioned bool) {
+	v.ConfirmedAt() // confirms the replica as of now, before the cut
 	v.mu.Lock()
-	v.partitioned = cut
+	v.partitioned = partitioned
 	v.mu.Unlock()
-	if !cut {
-		v.cluster.mu.Lock()
-		state := v.cluster.documents.Snapshot()
-		v.cluster.mu.Unlock()
-		v.Install(state)
-		v.ConfirmedAt()
+	if partitioned {
+		return
 	}
+	v.cluster.mu.Lock()
+	snapshot := v.cluster.documents.Snapshot()
+	v.cluster.mu.Unlock()
+	v.Install(snapshot)
+	v.ConfirmedAt()
 }
 
-// SetDelay has each change come so much later.
-func (v *View) SetDelay(d time.Duration) {
+// SetDelay sets how much later than the cluster the view has each later change.
+func (v *View) SetDelay(delay time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.delay = d
-}
-
-// distribute gives all copies what the register holds. The caller has the lock.
-func (r *Cluster) distribute() {
-	state := r.documents.Snapshot()
-	for _, v := range r.views {
-		v.mu.Lock()
-		cut, delay := v.partitioned, v.delay
-		v.mu.Unlock()
-		switch {
-		case cut:
-		case delay == 0:
-			v.Install(state)
-		default:
-			time.AfterFunc(delay, func() {
-				v.mu.Lock()
-				cut := v.partitioned
-				v.mu.Unlock()
-				if !cut {
-					v.Install(state)
-				}
-			})
-		}
+	v.delay = delay
+}
+
+// link returns whether the view is partitioned, and its delay.
+func (v *View) link() (partitioned bool, delay time.Duration) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.partitioned, v.delay
+}
+
+// receive installs a snapshot after the view's delay, unless the view is partitioned now or then.
+func (v *View) receive(snapshot replication.Snapshot) {
+	partitioned, delay := v.link()
+	switch {
+	case partitioned:
+	case delay == 0:
+		v.Install(snapshot)
+	default:
+		time.AfterFunc(delay, func() {
+			if partitioned, _ := v.link(); !partitioned {
+				v.Install(snapshot)
+			}
+		})
 	}
 }
 
-// ConfirmedAt is documented with shared.View: of a copy that is not cut off, now, less its delay.
+// ConfirmedAt implements replication.View: a view that is not partitioned is confirmed as of now, less its delay.
 func (v *View) ConfirmedAt() time.Time {
-	v.mu.Lock()
-	cut, delay := v.partitioned, v.delay
-	v.mu.Unlock()
-	if !cut {
+	partitioned, delay := v.link()
+	if !partitioned {
 		v.Confirm(v.Version(), time.Now().Add(-delay))
 	}
 	return v.Replica.ConfirmedAt()
