--- a/internal/fleet/replication/announcement.go
+++ b/internal/fleet/replication/announcement.go
@@ -27,28 +27,37 @@
 // each, so that a lost datagram is made up for by the next. It is not safe for concurrent use.
 type announcer struct {
 	interval    time.Duration // between heartbeats
-	heartbeatAt time.Time     // the last heartbeat
-	announced   []Snapshot    // of the last two heartbeats at most, the older first
+	heartbeatAt time.Time     // the last heartbeat; the zero time: there was none
+	last        Snapshot      // at the last heartbeat
+	base        Snapshot      // at the heartbeat before the last, from which deltas are made
 }
 
 // next returns the announcement of a version that was the newest at an instant. current is the replica's snapshot, which is of the
 // log, and may be newer than what is confirmed.
 func (a *announcer) next(version uint64, confirmedAt time.Time, current Snapshot) announcement {
 	next := announcement{Version: version, ConfirmedAtUnixNano: confirmedAt.UnixNano()}
-	if len(a.announced) > 0 {
-		if delta, ok := diffSnapshots(a.announced[0], current); ok {
+	if !a.heartbeatAt.IsZero() {
+		if delta, ok := diffSnapshots(a.base, current); ok {
 			next.Delta = &delta
 		}
 	}
 	if time.Since(a.heartbeatAt) >= a.interval {
-		a.heartbeatAt = time.Now()
-		last := a.announced[max(len(a.announced)-1, 0):]
-		a.announced = append(last, current)
+		a.recordHeartbeat(current)
 	}
 	next.Age = time.Since(confirmedAt)
 	return next
 }
 
+// recordHeartbeat makes current the snapshot of the last heartbeat.
+func (a *announcer) recordHeartbeat(current Snapshot) {
+	a.base = a.last
+	if a.heartbeatAt.IsZero() {
+		a.base = current
+	}
+	a.last = current
+	a.heartbeatAt = time.Now()
+}
+
 // confirmedVersion is a version that was the newest in the log at an instant of this process's clock.
 type confirmedVersion struct {
 	version     uint64
--- a/internal/fleet/replication/table_test.go
+++ b/internal/fleet/replication/table_test.go
@@ -106,16 +106,19 @@
 	if err := put("", 1); !errors.Is(err, replication.ErrTooLarge) {
 		t.Error(err)
 	}
-	n := 0
-	for ; put(fmt.Sprint(n), replication.MaxDocumentSize) == nil; n++ {
+	countFitting := func(bytes int) int {
+		n := 0
+		for put(fmt.Sprint(n), bytes) == nil {
+			n++
+		}
+		return n
 	}
-	if n != replication.MaxTotalSize/replication.MaxDocumentSize-1 { // the keys take some of the last document's bytes
+	// The keys take some of the last document's bytes.
+	if n := countFitting(replication.MaxDocumentSize); n != replication.MaxTotalSize/replication.MaxDocumentSize-1 {
 		t.Errorf("%d largest documents fit", n)
 	}
 	table = replication.DocumentTable{}
-	for n = 0; put(fmt.Sprint(n), 1) == nil; n++ {
-	}
-	if n != replication.MaxDocuments {
+	if n := countFitting(1); n != replication.MaxDocuments {
 		t.Errorf("%d documents fit", n)
 	}
 }
