--- /dev/null
+++ b/internal/fleet/audit/golden_test.go
@@ -0,0 +1,38 @@
+package audit
+
+import (
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"threadsail/internal/fleet/goldentest"
+)
+
+// A journal is read by later builds, and by those who compare the journals of a whole fleet: its frames, tags and acts stay.
+func TestStoredJournal(t *testing.T) {
+	full := goldentest.Filled[Record](t)
+	goldentest.JSON(t, "record.json", full)
+	records := []Record{full, {At: 5, Instance: "pooler-1/1-2", Build: "1.4", Config: "c0ffee", Revision: 3, Act: Started}}
+	var journal []byte
+	for _, r := range records {
+		var err error
+		if journal, err = Append(journal, r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	read, problems := Parse("journal", goldentest.Bytes(t, "journal", journal))
+	if d := cmp.Diff(records, read); d != "" || len(problems) > 0 {
+		t.Errorf("%s %v", d, problems)
+	}
+}
+
+func TestActs(t *testing.T) {
+	names := map[string]string{}
+	for want, act := range map[string]Act{"started": Started, "ended": Ended, "primary-taken": PrimaryTaken, "primary-left": PrimaryLeft,
+		"list-taken": ListTaken, "config-taken": ConfigTaken, "lease-held": LeaseHeld, "lease-lost": LeaseLost, "handed-on": HandedOn,
+		"shut-out": ShutOut, "brought-up": BroughtUp, "refused": Refused, "verdict-begun": VerdictBegun, "verdict-ended": VerdictEnded,
+		"purged": Purged, "unkept": Unkept, "kept": Kept, "dropped": Dropped, "limits-dealt": LimitsDealt} {
+		names[want] = string(act)
+	}
+	goldentest.Names(t, names)
+}
--- /dev/null
+++ b/internal/fleet/peers/golden_test.go
@@ -0,0 +1,29 @@
+package peers
+
+import (
+	"testing"
+
+	"threadsail/internal/fleet/goldentest"
+)
+
+func TestMessageForms(t *testing.T) {
+	full := goldentest.Filled[Meta](t)
+	goldentest.JSON(t, "meta.json", full)
+	member := &Peers{meta: full}
+	goldentest.Bytes(t, "meta.json", append((*delegate)(member).NodeMeta(512), '\n'))
+
+	text, err := seal("pooler-1", "quota/ask", []byte(`{"number":3}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	from, topic, body, err := open(goldentest.Bytes(t, "bus_message", text))
+	if err != nil || from != "pooler-1" || topic != "quota/ask" || string(body) != `{"number":3}` {
+		t.Errorf("got %q, %q, %q, %v", from, topic, body, err)
+	}
+}
+
+// What a message of the list duty is counted as hangs on the first bytes of its JSON.
+func TestMessageKinds(t *testing.T) {
+	goldentest.Names(t, map[string]string{"duty/word": dutyKinds[`{"kind":"word"`], "duty/want": dutyKinds[`{"kind":"want"`],
+		"duty/list": dutyKinds[`{"kind":"list"`], "duty/lost": dutyKinds[`{"kind":"lost"`], "duty/found": dutyKinds[`{"kind":"found"`]})
+}
--- /dev/null
+++ b/internal/fleet/purge/golden_test.go
@@ -0,0 +1,47 @@
+package purge
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"threadsail/internal/fleet/calendar"
+	"threadsail/internal/fleet/goldentest"
+)
+
+func TestStoredForms(t *testing.T) {
+	plan, was := goldentest.Filled[Plan](t), goldentest.Filled[Plan](t)
+	plan.Was = &was
+	goldentest.JSON(t, "plan.json", plan)
+	goldentest.JSON(t, "order.json", goldentest.Filled[Order](t))
+}
+
+func TestMessageForms(t *testing.T) {
+	goldentest.JSON(t, "reading.json", goldentest.Filled[reading](t))
+}
+
+func TestNames(t *testing.T) {
+	goldentest.Names(t, map[string]string{"purge/": prefix, "purge/plan": planKey, "purge/order/": orderPrefix, "purges": string(duty), "purge/time": timeTopic})
+}
+
+// A purge's name is what tells, in the journals and over restarts, that it has been carried out already.
+func TestEventNames(t *testing.T) {
+	at := time.Date(2026, time.December, 2, 12, 0, 0, 0, time.UTC)
+	book := calendar.Book{Calendars: map[string]calendar.Calendar{"hall": {Close: map[string]string{"wednesday": "20:00", "thursday": "25:30:15"}}},
+		Sites: map[string]calendar.Site{"berlin": {Zone: "UTC", Calendar: "hall"}}}
+	zones, err := digests(book, at.UnixNano())
+	if err != nil {
+		t.Fatal(err)
+	}
+	timetable, err := newTimetable("berlin", &Plan{Revision: 7, At: at.UnixNano(), Book: book, Zones: zones}, []Order{{Name: "by-hand", At: at.Add(time.Hour).UnixNano()}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	for _, e := range timetable.Between(at.UnixNano()-1, at.Add(48*time.Hour).UnixNano()) {
+		got = append(got, e.ID)
+	}
+	if want := []string{"plan 7", "order by-hand", "close berlin 2026-12-02 20:00", "close berlin 2026-12-03 25:30:15"}; !slices.Equal(got, want) {
+		t.Errorf("got %q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/internal/fleet/quota/golden_test.go
@@ -0,0 +1,35 @@
+package quota
+
+import (
+	"encoding/json"
+	"testing"
+
+	"threadsail/internal/config"
+	"threadsail/internal/fleet/goldentest"
+)
+
+func TestMessageForms(t *testing.T) {
+	goldentest.JSON(t, "ask.json", goldentest.Filled[Ask](t))
+	goldentest.JSON(t, "grant.json", goldentest.Filled[Grant](t))
+}
+
+func TestNames(t *testing.T) {
+	goldentest.Names(t, map[string]string{"quota": string(Duty), "limits/set": Document, "quota/holder": topicHolder, "quota/ask": topicAsk,
+		"quota/grant": topicGrant, "requests": config.LimitRequests, "connections": config.LimitConnections, "cold": config.LimitCold,
+		"probes": config.LimitProbes})
+}
+
+// The set of limits is a document that any build of the fleet may have written.
+func TestStoredLimits(t *testing.T) {
+	set := config.Limits{Revision: 3, List: []config.Limit{{Name: "writes", On: config.LimitRequests, Class: "write", Tenants: true, Rate: 250.5,
+		Burst: 20, Reserve: 0.5}}}
+	goldentest.JSON(t, "limits.json", set)
+	text, err := json.Marshal(set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	read, err := config.ParseLimits(goldentest.Bytes(t, "limits.json", append(text, '\n')))
+	if err != nil || read.Revision != 3 || len(read.List) != 1 || read.List[0] != set.List[0] {
+		t.Errorf("got %+v, %v, want %+v", read, err, set)
+	}
+}
