--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -10,7 +10,7 @@
 
 // HandleRequest takes in a client's request: it is sent, queued, or given its final answer.
 func (r *Router) HandleRequest(now time.Duration, in Request) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	if in.Class < 0 || in.Class >= len(r.settings.Classes) {
 		r.actions.Fail(in.ID)
 		return
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -20,7 +20,7 @@
 
 // HandleList takes in the endpoint list, or that it could not be read.
 func (r *Router) HandleList(now time.Duration, kind ListKind, entries []Member) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	if kind == ListFailed { // the old list stays in force
 		r.scheduleListPoll(r.jitter(r.pace.listRetryDelay))
 		return
--- a/internal/policy/large_fleet_test.go
+++ b/internal/policy/large_fleet_test.go
@@ -423,7 +423,7 @@
 		f.endAttempt(2, 0, OK, RoleReplica)
 		s.window.size, s.latency.ratio, f.router.overall.latencyRatio = 0.1, 1, c.slow
 		for _, wait := range []time.Duration{c.next - 10*ms, c.next} {
-			f.router.clock.advance(s.outstanding.lastEndedAt + wait)
+			f.router.advanceClock(s.outstanding.lastEndedAt + wait)
 			if got, want := f.router.hasCapacity(s, c.class), wait >= c.next || c.next == 0; got != want {
 				t.Errorf("%+v: room after %v is %v", c, wait, got)
 			}
@@ -454,7 +454,7 @@
 		f := newHostWithPrimary(t, withPoolers(80))
 		f.advanceTo(startTime + 10*time.Second)
 		s := f.server(2)
-		f.router.clock.advance(f.now)
+		f.router.advanceClock(f.now)
 		s.health.lastAnswerAt = f.now - heard
 		for range 20 {
 			f.router.observeLatency(s, &attempt{server: s, sentAt: f.now - 500*ms, request: &request{}}, false)
--- a/internal/policy/outlier_detection.go
+++ b/internal/policy/outlier_detection.go
@@ -88,7 +88,7 @@
 // longer do. It is ejected until a trial is served or they change their mind, unless it has just
 // answered here, or no other member of its group may be used.
 func (r *Router) ObserveFleetEjection(now time.Duration, id uint32, ejected bool) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	s := r.servers.byID[id]
 	if s == nil {
 		return
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -166,7 +166,7 @@
 // primary, as of a time, or none yet. It is evidence like an answer's, and newer evidence of this
 // pooler outweighs it.
 func (r *Router) ObservePrimary(now time.Duration, group int, id uint32, found bool, asOf time.Duration) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	if s := r.servers.byID[id]; found && s != nil && s.Group == group {
 		r.observePrimaryClaim(s, asOf)
 		return
@@ -180,7 +180,7 @@
 // repeats rounds for all starts one at once, but not before a round would be repeated anyway: its
 // own pings may notice seconds later only.
 func (r *Router) ReportPrimaryDown(now time.Duration, group int) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	g := r.groups[group]
 	if g != nil && r.roundLeader && r.now >= g.round.startedAt+roundInterval {
 		r.startRound(g)
--- a/internal/policy/probe_rounds.go
+++ b/internal/policy/probe_rounds.go
@@ -123,7 +123,7 @@
 
 // HandleProbeResult takes in the end of a probe.
 func (r *Router) HandleProbeResult(now time.Duration, p ProbeResult) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	s := r.servers.byID[p.Server]
 	if s == nil {
 		return
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -21,16 +21,16 @@
 	attemptHistory
 	readFreshness
 
-	id          uint32
+	id                 uint32
+	queued             bool // it stands in its group's queue
+	finished           bool // it has its final answer, or nobody waits for one
+	clientDisconnected bool // its client has left, or cancelled it
+
 	session     uint64
 	group       *group
 	class       *Class
 	classIndex  int
 	maxAttempts int // as the settings had it when the request arrived
-
-	queued             bool // it stands in its group's queue
-	finished           bool // it has its final answer, or nobody waits for one
-	clientDisconnected bool // its client has left, or cancelled it
 }
 
 // requestTiming holds the times that a request is judged by: arrivedAt, lastUsefulSendAt,
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -52,7 +52,7 @@
 // It may not once the grace period of its server or the window of its key is over, or the server's
 // proven position is too old for the read.
 func (r *Router) MayStillSend(now time.Duration, id uint32, attempt int) bool {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	q := r.requests[id]
 	if q == nil || attempt < 0 || attempt >= len(q.attempts) {
 		return false
@@ -66,7 +66,7 @@
 
 // HandleOutcome takes in the end of an attempt.
 func (r *Router) HandleOutcome(now time.Duration, o Outcome) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	a := r.finishAttempt(o)
 	if a == nil {
 		return
@@ -161,7 +161,7 @@
 // HandleDisconnect takes in that a client has left or cancelled its request. Its attempts are
 // cancelled: they must not stand in a server's queue when nobody waits for them.
 func (r *Router) HandleDisconnect(now time.Duration, id uint32) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	q := r.requests[id]
 	if q == nil {
 		return
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -92,7 +92,7 @@
 		return fmt.Errorf("policy: update settings: %d classes, where there are %d",
 			len(settings.Classes), len(r.settings.Classes))
 	}
-	r.clock.advance(now)
+	r.advanceClock(now)
 	oldPace := r.pace
 	oldGrace := r.settings.DrainGracePeriod
 	if settings.TrackSessions && !r.settings.TrackSessions {
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -557,7 +557,7 @@
 			s := f.server(1)
 			f.now += windowCutInterval
 			s.latency.ratio, s.latency.measuredAt = 3, f.now
-			f.router.clock.advance(f.now)
+			f.router.advanceClock(f.now)
 			f.router.adjustWindow(s)
 		}
 		f.sendRequest(2, classLatest)
@@ -840,7 +840,7 @@
 	if f.router.hasCapacity(s, classNotIdempotent) {
 		t.Fatal("a full window has room")
 	}
-	f.router.clock.advance(f.now + ms)
+	f.router.advanceClock(f.now + ms)
 	f.router.eject(s, "is silent")
 	if !f.router.hasCapacity(s, classNotIdempotent) {
 		t.Error("no room for a trial beside the attempt that hangs")
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -189,7 +189,7 @@
 			f.router.observeHealth(&attempt{server: s, request: &request{}}, ConnectFailed)
 		}
 		f.advanceTo(f.now + away)
-		f.router.clock.advance(f.now)
+		f.router.advanceClock(f.now)
 		f.router.observeHealth(&attempt{server: s, sentAt: f.now, request: &request{}}, OK)
 	}
 	const never = -time.Hour
--- a/internal/policy/timers.go
+++ b/internal/policy/timers.go
@@ -12,7 +12,7 @@
 	startedAt time.Duration // a second before the first event, so that no rate is taken over an empty span
 }
 
-func (c *clock) advance(now time.Duration) {
+func (c *clock) advanceClock(now time.Duration) {
 	if c.now == 0 {
 		c.startedAt = now - time.Second
 	}
@@ -99,7 +99,7 @@
 
 // HandleTimer runs all that is due. The host calls it once for each Actions.SetTimer.
 func (r *Router) HandleTimer(now time.Duration) {
-	r.clock.advance(now)
+	r.advanceClock(now)
 	// A host may round: a timer that fires up to a microsecond early has still fired.
 	if r.timers.armedFor <= r.now+time.Microsecond {
 		r.timers.armedFor = 0
