--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -2,76 +2,12 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
 
-func newMember(s uint32, state MemberState, weight int) Member {
-	return Member{ID: s, Group: 7, State: state, ReadWeight: weight}
-}
-
-// Reads by turns follow the weights, also while some are under way; a member of weight 0 gets none, and those that a read
-// can't use lose their turns to the others by weight.
-func TestReadsByWeight(t *testing.T) {
-	for name, c := range map[string]struct {
-		weights map[uint32]int
-		stale   uint32 // a replica that is too far behind
-		open    int    // reads under way
-		want    map[uint32]float64
-	}{
-		"1:2:5":              {map[uint32]int{2: 1, 3: 2, 4: 5}, 0, 0, map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8}},
-		"1:2:5, under way":   {map[uint32]int{2: 1, 3: 2, 4: 5}, 0, 3, map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8}},
-		"none for one":       {map[uint32]int{2: NoReads, 3: 2, 4: 2}, 0, 2, map[uint32]float64{3: 1. / 2, 4: 1. / 2}},
-		"none for all":       {map[uint32]int{2: NoReads, 3: NoReads, 4: NoReads}, 0, 0, map[uint32]float64{1: 1}},
-		"the heaviest stale": {map[uint32]int{2: 1, 3: 2, 4: 5}, 4, 0, map[uint32]float64{2: 1. / 3, 3: 2. / 3}},
-	} {
-		t.Run(name, func(t *testing.T) {
-			f := newHostWithPrimary(t, nil)
-			var list []Member
-			for s := uint32(1); s <= 4; s++ {
-				list = append(list, newMember(s, Ready, c.weights[s]))
-			}
-			f.router.HandleList(f.now, ListFull, list)
-			const reads = 2000
-			count := map[uint32]int{}
-			for id := uint32(10); id < 10+reads; id++ {
-				f.advanceTo(f.now + 10*ms)
-				for s := uint32(1); s <= 4; s++ {
-					pos := f.now
-					if s == c.stale {
-						pos -= time.Hour
-					}
-					f.probeAnswered(s, s == 1, pos)
-				}
-				f.sendRequest(id, classBounded)
-				if len(f.attempts[id]) != 1 {
-					t.Fatalf("read %d is sent %v", id, f.attempts[id])
-				}
-				count[f.attempts[id][0]]++
-				if done := id - uint32(c.open); done >= 10 {
-					f.endAttempt(done, 0, OK, RoleUnknown)
-				}
-			}
-			for s := uint32(1); s <= 4; s++ {
-				if got := float64(count[s]) / reads; got < 0.95*c.want[s] || got > 1.05*c.want[s] {
-					t.Errorf("reads by store %v, want shares %v", count, c.want)
-				}
-			}
-		})
-	}
-}
-
-// A member of weight 0 is as fit for primary as any.
-func TestNoReadsYetPrimary(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.router.HandleList(f.now, ListDelta, []Member{newMember(2, Ready, NoReads)})
-	f.probeAnswered(1, false, f.now)
-	f.advanceTo(f.now + 200*ms)
-	f.probeAnswered(2, true, f.now)
-	f.sendRequest(2, classByKey)
-	f.wantAction("attempt 2 2")
-}
-
 // The recorded primary leaves the list. It gets nothing after the grace; what is under way there ends as it would; writes
 // wait for a member that says it is primary, and try out no other one, however long that lasts.
 func TestPrimaryLeavesTheList(t *testing.T) {
@@ -118,20 +54,115 @@
 	}
 }
 
-// A client that cancels its request, or leaves, says nothing of the server: neither its speed nor its failures move, and no
-// retry is spent, however long the attempt was out.
-func TestClientsCancelSaysNothing(t *testing.T) {
+// Eighty fronts that start at once, and whose calls of the list service all fail after 2 s: what the service gets in any second
+// is near what it can bear, and each front is back in time. A small fleet asks at once.
+func TestListPollsAreSpread(t *testing.T) {
+	seeds := rand.New(rand.NewPCG(1, 2))
+	for _, c := range []struct{ fronts, inASecond int }{{1, 1}, {80, 36}} { // twice the even rate for first calls, half as many more by chance
+		var calls []time.Duration
+		for me := range c.fronts {
+			f := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
+			set := testSettings()
+			set.Poolers, set.PoolerIndex, set.PollList, set.MaxPollInterval = c.fronts, me, true, 10*time.Second
+			f.router, _ = New(set, seeds.Uint64(), f)
+			f.router.HandleList(f.now, ListCached, memberList(3, 1))
+			called := startTime - 10*time.Second
+			for f.now < startTime+20*time.Second {
+				f.actions = nil
+				f.advanceTo(f.now + 10*ms)
+				if f.hasAction("watch") {
+					if f.now > called+20*time.Second {
+						t.Fatalf("front %d: no call for %v", me, f.now-called)
+					}
+					calls, called = append(calls, f.now), f.now
+					f.advanceTo(f.now + 2*time.Second)
+					f.router.HandleList(f.now, ListFailed, nil)
+				}
+			}
+		}
+		slices.Sort(calls)
+		most := 0
+		for i, at := range calls {
+			n, _ := slices.BinarySearch(calls, at+time.Second)
+			most = max(most, n-i)
+		}
+		if most > c.inASecond {
+			t.Errorf("%d fronts: %d calls in a second, want %d at most", c.fronts, most, c.inASecond)
+		}
+	}
+}
+
+// A send that takes longer than the margin must be chosen so much earlier in a drain's grace.
+func TestSendDuration(t *testing.T) {
+	for _, c := range []struct{ takes, before time.Duration }{{0, sendMargin}, {20 * ms, sendMargin}, {180 * ms, 180 * ms}} {
+		f := newHostWithPrimary(t, nil)
+		f.router.SetSendDuration(c.takes)
+		f.router.HandleList(f.now, ListDelta, []Member{{ID: 1, Group: 7, State: Draining}})
+		edge := startTime + 500*ms - c.before - 5*ms
+		f.advanceTo(edge - ms)
+		f.sendRequest(10, classNotIdempotent)
+		f.wantAction("attempt 10 1")
+		f.advanceTo(edge)
+		f.sendRequest(11, classNotIdempotent)
+		f.wantNoAction("attempt 11 1")
+		if f.router.MayStillSend(f.now, 10, 0) {
+			t.Errorf("sends take %v: one still fits %v before the grace ends", c.takes, c.before)
+		}
+	}
+}
+
+func TestDrainGracePeriod(t *testing.T) {
 	f := newHostWithPrimary(t, nil)
-	f.sendRequest(2, classByKey)
-	f.wantAction("attempt 2 1")
-	s := f.server(1)
-	slow, all, fails, retry, mean := s.latency.ratio, f.router.overall.latencyRatio, s.ejection.failureRate, f.router.retryBudget, f.router.estimates.classes[classByKey].meanLatency
-	f.advanceTo(f.now + 1200*ms)
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 1, Group: 7, State: Draining}, {ID: 2, Group: 7, State: Draining}})
+	for id := uint32(2); id < 6; id++ {
+		f.sendRequest(id, classAny)
+		if s := f.attempts[id]; len(s) > 0 && s[0] != 3 {
+			t.Fatalf("a read went to draining store %d", s[0])
+		}
+	}
+	edge := startTime + 500*ms - sendMargin - 5*ms
+	f.advanceTo(edge - ms)
+	f.probeAnswered(1, true, f.now)
+	f.sendRequest(10, classNotIdempotent)
+	f.wantAction("attempt 10 1")
+	f.advanceTo(edge + ms)
 	f.probeAnswered(1, true, f.now)
-	f.router.HandleDisconnect(f.now, 2)
-	f.wantAction("cancel 2 0")
-	f.endAttempt(2, 0, Cancelled, RoleUnknown)
-	if s.latency.ratio != slow || f.router.overall.latencyRatio != all || s.ejection.failureRate != fails || f.router.retryBudget != retry || f.router.estimates.classes[classByKey].meanLatency != mean || s.ejection.ejected {
-		t.Errorf("slowness %v and %v, failures %v, retries %v, mean %v", s.latency.ratio, f.router.overall.latencyRatio, s.ejection.failureRate, f.router.retryBudget, f.router.estimates.classes[classByKey].meanLatency)
+	f.sendRequest(11, classNotIdempotent)
+	f.advanceTo(startTime + 1500*ms)
+	f.wantNoAction("attempt 11 1")
+}
+
+func TestFailedListIsPolledAgain(t *testing.T) {
+	f := newHost(t, func(s *Settings) { s.PollList, s.MaxPollInterval = true, 6*time.Second })
+	f.advanceTo(startTime + ms)
+	f.wantAction("watch")
+	last := f.now
+	for i := 0; i < 6; i++ {
+		f.actions = nil
+		f.router.HandleList(f.now, ListFailed, nil)
+		for !f.hasAction("watch") && f.now < last+10*time.Second {
+			f.advanceTo(f.now + 10*ms)
+		}
+		if f.now-last > 3*time.Second+20*ms {
+			t.Fatalf("asked again only after %v", f.now-last)
+		}
+		last = f.now
+	}
+	if len(f.router.groups[7].members) != 3 {
+		t.Fatal("the old list was not kept")
+	}
+}
+
+// A store that has left must be forgotten, or a long life holds every store there ever was. One that comes back within
+// that time keeps its state.
+func TestRemovedServerIsForgotten(t *testing.T) {
+	f := newHost(t, nil)
+	gone := []Member{{ID: 2, Group: 7, State: Removed}, {ID: 3, Group: 7, State: Removed}}
+	f.router.HandleList(f.now, ListDelta, gone)
+	f.advanceTo(f.now + removedServerRetention/2)
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 3, Group: 7, State: Ready}})
+	f.advanceTo(f.now + removedServerRetention)
+	if len(f.router.servers.byID) != 2 || len(f.router.servers.ordered) != 2 || f.server(2) != nil {
+		t.Errorf("%d stores are known, want 1 and 3", len(f.router.servers.byID))
 	}
 }
--- /dev/null
+++ b/internal/policy/settings_test.go
@@ -0,0 +1,28 @@
+package policy
+
+import (
+	"strings"
+	"testing"
+)
+
+func TestValidateNamesTheField(t *testing.T) {
+	for _, c := range []struct {
+		change func(*Settings)
+		want   string
+	}{
+		{func(s *Settings) { s.EventInterval = -1 }, "EventInterval is -1ns"},
+		{func(s *Settings) { s.SlowStartCapacity = 1.5 }, "SlowStartCapacity is 1.5"},
+		{func(s *Settings) { s.Poolers = -2 }, "Poolers is -2"},
+		{func(s *Settings) { s.Classes[0].Access = 77 }, "Access 77"},
+		{func(s *Settings) { s.Classes[0].LatencyObjective = -ms }, "LatencyObjective -1ms"},
+	} {
+		s := testSettings()
+		c.change(&s)
+		if _, err := New(s, 1, &fakeHost{}); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("error %v, want one with %q", err, c.want)
+		}
+	}
+	if _, err := New(Settings{}, 1, &fakeHost{}); err != nil {
+		t.Errorf("empty settings: %v", err)
+	}
+}
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -10,6 +10,94 @@
 	"time"
 )
 
+// The fronts of a large fleet do not save up for the same moment, nor all wait until a cold store is warm.
+func TestSlowStartSlotsAreSpread(t *testing.T) {
+	early, sends := 0, 0
+	const fronts = 100
+	for seed := uint64(1); seed <= fronts; seed++ {
+		f := newHostWithPrimary(t, func(s *Settings) { s.Poolers, s.PoolerIndex = fronts, int(seed-1) })
+		f.router.HandleList(f.now, ListDelta, []Member{{ID: 2, Group: 7, State: Ready, StartedAt: f.now},
+			{ID: 3, Group: 7, State: Draining}, {ID: 1, Group: 7, State: Draining}})
+		for id := uint32(10); f.now < startTime+4*time.Second; id++ {
+			f.sendRequest(id, classAny)
+			f.advanceTo(f.now + 50*ms)
+			for n, s := range f.attempts[id] {
+				if s == 2 {
+					sends++
+					if f.now < startTime+2*time.Second {
+						early++
+					}
+				}
+				f.endAttempt(id, n, OK, RoleReplica)
+			}
+		}
+	}
+	// 0.2 to 0.52 of capacity, doubled, on two cores, in 4 s, at 125 ms each: 46 in all.
+	if sends < 10 || sends > 46 || early < 2 {
+		t.Errorf("%d sends, %d of them in the first half; want 10 to 46, and some early", sends, early)
+	}
+}
+
+// A cold replica is sent reads by the fronts whose turn it is as soon as their homes are slow, wherever it stands among the
+// others, and no more than one a turn; an idle home keeps its reads.
+func TestSlowStartServerRelievesSlowHome(t *testing.T) {
+	calm := 0
+	for _, slow := range []float64{1, 3} {
+		cold := 0
+		for me := range 80 {
+			f := newHost(t, func(s *Settings) { s.Poolers, s.PoolerIndex = 80, me })
+			list := memberList(5, 1)
+			list[4].StartedAt = f.now
+			f.router.HandleList(f.now, ListFull, list)
+			f.advanceTo(f.now + 5*time.Second)
+			home, one := f.router.rankedReplicas(f.router.groups[7])[0].ID, 0
+			for id := uint32(10); id < 30; id++ {
+				for _, s := range f.router.servers.ordered[:4] {
+					s.latency.ratio, s.latency.measuredAt, s.window.size = slow, f.now, 1
+				}
+				f.sendRequest(id, classAny)
+				if f.attempts[id][0] == 5 {
+					one++
+				}
+				f.endAttempt(id, 0, OK, RoleReplica)
+				clearWarmLoad(f.router)
+			}
+			if one > 1 || one > 0 && home != 5 && slow == 1 {
+				t.Errorf("slowness %v: front %d, whose home is %d, sends %d of 20 reads to the cold one", slow, me, home, one)
+			}
+			cold += one
+		}
+		if slow == 1 {
+			calm = cold
+		} else if cold < 2*calm || cold > 24 { // twice 0.6 of two cores for a second, at 100 ms a read
+			t.Errorf("%d of 80 fronts send to the cold replica in a jam, %d in a calm", cold, calm)
+		}
+	}
+}
+
+func TestSlowStartBudget(t *testing.T) {
+	f := newHost(t, func(s *Settings) { s.Classes[classAny].LatencyObjective = 400 * ms })
+	f.router.HandleList(f.now, ListDelta, []Member{{ID: 2, Group: 7, State: Removed}, {ID: 3, Group: 7, State: Removed},
+		{ID: 4, Group: 7, State: Ready, StartedAt: f.now}})
+	f.sendRequest(1, classNotIdempotent)
+	f.probeAnswered(1, true, f.now)
+	sent := 0
+	for f.now < startTime+time.Second {
+		f.advanceTo(f.now + 5*ms)
+		id := uint32(f.now / ms)
+		f.sendRequest(id, classAny)
+		if len(f.attempts[id]) == 1 && f.attempts[id][0] == 4 {
+			sent++
+			f.endAttempt(id, 0, OK, RoleReplica)
+		}
+	}
+	// The front's half of 2 x 0.2..0.28 of two cores for one second is at most 0.56 core seconds; answers
+	// take 100 ms each at first sight.
+	if sent == 0 || sent > 5 {
+		t.Fatalf("%d reads sent to the cold store in its first second, want 1 to 5", sent)
+	}
+}
+
 const (
 	warmGroup, coldGroup = 1, 2
 	warmServers          = 4
@@ -122,7 +210,7 @@
 // However many fronts there are, however uneven their traffic is and however long they have left a cold store alone: in no
 // span is it sent more than what the settings allow then, N, and a chance of 2 root N + 2. The warm stores are nearly full of
 // traffic, and hosts of the least size are among the sites.
-func TestColdStoreBearsAllFronts(t *testing.T) {
+func TestSlowStartBearsAllPoolers(t *testing.T) {
 	budapest := slowStartScenario{site: "budapest", warmUp: 20 * time.Second,
 		overloadFactor: 2.5, initialCapacity: 0.18, overloadInterval: time.Second, slowStartDuration: 18 * time.Second, serverCores: 3,
 		workPerClass: []time.Duration{120 * ms, 120 * ms}, objectives: []time.Duration{750 * ms, 500 * ms}}
@@ -170,7 +258,7 @@
 
 // Whatever tells of a start makes a store cold: the list, also where the store drains or had left it, and a return after a
 // silence or after refused connections of more than a break; and nothing makes it warm sooner than its latest start.
-func TestStartsMakeCold(t *testing.T) {
+func TestStartsBeginSlowStart(t *testing.T) {
 	list := func(f *fakeHost, state MemberState, started time.Duration) {
 		f.router.HandleList(f.now, ListDelta, []Member{{ID: 2, Group: 7, State: state, StartedAt: started}})
 	}
