--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -1,68 +1,71 @@
 package policy
 
 import (
-	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
 
 func TestWritesQueueWithoutPrimary(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.advanceTo(startTime + 200*ms)
-	f.probedServers = nil
-	f.probeUnreachable(1)
-	if !reflect.DeepEqual(f.probedServers, []uint32{1, 2, 3}) {
-		t.Fatalf("a failed ping probed %v, want all members", f.probedServers)
+	host := newHostWithPrimary(t, nil)
+	host.advanceTo(startTime + 200*ms)
+	host.probedServers = nil
+	host.probeFailed(1, ConnectFailed)
+	if !slices.Equal(host.probedServers, []uint32{1, 2, 3}) {
+		t.Fatalf("a failed ping probed %v, want all members", host.probedServers)
 	}
-	f.sendRequest(2, classNotIdempotent)
-	f.advanceTo(f.now + 300*ms)
-	if len(f.attempts[2]) != 0 {
-		t.Fatalf("a write was sent without a primary: %v", f.actions)
+	host.sendRequest(2, classNotIdempotent)
+	host.advance(300 * ms)
+	if len(host.attempts[2]) != 0 {
+		t.Fatalf("a write was sent without a primary: %v", host.actions)
 	}
-	f.probeAnswered(3, true, f.now)
-	f.wantAction("attempt 2 3")
+	host.probeAnswered(3, true, host.now)
+	host.wantAction("attempt 2 3")
 }
 
 func TestQueuedWriteIsRejectedInTime(t *testing.T) {
-	f := newHost(t, nil)
-	f.sendRequest(1, classNotIdempotent)
-	f.advanceTo(startTime + 1980*ms)
-	f.wantNoAction("refuse 1")
-	f.advanceTo(startTime + 2*time.Second)
-	f.wantAction("refuse 1")
+	host := newHost(t, nil)
+	host.sendRequest(1, classNotIdempotent)
+	host.advanceTo(startTime + 1980*ms)
+	host.wantNoAction("reject 1")
+	host.advanceTo(startTime + 2*time.Second)
+	host.wantAction("reject 1")
 }
 
-// Held work goes newest first, and not at all once too little of its aim is left.
+// Requests are sent by what their answers are worth, and not at all once too little of their objective is left.
 func TestQueueOrderAndEnd(t *testing.T) {
-	f := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
-	f.sendRequest(1, classLatest)
-	f.advanceTo(startTime + 20*ms)
-	f.sendRequest(2, classLatest)
-	held := f.router.groups[7].queue.requests
-	if len(held) != 2 || held[0].id != 2 {
-		t.Fatalf("%d held, want request 2 before 1", len(held))
+	host := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
+	host.sendRequest(1, classLatest)
+	host.advanceTo(startTime + 20*ms)
+	host.sendRequest(2, classLatest)
+	queued := host.router.groups[testGroup].queue.requests
+	if len(queued) != 2 || queued[0].id != 2 {
+		t.Fatalf("%d requests are queued, want request 2 before 1", len(queued))
 	}
-	f.advanceTo(startTime + 500*ms)
-	f.wantAction("refuse 1")
-	f.wantAction("refuse 2")
+	host.advanceTo(startTime + 500*ms)
+	host.wantAction("reject 1")
+	host.wantAction("reject 2")
 }
 
-// While a group is without a primary, a write that can hardly live to see the next one is refused at half its time, so
-// that its client can come again; one with more time is held to its end, as the design has it.
+// While a group is without a primary, a write that will hardly see the next one is rejected at half its time, so that its
+// client can come again; one with more time is kept to its end.
 func TestFailoverTooLateEndsAtHalfTime(t *testing.T) {
-	f := newHostWithPrimary(t, func(s *Settings) { s.RetryAfterSupported, s.MaxRetryAfter = true, time.Second })
-	f.advanceTo(f.now + 100*ms)
-	f.router.eject(f.server(1), "fails")
-	f.probeUnreachable(1)
-	f.probeUnreachable(1)
-	f.probeAnswered(2, false, f.now)
-	f.probeAnswered(3, false, f.now)
-	f.router.HandleRequest(f.now, Request{ID: 2, Class: classNotIdempotent, Group: 7, Timeout: 600 * ms})
-	f.router.HandleRequest(f.now, Request{ID: 3, Class: classNotIdempotent, Group: 7, Timeout: 3 * time.Second})
-	f.advanceTo(f.now + 250*ms)
-	f.wantNoAction("refuse 2")
-	f.advanceTo(f.now + 60*ms)
-	f.wantAction("refuse 2")
-	f.advanceTo(f.now + 2600*ms)
-	f.wantNoAction("refuse 3")
+	host := newHostWithPrimary(t, func(s *Settings) {
+		s.RetryAfterSupported = true
+		s.MaxRetryAfter = time.Second
+	})
+	host.advance(100 * ms)
+	host.router.eject(host.server(1), "fails")
+	host.probeFailed(1, ConnectFailed)
+	host.probeFailed(1, ConnectFailed)
+	host.probeAnswered(2, false, host.now)
+	host.probeAnswered(3, false, host.now)
+	host.sendRequestWithin(2, classNotIdempotent, 600*ms)
+	host.sendRequestWithin(3, classNotIdempotent, 3*time.Second)
+	host.advance(250 * ms)
+	host.wantNoAction("reject 2")
+	host.advance(60 * ms)
+	host.wantAction("reject 2")
+	host.advance(2600 * ms)
+	host.wantNoAction("reject 3")
 }
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -5,11 +5,26 @@
 	"time"
 )
 
+// discardActions is a host that does nothing.
+type discardActions struct{}
+
+func (discardActions) Attempt(uint32, uint32, time.Duration) {}
+func (discardActions) Reject(uint32, time.Duration)          {}
+func (discardActions) Fail(uint32)                           {}
+func (discardActions) CancelAttempt(uint32, int)             {}
+func (discardActions) Probe(uint32)                          {}
+func (discardActions) SetTimer(time.Duration)                {}
+func (discardActions) CloseIdleConnections(uint32)           {}
+func (discardActions) WatchList()                            {}
+func (discardActions) PrimaryChanged(PrimaryEvent)           {}
+func (discardActions) Log(string)                            {}
+
+// newBenchmarkRouter returns a Router of a fleet of 400 poolers and a list of 10 groups of 6 servers.
 func newBenchmarkRouter(b *testing.B) (*Router, []Member) {
 	b.Helper()
-	set := testSettings()
-	set.Poolers = 400
-	r, err := New(set, 1, discardActions{})
+	settings := testSettings()
+	settings.Poolers = 400
+	router, err := New(settings, 1, discardActions{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -17,50 +32,28 @@
 	for i := range list {
 		list[i] = Member{ID: uint32(i + 1), Group: i / 6, State: Ready}
 	}
-	return r, list
+	return router, list
 }
 
-type discardActions struct{}
-
-func (discardActions) Attempt(uint32, uint32, time.Duration) {}
-
-func (discardActions) Reject(uint32, time.Duration) {}
-
-func (discardActions) Fail(uint32) {}
-
-func (discardActions) CancelAttempt(uint32, int) {}
-
-func (discardActions) Probe(uint32) {}
-
-func (discardActions) SetTimer(time.Duration) {}
-
-func (discardActions) CloseIdleConnections(uint32) {}
-
-func (discardActions) WatchList() {}
-
-func (discardActions) PrimaryChanged(PrimaryEvent) {}
-
-func (discardActions) Log(string) {}
-
-// The cost of a request and its outcome at a front that knows 60 stores.
+// BenchmarkRequest measures a request and its outcome at a pooler that knows 60 servers.
 func BenchmarkRequest(b *testing.B) {
-	r, list := newBenchmarkRouter(b)
-	r.HandleList(startTime, ListCached, list)
+	router, list := newBenchmarkRouter(b)
+	router.HandleList(startTime, ListCached, list)
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
 		now := startTime + time.Duration(i)*ms
 		id := uint32(i + 1)
-		r.HandleRequest(now, Request{ID: id, Class: classAny, Group: i % 10, Timeout: 2 * time.Second})
-		r.HandleOutcome(now, Outcome{RequestID: id, Result: OK, Answered: true, Role: RoleReplica})
-		r.HandleTimer(now)
+		router.HandleRequest(now, Request{ID: id, Class: classAny, Group: i % 10, Timeout: 2 * time.Second})
+		router.HandleOutcome(now, Outcome{RequestID: id, Result: OK, Answered: true, Role: RoleReplica})
+		router.HandleTimer(now)
 	}
 }
 
-// The cost of a front's start with a full list.
+// BenchmarkStart measures a pooler's start with a full list.
 func BenchmarkStart(b *testing.B) {
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
-		r, list := newBenchmarkRouter(b)
-		r.HandleList(startTime, ListCached, list)
+		router, list := newBenchmarkRouter(b)
+		router.HandleList(startTime, ListCached, list)
 	}
 }
--- a/internal/policy/concurrency_window_test.go
+++ b/internal/policy/concurrency_window_test.go
@@ -6,99 +6,114 @@
 	"time"
 )
 
-// Fronts with little traffic start without rests: a shared window holds them back only in a jam.
+// A shared window holds poolers with little traffic back only under congestion.
 func TestLightPoolerServesAtOnce(t *testing.T) {
-	f := newHostWithPrimary(t, withPoolers(400))
+	host := newHostWithPrimary(t, withPoolers(400))
 	for id := uint32(2); id < 8; id++ {
-		f.sendRequest(id, classLatest)
-		f.wantAction(fmt.Sprintf("attempt %d 1", id))
-		f.advanceTo(f.now + 80*ms)
-		f.endAttempt(id, 0, OK, RolePrimary)
+		host.sendRequest(id, classLatest)
+		host.wantAction(fmt.Sprintf("attempt %d 1", id))
+		host.advance(80 * ms)
+		host.endAttempt(id, 0, OK, RolePrimary)
 	}
 }
 
-// In a jam a front whose share of a window is less than one attempt rests between reads as long as that share asks for:
-// by how long the last one took, so that the sum over all fronts is the window however slow the store. Writes, which
-// have nowhere else to go, do not rest, nor does anybody while answers come in good time.
+// Under congestion a pooler whose share of a window is less than one attempt rests between reads as long as that share asks
+// for, by how long the last one took: so the sum over all poolers is the window however slow the server. Writes, which have
+// nowhere else to go, do not rest, and without congestion no pooler does.
 func TestRestsUnderCongestion(t *testing.T) {
-	for _, c := range []struct {
-		slow        float64
-		class       int
-		first, next time.Duration // the store has held an attempt so long, and may be sent the next one so much later
-	}{{1, classBounded, 200 * ms, 0}, {3, classBounded, 100 * ms, 900 * ms}, {3, classBounded, 300 * ms, 2700 * ms}, {3, classNotIdempotent, 200 * ms, 0}} {
-		f := newHostWithPrimary(t, withPoolers(80))
-		f.router.overall.latencyRatio = c.slow
-		f.sendRequest(2, classAny)
-		s := f.server(f.attempts[2][0])
-		f.advanceTo(f.now + c.first)
-		f.endAttempt(2, 0, OK, RoleReplica)
-		s.window.size, s.latency.ratio, f.router.overall.latencyRatio = 0.1, 1, c.slow
-		for _, wait := range []time.Duration{c.next - 10*ms, c.next} {
-			f.router.advanceClock(s.outstanding.lastEndedAt + wait)
-			if got, want := f.router.hasCapacity(s, c.class), wait >= c.next || c.next == 0; got != want {
-				t.Errorf("%+v: room after %v is %v", c, wait, got)
+	for name, c := range map[string]struct {
+		ratio float64 // of all servers
+		class int
+		took  time.Duration
+		rest  time.Duration
+	}{
+		"without congestion":   {1, classBounded, 200 * ms, 0},
+		"after a short answer": {3, classBounded, 100 * ms, 900 * ms},
+		"after a long answer":  {3, classBounded, 300 * ms, 2700 * ms},
+		"of a write":           {3, classNotIdempotent, 200 * ms, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			host := newHostWithPrimary(t, withPoolers(80))
+			host.router.overall.latencyRatio = c.ratio
+			host.sendRequest(2, classAny)
+			s := host.server(host.attempts[2][0])
+			host.advance(c.took)
+			host.endAttempt(2, 0, OK, RoleReplica)
+			s.window.size = 0.1
+			s.latency.ratio = 1
+			host.router.overall.latencyRatio = c.ratio
+			for _, wait := range []time.Duration{c.rest - 10*ms, c.rest} {
+				host.router.advanceClock(s.outstanding.lastEndedAt + wait)
+				want := wait >= c.rest || c.rest == 0
+				if got := host.router.hasCapacity(s, c.class); got != want {
+					t.Errorf("capacity after %v is %v, want %v", wait, got, want)
+				}
 			}
-		}
+		})
 	}
 }
 
-// Windows of less than one attempt grow only where they were in force; one good answer after another in a calm says
-// nothing about a jam.
+// Windows of less than one attempt grow only where they were in force: one good answer after another without congestion says
+// nothing about congestion.
 func TestSharedWindowKeepsWithoutCongestion(t *testing.T) {
-	for _, slow := range []float64{1, 2} {
-		f := newHostWithPrimary(t, withPoolers(80))
-		for id := uint32(2); id < 12; id++ {
-			f.sendRequest(id, classLatest)
-			f.advanceTo(f.now + 20*ms)
-			f.router.overall.latencyRatio = slow
-			f.endAttempt(id, 0, OK, RolePrimary)
-		}
-		if w := f.server(1).window.size; (w > 0.1) != (slow > congestedLatencyRatio) {
-			t.Errorf("slowness %v: window %v after ten good answers, from 0.1", slow, w)
-		}
+	for _, ratio := range []float64{1, 2} {
+		t.Run(fmt.Sprint("latency ratio ", ratio), func(t *testing.T) {
+			host := newHostWithPrimary(t, withPoolers(80))
+			for id := uint32(2); id < 12; id++ {
+				host.sendRequest(id, classLatest)
+				host.advance(20 * ms)
+				host.router.overall.latencyRatio = ratio
+				host.endAttempt(id, 0, OK, RolePrimary)
+			}
+			size := host.server(1).window.size
+			if grown := size > 0.1; grown != (ratio > congestedLatencyRatio) {
+				t.Errorf("window %v after ten good answers, from 0.1", size)
+			}
+		})
 	}
 }
 
 func TestWindowLimitsAttempts(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
+	host := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 12; id++ {
-		f.sendRequest(id, classNotIdempotent)
+		host.sendRequest(id, classNotIdempotent)
 	}
-	if n := len(f.server(1).outstanding.attempts); n != int(initialFleetWindow)/2 {
-		t.Fatalf("%d writes out at the primary, want %v", n, initialFleetWindow/2)
+	if n := host.server(1).outstanding.count(); n != int(initialFleetWindow)/2 {
+		t.Fatalf("%d writes are in flight at the primary, want %v", n, initialFleetWindow/2)
 	}
-	f.advanceTo(startTime + 10*ms)
-	f.endAttempt(2, 0, OK, RolePrimary)
-	if n := len(f.server(1).outstanding.attempts); n < int(initialFleetWindow)/2 {
-		t.Fatalf("%d writes out after an answer, want the window full again", n)
+	host.advanceTo(startTime + 10*ms)
+	host.endAttempt(2, 0, OK, RolePrimary)
+	if n := host.server(1).outstanding.count(); n < int(initialFleetWindow)/2 {
+		t.Fatalf("%d writes are in flight after an answer, want the window full again", n)
 	}
 }
 
-// With many fronts one attempt from each is a queue already: a window under one is a rest between attempts.
+// With many poolers one attempt from each is a queue already: a window under one is a rest between attempts.
 func TestRestBetweenAttemptsWithManyPoolers(t *testing.T) {
 	for _, c := range []struct {
-		fronts int
-		rest   bool
+		poolers int
+		rests   bool
 	}{{3, false}, {24, true}} {
-		f := newHostWithPrimary(t, func(s *Settings) { s.Poolers = c.fronts })
-		for i := 0; i < 200; i++ { // answers that show a queue
-			s := f.server(1)
-			f.now += windowCutInterval
-			s.latency.ratio, s.latency.measuredAt = 3, f.now
-			f.router.advanceClock(f.now)
-			f.router.adjustWindow(s)
-		}
-		f.sendRequest(2, classLatest)
-		f.wantAction("attempt 2 1")
-		f.advanceTo(f.now + 20*ms)
-		f.endAttempt(2, 0, OK, RolePrimary)
-		f.sendRequest(3, classLatest)
-		if rested := len(f.attempts[3]) == 0; rested != c.rest {
-			t.Errorf("%d fronts: rests %v after an attempt, want %v", c.fronts, rested, c.rest)
-		}
-		f.advanceTo(f.now + 480*ms)
-		if len(f.attempts[3]) == 0 {
-			t.Errorf("%d fronts: nothing sent after the rest", c.fronts)
-		}
+		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
+			host := newHostWithPrimary(t, withPoolers(c.poolers))
+			for range 200 { // answers that show a queue
+				host.now += windowCutInterval
+				host.setLatencyRatio(host.server(1), 3)
+				host.router.advanceClock(host.now)
+				host.router.adjustWindow(host.server(1))
+			}
+			host.sendRequest(2, classLatest)
+			host.wantAction("attempt 2 1")
+			host.advance(20 * ms)
+			host.endAttempt(2, 0, OK, RolePrimary)
+			host.sendRequest(3, classLatest)
+			if rests := len(host.attempts[3]) == 0; rests != c.rests {
+				t.Errorf("rests %v after an attempt, want %v", rests, c.rests)
+			}
+			host.advance(480 * ms)
+			if len(host.attempts[3]) == 0 {
+				t.Error("nothing was sent after the rest")
+			}
+		})
 	}
 }
--- a/internal/policy/dispatch_test.go
+++ b/internal/policy/dispatch_test.go
@@ -4,23 +4,23 @@
 	"testing"
 )
 
-// A client in a hurry is judged by what it has left, not taken for a later try.
+// A client with little time is judged by what it has, and not taken for a later try.
 func TestShortTimeoutIsServed(t *testing.T) {
-	f := newHostWithPrimary(t, func(s *Settings) { s.Classes[classAny].LateWeightFraction = 0 })
-	f.router.HandleRequest(f.now, Request{ID: 2, Class: classAny, Group: 7, Timeout: 200 * ms})
-	f.wantNoAction("refuse 2")
-	if len(f.attempts[2]) != 1 {
-		t.Fatalf("sent to %v, want one store at once", f.attempts[2])
+	host := newHostWithPrimary(t, func(s *Settings) { s.Classes[classAny].LateWeightFraction = 0 })
+	host.sendRequestWithin(2, classAny, 200*ms)
+	host.wantNoAction("reject 2")
+	if len(host.attempts[2]) != 1 {
+		t.Fatalf("sent to %v, want one server at once", host.attempts[2])
 	}
 }
 
-// A try with less patience than the others is a later one: its aim has run since the first.
+// A try with a shorter timeout than the others is a later one of its client: its objective counts from the first.
 func TestClientRetriesHaveLessTime(t *testing.T) {
-	f := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
+	host := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
 	for id := uint32(1); id < 5; id++ {
-		f.sendRequest(id, classLatest)
+		host.sendRequest(id, classLatest)
 	}
-	f.wantNoAction("refuse 4")
-	f.router.HandleRequest(f.now, Request{ID: 9, Class: classLatest, Group: 7, Timeout: 1200 * ms})
-	f.wantAction("refuse 9")
+	host.wantNoAction("reject 4")
+	host.sendRequestWithin(9, classLatest, 1200*ms)
+	host.wantAction("reject 9")
 }
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -10,53 +10,71 @@
 // printer is a host that prints what it is asked for.
 type printer struct{}
 
-func (printer) Attempt(id, store uint32, _ time.Duration) {
-	fmt.Printf("attempt %d at store %d\n", id, store)
+func (printer) Attempt(id, server uint32, _ time.Duration) {
+	fmt.Printf("attempt %d at server %d\n", id, server)
 }
-func (printer) Reject(id uint32, _ time.Duration)      { fmt.Printf("refuse %d\n", id) }
+func (printer) Reject(id uint32, _ time.Duration)      { fmt.Printf("reject %d\n", id) }
 func (printer) Fail(id uint32)                         { fmt.Printf("fail %d\n", id) }
 func (printer) CancelAttempt(id uint32, attempt int)   { fmt.Printf("cancel %d.%d\n", id, attempt) }
-func (printer) Probe(store uint32)                     { fmt.Printf("probe %d\n", store) }
+func (printer) Probe(server uint32)                    { fmt.Printf("probe %d\n", server) }
 func (printer) SetTimer(time.Duration)                 {}
-func (printer) CloseIdleConnections(store uint32)      { fmt.Printf("close idle %d\n", store) }
+func (printer) CloseIdleConnections(server uint32)     { fmt.Printf("close idle %d\n", server) }
 func (printer) WatchList()                             { fmt.Println("watch") }
-func (p printer) PrimaryChanged(n policy.PrimaryEvent) { p.Log(n.LogText()) }
+func (p printer) PrimaryChanged(e policy.PrimaryEvent) { p.Log(e.LogText()) }
 func (printer) Log(text string)                        { fmt.Println("log:", text) }
 
-// A write, the loss of its group's primary, a held write, and the new primary.
+// A write, the failure of its group's primary, a write that is queued, and the new primary.
 func Example() {
-	settings := policy.Settings{Poolers: 1, ProbesAllowed: true, RolesReported: true, MaxAttempts: 3,
-		Classes: []policy.Class{{Name: "save", Access: policy.Write, Idempotency: policy.NotIdempotent,
-			LatencyObjective: 400 * time.Millisecond, TotalTimeout: 5 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.5}}}
-	r, err := policy.New(settings, 1, printer{})
+	router, err := policy.New(policy.Settings{
+		Poolers:       1,
+		ProbesAllowed: true,
+		RolesReported: true,
+		MaxAttempts:   3,
+		Classes: []policy.Class{{
+			Name:               "save",
+			Access:             policy.Write,
+			Idempotency:        policy.NotIdempotent,
+			LatencyObjective:   400 * time.Millisecond,
+			TotalTimeout:       5 * time.Second,
+			PriorityWeight:     1,
+			LateWeightFraction: 0.5,
+		}},
+	}, 1, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Minute
-	says := func(store uint32, primary bool) {
-		r.HandleProbeResult(now, policy.ProbeResult{Server: store,
-			Status: policy.ServerStatus{HasPosition: true, Position: now, HasRole: true, IsPrimary: primary}})
+	reportPrimary := func(server uint32) {
+		status := policy.ServerStatus{HasPosition: true, Position: now, HasRole: true, IsPrimary: true}
+		router.HandleProbeResult(now, policy.ProbeResult{Server: server, Status: status})
 	}
-	r.HandleList(now, policy.ListCached, []policy.Member{{ID: 1, State: policy.Ready}, {ID: 2, State: policy.Ready}})
-	r.HandleRequest(now, policy.Request{ID: 10, Timeout: 5 * time.Second})
-	says(1, true)
+	endWrite := func(id, server uint32) {
+		router.HandleOutcome(now, policy.Outcome{RequestID: id, Server: server, Result: policy.OK,
+			Role: policy.RolePrimary, Answered: true})
+	}
+	router.HandleList(now, policy.ListCached, []policy.Member{
+		{ID: 1, State: policy.Ready},
+		{ID: 2, State: policy.Ready},
+	})
+	router.HandleRequest(now, policy.Request{ID: 10, Timeout: 5 * time.Second})
+	reportPrimary(1)
 	now += 80 * time.Millisecond
-	r.HandleOutcome(now, policy.Outcome{RequestID: 10, Server: 1, Result: policy.OK, Role: policy.RolePrimary, Answered: true})
+	endWrite(10, 1)
 
 	now += 20 * time.Millisecond
-	r.HandleProbeResult(now, policy.ProbeResult{Server: 1, Result: policy.ConnectFailed})
-	r.HandleRequest(now, policy.Request{ID: 11, Timeout: 5 * time.Second})
+	router.HandleProbeResult(now, policy.ProbeResult{Server: 1, Result: policy.ConnectFailed})
+	router.HandleRequest(now, policy.Request{ID: 11, Timeout: 5 * time.Second})
 	now += 3 * time.Millisecond
-	says(2, true)
+	reportPrimary(2)
 	now += 80 * time.Millisecond
-	r.HandleOutcome(now, policy.Outcome{RequestID: 11, Server: 2, Result: policy.OK, Role: policy.RolePrimary, Answered: true})
+	endWrite(11, 2)
 	// Output:
 	// probe 1
 	// probe 2
 	// log: group 0: store 1 is primary
-	// attempt 10 at store 1
+	// attempt 10 at server 1
 	// log: group 0: primary 1 does not answer its ping
 	// log: group 0: store 2 is primary
-	// attempt 11 at store 2
+	// attempt 11 at server 2
 }
--- a/internal/policy/host_test.go
+++ b/internal/policy/host_test.go
@@ -2,196 +2,275 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
 
-func newMember(s uint32, state MemberState, weight int) Member {
-	return Member{ID: s, Group: 7, State: state, ReadWeight: weight}
-}
-
-const ms = time.Millisecond
+const (
+	ms        = time.Millisecond
+	startTime = 100 * time.Second // the host's time at the start of a test
+	testGroup = 7                 // the group of servers 1, 2 and 3
+)
 
-// server returns the router's record of a server, nil if there is none.
-func (f *fakeHost) server(id uint32) *server { return f.router.servers.byID[id] }
+// Classes of the test settings.
+const (
+	classAny = iota
+	classBounded
+	classSession
+	classLatest
+	classNotIdempotent
+	classByKey
+)
 
-// clearWarmLoad forgets the load that the router has observed.
-func clearWarmLoad(r *Router) {
-	for i := range r.estimates.classes {
-		r.estimates.classes[i].warmLoad = 0
+func testSettings() Settings {
+	class := func(access Access, idempotency Idempotency) Class {
+		return Class{
+			Access:             access,
+			Idempotency:        idempotency,
+			LatencyObjective:   500 * ms,
+			TotalTimeout:       2 * time.Second,
+			PriorityWeight:     1,
+			LateWeightFraction: 0.5,
+		}
+	}
+	s := Settings{
+		Poolers:           2,
+		ProbesAllowed:     true,
+		RolesReported:     true,
+		CancelAllowed:     true,
+		MaxAttempts:       10,
+		EventInterval:     5 * ms,
+		DrainGracePeriod:  500 * ms,
+		SlowStartCapacity: 0.2,
+		SlowStartDuration: 10 * time.Second,
+		OverloadFactor:    2,
+		OverloadInterval:  time.Second,
+		Classes: []Class{
+			classAny:           class(ReadAny, Idempotent),
+			classBounded:       class(ReadBounded, Idempotent),
+			classSession:       class(ReadSession, Idempotent),
+			classLatest:        class(ReadLatest, Idempotent),
+			classNotIdempotent: class(Write, NotIdempotent),
+			classByKey:         class(Write, IdempotentByKey),
+		},
 	}
+	s.Classes[classBounded].MaxStaleness = time.Second
+	s.Classes[classByKey].DedupScope = DedupInGroup
+	s.Classes[classByKey].DedupWindow = 700 * ms
+	return s
 }
 
+// withPoolers changes the settings to a fleet of n poolers.
 func withPoolers(n int) func(*Settings) { return func(s *Settings) { s.Poolers = n } }
 
-func (f *fakeHost) probeCount(s uint32) (n int) {
-	for _, p := range f.probedServers {
-		if p == s {
-			n++
-		}
+// withPooler changes the settings to those of one pooler of a fleet.
+func withPooler(index, poolers int) func(*Settings) {
+	return func(s *Settings) {
+		s.Poolers = poolers
+		s.PoolerIndex = index
 	}
-	return n
 }
 
-func memberList(n int, primary uint32) (list []Member) {
+// newMember returns an entry of the test group.
+func newMember(id uint32, state MemberState, weight int) Member {
+	return Member{ID: id, Group: testGroup, State: state, ReadWeight: weight}
+}
+
+// memberList returns entries of the test group for servers 1 to n, of which one is named as primary; 0 for none.
+func memberList(n int, primary uint32) []Member {
+	var list []Member
 	for id := uint32(1); id <= uint32(n); id++ {
-		list = append(list, Member{ID: id, Group: 7, State: Ready, Primary: id == primary})
+		list = append(list, Member{ID: id, Group: testGroup, State: Ready, Primary: id == primary})
 	}
 	return list
 }
 
-// fakeHost is a host with a clock of its own. It keeps what the Router asked for.
+// fakeHost is a host with a clock of its own. It records what the Router asks for.
 type fakeHost struct {
 	t             *testing.T
 	router        *Router
 	now           time.Duration
 	timersDue     []time.Duration
-	actions       []string
-	attempts      map[uint32][]uint32 // request: stores, in order
+	actions       []string            // such as "attempt 2 1": of request 2 at server 1
+	attempts      map[uint32][]uint32 // by request: the servers, in the order of the sends
 	probedServers []uint32
 	primaryEvents []PrimaryEvent
 	logLines      []string
 }
 
-func (f *fakeHost) record(format string, a ...any) {
-	f.actions = append(f.actions, fmt.Sprintf(format, a...))
+func (host *fakeHost) record(format string, a ...any) {
+	host.actions = append(host.actions, fmt.Sprintf(format, a...))
 }
 
-func (f *fakeHost) Attempt(id, s uint32, timeout time.Duration) {
-	f.attempts[id] = append(f.attempts[id], s)
-	f.record("attempt %d %d", id, s)
+func (host *fakeHost) Attempt(id, server uint32, _ time.Duration) {
+	host.attempts[id] = append(host.attempts[id], server)
+	host.record("attempt %d %d", id, server)
 }
 
-func (f *fakeHost) Reject(id uint32, _ time.Duration) { f.record("refuse %d", id) }
+func (host *fakeHost) Reject(id uint32, _ time.Duration) { host.record("reject %d", id) }
 
-func (f *fakeHost) Fail(id uint32) { f.record("fail %d", id) }
+func (host *fakeHost) Fail(id uint32) { host.record("fail %d", id) }
 
-func (f *fakeHost) CancelAttempt(id uint32, n int) { f.record("cancel %d %d", id, n) }
+func (host *fakeHost) CancelAttempt(id uint32, attempt int) { host.record("cancel %d %d", id, attempt) }
 
-func (f *fakeHost) Probe(s uint32) { f.probedServers = append(f.probedServers, s) }
+func (host *fakeHost) Probe(server uint32) { host.probedServers = append(host.probedServers, server) }
 
-func (f *fakeHost) SetTimer(d time.Duration) { f.timersDue = append(f.timersDue, f.now+d) }
+func (host *fakeHost) SetTimer(after time.Duration) {
+	host.timersDue = append(host.timersDue, host.now+after)
+}
 
-func (f *fakeHost) CloseIdleConnections(s uint32) { f.record("close %d", s) }
+func (host *fakeHost) CloseIdleConnections(server uint32) { host.record("close %d", server) }
 
-func (f *fakeHost) WatchList() { f.record("watch") }
+func (host *fakeHost) WatchList() { host.record("watch") }
 
-func (f *fakeHost) PrimaryChanged(n PrimaryEvent) {
-	f.logLines, f.primaryEvents = append(f.logLines, n.LogText()), append(f.primaryEvents, n)
+func (host *fakeHost) PrimaryChanged(event PrimaryEvent) {
+	host.logLines = append(host.logLines, event.LogText())
+	host.primaryEvents = append(host.primaryEvents, event)
 }
 
-func (f *fakeHost) Log(text string) { f.logLines = append(f.logLines, text) }
+func (host *fakeHost) Log(text string) { host.logLines = append(host.logLines, text) }
 
-// advanceTo rings every timer due up to a time, and moves the clock there.
-func (f *fakeHost) advanceTo(at time.Duration) {
+// newHostWith returns a host whose Router has the given settings and seed, and no list yet.
+func newHostWith(t *testing.T, settings Settings, seed uint64) *fakeHost {
+	t.Helper()
+	host := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
+	router, err := New(settings, seed, host)
+	if err != nil {
+		t.Fatal(err)
+	}
+	host.router = router
+	return host
+}
+
+// newHost returns a host whose test group has servers 1, 2 and 3 and no recorded primary.
+func newHost(t *testing.T, change func(*Settings)) *fakeHost {
+	t.Helper()
+	settings := testSettings()
+	if change != nil {
+		change(&settings)
+	}
+	host := newHostWith(t, settings, 1)
+	host.router.HandleList(host.now, ListCached, memberList(3, 0))
+	return host
+}
+
+// newHostWithPrimary returns a host whose Router has found that server 1 is primary and that the others have no lag.
+func newHostWithPrimary(t *testing.T, change func(*Settings)) *fakeHost {
+	t.Helper()
+	host := newHost(t, change)
+	host.sendRequest(1, classAny)
+	host.probeAnswered(1, true, host.now)
+	host.probeAnswered(2, false, host.now)
+	host.probeAnswered(3, false, host.now)
+	host.endAttempt(1, 0, OK, RoleUnknown)
+	host.actions = nil
+	host.probedServers = nil
+	host.attempts = map[uint32][]uint32{}
+	return host
+}
+
+// advanceTo moves the clock to a time and fires every timer that is due up to it.
+func (host *fakeHost) advanceTo(at time.Duration) {
 	for {
 		next := -1
-		for i, ring := range f.timersDue {
-			if ring <= at && (next < 0 || ring < f.timersDue[next]) {
+		for i, due := range host.timersDue {
+			if due <= at && (next < 0 || due < host.timersDue[next]) {
 				next = i
 			}
 		}
 		if next < 0 {
-			f.now = at
+			host.now = at
 			return
 		}
-		f.now = max(f.now, f.timersDue[next])
-		f.timersDue = append(f.timersDue[:next], f.timersDue[next+1:]...)
-		f.router.HandleTimer(f.now)
+		host.now = max(host.now, host.timersDue[next])
+		host.timersDue = slices.Delete(host.timersDue, next, next+1)
+		host.router.HandleTimer(host.now)
 	}
 }
 
-func (f *fakeHost) hasAction(what string) bool {
-	for _, d := range f.actions {
-		if d == what {
-			return true
-		}
+// advance moves the clock by a span.
+func (host *fakeHost) advance(span time.Duration) { host.advanceTo(host.now + span) }
+
+// server returns the Router's record of a server, nil if there is none.
+func (host *fakeHost) server(id uint32) *server { return host.router.servers.byID[id] }
+
+// primary returns the recorded primary of the test group, 0 for none.
+func (host *fakeHost) primary() uint32 {
+	if p := host.router.groupFor(testGroup).primary; p != nil {
+		return p.ID
 	}
-	return false
+	return 0
 }
 
-func (f *fakeHost) wantAction(what string) {
-	f.t.Helper()
-	if !f.hasAction(what) {
-		f.t.Fatalf("at %v: no %q in %v", f.now, what, f.actions)
+func (host *fakeHost) probeCount(server uint32) int {
+	count := 0
+	for _, probed := range host.probedServers {
+		if probed == server {
+			count++
+		}
 	}
+	return count
 }
 
-func (f *fakeHost) wantNoAction(what string) {
-	f.t.Helper()
-	if f.hasAction(what) {
-		f.t.Fatalf("at %v: %q in %v", f.now, what, f.actions)
+func (host *fakeHost) hasAction(action string) bool { return slices.Contains(host.actions, action) }
+
+func (host *fakeHost) wantAction(action string) {
+	host.t.Helper()
+	if !host.hasAction(action) {
+		host.t.Fatalf("at %v: no %q in %v", host.now, action, host.actions)
 	}
 }
 
-// Classes of the test front.
-const (
-	classAny = iota
-	classBounded
-	classSession
-	classLatest
-	classNotIdempotent
-	classByKey
-)
-
-func testSettings() Settings {
-	class := func(n Access, e Idempotency) Class {
-		return Class{Access: n, Idempotency: e, LatencyObjective: 500 * ms, TotalTimeout: 2 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.5}
+func (host *fakeHost) wantNoAction(action string) {
+	host.t.Helper()
+	if host.hasAction(action) {
+		host.t.Fatalf("at %v: %q in %v", host.now, action, host.actions)
 	}
-	s := Settings{Poolers: 2, ProbesAllowed: true, RolesReported: true, CancelAllowed: true, MaxAttempts: 10, EventInterval: 5 * ms,
-		DrainGracePeriod: 500 * ms, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2, OverloadInterval: time.Second,
-		Classes: []Class{class(ReadAny, Idempotent), class(ReadBounded, Idempotent), class(ReadSession, Idempotent),
-			class(ReadLatest, Idempotent), class(Write, NotIdempotent), class(Write, IdempotentByKey)}}
-	s.Classes[classBounded].MaxStaleness = time.Second
-	s.Classes[classByKey].DedupScope, s.Classes[classByKey].DedupWindow = DedupInGroup, 700*ms
-	return s
 }
 
-const startTime = 100 * time.Second
+// sendRequest sends a request of a class to the test group, with a timeout of 2 s.
+func (host *fakeHost) sendRequest(id uint32, class int) {
+	host.sendRequestWithin(id, class, 2*time.Second)
+}
 
-// newHost has group 7 with stores 1, 2 and 3, and no record yet.
-func newHost(t *testing.T, change func(*Settings)) *fakeHost {
-	t.Helper()
-	set := testSettings()
-	if change != nil {
-		change(&set)
-	}
-	f := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
-	r, err := New(set, 1, f)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f.router = r
-	r.HandleList(f.now, ListCached, []Member{{ID: 1, Group: 7, State: Ready}, {ID: 2, Group: 7, State: Ready},
-		{ID: 3, Group: 7, State: Ready}})
-	return f
+// sendRequestWithin sends a request of a class to the test group.
+func (host *fakeHost) sendRequestWithin(id uint32, class int, timeout time.Duration) {
+	host.router.HandleRequest(host.now, Request{ID: id, Class: class, Group: testGroup, Timeout: timeout})
 }
 
-// newHostWithPrimary is a front that has found store 1, with replicas at the present.
-func newHostWithPrimary(t *testing.T, change func(*Settings)) *fakeHost {
-	t.Helper()
-	f := newHost(t, change)
-	f.sendRequest(1, classAny)
-	f.probeAnswered(1, true, f.now)
-	f.probeAnswered(2, false, f.now)
-	f.probeAnswered(3, false, f.now)
-	f.endAttempt(1, 0, OK, RoleUnknown)
-	f.actions, f.probedServers, f.attempts = nil, nil, map[uint32][]uint32{}
-	return f
+// list reports a change of the list.
+func (host *fakeHost) list(changed ...Member) {
+	host.router.HandleList(host.now, ListDelta, changed)
+}
+
+// probeAnswered ends a probe with a status.
+func (host *fakeHost) probeAnswered(server uint32, primary bool, position time.Duration) {
+	status := ServerStatus{HasPosition: true, Position: position, HasRole: true, IsPrimary: primary}
+	host.router.HandleProbeResult(host.now, ProbeResult{Server: server, Status: status})
 }
 
-func (f *fakeHost) sendRequest(id uint32, class int) {
-	f.router.HandleRequest(f.now, Request{ID: id, Class: class, Group: 7, Timeout: 2 * time.Second})
+// probeFailed ends a probe without an answer.
+func (host *fakeHost) probeFailed(server uint32, result Result) {
+	host.router.HandleProbeResult(host.now, ProbeResult{Server: server, Result: result})
 }
 
-func (f *fakeHost) probeAnswered(s uint32, primary bool, pos time.Duration) {
-	f.router.HandleProbeResult(f.now, ProbeResult{Server: s, Status: ServerStatus{HasPosition: true, Position: pos, HasRole: true, IsPrimary: primary}})
+// endAttempt ends an attempt. An attempt that is served answers its request.
+func (host *fakeHost) endAttempt(id uint32, attempt int, result Result, role Role) {
+	outcome := Outcome{RequestID: id, Attempt: attempt, Result: result, Role: role, Answered: result == OK}
+	host.router.HandleOutcome(host.now, outcome)
 }
 
-func (f *fakeHost) probeUnreachable(s uint32) {
-	f.router.HandleProbeResult(f.now, ProbeResult{Server: s, Result: ConnectFailed})
+// setLatencyRatio sets a server's latency ratio as of now.
+func (host *fakeHost) setLatencyRatio(s *server, ratio float64) {
+	s.latency.ratio = ratio
+	s.latency.measuredAt = host.now
 }
 
-func (f *fakeHost) endAttempt(id uint32, n int, res Result, role Role) {
-	f.router.HandleOutcome(f.now, Outcome{RequestID: id, Attempt: n, Result: res, Role: role, Answered: res == OK})
+// wantSentTo checks that a request has been sent to one server and no other.
+func (host *fakeHost) wantSentTo(id, server uint32) {
+	host.t.Helper()
+	if sent := host.attempts[id]; len(sent) != 1 || sent[0] != server {
+		host.t.Errorf("request %d was sent to %v, want server %d", id, sent, server)
+	}
 }
--- a/internal/policy/outlier_detection_test.go
+++ b/internal/policy/outlier_detection_test.go
@@ -4,89 +4,94 @@
 	"testing"
 )
 
-// Worthless requests get a quick error at every store and cost none its turn.
+// Requests that fail at every server eject none.
 func TestErrorsEverywhereEjectNone(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
+	host := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 80; id++ {
-		f.advanceTo(f.now + 10*ms)
-		f.sendRequest(id, classAny)
-		res := OK
+		host.advance(10 * ms)
+		host.sendRequest(id, classAny)
+		result := OK
 		if id%2 == 0 {
-			res = ServerError
+			result = ServerError
 		}
-		for n := 0; n < len(f.attempts[id]); n++ {
-			f.endAttempt(id, n, res, RoleReplica)
+		for attempt := 0; attempt < len(host.attempts[id]); attempt++ {
+			host.endAttempt(id, attempt, result, RoleReplica)
 		}
 	}
-	for s := uint32(2); s <= 3; s++ {
-		if f.server(s).ejection.ejected {
-			t.Errorf("store %d lost its turn to errors that all stores give", s)
+	for id := uint32(2); id <= 3; id++ {
+		if host.server(id).ejection.ejected {
+			t.Errorf("server %d was ejected for errors that all servers give", id)
 		}
 	}
 }
 
-// The fleet's word costs a store its turn only where this front has no answer of its own, and never a group's last one.
+// The fleet's ejection counts only where this pooler has no answer of its own, and never for a group's last usable member.
 func TestFleetEjection(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.server(2).health.lastAnswerAt = f.now
-	f.router.ObserveFleetEjection(f.now, 2, true)
-	if f.server(2).ejection.ejected {
-		t.Error("a store that has just answered here lost its turn by the fleet's word")
+	host := newHostWithPrimary(t, nil)
+	host.server(2).health.lastAnswerAt = host.now
+	host.router.ObserveFleetEjection(host.now, 2, true)
+	if host.server(2).ejection.ejected {
+		t.Error("a server that has just answered here was ejected by the fleet")
 	}
-	f.advanceTo(startTime + recentAnswerAge)
-	f.router.ObserveFleetEjection(f.now, 2, true)
-	if !f.server(2).ejection.ejected || f.server(2).ejection.nextTrialAt != f.now+initialTrialInterval {
-		t.Error("a store that the fleet calls bad keeps its turn, or has no trial")
+	host.advanceTo(startTime + recentAnswerAge)
+	host.router.ObserveFleetEjection(host.now, 2, true)
+	if e := host.server(2).ejection; !e.ejected || e.nextTrialAt != host.now+initialTrialInterval {
+		t.Error("a server that the fleet holds for an outlier is not ejected, or has no trial")
 	}
-	f.router.ObserveFleetEjection(f.now, 2, false)
-	if f.server(2).ejection.ejected {
-		t.Error("the word was taken back, and the store has no turn")
+	host.router.ObserveFleetEjection(host.now, 2, false)
+	if host.server(2).ejection.ejected {
+		t.Error("the fleet has ended the ejection, and the server is ejected")
 	}
-	f.router.eject(f.server(2), "is silent")
-	f.router.ObserveFleetEjection(f.now, 2, false)
-	if !f.server(2).ejection.ejected {
-		t.Error("the fleet's word gave back a turn that was lost by own evidence")
+	host.router.eject(host.server(2), "is silent")
+	host.router.ObserveFleetEjection(host.now, 2, false)
+	if !host.server(2).ejection.ejected {
+		t.Error("the fleet ended an ejection that this pooler has evidence for")
 	}
-	f.router.eject(f.server(3), "is silent")
-	f.router.ObserveFleetEjection(f.now, 1, true)
-	if f.server(1).ejection.ejected {
-		t.Error("the last member with a turn lost it by the fleet's word")
+	host.router.eject(host.server(3), "is silent")
+	host.router.ObserveFleetEjection(host.now, 1, true)
+	if host.server(1).ejection.ejected {
+		t.Error("the last usable member was ejected by the fleet")
 	}
-	f.router.ObserveFleetEjection(f.now, 99, true)
+	host.router.ObserveFleetEjection(host.now, 99, true) // an unknown server
 }
 
 func TestFailingServerIsEjected(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	for id := uint32(2); id < 40 && !f.server(2).ejection.ejected; id++ {
-		f.advanceTo(f.now + 10*ms)
-		f.sendRequest(id, classAny)
-		res := OK
-		if f.attempts[id][0] == 2 {
-			res = ServerError
+	host := newHostWithPrimary(t, nil)
+	for id := uint32(2); id < 40 && !host.server(2).ejection.ejected; id++ {
+		host.advance(10 * ms)
+		host.sendRequest(id, classAny)
+		result := OK
+		if host.attempts[id][0] == 2 {
+			result = ServerError
 		}
-		f.endAttempt(id, 0, res, RoleReplica)
-		for n := 1; n < len(f.attempts[id]); n++ {
-			f.endAttempt(id, n, OK, RoleReplica)
+		host.endAttempt(id, 0, result, RoleReplica)
+		for attempt := 1; attempt < len(host.attempts[id]); attempt++ {
+			host.endAttempt(id, attempt, OK, RoleReplica)
 		}
 	}
-	if !f.server(2).ejection.ejected || f.server(3).ejection.ejected {
-		t.Fatal("the store that fails keeps its turn, or the good one lost it")
+	if !host.server(2).ejection.ejected || host.server(3).ejection.ejected {
+		t.Fatal("the server that fails is not ejected, or the good one is")
 	}
 }
 
-// An attempt that hangs at a store that has lost its turn must not keep it from its trial until it times out: it may be
-// a lost connection, and the store well.
+// An attempt that hangs at a server since before its ejection must not keep it from its trial until it times out: its
+// connection may be lost, and the server well.
 func TestHungAttemptLeavesCapacityForTrial(t *testing.T) {
-	f := newHost(t, nil)
-	s := f.server(2)
+	host := newHost(t, nil)
+	s := host.server(2)
 	s.window.size = 1
-	f.router.sendAttempt(&request{class: &f.router.settings.Classes[classNotIdempotent], classIndex: classNotIdempotent, group: f.router.groupFor(7)}, s)
-	if f.router.hasCapacity(s, classNotIdempotent) {
-		t.Fatal("a full window has room")
+	hung := &request{
+		class:      &host.router.settings.Classes[classNotIdempotent],
+		classIndex: classNotIdempotent,
+		group:      host.router.groupFor(testGroup),
 	}
-	f.router.advanceClock(f.now + ms)
-	f.router.eject(s, "is silent")
-	if !f.router.hasCapacity(s, classNotIdempotent) {
-		t.Error("no room for a trial beside the attempt that hangs")
+	host.router.sendAttempt(hung, s)
+	if host.router.hasCapacity(s, classNotIdempotent) {
+		t.Fatal("a full window has capacity")
+	}
+	host.router.advanceClock(host.now + ms)
+	host.router.eject(s, "is silent")
+	if !host.router.hasCapacity(s, classNotIdempotent) {
+		t.Error("no capacity for a trial beside the attempt that hangs")
 	}
 }
--- a/internal/policy/primary_tracking_test.go
+++ b/internal/policy/primary_tracking_test.go
@@ -1,174 +1,182 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
-// All fronts together send a primary a bounded number of pings, and the small fleet its 100 ms ping.
+// All poolers together send a primary a bounded number of pings, and each pooler of a small fleet one each 100 ms.
 func TestFleetPings(t *testing.T) {
-	for _, c := range []struct{ fronts, least, most int }{{3, 598, 602}, {5, 598, 602}, {100, 5, 7}, {400, 1, 2}} {
-		f := newHostWithPrimary(t, withPoolers(c.fronts))
-		for id := uint32(10); f.now < startTime+time.Minute; id++ {
-			f.sendRequest(id, classAny) // in use, but no word from the primary
-			if len(f.attempts[id]) > 0 {
-				f.endAttempt(id, 0, OK, RoleUnknown)
+	for _, c := range []struct{ poolers, least, most int }{
+		{3, 598, 602},
+		{5, 598, 602},
+		{100, 5, 7},
+		{400, 1, 2},
+	} {
+		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
+			host := newHostWithPrimary(t, withPoolers(c.poolers))
+			for id := uint32(10); host.now < startTime+time.Minute; id++ {
+				host.sendRequest(id, classAny) // the group is in use, and its primary answers nothing
+				if len(host.attempts[id]) > 0 {
+					host.endAttempt(id, 0, OK, RoleUnknown)
+				}
+				host.advance(500 * ms)
 			}
-			f.advanceTo(f.now + 500*ms)
-		}
-		if n := f.probeCount(1); n < c.least || n > c.most {
-			t.Errorf("%d fronts: %d pings by one in a minute, want %d to %d", c.fronts, n, c.least, c.most)
-		}
+			if n := host.probeCount(1); n < c.least || n > c.most {
+				t.Errorf("%d pings by one pooler in a minute, want %d to %d", n, c.least, c.most)
+			}
+		})
 	}
 }
 
-// A front of a large fleet without traffic does not ping; its first write finds that the primary is dead, and
-// reaches the new one.
+// A pooler of a large fleet without traffic does not ping. Its first write finds that the primary is dead, and reaches the
+// new one.
 func TestIdlePoolerFindsDeadPrimary(t *testing.T) {
-	f := newHostWithPrimary(t, withPoolers(400))
-	f.advanceTo(startTime + 20*time.Second)
-	f.probedServers = nil
-	f.advanceTo(startTime + time.Minute)
-	if len(f.probedServers) != 0 {
-		t.Fatalf("%d probes by a front without traffic", len(f.probedServers))
+	host := newHostWithPrimary(t, withPoolers(400))
+	host.advanceTo(startTime + 20*time.Second)
+	host.probedServers = nil
+	host.advanceTo(startTime + time.Minute)
+	if len(host.probedServers) != 0 {
+		t.Fatalf("%d probes by a pooler without traffic", len(host.probedServers))
 	}
-	f.sendRequest(2, classNotIdempotent)
-	f.wantAction("attempt 2 1")
-	f.endAttempt(2, 0, ConnectFailed, RoleUnknown)
-	if f.probeCount(2) == 0 || f.probeCount(3) == 0 {
-		t.Fatalf("probed %v after the refused connect, want a round", f.probedServers)
+	host.sendRequest(2, classNotIdempotent)
+	host.wantAction("attempt 2 1")
+	host.endAttempt(2, 0, ConnectFailed, RoleUnknown)
+	if host.probeCount(2) == 0 || host.probeCount(3) == 0 {
+		t.Fatalf("probed %v after the failed connect, want a round", host.probedServers)
 	}
-	f.probeUnreachable(1)
-	f.probeAnswered(3, true, f.now)
-	f.wantAction("attempt 2 3")
+	host.probeFailed(1, ConnectFailed)
+	host.probeAnswered(3, true, host.now)
+	host.wantAction("attempt 2 3")
 }
 
-// Scarce connections: a refused connect pauses the store and starts a round; the record stands while the primary
-// answers that. When it comes a third time with nothing served between, connections are not kept idle meanwhile;
-// sooner it may be one that broke.
+// A failed connect pauses the server and starts a round; the primary stays on record if it answers that. After the third in
+// a row with nothing served between, connections are scarce and none is kept idle; sooner one may just have broken.
 func TestConnectFailureKeepsPrimary(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.sendRequest(2, classNotIdempotent)
-	f.endAttempt(2, 0, ConnectFailed, RoleUnknown)
-	f.probeAnswered(1, true, f.now)
-	if p := f.router.groups[7].primary; p == nil || p.ID != 1 {
-		t.Fatal("a refused connect took the primary off the record")
+	host := newHostWithPrimary(t, nil)
+	host.sendRequest(2, classNotIdempotent)
+	host.endAttempt(2, 0, ConnectFailed, RoleUnknown)
+	host.probeAnswered(1, true, host.now)
+	if host.primary() != 1 {
+		t.Fatal("a failed connect took the primary off the record")
 	}
-	f.advanceTo(f.now + 200*ms)
-	if len(f.attempts[2]) != 2 || f.attempts[2][1] != 1 {
-		t.Fatalf("sent to %v, want store 1 again after a pause", f.attempts[2])
+	host.advance(200 * ms)
+	if sent := host.attempts[2]; len(sent) != 2 || sent[1] != 1 {
+		t.Fatalf("sent to %v, want server 1 again after a pause", sent)
 	}
-	f.endAttempt(2, 1, ConnectFailed, RoleUnknown)
-	f.wantNoAction("close 1")
-	f.advanceTo(f.now + 200*ms)
-	f.endAttempt(2, 2, ConnectFailed, RoleUnknown)
-	f.wantAction("close 1")
+	host.endAttempt(2, 1, ConnectFailed, RoleUnknown)
+	host.wantNoAction("close 1")
+	host.advance(200 * ms)
+	host.endAttempt(2, 2, ConnectFailed, RoleUnknown)
+	host.wantAction("close 1")
 }
 
-// Probes that fail by themselves: an error says nothing, and silence nothing within a second of an answer.
+// Probes fail by themselves: an error says nothing of the primary, and silence nothing within a second of an answer.
 func TestFailedProbesAgainstAnswers(t *testing.T) {
-	for _, c := range []struct {
-		res  Result
-		wait time.Duration
-		lost bool
-	}{{ServerError, 100 * ms, false}, {ServerError, 5 * time.Second, false}, {TimedOut, 900 * ms, false},
-		{TimedOut, 1100 * ms, true}, {ConnectFailed, 100 * ms, true}} {
-		f := newHostWithPrimary(t, nil)
-		f.sendRequest(2, classLatest)
-		f.endAttempt(2, 0, OK, RolePrimary)
-		f.advanceTo(f.now + c.wait)
-		f.router.HandleProbeResult(f.now, ProbeResult{Server: 1, Result: c.res})
-		if lost := f.router.groups[7].primary == nil; lost != c.lost {
-			t.Errorf("probe result %d %v after an answer: record lost %v, want %v", c.res, c.wait, lost, c.lost)
-		}
+	for name, c := range map[string]struct {
+		result  Result
+		after   time.Duration // since the primary's last answer
+		dropped bool
+	}{
+		"an early error":   {ServerError, 100 * ms, false},
+		"a late error":     {ServerError, 5 * time.Second, false},
+		"an early silence": {TimedOut, 900 * ms, false},
+		"a late silence":   {TimedOut, 1100 * ms, true},
+		"no connection":    {ConnectFailed, 100 * ms, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			host := newHostWithPrimary(t, nil)
+			host.sendRequest(2, classLatest)
+			host.endAttempt(2, 0, OK, RolePrimary)
+			host.advance(c.after)
+			host.probeFailed(1, c.result)
+			if dropped := host.primary() == 0; dropped != c.dropped {
+				t.Errorf("primary dropped %v, want %v", dropped, c.dropped)
+			}
+		})
 	}
 }
 
 func TestPrimaryPingInterval(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.advanceTo(startTime + 1010*ms + 5*ms)
-	pings := 0
-	for _, s := range f.probedServers {
-		if s == 1 {
-			pings++
-		}
-	}
-	if pings != 11 { // at 10 ms, then each 100 ms
+	host := newHostWithPrimary(t, nil)
+	host.advanceTo(startTime + 1010*ms + 5*ms)
+	if pings := host.probeCount(1); pings != 11 { // at 10 ms, then each 100 ms
 		t.Fatalf("%d pings of the primary in 1.01 s, want 11", pings)
 	}
 }
 
-// A hung primary still answers shallow pings as primary. Guards against writes sent into it.
+// A hung primary still answers shallow probes as primary. This guards against writes sent into it.
 func TestSilentPrimaryIsDropped(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.sendRequest(2, classLatest)
-	f.wantAction("attempt 2 1")
-	for f.now < startTime+3*time.Second {
-		f.advanceTo(f.now + 50*ms)
-		f.probeAnswered(1, true, startTime)
-		if len(f.router.groups[7].queue.requests) == 0 && f.router.groups[7].primary == nil {
+	host := newHostWithPrimary(t, nil)
+	host.sendRequest(2, classLatest)
+	host.wantAction("attempt 2 1")
+	for host.now < startTime+3*time.Second {
+		host.advance(50 * ms)
+		host.probeAnswered(1, true, startTime)
+		if len(host.router.groups[testGroup].queue.requests) == 0 && host.primary() == 0 {
 			break
 		}
 	}
-	if f.router.groups[7].primary != nil {
+	if host.primary() != 0 {
 		t.Fatal("still on record after 3 s of silence")
 	}
-	f.sendRequest(3, classNotIdempotent)
-	f.probeAnswered(1, true, f.now)
-	f.wantNoAction("attempt 3 1")
-	f.probeAnswered(2, true, f.now)
-	f.wantAction("attempt 3 2")
+	host.sendRequest(3, classNotIdempotent)
+	host.probeAnswered(1, true, host.now)
+	host.wantNoAction("attempt 3 1")
+	host.probeAnswered(2, true, host.now)
+	host.wantAction("attempt 3 2")
 }
 
-// A connection that breaks is no dead primary: the round that follows takes it back, although its report is
-// older than its last answer.
+// A connection that breaks does not prove a dead primary: the round that follows puts it on record again, although its
+// status is older than its last answer.
 func TestConnectionResetAllowsSamePrimary(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.advanceTo(startTime + 200*ms)
-	f.sendRequest(2, classLatest)
-	f.advanceTo(startTime + 280*ms)
-	f.endAttempt(2, 0, OK, RolePrimary)
-	f.sendRequest(3, classNotIdempotent)
-	f.advanceTo(startTime + 300*ms)
-	f.endAttempt(3, 0, ConnectionReset, RoleUnknown)
-	f.wantAction("fail 3")
-	f.sendRequest(4, classNotIdempotent)
-	f.wantNoAction("attempt 4 1")
-	f.advanceTo(startTime + 360*ms)
-	f.probeAnswered(1, true, f.now-150*ms)
-	f.wantAction("attempt 4 1")
+	host := newHostWithPrimary(t, nil)
+	host.advanceTo(startTime + 200*ms)
+	host.sendRequest(2, classLatest)
+	host.advanceTo(startTime + 280*ms)
+	host.endAttempt(2, 0, OK, RolePrimary)
+	host.sendRequest(3, classNotIdempotent)
+	host.advanceTo(startTime + 300*ms)
+	host.endAttempt(3, 0, ConnectionReset, RoleUnknown)
+	host.wantAction("fail 3")
+	host.sendRequest(4, classNotIdempotent)
+	host.wantNoAction("attempt 4 1")
+	host.advanceTo(startTime + 360*ms)
+	host.probeAnswered(1, true, host.now-150*ms)
+	host.wantAction("attempt 4 1")
 }
 
 func TestMisdirectedWriteStartsRound(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.advanceTo(startTime + 200*ms)
-	f.sendRequest(2, classNotIdempotent)
-	f.probedServers = nil
-	f.endAttempt(2, 0, Misdirected, RoleReplica)
-	if len(f.probedServers) != 3 {
-		t.Fatalf("a missed write probed %v, want all members", f.probedServers)
+	host := newHostWithPrimary(t, nil)
+	host.advanceTo(startTime + 200*ms)
+	host.sendRequest(2, classNotIdempotent)
+	host.probedServers = nil
+	host.endAttempt(2, 0, Misdirected, RoleReplica)
+	if len(host.probedServers) != 3 {
+		t.Fatalf("a misdirected write probed %v, want all members", host.probedServers)
 	}
-	f.wantNoAction("refuse 2")
-	f.probeAnswered(3, true, f.now)
-	f.wantAction("attempt 2 3")
+	host.wantNoAction("reject 2")
+	host.probeAnswered(3, true, host.now)
+	host.wantAction("attempt 2 3")
 }
 
 func TestPrimaryClaimsByAsOfTime(t *testing.T) {
-	for _, newerFirst := range []bool{true, false} {
-		f := newHost(t, nil)
-		f.sendRequest(1, classNotIdempotent)
-		claims := []struct {
-			s   uint32
-			pos time.Duration
-		}{{1, startTime - 5*time.Second}, {2, startTime - ms}}
-		if newerFirst {
-			claims[0], claims[1] = claims[1], claims[0]
-		}
-		for _, c := range claims {
-			f.probeAnswered(c.s, true, c.pos)
-		}
-		if p := f.router.groups[7].primary; p == nil || p.ID != 2 {
-			t.Errorf("newer first %v: record %v, want store 2", newerFirst, p)
-		}
+	older := func(host *fakeHost) { host.probeAnswered(1, true, startTime-5*time.Second) }
+	newer := func(host *fakeHost) { host.probeAnswered(2, true, startTime-ms) }
+	for name, claims := range map[string][]func(*fakeHost){
+		"older first": {older, newer},
+		"newer first": {newer, older},
+	} {
+		t.Run(name, func(t *testing.T) {
+			host := newHost(t, nil)
+			host.sendRequest(1, classNotIdempotent)
+			for _, claim := range claims {
+				claim(host)
+			}
+			if p := host.primary(); p != 2 {
+				t.Errorf("recorded primary %d, want server 2", p)
+			}
+		})
 	}
 }
--- a/internal/policy/probe_rounds_test.go
+++ b/internal/policy/probe_rounds_test.go
@@ -1,145 +1,156 @@
 package policy
 
 import (
-	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
 
-// A hundred fronts that start at once probe nobody where the list names a primary: their first writes go there, and only
-// those that learn better ask the others.
+// A hundred poolers that start at once probe nobody where the list names a primary: their first writes go there, and only
+// those that are told otherwise start a round.
 func TestStartWithoutRounds(t *testing.T) {
-	for _, c := range []struct {
-		fronts, probes int
-		listed         uint32
-	}{{2, 3, 1}, {100, 0, 1}, {100, 3, 0}} {
-		f := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
-		set := testSettings()
-		set.Poolers = c.fronts
-		f.router, _ = New(set, 1, f)
-		f.router.HandleList(f.now, ListCached, memberList(3, 0))
-		f.router.HandleList(f.now, ListFull, memberList(3, c.listed))
-		f.sendRequest(2, classByKey)
-		if len(f.probedServers) != c.probes {
-			t.Errorf("%+v: probed %v", c, f.probedServers)
-		}
-		if c.probes > 0 {
-			continue
-		}
-		f.wantAction("attempt 2 1")
-		f.endAttempt(2, 0, Misdirected, RoleReplica)
-		if len(f.probedServers) != 3 {
-			t.Fatalf("probed %v after a miss, want a round", f.probedServers)
-		}
-		f.probeAnswered(3, true, f.now)
-		f.wantAction("attempt 2 3")
+	for name, c := range map[string]struct {
+		poolers, probes int
+		listed          uint32 // the primary by the list; 0 for none
+	}{
+		"small fleet":                    {2, 3, 1},
+		"large fleet":                    {100, 0, 1},
+		"large fleet, no primary listed": {100, 3, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			host := newHost(t, withPoolers(c.poolers))
+			host.router.HandleList(host.now, ListFull, memberList(3, c.listed))
+			host.sendRequest(2, classByKey)
+			if len(host.probedServers) != c.probes {
+				t.Errorf("probed %v, want %d members", host.probedServers, c.probes)
+			}
+			if c.probes > 0 {
+				return
+			}
+			host.wantAction("attempt 2 1")
+			host.endAttempt(2, 0, Misdirected, RoleReplica)
+			if len(host.probedServers) != 3 {
+				t.Fatalf("probed %v after a misdirected write, want a round", host.probedServers)
+			}
+			host.probeAnswered(3, true, host.now)
+			host.wantAction("attempt 2 3")
+		})
 	}
 }
 
-// While another front repeats a group's rounds for all, one that holds work leaves them to it, and goes on by itself once
-// nothing is heard of it. What it tells is taken as of its time, and newer evidence stands.
+// While the round leader repeats a group's rounds, a pooler with queued requests leaves them to it, and goes on by itself
+// once nothing is heard of the leader. What the leader reports is taken as of its time, and newer evidence stands.
 func TestRoundsLeftToLeader(t *testing.T) {
-	f := newHostWithPrimary(t, withPoolers(80))
-	rounds := func(d time.Duration) int { // probes within d, where every member says that it is a replica
-		before := len(f.probedServers)
-		for end := f.now + d; f.now < end; {
-			f.advanceTo(min(f.now+100*ms, end))
-			for _, s := range f.router.servers.ordered {
-				if s.health.inRound {
-					f.probeAnswered(s.ID, false, f.now)
-				}
-			}
-		}
-		return len(f.probedServers) - before
-	}
-	f.probeAnswered(1, false, f.now)
-	f.sendRequest(2, classLatest)
-	if n := rounds(time.Second); n == 0 {
-		t.Fatal("no round of its own after the loss")
-	}
-	f.sendRequest(3, classLatest)
-	f.router.ObservePrimary(f.now, 7, 0, false, 0)
-	if n := rounds(leaderRoundsTrust - 100*ms); n != 0 {
-		t.Errorf("%d probes while another front repeats the rounds", n)
+	host := newHostWithPrimary(t, withPoolers(80))
+	host.probeAnswered(1, false, host.now)
+	host.sendRequest(2, classLatest)
+	if n := host.probesWithin(time.Second); n == 0 {
+		t.Fatal("no round of its own after the primary was dropped")
 	}
-	before := len(f.probedServers)
-	if f.router.ReportPrimaryDown(f.now, 7); len(f.probedServers) != before {
-		t.Error("a front that repeats nothing for others probes at another's loss")
+	host.sendRequest(3, classLatest)
+	host.router.ObservePrimary(host.now, testGroup, 0, false, 0)
+	if n := host.probesWithin(leaderRoundsTrust - 100*ms); n != 0 {
+		t.Errorf("%d probes while the leader repeats the rounds", n)
 	}
-	f.sendRequest(4, classLatest)
-	if n := rounds(time.Second); n == 0 {
-		t.Error("no round of its own once the other is silent")
+	before := len(host.probedServers)
+	host.router.ReportPrimaryDown(host.now, testGroup)
+	if len(host.probedServers) != before {
+		t.Error("a pooler that is not the leader probes when another one reports a primary down")
 	}
-	f.router.ObservePrimary(f.now, 7, 2, true, f.now-time.Minute)
-	if f.router.groupFor(7).primary != nil {
-		t.Error("old news of a primary outweighs a newer no")
+	host.sendRequest(4, classLatest)
+	if n := host.probesWithin(time.Second); n == 0 {
+		t.Error("no round of its own once the leader is silent")
 	}
-	f.router.ObservePrimary(f.now, 7, 2, true, f.now+ms)
-	if p := f.router.groupFor(7).primary; p == nil || p.ID != 2 {
-		t.Errorf("the primary that was told is not the record: %v", p)
+	host.router.ObservePrimary(host.now, testGroup, 2, true, host.now-time.Minute)
+	if host.primary() != 0 {
+		t.Error("an old report of a primary outweighs a newer denial")
 	}
-	f.router.ObservePrimary(f.now, 7, 0, false, 0)
-	f.probeAnswered(3, true, f.now+2*ms)
-	if f.router.groupFor(7).round.leaderUntil != 0 {
-		t.Error("with a primary found, the rounds of a next loss are still left to another")
+	host.router.ObservePrimary(host.now, testGroup, 2, true, host.now+ms)
+	if p := host.primary(); p != 2 {
+		t.Errorf("recorded primary %d, want the reported one", p)
 	}
-	f.router.ObservePrimary(f.now, 7, 2, true, f.now+3*ms)
-	f.router.SetRoundLeader(true)
-	f.advanceTo(f.now + roundInterval)
-	before = len(f.probedServers)
-	f.router.ReportPrimaryDown(f.now, 7)
-	f.router.ReportPrimaryDown(f.now, 7)
-	if n := len(f.probedServers) - before; n != 3 {
-		t.Errorf("%d probes of the front that repeats rounds for all, told twice of a loss, want one round", n)
-	}
-	f.probeAnswered(2, false, f.now)
-	for id := range uint32(10) {
-		f.router.HandleDisconnect(f.now, id)
-	}
-	if n := rounds(2 * time.Second); n < 6 {
-		t.Errorf("%d probes of the front that repeats rounds for all, without work of its own", n)
+	host.router.ObservePrimary(host.now, testGroup, 0, false, 0)
+	host.probeAnswered(3, true, host.now+2*ms)
+	if host.router.groupFor(testGroup).round.leaderUntil != 0 {
+		t.Error("with a primary found, the rounds of the next outage are still left to the leader")
 	}
 }
 
 func TestFirstRequestStartsRound(t *testing.T) {
-	f := newHost(t, nil)
-	if len(f.probedServers) != 0 {
-		t.Fatalf("probed %v before the group was needed", f.probedServers)
+	host := newHost(t, nil)
+	if len(host.probedServers) != 0 {
+		t.Fatalf("probed %v before the group was used", host.probedServers)
 	}
-	f.sendRequest(1, classNotIdempotent)
-	if !reflect.DeepEqual(f.probedServers, []uint32{1, 2, 3}) {
-		t.Fatalf("probed %v, want all members", f.probedServers)
+	host.sendRequest(1, classNotIdempotent)
+	if !slices.Equal(host.probedServers, []uint32{1, 2, 3}) {
+		t.Fatalf("probed %v, want all members", host.probedServers)
 	}
-	f.wantNoAction("attempt 1 1")
-	f.probeAnswered(2, true, f.now)
-	f.wantAction("attempt 1 2")
+	host.wantNoAction("attempt 1 1")
+	host.probeAnswered(2, true, host.now)
+	host.wantAction("attempt 1 2")
 }
 
 func TestRoundInterval(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		answered bool
-		wait     time.Duration
-	}{{"some answered", true, 500 * ms}, {"none answered", false, time.Second}} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newHost(t, nil)
-			f.sendRequest(1, classNotIdempotent)
-			for s := uint32(1); s <= 3; s++ {
-				if c.answered {
-					f.probeAnswered(s, false, f.now-ms)
-				} else {
-					f.probeUnreachable(s)
-				}
+	for name, c := range map[string]struct {
+		answer   func(host *fakeHost, server uint32)
+		interval time.Duration
+	}{
+		"some answered": {
+			answer:   func(host *fakeHost, server uint32) { host.probeAnswered(server, false, host.now-ms) },
+			interval: 500 * ms,
+		},
+		"none answered": {
+			answer:   func(host *fakeHost, server uint32) { host.probeFailed(server, ConnectFailed) },
+			interval: time.Second,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			host := newHost(t, nil)
+			host.sendRequest(1, classNotIdempotent)
+			for server := uint32(1); server <= 3; server++ {
+				c.answer(host, server)
 			}
-			f.probedServers = nil
-			f.advanceTo(startTime + c.wait - ms)
-			if len(f.probedServers) != 0 {
-				t.Fatalf("another round before %v", c.wait)
+			host.probedServers = nil
+			host.advanceTo(startTime + c.interval - ms)
+			if len(host.probedServers) != 0 {
+				t.Fatalf("another round before %v", c.interval)
 			}
-			f.advanceTo(startTime + c.wait + ms)
-			if len(f.probedServers) != 3 {
-				t.Fatalf("%d probes after %v, want 3", len(f.probedServers), c.wait)
+			host.advanceTo(startTime + c.interval + ms)
+			if len(host.probedServers) != 3 {
+				t.Fatalf("%d probes after %v, want 3", len(host.probedServers), c.interval)
 			}
 		})
 	}
 }
+
+// probesWithin returns the probes within a span in which every member says that it is a replica.
+func (host *fakeHost) probesWithin(span time.Duration) int {
+	before := len(host.probedServers)
+	for end := host.now + span; host.now < end; {
+		host.advanceTo(min(host.now+100*ms, end))
+		for _, s := range host.router.servers.ordered {
+			if s.health.inRound {
+				host.probeAnswered(s.ID, false, host.now)
+			}
+		}
+	}
+	return len(host.probedServers) - before
+}
+
+// The round leader starts one round however often a primary is reported down, and repeats rounds without requests of its own.
+func TestRoundLeader(t *testing.T) {
+	host := newHostWithPrimary(t, withPoolers(80))
+	host.router.ObservePrimary(host.now, testGroup, 2, true, host.now+3*ms)
+	host.router.SetRoundLeader(true)
+	host.advance(roundInterval)
+	before := len(host.probedServers)
+	host.router.ReportPrimaryDown(host.now, testGroup)
+	host.router.ReportPrimaryDown(host.now, testGroup)
+	if n := len(host.probedServers) - before; n != 3 {
+		t.Errorf("%d probes of the leader after two reports, want one round", n)
+	}
+	host.probeAnswered(2, false, host.now)
+	if n := host.probesWithin(2 * time.Second); n < 6 {
+		t.Errorf("%d probes of the leader without requests of its own", n)
+	}
+}
--- a/internal/policy/replica_selection_test.go
+++ b/internal/policy/replica_selection_test.go
@@ -5,168 +5,209 @@
 	"time"
 )
 
-// Reads by turns follow the weights, also while some are under way; a member of weight 0 gets none, and those that a read
-// can't use lose their turns to the others by weight.
+// Reads by turns follow the weights, also while some are in flight; a member of weight NoReads gets none, and the turns of
+// a member that a read can't use go to the others by weight.
 func TestReadsByWeight(t *testing.T) {
 	for name, c := range map[string]struct {
-		weights map[uint32]int
-		stale   uint32 // a replica that is too far behind
-		open    int    // reads under way
-		want    map[uint32]float64
+		weights  map[uint32]int
+		stale    uint32 // a replica that is too far behind; 0 for none
+		inFlight int
+		want     map[uint32]float64
 	}{
-		"1:2:5":              {map[uint32]int{2: 1, 3: 2, 4: 5}, 0, 0, map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8}},
-		"1:2:5, under way":   {map[uint32]int{2: 1, 3: 2, 4: 5}, 0, 3, map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8}},
-		"none for one":       {map[uint32]int{2: NoReads, 3: 2, 4: 2}, 0, 2, map[uint32]float64{3: 1. / 2, 4: 1. / 2}},
-		"none for all":       {map[uint32]int{2: NoReads, 3: NoReads, 4: NoReads}, 0, 0, map[uint32]float64{1: 1}},
-		"the heaviest stale": {map[uint32]int{2: 1, 3: 2, 4: 5}, 4, 0, map[uint32]float64{2: 1. / 3, 3: 2. / 3}},
+		"1:2:5": {
+			weights: map[uint32]int{2: 1, 3: 2, 4: 5},
+			want:    map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8},
+		},
+		"1:2:5, in flight": {
+			weights:  map[uint32]int{2: 1, 3: 2, 4: 5},
+			inFlight: 3,
+			want:     map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8},
+		},
+		"none for one": {
+			weights:  map[uint32]int{2: NoReads, 3: 2, 4: 2},
+			inFlight: 2,
+			want:     map[uint32]float64{3: 1. / 2, 4: 1. / 2},
+		},
+		"none for all": {
+			weights: map[uint32]int{2: NoReads, 3: NoReads, 4: NoReads},
+			want:    map[uint32]float64{1: 1},
+		},
+		"the heaviest stale": {
+			weights: map[uint32]int{2: 1, 3: 2, 4: 5},
+			stale:   4,
+			want:    map[uint32]float64{2: 1. / 3, 3: 2. / 3},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newHostWithPrimary(t, nil)
+			host := newHostWithPrimary(t, nil)
 			var list []Member
-			for s := uint32(1); s <= 4; s++ {
-				list = append(list, newMember(s, Ready, c.weights[s]))
+			for id := uint32(1); id <= 4; id++ {
+				list = append(list, newMember(id, Ready, c.weights[id]))
 			}
-			f.router.HandleList(f.now, ListFull, list)
+			host.router.HandleList(host.now, ListFull, list)
 			const reads = 2000
-			count := map[uint32]int{}
-			for id := uint32(10); id < 10+reads; id++ {
-				f.advanceTo(f.now + 10*ms)
-				for s := uint32(1); s <= 4; s++ {
-					pos := f.now
-					if s == c.stale {
-						pos -= time.Hour
-					}
-					f.probeAnswered(s, s == 1, pos)
-				}
-				f.sendRequest(id, classBounded)
-				if len(f.attempts[id]) != 1 {
-					t.Fatalf("read %d is sent %v", id, f.attempts[id])
-				}
-				count[f.attempts[id][0]]++
-				if done := id - uint32(c.open); done >= 10 {
-					f.endAttempt(done, 0, OK, RoleUnknown)
-				}
-			}
-			for s := uint32(1); s <= 4; s++ {
-				if got := float64(count[s]) / reads; got < 0.95*c.want[s] || got > 1.05*c.want[s] {
-					t.Errorf("reads by store %v, want shares %v", count, c.want)
+			count := host.countReads(reads, c.stale, c.inFlight)
+			for id := uint32(1); id <= 4; id++ {
+				if got := float64(count[id]) / reads; got < 0.95*c.want[id] || got > 1.05*c.want[id] {
+					t.Errorf("reads by server %v, want shares %v", count, c.want)
 				}
 			}
 		})
 	}
 }
 
-// In a jam the primary of a large fleet takes reads that no replica has room for while it answers in good time itself,
-// whatever the replicas do.
-func TestFallbackUnderCongestion(t *testing.T) {
-	for _, c := range []struct {
-		primary, all float64
-		sent         bool
-	}{{1, 1, true}, {1, 3, true}, {3, 1, false}} {
-		f := newHostWithPrimary(t, withPoolers(400))
-		p := f.server(1)
-		p.latency.ratio, p.latency.measuredAt, f.router.overall.latencyRatio = c.primary, f.now, c.all
-		f.router.withdraw(f.server(2), Draining)
-		f.router.withdraw(f.server(3), Draining)
-		f.sendRequest(2, classAny)
-		f.advanceTo(f.now + 200*ms)
-		if sent := len(f.attempts[2]) > 0; sent != c.sent {
-			t.Errorf("%+v: sent to the primary %v", c, sent)
+// countReads sends bounded reads, 10 ms apart, with so many in flight, where one of servers 1 to 4 may be stale, and
+// returns how many each server was sent.
+func (host *fakeHost) countReads(reads uint32, stale uint32, inFlight int) map[uint32]int {
+	host.t.Helper()
+	const firstID = 10
+	count := map[uint32]int{}
+	for id := uint32(firstID); id < firstID+reads; id++ {
+		host.advance(10 * ms)
+		for server := uint32(1); server <= 4; server++ {
+			position := host.now
+			if server == stale {
+				position -= time.Hour
+			}
+			host.probeAnswered(server, server == 1, position)
 		}
+		host.sendRequest(id, classBounded)
+		if len(host.attempts[id]) != 1 {
+			host.t.Fatalf("read %d is sent to %v", id, host.attempts[id])
+		}
+		count[host.attempts[id][0]]++
+		if served := id - uint32(inFlight); served >= firstID {
+			host.endAttempt(served, 0, OK, RoleUnknown)
+		}
+	}
+	return count
+}
+
+// Under congestion the primary of a large fleet takes reads that no replica has capacity for while its own answers come in
+// good time, whatever the replicas' do.
+func TestFallbackUnderCongestion(t *testing.T) {
+	for name, c := range map[string]struct {
+		primary, overall float64 // latency ratios
+		sent             bool
+	}{
+		"no congestion":         {1, 1, true},
+		"congested replicas":    {1, 3, true},
+		"the primary congested": {3, 1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			host := newHostWithPrimary(t, withPoolers(400))
+			host.setLatencyRatio(host.server(1), c.primary)
+			host.router.overall.latencyRatio = c.overall
+			host.router.withdraw(host.server(2), Draining)
+			host.router.withdraw(host.server(3), Draining)
+			host.sendRequest(2, classAny)
+			host.advance(200 * ms)
+			if sent := len(host.attempts[2]) > 0; sent != c.sent {
+				t.Errorf("sent to the primary %v, want %v", sent, c.sent)
+			}
+		})
 	}
 }
 
-// Eighty fronts with a read each, and then with another while that is out: each replica is the home of as many, and what a
-// home has no time for goes to the others alike. Lagging replicas draw nobody elsewhere.
+// Eighty poolers with a read each, and then with another while that is in flight: each replica is the home of as many, and
+// what a home has no time for goes to the others alike. Lagging replicas draw nobody elsewhere.
 func TestHomesSpreadReadsEvenly(t *testing.T) {
-	const fronts = 80
-	first, second := map[uint32]int{}, map[uint32]int{}
-	for me := range fronts {
-		f := newHost(t, func(s *Settings) { s.Poolers, s.PoolerIndex = fronts, me })
-		f.router.HandleList(f.now, ListFull, memberList(5, 1))
-		f.probeAnswered(1, true, f.now)
-		f.probeAnswered(2, false, f.now-time.Second)
-		f.sendRequest(10, classAny)
-		f.endAttempt(10, 0, OK, RoleReplica)
-		f.sendRequest(11, classAny)
-		if f.attempts[11][0] != f.attempts[10][0] {
-			t.Fatalf("front %d: reads at %d and %d, want its home again", me, f.attempts[10][0], f.attempts[11][0])
+	const poolers = 80
+	homes, seconds := map[uint32]int{}, map[uint32]int{}
+	for pooler := range poolers {
+		host := newHost(t, withPooler(pooler, poolers))
+		host.router.HandleList(host.now, ListFull, memberList(5, 1))
+		host.probeAnswered(1, true, host.now)
+		host.probeAnswered(2, false, host.now-time.Second)
+		host.sendRequest(10, classAny)
+		host.endAttempt(10, 0, OK, RoleReplica)
+		host.sendRequest(11, classAny)
+		if host.attempts[11][0] != host.attempts[10][0] {
+			t.Fatalf("pooler %d: reads at %d and %d, want its home again",
+				pooler, host.attempts[10][0], host.attempts[11][0])
 		}
-		f.sendRequest(12, classAny)
-		first[f.attempts[11][0]]++
-		second[f.attempts[12][0]]++
+		host.sendRequest(12, classAny)
+		homes[host.attempts[11][0]]++
+		seconds[host.attempts[12][0]]++
 	}
 	for id := uint32(2); id <= 5; id++ {
-		for place, n := range map[string]int{"home": first[id], "second": second[id]} {
-			if n < 17 || n > 21 { // balance.Slack of the mean
-				t.Errorf("replica %d is the %s of %d fronts, want about 20", id, place, n)
+		for place, n := range map[string]int{"home": homes[id], "second choice": seconds[id]} {
+			if n < 17 || n > 21 { // rendezvous.Slack of the mean
+				t.Errorf("replica %d is the %s of %d poolers, want about 20", id, place, n)
 			}
 		}
 	}
 }
 
-// When one replica of a group is replaced, or hands its place to the primary, the fronts whose home it was move, and few
-// others: each that moves dials a server anew.
+// When one replica of a group is replaced, or is promoted, the poolers whose home it was move, and few others: each pooler
+// that moves dials a server anew.
 func TestFewHomesMove(t *testing.T) {
-	const fronts = 80
-	for name, change := range map[string]func(f *fakeHost){
-		"replaced": func(f *fakeHost) {
+	const poolers = 80
+	for name, change := range map[string]func(host *fakeHost){
+		"replaced": func(host *fakeHost) {
 			list := memberList(5, 1)
 			list[4].ID = 6
-			f.router.HandleList(f.now, ListFull, list)
+			host.router.HandleList(host.now, ListFull, list)
 		},
-		"promoted": func(f *fakeHost) {
-			f.now += time.Second
-			f.probeAnswered(1, false, f.now)
-			f.probeAnswered(5, true, f.now)
+		"promoted": func(host *fakeHost) {
+			host.now += time.Second
+			host.probeAnswered(1, false, host.now)
+			host.probeAnswered(5, true, host.now)
 		},
 	} {
-		moved, own := 0, 0
-		for me := range fronts {
-			f := newHost(t, func(s *Settings) { s.Poolers, s.PoolerIndex = fronts, me })
-			f.router.HandleList(f.now, ListFull, memberList(5, 1))
-			f.probeAnswered(1, true, f.now)
-			f.sendRequest(10, classAny)
-			f.endAttempt(10, 0, OK, RoleReplica)
-			change(f)
-			f.sendRequest(11, classAny)
-			if home := f.attempts[10][0]; home != f.attempts[11][0] {
-				if moved++; home == 5 {
-					own++
+		t.Run(name, func(t *testing.T) {
+			moved, had := 0, 0
+			for pooler := range poolers {
+				host := newHost(t, withPooler(pooler, poolers))
+				host.router.HandleList(host.now, ListFull, memberList(5, 1))
+				host.probeAnswered(1, true, host.now)
+				host.sendRequest(10, classAny)
+				host.endAttempt(10, 0, OK, RoleReplica)
+				change(host)
+				host.sendRequest(11, classAny)
+				home := host.attempts[10][0]
+				if home == host.attempts[11][0] {
+					continue
+				}
+				moved++
+				if home == 5 {
+					had++
 				}
 			}
-		}
-		if own == 0 || moved > own+fronts/4+fronts/20 { // the new one's share, and one in twenty
-			t.Errorf("%s: %d of %d fronts have another home, %d of them had the one that left", name, moved, fronts, own)
-		}
+			if had == 0 || moved > had+poolers/4+poolers/20 { // the new one's share, and one in twenty
+				t.Errorf("%d of %d poolers have another home, %d of them had the one that left", moved, poolers, had)
+			}
+		})
 	}
 }
 
 func TestReadsTakeTurns(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
+	host := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 8; id++ {
-		f.sendRequest(id, classAny)
+		host.sendRequest(id, classAny)
 	}
 	count := map[uint32]int{}
-	for _, s := range f.attempts {
-		count[s[0]]++
+	for _, servers := range host.attempts {
+		count[servers[0]]++
 	}
 	if count[1] != 0 || count[2] != 3 || count[3] != 3 {
-		t.Fatalf("reads by store %v, want three for each replica", count)
+		t.Fatalf("reads by server %v, want three for each replica", count)
 	}
 }
 
-// If all look bad those that can be reached keep serving; a dead store is no way out although it holds least.
+// If all servers are ejected those that can be reached keep serving; an unreachable one is no way out although it holds
+// least.
 func TestNoFallbackToUnreachable(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.router.groups[7].primary = nil
-	f.server(1).ejection.ejected, f.server(1).health.unreachable = true, true
-	f.server(2).ejection.ejected, f.server(3).ejection.ejected = true, true
-	f.server(2).ejection.nextTrialAt, f.server(3).ejection.nextTrialAt = startTime+time.Hour, startTime+time.Hour
-	f.server(3).health.unreachable = true
-	f.sendRequest(2, classAny)
-	f.advanceTo(startTime + 300*ms)
-	if len(f.attempts[2]) != 1 || f.attempts[2][0] != 2 {
-		t.Fatalf("sent to %v, want store 2", f.attempts[2])
+	host := newHostWithPrimary(t, nil)
+	host.router.groups[testGroup].primary = nil
+	for id := uint32(1); id <= 3; id++ {
+		host.server(id).ejection.ejected = true
 	}
+	host.server(2).ejection.nextTrialAt = startTime + time.Hour
+	host.server(3).ejection.nextTrialAt = startTime + time.Hour
+	host.server(1).health.unreachable = true
+	host.server(3).health.unreachable = true
+	host.sendRequest(2, classAny)
+	host.advanceTo(startTime + 300*ms)
+	host.wantSentTo(2, 2)
 }
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -2,227 +2,314 @@
 
 import (
 	"fmt"
-	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.router.HandleOutcome(f.now, Outcome{RequestID: 99, Attempt: 3})
-	f.router.HandleDisconnect(f.now, 98)
-	f.router.HandleProbeResult(f.now, ProbeResult{Server: 97})
-	f.router.HandleTimer(f.now - time.Hour)
-	f.router.HandleList(f.now, ListFull, nil)
-	f.router.HandleList(f.now, ListDelta, []Member{{ID: 96, Group: 1, State: Removed}})
-	f.router.HandleRequest(f.now, Request{ID: 5, Class: 99, Group: 7, Timeout: time.Second})
-	f.wantAction("fail 5")
-	f.router.HandleRequest(f.now, Request{ID: 6, Class: classAny, Group: 12345, Timeout: time.Second})
-	f.advanceTo(startTime + 2*time.Second)
-	f.wantAction("refuse 6")
-}
-
-// Every request has exactly one final answer in time, whatever the stores do, and two runs are alike.
-func TestOneAnswerAndDeterminism(t *testing.T) {
-	run := func() []string {
-		f := newHostWithPrimary(t, func(s *Settings) { s.HedgingAllowed = true })
-		seed := uint32(7)
-		next := func(n uint32) uint32 { seed = seed*1664525 + 1013904223; return (seed >> 8) % n }
-		answered, done := map[uint32]int{}, 0
-		settled := map[string]bool{}
-		for id := uint32(100); f.now < startTime+6*time.Second; {
-			f.advanceTo(f.now + 5*ms)
-			if f.now < startTime+3*time.Second {
-				id++
-				f.sendRequest(id, int(id)%6)
-			}
-			for ; done < len(f.actions); done++ {
-				var q, s uint32
-				if n, _ := fmt.Sscanf(f.actions[done], "attempt %d %d", &q, &s); n == 2 {
-					continue
-				}
-				if n, _ := fmt.Sscanf(f.actions[done], "refuse %d", &q); n == 1 {
-					answered[q]++
-				} else if n, _ := fmt.Sscanf(f.actions[done], "fail %d", &q); n == 1 {
-					answered[q]++
-				}
-			}
-			for x := uint32(101); x <= id; x++ {
-				for n := range f.attempts[x] {
-					k := fmt.Sprint(x, ".", n)
-					if settled[k] || next(20) != 0 {
-						continue
-					}
-					settled[k] = true
-					res := Result(next(9))
-					o := Outcome{RequestID: x, Attempt: n, Result: res, Role: RoleUnknown, Answered: answered[x] > 0}
-					if res == OK && answered[x] == 0 {
-						answered[x]++
-						o.Answered = true
-					}
-					f.router.HandleOutcome(f.now, o)
-				}
-			}
-			f.probeAnswered(1, true, f.now)
+	host := newHostWithPrimary(t, nil)
+	host.router.HandleOutcome(host.now, Outcome{RequestID: 99, Attempt: 3})
+	host.router.HandleDisconnect(host.now, 98)
+	host.router.HandleProbeResult(host.now, ProbeResult{Server: 97})
+	host.router.HandleTimer(host.now - time.Hour)
+	host.router.HandleList(host.now, ListFull, nil)
+	host.list(Member{ID: 96, Group: 1, State: Removed})
+	host.sendRequestWithin(5, 99, time.Second)
+	host.wantAction("fail 5")
+	host.router.HandleRequest(host.now, Request{ID: 6, Class: classAny, Group: 12345, Timeout: time.Second})
+	host.advanceTo(startTime + 2*time.Second)
+	host.wantAction("reject 6")
+}
+
+// randomPlay plays requests whose attempts end in random ways.
+type randomPlay struct {
+	*fakeHost
+	seed     uint32
+	lastID   uint32
+	answers  map[uint32]int  // final answers by request
+	readTo   int             // actions already counted
+	finished map[[2]int]bool // attempts that have ended, by request and number
+}
+
+const firstPlayedID = 101
+
+// random returns a number from 0 to below n.
+func (p *randomPlay) random(n uint32) uint32 {
+	p.seed = p.seed*1664525 + 1013904223
+	return (p.seed >> 8) % n
+}
+
+// countAnswers counts the rejections and failures since the last call.
+func (p *randomPlay) countAnswers() {
+	for ; p.readTo < len(p.actions); p.readTo++ {
+		var id uint32
+		action := p.actions[p.readTo]
+		if n, _ := fmt.Sscanf(action, "reject %d", &id); n == 1 {
+			p.answers[id]++
+		} else if n, _ := fmt.Sscanf(action, "fail %d", &id); n == 1 {
+			p.answers[id]++
 		}
-		for x := uint32(101); x < 700; x++ {
-			if answered[x] != 1 {
-				t.Fatalf("request %d had %d answers; sends %v", x, answered[x], f.attempts[x])
+	}
+}
+
+// endSomeAttempts ends one in twenty of the attempts that are in flight.
+func (p *randomPlay) endSomeAttempts() {
+	for id := uint32(firstPlayedID); id <= p.lastID; id++ {
+		for attempt := range p.attempts[id] {
+			key := [2]int{int(id), attempt}
+			if p.finished[key] || p.random(20) != 0 {
+				continue
 			}
+			p.finished[key] = true
+			p.endRandomly(id, attempt)
 		}
-		return f.actions
 	}
-	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Fatal("the same events gave other actions")
+}
+
+func (p *randomPlay) endRandomly(id uint32, attempt int) {
+	result := Result(p.random(9))
+	answered := p.answers[id] > 0
+	if result == OK && !answered {
+		p.answers[id]++
+		answered = true
 	}
+	p.router.HandleOutcome(p.now, Outcome{RequestID: id, Attempt: attempt, Result: result, Answered: answered})
 }
 
-// A class with no aim earns its worth up to the deadline; figures left out divide nothing by zero.
-func TestZeroSettings(t *testing.T) {
-	f := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
-	r, err := New(Settings{Classes: []Class{{}, {Access: Write, Idempotency: IdempotentByKey}}}, 1, f)
-	if err != nil {
-		t.Fatal(err)
+// playRandomly plays 600 requests over 3 s, waits for 3 s, and returns the actions.
+func playRandomly(t *testing.T) []string {
+	t.Helper()
+	p := &randomPlay{
+		fakeHost: newHostWithPrimary(t, func(s *Settings) { s.HedgingAllowed = true }),
+		seed:     7,
+		lastID:   firstPlayedID - 1,
+		answers:  map[uint32]int{},
+		finished: map[[2]int]bool{},
+	}
+	for p.now < startTime+6*time.Second {
+		p.advance(5 * ms)
+		if p.now < startTime+3*time.Second {
+			p.lastID++
+			p.sendRequest(p.lastID, int(p.lastID)%len(testSettings().Classes))
+		}
+		p.countAnswers()
+		p.endSomeAttempts()
+		p.probeAnswered(1, true, p.now)
 	}
-	f.router = r
-	r.HandleList(f.now, ListFull, []Member{{ID: 1, State: Ready, StartedAt: f.now}, {ID: 2, State: Ready, Primary: true}})
-	r.HandleRequest(f.now, Request{ID: 1, Timeout: time.Second})
-	r.HandleRequest(f.now, Request{ID: 2, Class: 1, Timeout: time.Second})
-	f.wantAction("attempt 2 2")
-	if len(f.attempts[1]) != 1 {
-		t.Fatalf("the read was not sent: %v", f.actions)
+	for id := uint32(firstPlayedID); id < 700; id++ {
+		if p.answers[id] != 1 {
+			t.Fatalf("request %d had %d answers; sent to %v", id, p.answers[id], p.attempts[id])
+		}
 	}
-	r.HandleList(f.now, ListDelta, []Member{{ID: 1, State: Draining}, {ID: 2, State: Removed}})
-	f.advanceTo(startTime + ms)
-	r.HandleRequest(f.now, Request{ID: 3, Class: 1, Timeout: time.Second})
-	f.advanceTo(startTime + 2*time.Second)
-	f.wantAction("refuse 3")
+	return p.actions
+}
+
+// Every request has exactly one final answer in time, whatever the servers do, and two runs are alike.
+func TestOneAnswerAndDeterminism(t *testing.T) {
+	first := playRandomly(t)
+	if second := playRandomly(t); !slices.Equal(first, second) {
+		t.Fatal("the same events led to other actions")
+	}
+}
+
+// A class without a latency objective earns its full weight up to its timeout; settings left out divide nothing by zero.
+func TestZeroSettings(t *testing.T) {
+	host := newHostWith(t, Settings{Classes: []Class{{}, {Access: Write, Idempotency: IdempotentByKey}}}, 1)
+	router := host.router
+	router.HandleList(host.now, ListFull, []Member{
+		{ID: 1, State: Ready, StartedAt: host.now},
+		{ID: 2, State: Ready, Primary: true},
+	})
+	router.HandleRequest(host.now, Request{ID: 1, Timeout: time.Second})
+	router.HandleRequest(host.now, Request{ID: 2, Class: 1, Timeout: time.Second})
+	host.wantAction("attempt 2 2")
+	if len(host.attempts[1]) != 1 {
+		t.Fatalf("the read was not sent: %v", host.actions)
+	}
+	host.list(Member{ID: 1, State: Draining}, Member{ID: 2, State: Removed})
+	host.advanceTo(startTime + ms)
+	router.HandleRequest(host.now, Request{ID: 3, Class: 1, Timeout: time.Second})
+	host.advanceTo(startTime + 2*time.Second)
+	host.wantAction("reject 3")
 }
 
 // New settings must not change a request under way: it keeps its class, and may have fewer attempts but not more.
 func TestUpdateSettingsKeepsOpenRequests(t *testing.T) {
-	retune := func(f *fakeHost, attempts int, change func(*Class)) error {
-		set := testSettings()
-		set.MaxAttempts = attempts
-		stricter := set.Classes[classAny]
-		change(&stricter)
-		set.Classes = append(set.Classes, stricter)
-		return f.router.UpdateSettings(f.now, set)
-	}
-	unsafe := func(c *Class) { c.Access, c.Idempotency = Write, NotIdempotent }
-	f := newHostWithPrimary(t, func(s *Settings) { s.MaxAttempts = 3 })
-	f.sendRequest(2, classByKey)
-	f.sendRequest(3, classByKey)
-	f.sendRequest(4, classByKey)
-	if err := retune(f, 4, unsafe); err != nil {
-		t.Fatal(err)
+	// update sets the number of attempts and adds a class that is not idempotent.
+	update := func(host *fakeHost, maxAttempts int) {
+		t.Helper()
+		settings := testSettings()
+		settings.MaxAttempts = maxAttempts
+		stricter := settings.Classes[classAny]
+		stricter.Access = Write
+		stricter.Idempotency = NotIdempotent
+		settings.Classes = append(settings.Classes, stricter)
+		if err := host.router.UpdateSettings(host.now, settings); err != nil {
+			t.Fatal(err)
+		}
 	}
-	f.sendRequest(5, len(testSettings().Classes))
-	f.endAttempt(2, 0, ServerError, RolePrimary)
-	f.endAttempt(5, 0, ServerError, RolePrimary)
-	if f.wantAction("fail 5"); len(f.attempts[2]) != 2 {
-		t.Errorf("a keyed write under way has been sent to %v, want a repeat", f.attempts[2])
+	host := newHostWithPrimary(t, func(s *Settings) { s.MaxAttempts = 3 })
+	host.sendRequest(2, classByKey)
+	host.sendRequest(3, classByKey)
+	host.sendRequest(4, classByKey)
+	update(host, 4)
+	host.sendRequest(5, len(testSettings().Classes))
+	host.endAttempt(2, 0, ServerError, RolePrimary)
+	host.endAttempt(5, 0, ServerError, RolePrimary)
+	host.wantAction("fail 5")
+	if len(host.attempts[2]) != 2 {
+		t.Errorf("a write that is idempotent by its key was sent to %v, want a repeat", host.attempts[2])
 	}
-	for n := range 4 { // three were allowed when it came
-		f.endAttempt(3, n, Misdirected, RoleUnknown)
+	for attempt := range 4 { // three were allowed when it arrived
+		host.endAttempt(3, attempt, Misdirected, RoleUnknown)
 	}
-	if n := len(f.attempts[3]); n != 3 {
+	if n := len(host.attempts[3]); n != 3 {
 		t.Errorf("%d attempts, want 3", n)
 	}
-	if err := retune(f, 1, unsafe); err != nil {
-		t.Fatal(err)
-	}
-	f.endAttempt(4, 0, Misdirected, RoleUnknown)
-	if n := len(f.attempts[4]); n != 1 {
+	update(host, 1)
+	host.endAttempt(4, 0, Misdirected, RoleUnknown)
+	if n := len(host.attempts[4]); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
-	if err := f.router.UpdateSettings(f.now, testSettings()); err == nil {
-		t.Error("settings that take a class's number away pass")
+	if err := host.router.UpdateSettings(host.now, testSettings()); err == nil {
+		t.Error("settings with a class less are accepted")
 	}
 }
 
-// What the old settings had counted, put off or not begun is as the new ones would have it, from the moment that they hold.
+// settingsUpdate is an update of a running Router's settings and what must hold after it.
+type settingsUpdate struct {
+	old    func(*Settings) // nil for the test settings
+	next   func(*Settings) // nil for the test settings
+	before func(*fakeHost) // what happens before the update; nil for nothing
+	holds  func(*fakeHost) bool
+}
+
+// check plays an update. Server 2 was started 15 s before.
+func (u settingsUpdate) check(t *testing.T) {
+	t.Helper()
+	host := newHostWithPrimary(t, func(s *Settings) {
+		s.Classes[classAny].Name = "view"
+		if u.old != nil {
+			u.old(s)
+		}
+	})
+	host.listStart(Ready, startTime-15*time.Second)
+	host.advance(ms)
+	if u.before != nil {
+		u.before(host)
+	}
+	settings := testSettings()
+	settings.Classes = slices.Clip(host.router.settings.Classes[:len(settings.Classes)])
+	if u.next != nil {
+		u.next(&settings)
+	}
+	if err := host.router.UpdateSettings(host.now, settings); err != nil {
+		t.Fatal(err)
+	}
+	if !u.holds(host) {
+		t.Errorf("it does not hold; actions %v, probed %v", host.actions, host.probedServers)
+	}
+}
+
+// What the old settings had counted, scheduled or not begun is as the new ones have it, from the moment that they hold.
 func TestUpdateSettingsTakesEffectAtOnce(t *testing.T) {
-	draining := []Member{{ID: 1, Group: 7, State: Draining}}
-	hurried := Request{ID: 99, Class: len(testSettings().Classes), Group: 7, Timeout: 1250 * ms}
-	for name, c := range map[string]struct {
-		old, next func(*Settings)
-		before    func(*fakeHost)
-		ok        func(*fakeHost) bool
-	}{
-		"a usual patience is that of one deadline": {
-			old: func(s *Settings) {
-				s.Classes[classAny].LatencyObjective, s.Classes[classAny].TotalTimeout = 300*ms, 750*ms
-			},
-			next: func(s *Settings) { // a class of the same name, behind the others
-				k := s.Classes[classAny]
-				k.LatencyObjective, k.TotalTimeout, k.LateWeightFraction = 750*ms, 2500*ms, 0
-				s.Classes = append(s.Classes, k)
-			},
-			before: func(f *fakeHost) {
-				for id := range uint32(60) {
-					f.router.HandleRequest(f.now, Request{ID: 100 + id, Class: classAny, Group: 7, Timeout: 375 * ms})
-					f.endAttempt(100+id, 0, OK, RoleUnknown)
-				}
+	for name, update := range map[string]settingsUpdate{
+		"a server has a part of fewer poolers": {
+			old:   withPoolers(300),
+			holds: func(host *fakeHost) bool { return host.server(2).window.size >= host.router.pace.minWindow },
+		},
+		"slow start lasts longer": {
+			next:   func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
+			before: func(host *fakeHost) { host.router.slowStartWeight(host.server(2)) },
+			holds:  func(host *fakeHost) bool { return host.router.slowStartWeight(host.server(2)) < 1 },
+		},
+		"there is no slow start": {
+			old: func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
+			next: func(s *Settings) {
+				s.SlowStartDuration = 30 * time.Second
+				s.OverloadFactor = 0
 			},
-			ok: func(f *fakeHost) bool { f.router.HandleRequest(f.now, hurried); return len(f.attempts[99]) == 1 }},
-		"pings and calls of a smaller fleet come sooner": {
-			old:    func(s *Settings) { s.Poolers, s.PollList, s.MaxPollInterval = 300, true, 10*time.Second },
-			next:   func(s *Settings) { s.PollList, s.MaxPollInterval = true, 10*time.Second },
-			before: func(f *fakeHost) { f.advanceTo(f.now + 50*ms) },
-			ok: func(f *fakeHost) bool {
-				f.advanceTo(f.now + time.Second)
-				return len(f.probedServers) > 5 && f.hasAction("watch")
-			}},
-		"and fewer share a server": {old: func(s *Settings) { s.Poolers = 300 },
-			ok: func(f *fakeHost) bool { return f.server(2).window.size >= f.router.pace.minWindow }},
-		"a shorter grace holds for what drains": {old: func(s *Settings) { s.DrainGracePeriod = 2 * time.Second },
-			before: func(f *fakeHost) {
-				f.router.HandleList(f.now, ListDelta, draining)
-				f.sendRequest(2, classNotIdempotent)
-				f.now += 450 * ms
+			before: func(host *fakeHost) { host.server(2).slowStart.budget = -1e12 },
+			holds:  func(host *fakeHost) bool { return host.router.hasCapacity(host.server(2), classAny) },
+		},
+		"probes that are allowed find the primary": {
+			old: func(s *Settings) { s.ProbesAllowed = false },
+			before: func(host *fakeHost) {
+				host.router.dropPrimary(host.server(1), "is down")
+				host.probedServers = nil
 			},
-			ok: func(f *fakeHost) bool { return !f.router.MayStillSend(f.now, 2, 0) }},
-		"a longer one does not": {next: func(s *Settings) { s.DrainGracePeriod = 2 * time.Second },
-			before: func(f *fakeHost) {
-				f.router.HandleList(f.now, ListDelta, draining)
-				f.sendRequest(2, classNotIdempotent)
-				f.now += 450 * ms
+			holds: func(host *fakeHost) bool {
+				host.sendRequest(2, classNotIdempotent)
+				return len(host.probedServers) == 3
 			},
-			ok: func(f *fakeHost) bool { return !f.router.MayStillSend(f.now, 2, 0) }},
-		"a server is cold for longer": {next: func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
-			before: func(f *fakeHost) { f.router.slowStartWeight(f.server(2)) },
-			ok:     func(f *fakeHost) bool { return f.router.slowStartWeight(f.server(2)) < 1 }},
-		"or not at all": {old: func(s *Settings) { s.SlowStartDuration = 30 * time.Second }, next: func(s *Settings) { s.SlowStartDuration, s.OverloadFactor = 30*time.Second, 0 },
-			before: func(f *fakeHost) { f.server(2).slowStart.budget = -1e12 },
-			ok:     func(f *fakeHost) bool { return f.router.hasCapacity(f.server(2), classAny) }},
-		"probes that are allowed find the primary": {old: func(s *Settings) { s.ProbesAllowed = false },
-			before: func(f *fakeHost) { f.router.dropPrimary(f.server(1), "is lost"); f.probedServers = nil },
-			ok:     func(f *fakeHost) bool { f.sendRequest(2, classNotIdempotent); return len(f.probedServers) == 3 }},
-		"a session's writes were not remembered": {next: func(s *Settings) { s.TrackSessions = true },
-			ok: func(f *fakeHost) bool { return f.router.sessionPosition(Request{Session: 5}) == f.now }},
+		},
+		"a session's writes were not remembered": {
+			next:  func(s *Settings) { s.TrackSessions = true },
+			holds: func(host *fakeHost) bool { return host.router.sessionPosition(Request{Session: 5}) == host.now },
+		},
 	} {
-		f := newHostWithPrimary(t, func(s *Settings) {
-			s.Classes[classAny].Name = "view"
-			if c.old != nil {
-				c.old(s)
-			}
-		})
-		f.router.HandleList(f.now, ListDelta, []Member{{ID: 2, Group: 7, State: Ready, StartedAt: startTime - 15*time.Second}})
-		f.advanceTo(f.now + ms)
-		if c.before != nil {
-			c.before(f)
-		}
-		set := testSettings()
-		set.Classes = f.router.settings.Classes[:len(set.Classes):len(set.Classes)]
-		if c.next != nil {
-			c.next(&set)
-		}
-		if err := f.router.UpdateSettings(f.now, set); err != nil {
-			t.Fatal(err)
-		}
-		if !c.ok(f) {
-			t.Errorf("%s: not so; did %v, probed %v", name, f.actions, f.probedServers)
-		}
+		t.Run(name, update.check)
 	}
 }
+
+// Pings and polls of a smaller fleet come sooner.
+func TestUpdateSettingsOfFleetSize(t *testing.T) {
+	polled := func(s *Settings) {
+		s.PollList = true
+		s.MaxPollInterval = 10 * time.Second
+	}
+	settingsUpdate{
+		old: func(s *Settings) {
+			s.Poolers = 300
+			polled(s)
+		},
+		next:   polled,
+		before: func(host *fakeHost) { host.advance(50 * ms) },
+		holds: func(host *fakeHost) bool {
+			host.advance(time.Second)
+			return len(host.probedServers) > 5 && host.hasAction("watch")
+		},
+	}.check(t)
+}
+
+// A shorter grace period counts for a server that drains already, and a longer one does not.
+func TestUpdateSettingsOfGracePeriod(t *testing.T) {
+	longer := func(s *Settings) { s.DrainGracePeriod = 2 * time.Second }
+	drain := func(host *fakeHost) {
+		host.list(newMember(1, Draining, 0))
+		host.sendRequest(2, classNotIdempotent)
+		host.now += 450 * ms
+	}
+	over := func(host *fakeHost) bool { return !host.router.MayStillSend(host.now, 2, 0) }
+	t.Run("shorter", settingsUpdate{old: longer, before: drain, holds: over}.check)
+	t.Run("longer", settingsUpdate{next: longer, before: drain, holds: over}.check)
+}
+
+// The usual timeout of a class is that of one total timeout: it does not go over to a class of the same name with another.
+func TestUpdateSettingsOfTotalTimeout(t *testing.T) {
+	newClass := len(testSettings().Classes)
+	settingsUpdate{
+		old: func(s *Settings) {
+			s.Classes[classAny].LatencyObjective = 300 * ms
+			s.Classes[classAny].TotalTimeout = 750 * ms
+		},
+		next: func(s *Settings) { // a class of the same name, after the others
+			c := s.Classes[classAny]
+			c.LatencyObjective = 750 * ms
+			c.TotalTimeout = 2500 * ms
+			c.LateWeightFraction = 0
+			s.Classes = append(s.Classes, c)
+		},
+		before: func(host *fakeHost) {
+			for id := range uint32(60) {
+				host.sendRequestWithin(100+id, classAny, 375*ms)
+				host.endAttempt(100+id, 0, OK, RoleUnknown)
+			}
+		},
+		holds: func(host *fakeHost) bool {
+			host.sendRequestWithin(99, newClass, 1250*ms)
+			return len(host.attempts[99]) == 1
+		},
+	}.check(t)
+}
--- a/internal/policy/settings_test.go
+++ b/internal/policy/settings_test.go
@@ -16,13 +16,16 @@
 		{func(s *Settings) { s.Classes[0].Access = 77 }, "Access 77"},
 		{func(s *Settings) { s.Classes[0].LatencyObjective = -ms }, "LatencyObjective -1ms"},
 	} {
-		s := testSettings()
-		c.change(&s)
-		if _, err := New(s, 1, &fakeHost{}); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("error %v, want one with %q", err, c.want)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			settings := testSettings()
+			c.change(&settings)
+			_, err := New(settings, 1, discardActions{})
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want one with %q", err, c.want)
+			}
+		})
 	}
-	if _, err := New(Settings{}, 1, &fakeHost{}); err != nil {
+	if _, err := New(Settings{}, 1, discardActions{}); err != nil {
 		t.Errorf("empty settings: %v", err)
 	}
 }
--- a/internal/policy/timers_test.go
+++ b/internal/policy/timers_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// A host that rings a timer a microsecond early must not silence the timers.
+// A host that fires a timer a microsecond early must not silence the timers.
 func TestTimerFiresEarly(t *testing.T) {
-	f := newHost(t, nil)
-	f.sendRequest(1, classNotIdempotent)
-	for i := 0; i < 5000 && f.now < startTime+2*time.Second; i++ {
-		f.now += 5 * ms
-		due := f.timersDue[:0:0]
-		for _, ring := range f.timersDue {
-			if ring > f.now+time.Microsecond {
-				due = append(due, ring)
+	host := newHost(t, nil)
+	host.sendRequest(1, classNotIdempotent)
+	for i := 0; i < 5000 && host.now < startTime+2*time.Second; i++ {
+		host.now += 5 * ms
+		var later []time.Duration
+		for _, due := range host.timersDue {
+			if due > host.now+time.Microsecond {
+				later = append(later, due)
 			}
 		}
-		rang := len(due) < len(f.timersDue)
-		f.timersDue = due
-		if rang {
-			f.router.HandleTimer(f.now)
+		fires := len(later) < len(host.timersDue)
+		host.timersDue = later
+		if fires {
+			host.router.HandleTimer(host.now)
 		}
 	}
-	f.wantAction("refuse 1")
+	host.wantAction("reject 1")
 }
--- a/internal/policy/write_routing_test.go
+++ b/internal/policy/write_routing_test.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// A member of weight 0 is as fit for primary as any.
+// A member that takes no reads by turns is as fit for primary as any.
 func TestNoReadsYetPrimary(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.router.HandleList(f.now, ListDelta, []Member{newMember(2, Ready, NoReads)})
-	f.probeAnswered(1, false, f.now)
-	f.advanceTo(f.now + 200*ms)
-	f.probeAnswered(2, true, f.now)
-	f.sendRequest(2, classByKey)
-	f.wantAction("attempt 2 2")
+	host := newHostWithPrimary(t, nil)
+	host.list(newMember(2, Ready, NoReads))
+	host.probeAnswered(1, false, host.now)
+	host.advance(200 * ms)
+	host.probeAnswered(2, true, host.now)
+	host.sendRequest(2, classByKey)
+	host.wantAction("attempt 2 2")
 }
 
-// When no probe finds a primary the last one is tried: turned away it is harmless, answered it is the record again.
+// When no probe finds a primary the last one is tried: that is harmless where it turns the write away, and puts it on record
+// again where it answers.
 func TestLastPrimaryIsGuessed(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.advanceTo(startTime + 2*time.Second)
-	f.router.HandleProbeResult(f.now, ProbeResult{Server: 1, Result: TimedOut})
-	for s := uint32(1); s <= 3; s++ {
-		f.router.HandleProbeResult(f.now, ProbeResult{Server: s, Result: TimedOut})
+	host := newHostWithPrimary(t, nil)
+	host.advanceTo(startTime + 2*time.Second)
+	host.probeFailed(1, TimedOut)
+	for server := uint32(1); server <= 3; server++ {
+		host.probeFailed(server, TimedOut)
 	}
-	f.sendRequest(2, classNotIdempotent)
-	f.wantAction("attempt 2 1")
-	f.endAttempt(2, 0, OK, RolePrimary)
-	if p := f.router.groups[7].primary; p == nil || p.ID != 1 {
-		t.Fatal("an answered write did not restore the record")
+	host.sendRequest(2, classNotIdempotent)
+	host.wantAction("attempt 2 1")
+	host.endAttempt(2, 0, OK, RolePrimary)
+	if host.primary() != 1 {
+		t.Fatal("an answered write did not put the primary on record again")
 	}
 }
 
 func TestLatestReadGoesToPrimaryOnly(t *testing.T) {
-	f := newHostWithPrimary(t, nil)
-	f.sendRequest(2, classLatest)
-	f.wantAction("attempt 2 1")
-	f.advanceTo(startTime + 20*ms)
-	f.probeUnreachable(1)
-	f.sendRequest(3, classLatest)
-	f.advanceTo(startTime + 400*ms)
-	if len(f.attempts[3]) != 0 {
-		t.Fatalf("sent to %v without a record", f.attempts[3])
+	host := newHostWithPrimary(t, nil)
+	host.sendRequest(2, classLatest)
+	host.wantAction("attempt 2 1")
+	host.advanceTo(startTime + 20*ms)
+	host.probeFailed(1, ConnectFailed)
+	host.sendRequest(3, classLatest)
+	host.advanceTo(startTime + 400*ms)
+	if len(host.attempts[3]) != 0 {
+		t.Fatalf("sent to %v without a recorded primary", host.attempts[3])
 	}
 }
