--- a/cmd/threadsail-fleet/shared_test.go
+++ b/cmd/threadsail-fleet/shared_test.go
@@ -235,7 +235,7 @@
 	}
 	full := 0
 	for i := range 3 { // one that has nothing to write meanwhile, on a machine that is very busy, notices nothing
-		can, again := said(i, "the log can't be written"), said(i, "the log can be written again")
+		can, again := said(i, "voter: log can't be written"), said(i, "voter: log can be written again")
 		if can != again {
 			t.Errorf("steward %d says that it can't write: %v; that it can again: %v", i, can, again)
 		}
@@ -246,7 +246,7 @@
 	if full == 0 {
 		t.Error("no steward's log was full")
 	}
-	for _, text := range []string{"the copy can't be written", "the copy is written again", "acts can't be written", "acts are written again"} {
+	for _, text := range []string{"replica can't be written", "replica is written again", "acts can't be written", "acts are written again"} {
 		if !said(4, text) {
 			t.Errorf("pooler 4 never says: %s", text)
 		}
--- a/internal/fleet/component_host.go
+++ b/internal/fleet/component_host.go
@@ -85,11 +85,11 @@
 	}
 	snapshot, confirmedAt, err := replication.LoadSnapshot(dir)
 	if err != nil {
-		h.log.Error().Err(err).Str("dir", dir).Msg("shared: the copy on disk can't be used")
+		h.log.Error().Err(err).Str("dir", dir).Msg("replication: stored replica can't be used")
 	}
 	if snapshot.Version > 0 {
 		h.log.Info().Uint64("version", snapshot.Version).Int("documents", len(snapshot.Documents)).Time("as_of", confirmedAt).
-			Msg("shared: begun with the copy on disk")
+			Msg("replication: started from the stored replica")
 	}
 	return snapshot, nil
 }
@@ -114,7 +114,7 @@
 	}
 	if h.serverList != nil {
 		h.goroutines.Go(func() {
-			h.serverList.follow(ctx, h.options.Config.Name, h.events.ListReceived, h.logWarning)
+			h.serverList.follow(ctx, h.options.Config.Name, h.events.ListReceived, h.log)
 		})
 	}
 	runtime := Runtime{
@@ -187,11 +187,11 @@
 // persistenceChanged reports that the replica can't be written to the disk, or can again. The pooler goes on from memory.
 func (h *componentHost) persistenceChanged(err error) {
 	if err != nil {
-		h.log.Error().Err(err).Str("dir", h.options.Config.Shared.Dir).Msg("shared: the copy can't be written; it is kept in memory alone")
+		h.log.Error().Err(err).Str("dir", h.options.Config.Shared.Dir).Msg("replication: replica can't be written, kept in memory alone")
 		h.events.Audit(audit.Record{Act: audit.ReplicaNotSaved})
 		return
 	}
-	h.log.Info().Msg("shared: the copy is written again")
+	h.log.Info().Msg("replication: replica is written again")
 	h.events.Audit(audit.Record{Act: audit.ReplicaSaved})
 }
 
@@ -213,7 +213,7 @@
 	select {
 	case <-ended:
 	case <-timeout.C:
-		h.log.Warn().Msg("shared: a part or an ask does not end")
+		h.log.Warn().Msg("fleet: a component or a request does not end")
 	}
 }
 
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -40,7 +39,7 @@
 		return // the leadership has been lost again
 	}
 	v.setClock(v.state.startClock(raftTerm, v.monotonicNow()))
-	v.log(fmt.Sprintf("steward %s leads in term %d", v.options.Name, raftTerm))
+	v.log.Warn().Str("voter", v.options.Name).Uint64("raft_term", raftTerm).Msg("voter: leads")
 }
 
 func (v *Voter) setClock(c lease.Clock) {
--- a/internal/fleet/consensus/raft.go
+++ b/internal/fleet/consensus/raft.go
@@ -8,6 +8,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+	"github.com/rs/zerolog"
 )
 
 const (
@@ -83,15 +84,15 @@
 	config.SnapshotThreshold = snapshotThreshold
 	config.SnapshotInterval = snapshotInterval
 	config.TrailingLogs = trailingLogs
-	config.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter(v.log), DisableTime: true})
+	config.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{v.log}, DisableTime: true})
 	return config
 }
 
-// logWriter passes the engine's log, a line a write, to a function.
-type logWriter func(line string)
+// logWriter logs the engine's lines, one a write.
+type logWriter struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
 func (w logWriter) Write(b []byte) (int, error) {
-	w(string(b[:max(len(b)-1, 0)]))
+	w.log.Warn().Msg(string(b[:max(len(b)-1, 0)]))
 	return len(b), nil
 }
--- a/internal/fleet/consensus/retrying_store.go
+++ b/internal/fleet/consensus/retrying_store.go
@@ -2,11 +2,11 @@
 
 import (
 	"bytes"
-	"fmt"
 	"sync"
 	"time"
 
 	"github.com/hashicorp/raft"
+	"github.com/rs/zerolog"
 )
 
 // raftStore is where the raft engine keeps its log, its term and its vote.
@@ -21,7 +21,7 @@
 // the disk takes the term. It is safe for use by several goroutines.
 type retryingStore struct {
 	raftStore
-	log      func(line string)
+	log      zerolog.Logger
 	shutdown <-chan struct{}
 
 	mu          sync.Mutex // guards writeFailed
@@ -78,9 +78,9 @@
 	s.mu.Unlock()
 	switch {
 	case err != nil && !failedBefore:
-		s.log(fmt.Sprintf("steward: the log can't be written; this steward leads and votes no more until it can: %v", err))
+		s.log.Warn().Err(err).Msg("voter: log can't be written, this voter neither leads nor votes until it can")
 	case err == nil && failedBefore:
-		s.log("steward: the log can be written again")
+		s.log.Warn().Msg("voter: log can be written again")
 	}
 	return err
 }
--- a/internal/fleet/consensus/retrying_store_test.go
+++ b/internal/fleet/consensus/retrying_store_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"bytes"
 	"errors"
 	"net"
 	"sync"
@@ -10,6 +11,7 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+	"github.com/rs/zerolog"
 )
 
 // fullStore fails every write while it is full.
@@ -51,9 +53,9 @@
 func TestRetryingStoreOnFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := &fullStore{InmemStore: raft.NewInmemStore()}
-		logged := make(chan string, 9)
+		var logged bytes.Buffer
 		shutdown := make(chan struct{})
-		d := &retryingStore{raftStore: inner, shutdown: shutdown, log: func(line string) { logged <- line }}
+		d := &retryingStore{raftStore: inner, shutdown: shutdown, log: zerolog.New(&logged)}
 		if err := errors.Join(d.SetUint64(currentTermKey, 3), d.StoreLogs([]*raft.Log{{Index: 1}})); err != nil {
 			t.Fatal(err)
 		}
@@ -91,8 +93,8 @@
 		if len(wrote) != 3 {
 			t.Error("a term still waits after the shutdown")
 		}
-		if len(logged) != 3 {
-			t.Errorf("logged %d lines", len(logged))
+		if bytes.Count(logged.Bytes(), []byte("\n")) != 3 {
+			t.Errorf("logged, want 3 lines: %s", &logged)
 		}
 	})
 }
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -19,6 +19,7 @@
 
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+	"github.com/rs/zerolog"
 
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
@@ -41,7 +42,7 @@
 	// ElectionTimeout is how long a voter hears nothing of the leader before it stands for election. The leader steps down
 	// when it has reached no majority for as long.
 	ElectionTimeout time.Duration
-	Log             func(line string) // takes warnings and changes of state; nil: they are dropped
+	Log             zerolog.Logger
 	// OnDocumentsChanged takes the documents after each change in the log as this voter has applied it, newer each time but
 	// for a restore from a leader's snapshot. It must not block; nil: nobody is notified.
 	OnDocumentsChanged func(replication.Snapshot)
@@ -53,6 +54,7 @@
 // Voter is a running voter.
 type Voter struct {
 	options    Options
+	log        zerolog.Logger
 	raft       *raft.Raft
 	state      *stateMachine
 	streams    *streamLayer
@@ -80,6 +82,7 @@
 	}
 	v := &Voter{
 		options:   o,
+		log:       o.Log,
 		state:     &stateMachine{lessor: lease.Lessor{MaxClockDrift: o.MaxClockDrift}, onDocumentsChanged: o.OnDocumentsChanged},
 		startedAt: time.Now(),
 		shutdown:  make(chan struct{}),
@@ -116,9 +119,3 @@
 
 // monotonicNow is the time since the voter started.
 func (v *Voter) monotonicNow() time.Duration { return time.Since(v.startedAt) }
-
-func (v *Voter) log(line string) {
-	if v.options.Log != nil {
-		v.options.Log(line)
-	}
-}
--- a/internal/fleet/consensus/voter_set.go
+++ b/internal/fleet/consensus/voter_set.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		if err := v.reconcileOnce(); err != nil {
-			v.log("steward: the set of stewards can't be changed: " + err.Error())
+			v.log.Warn().Err(err).Msg("voter: set of voters can't be changed")
 		}
 	}
 }
@@ -104,13 +104,13 @@
 	case !found:
 		return nil
 	case !add:
-		v.log(fmt.Sprintf("steward: %s is removed", id))
+		v.log.Warn().Str("voter", string(id)).Msg("voter: removed from the set")
 		return v.raft.RemoveServer(id, 0, membershipChangeTimeout).Error()
 	}
 	if _, known := v.streams.address(raft.ServerAddress(id)); !known {
-		return fmt.Errorf("this steward's file has no address of %s", id)
+		return fmt.Errorf("this voter's file has no address of %s", id)
 	}
-	v.log(fmt.Sprintf("steward: %s is added", id))
+	v.log.Warn().Str("voter", string(id)).Msg("voter: added to the set")
 	return v.raft.AddVoter(id, raft.ServerAddress(id), 0, membershipChangeTimeout).Error()
 }
 
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -94,7 +94,7 @@
 	request := encodeMessage(message{Kind: kindListRequest, From: c.config.Name})
 	go func() {
 		if err := c.network.Send(source, request); err != nil {
-			c.log.Warn().Err(err).Str("from", source).Msg("list: can't be fetched")
+			c.log.Warn().Err(err).Str("from", source).Msg("list: request not sent")
 		}
 	}()
 }
@@ -115,14 +115,14 @@
 	go func() {
 		defer func() { <-c.listTransfers }()
 		if err := c.network.Send(to, text); err != nil {
-			c.log.Warn().Err(err).Str("to", to).Msg("list: can't be given")
+			c.log.Warn().Err(err).Str("to", to).Msg("list: not sent")
 		}
 	}()
 }
 
 func (c *Coordinator) publishList(a discoveryleader.Announcement, list []byte) {
 	if err := c.components.serverList.publish(a, list); err != nil {
-		c.log.Error().Err(err).Msg("list: can't be handed on")
+		c.log.Error().Err(err).Msg("list: can't be published")
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -91,7 +91,7 @@
 		Join:               settings.Join,
 		MaxClockDrift:      c.config.Drift,
 		ElectionTimeout:    c.config.Election,
-		Log:                c.logWarning,
+		Log:                c.log,
 		OnDocumentsChanged: func(s replication.Snapshot) { c.components.replica.Install(s) },
 		Traffic:            &c.traffic,
 	})
--- a/internal/fleet/gossip/bus.go
+++ b/internal/fleet/gossip/bus.go
@@ -100,7 +100,7 @@
 func (b *Bus) Broadcast(topic string, body []byte) {
 	message, err := encodeMessage(b.Self(), topic, body)
 	if err != nil {
-		b.node.log("bus: " + err.Error())
+		b.node.options.Log.Warn().Err(err).Str("topic", topic).Msg("gossip: message can't be encoded")
 		return
 	}
 	b.mu.Lock()
@@ -170,7 +170,7 @@
 func (b *Bus) deliver(message []byte) {
 	from, topic, body, err := decodeMessage(message)
 	if err != nil {
-		b.node.log("bus: " + err.Error())
+		b.node.options.Log.Warn().Err(err).Msg("gossip: message can't be decoded")
 		return
 	}
 	b.mu.Lock()
--- a/internal/fleet/gossip/log.go
+++ b/internal/fleet/gossip/log.go
@@ -4,16 +4,18 @@
 	"io"
 	"log"
 	"strings"
+
+	"github.com/rs/zerolog"
 )
 
-// logWriter passes memberlist's lines of warnings and errors to a function; memberlist logs every probe at a lower level.
-type logWriter func(line string)
+// logWriter logs memberlist's lines of warnings and errors; memberlist logs every probe at a lower level.
+type logWriter struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
 func (w logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	if strings.Contains(text, "[WARN]") || strings.Contains(text, "[ERR]") {
-		w(text)
+		w.log.Warn().Msg(text)
 	}
 	return len(b), nil
 }
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -24,6 +24,7 @@
 	"time"
 
 	"github.com/hashicorp/memberlist"
+	"github.com/rs/zerolog"
 
 	"threadsail/internal/fleet/traffic"
 )
@@ -46,8 +47,8 @@
 	// OnMessage takes a message of another pooler that is not of the Bus. It is called on memberlist's goroutines and must not
 	// block; the bytes are its own.
 	OnMessage func(message []byte)
-	Log       func(line string) // takes warnings; nil: they are dropped
-	Traffic   *traffic.Counter  // counts the traffic of the node's sockets; nil: nothing does
+	Log       zerolog.Logger
+	Traffic   *traffic.Counter // counts the traffic of the node's sockets; nil: nothing does
 }
 
 const (
@@ -110,7 +111,7 @@
 	c := memberlist.DefaultLANConfig()
 	c.Name = n.options.Name
 	c.Logger = nil
-	c.LogOutput = logWriter(n.log)
+	c.LogOutput = logWriter{n.options.Log}
 	c.BindAddr = host
 	c.PushPullInterval = pushPullInterval
 	c.TCPTimeout = tcpTimeout
@@ -256,12 +257,6 @@
 	}
 }
 
-func (n *Node) log(line string) {
-	if n.options.Log != nil {
-		n.options.Log(line)
-	}
-}
-
 func hostPort(addr string) (host string, port int, err error) {
 	host, text, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/fleet/gossip_network.go
+++ b/internal/fleet/gossip_network.go
@@ -24,7 +24,7 @@
 		Advertise: c.config.Advertise,
 		Peers:     peers,
 		OnMessage: c.dispatch,
-		Log:       c.logWarning,
+		Log:       c.log,
 		Traffic:   &c.traffic,
 	}, gossip.Meta{})
 }
--- a/internal/fleet/lease_requester.go
+++ b/internal/fleet/lease_requester.go
@@ -39,7 +39,7 @@
 	select {
 	case q.queue <- r:
 	default:
-		q.log.Warn().Msg("lease: too many asks wait for the stewards")
+		q.log.Warn().Msg("lease: too many requests wait for the voters")
 		if !r.release {
 			go r.done(lease.Lease{}, false, consensus.ErrNoLeader)
 		}
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -51,7 +51,7 @@
 func (c *Coordinator) dispatch(text []byte) {
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
-		c.log.Warn().Err(err).Msg("a message of another pooler can't be read")
+		c.log.Warn().Err(err).Msg("fleet: message of another pooler can't be decoded")
 		return
 	}
 	switch m.Kind {
--- a/internal/fleet/server_list.go
+++ b/internal/fleet/server_list.go
@@ -8,6 +8,8 @@
 	"sync"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/replication"
 )
@@ -141,14 +143,14 @@
 }
 
 // follow reports each list that comes, until ctx ends; not those that this process publishes itself.
-func (l *serverListReplica) follow(ctx context.Context, self string, onList func(a discoveryleader.Announcement, list []byte), log func(line string)) {
+func (l *serverListReplica) follow(ctx context.Context, self string, onList func(a discoveryleader.Announcement, list []byte), log zerolog.Logger) {
 	for {
 		changed := l.replica.Changed()
 		if s := l.replica.Snapshot(); s.Version > 0 {
 			a, text, err := decodeList(s)
 			switch {
 			case err != nil:
-				log("lists: " + err.Error())
+				log.Warn().Err(err).Msg("list: replica can't be decoded")
 			case a.Source != self:
 				onList(a, text)
 			}
