--- a/internal/fleet/bus/bus.go
+++ b/internal/fleet/bus/bus.go
@@ -1,5 +1,8 @@
-// Package bus is how the parts of poolers speak to each other: one message to one pooler, or to all that are alive. It decides
-// nothing and promises no order across topics; what a message means, and whether an old one still counts, is its part's affair.
+// Package bus is the interface by which the components of poolers send each other messages: one message to one pooler, or a datagram to
+// every pooler that is alive. Packages gossip and distribution implement it over the network, package bustest within one process.
+//
+// The package decides nothing. It promises no order across topics, and does not know what a message means or whether an old message
+// still counts; that is for the component that owns the topic.
 package bus
 
 import (
@@ -7,26 +10,31 @@
 	"errors"
 )
 
-// ErrUnknownMember tells that a pooler is not held to be alive.
+// ErrUnknownMember is the error of a message to a pooler that is not taken to be alive.
 var ErrUnknownMember = errors.New("bus: no such pooler is alive")
 
-// Bus is one pooler's way to the others. It is safe for use by several goroutines.
+// Handler handles the messages of a topic. body belongs to the handler. A handler must not block, and is called concurrently.
+type Handler = func(from string, body []byte)
+
+// Bus is one pooler's connection to the other poolers. It is safe for concurrent use.
 type Bus interface {
-	// Self is this pooler's name.
+	// Self returns this pooler's name.
 	Self() string
-	// Members are the poolers held to be alive, this one among them, by name. One that is cut off may stay in it for seconds,
-	// and one that is alive may be missing. Where distributors carry the bus they are the distributors alone, and this pooler: no
-	// pooler knows all others there.
+	// Members returns the names, sorted, of the poolers that are taken to be alive, this one among them. A pooler that is cut off may
+	// be listed for some seconds, and one that is alive may be missing. Where distributors carry the messages, the members are the
+	// distributors and this pooler: no pooler knows all others there.
 	Members() []string
-	// Size is how many poolers are held to be alive, this one among them, of which Members may be some.
+	// Size returns how many poolers are taken to be alive, this one among them. Members may be only some of them.
 	Size() int
-	// Send gives one pooler a message, whether it is among Members or not. nil: it was written to a connection, or waits for one that
-	// is open; whether it was read is not known. An error: it may have come all the same. It waits for the network, but no longer than ctx.
+	// Send sends one pooler a message, whether it is among Members or not. A nil error means that the message was written to a
+	// connection, or is queued for one that is open; whether it was read is not known. After an error it may have arrived all the
+	// same. Send blocks on the network, but no longer than ctx allows.
 	Send(ctx context.Context, to, topic string, body []byte) error
-	// Broadcast gives all others a datagram each, and gossip for those that are not known here. It may be lost, come twice, or
-	// overtake another. A newer one of the same topic takes the place of one that is still being passed on by gossip.
+	// Broadcast sends all other poolers a datagram each, by gossip to those that are not known here. A datagram may be lost, be
+	// delivered twice, or overtake another. While a datagram is still being passed on by gossip, a newer one of the same topic
+	// replaces it.
 	Broadcast(topic string, body []byte)
-	// Handle has f called with each message of a topic that comes from another pooler, on goroutines of the bus, several at once.
-	// f must not wait; body is its own. It must be called before the first message is to be heard.
-	Handle(topic string, f func(from string, body []byte))
+	// Handle sets the handler of a topic. The handler is called with each message of the topic that another pooler sends, on
+	// goroutines of the bus. Messages that arrive before Handle is called are dropped.
+	Handle(topic string, handler Handler)
 }
