--- a/cmd/threadsail-fleet/limits_test.go
+++ b/cmd/threadsail-fleet/limits_test.go
@@ -24,7 +24,7 @@
 		{"at_ms": 8500, "act": "isolate", "poolers": "dealer", "for_ms": 2000}]}`)
 	dealt := map[uint64]bool{}
 	for _, l := range lines {
-		if l.Message == "limits: dealt here from now on" {
+		if l.Message == "quota: this pooler allocates from now on" {
 			dealt[l.Token] = true
 		}
 	}
--- a/internal/fleet/quota/allocator.go
+++ b/internal/fleet/quota/allocator.go
@@ -10,168 +10,187 @@
 	"threadsail/internal/config"
 )
 
-// Allocator is the holder's side, for one token: a holder that comes to office again begins anew. It is safe for use by several
-// goroutines; its mutex guards all that is below it.
+// Allocator is the leader's side, for one fencing token: a leader that is elected again begins a new one. It is safe for concurrent
+// use.
 //
-// What holds: for each key the sum over poolers of the largest slice that may be in force there, by any answer that was sent
-// or told of and is not known to be superseded or over, is at most the limit's rate less its reserve.
+// Invariant: for each key, the sum over all poolers of the largest quota that may be in force there is at most the limit's rate less
+// its reserve. A quota may be in force from when its grant was made, or reported, until it has ended or is known to be superseded.
 type Allocator struct {
-	token uint64
-	term  time.Duration
-	drift time.Duration
-
-	mu            sync.Mutex
+	token         uint64
+	term          time.Duration // of quotas
+	drift         time.Duration // the most by which two monotonic clocks differ over a term
 	fleetSize     int
-	limits        config.Limits
-	learningUntil time.Time                     // until then slices of earlier holders may be in force that nobody told of
-	reported      map[string]bool               // poolers that have told what they hold, while learning
-	accounts      map[string]*account           // by pooler
-	wants         map[string]map[string]float64 // by key, then by pooler
-	holders       map[string]map[string]bool    // by key, the poolers that may hold some
+	learningUntil time.Time // until then quotas of earlier leaders may be in force that nobody has reported
+
+	mu       sync.Mutex // guards the fields below
+	limits   config.Limits
+	reported map[string]bool               // poolers that have sent a request while the allocator was learning
+	accounts map[string]*account           // by pooler
+	wants    map[string]map[string]float64 // by key, then by pooler: tokens a second
+	holders  map[string]map[string]bool    // by key: the poolers that may hold a quota
 }
 
 // account is what one pooler may hold.
 type account struct {
 	instance      string
-	lastNumber    uint64 // the newest ask answered
+	lastNumber    uint64 // of the newest request that was answered
 	lastRequestAt time.Time
 	allocations   []allocation
-	wants         map[string]float64
+	wants         map[string]float64 // by key: tokens a second
 }
 
-// allocation is an answer, or what a pooler told of an earlier holder's (number 0), until when it may be in force.
+// allocation is a grant, or what a pooler reported to hold of an earlier leader's (number 0), until when it may be in force.
 type allocation struct {
 	number uint64
 	until  time.Time
-	quotas map[string]float64
+	quotas map[string]float64 // by key: tokens a second
 }
 
-// NewAllocator begins a term of office. Slices of holders before it were asked for before now, and so are over a term and a
-// drift from now.
-func NewAllocator(token uint64, term, drift time.Duration, fleet int, set config.Limits) *Allocator {
-	return &Allocator{token: token, term: term, drift: drift, fleetSize: fleet, limits: set, learningUntil: time.Now().Add(term + drift),
-		reported: map[string]bool{}, accounts: map[string]*account{}, wants: map[string]map[string]float64{}, holders: map[string]map[string]bool{}}
+// neverSuperseded is the number of allocations to an earlier process of a pooler. No request has that number, so they count until
+// their end.
+const neverSuperseded = ^uint64(0)
+
+// NewAllocator returns the allocator of a new leader. Quotas of the leaders before it were requested before now, and so have ended
+// after a term and a drift.
+func NewAllocator(token uint64, term, drift time.Duration, fleetSize int, limits config.Limits) *Allocator {
+	return &Allocator{
+		token:         token,
+		term:          term,
+		drift:         drift,
+		fleetSize:     fleetSize,
+		learningUntil: time.Now().Add(term + drift),
+		limits:        limits,
+		reported:      map[string]bool{},
+		accounts:      map[string]*account{},
+		wants:         map[string]map[string]float64{},
+		holders:       map[string]map[string]bool{},
+	}
 }
 
-// SetLimits takes over a newer set of limits: slices by the old one shrink as their poolers ask again.
-func (d *Allocator) SetLimits(set config.Limits) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.limits = set
+// SetLimits puts a newer set of limits in force. Quotas by the set before shrink as their poolers send further requests.
+func (a *Allocator) SetLimits(limits config.Limits) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.limits = limits
 }
 
-// Learning tells that it only deals what poolers hold already.
-func (d *Allocator) Learning() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.isLearning(time.Now())
+// Learning reports whether the allocator grants only what poolers hold already.
+func (a *Allocator) Learning() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.isLearning(time.Now())
 }
 
-// isLearning is over when every earlier slice is, or when as many poolers as there are have told of theirs.
-func (d *Allocator) isLearning(now time.Time) bool {
-	return now.Before(d.learningUntil) && len(d.reported) < d.fleetSize
+// isLearning reports whether earlier quotas may be in force that are not known here: they have not all ended, and not all poolers have
+// reported theirs. The caller holds the mutex.
+func (a *Allocator) isLearning(now time.Time) bool {
+	return now.Before(a.learningUntil) && len(a.reported) < a.fleetSize
 }
 
-// Allocate answers a pooler's ask. ok is false for one that was overtaken by a later one.
-func (d *Allocator) Allocate(from string, a Request) (g Grant, ok bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// Allocate answers a pooler's request. ok is false for a request that was overtaken by a later one.
+func (a *Allocator) Allocate(from string, r Request) (g Grant, ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	now := time.Now()
-	p := d.accounts[from]
-	if p == nil {
-		p = &account{instance: a.Instance}
-		d.accounts[from] = p
-	}
-	if p.instance != a.Instance { // what the process before it held may be in force for as long as it is not known to be gone
-		p.instance, p.lastNumber = a.Instance, 0
-		for i := range p.allocations {
-			p.allocations[i].number = supersededNever
-		}
-	}
-	if a.Number <= p.lastNumber {
+	pooler := a.accountOf(from, r.Instance)
+	if r.Number <= pooler.lastNumber {
 		return Grant{}, false
 	}
-	p.lastNumber, p.lastRequestAt = a.Number, now
-	if a.AppliedNumber > 0 { // answers before that one are out of force for good, as is all that was told
-		p.allocations = slices.DeleteFunc(p.allocations, func(o allocation) bool { return o.number < a.AppliedNumber })
-	} else if len(a.Held) > 0 {
-		d.recordAllocation(from, p, allocation{until: now.Add(d.term + d.drift), quotas: a.Held})
-	}
-	learns := d.isLearning(now)
-	if learns {
-		d.reported[from] = true
-	}
-	d.setWants(from, p, a.Wants)
-	g = Grant{Token: d.token, Number: a.Number, Term: d.term, Quotas: map[string]float64{}}
-	for key, want := range a.Wants {
-		slice := min(d.fairShare(key, from, now), d.unallocated(key, from, now))
-		if learns {
-			slice = min(slice, a.Held[key], want)
-			if a.AppliedNumber > 0 { // it goes by an answer of this holder's already, which was within what it held
-				slice = min(want, p.quotaInForce(a.AppliedNumber, key))
-			}
-		}
-		if slice > 0 {
-			g.Quotas[key] = slice
+	pooler.lastNumber = r.Number
+	pooler.lastRequestAt = now
+	a.recordReport(from, pooler, r, now)
+	learning := a.isLearning(now)
+	if learning {
+		a.reported[from] = true
+	}
+	a.setWants(from, pooler, r.Wants)
+	g = Grant{Token: a.token, Number: r.Number, Term: a.term, Quotas: map[string]float64{}}
+	for key := range r.Wants {
+		if quota := a.quotaFor(key, from, r, learning, now); quota > 0 {
+			g.Quotas[key] = quota
 		}
 	}
-	d.recordAllocation(from, p, allocation{a.Number, now.Add(d.term + d.drift), g.Quotas})
+	a.recordAllocation(from, pooler, allocation{number: r.Number, until: a.endOfQuota(now), quotas: g.Quotas})
 	return g, true
 }
 
-// recordAllocation puts a deal on an account.
-func (d *Allocator) recordAllocation(from string, p *account, o allocation) {
-	p.allocations = append(p.allocations, o)
-	for key := range o.quotas {
-		if d.holders[key] == nil {
-			d.holders[key] = map[string]bool{}
+// endOfQuota is when a quota of a request that arrives now has ended on every clock.
+func (a *Allocator) endOfQuota(now time.Time) time.Time { return now.Add(a.term + a.drift) }
+
+// accountOf returns a pooler's account. What an earlier process of the pooler held may be in force until its end. The caller holds the
+// mutex.
+func (a *Allocator) accountOf(from, instance string) *account {
+	pooler := a.accounts[from]
+	if pooler == nil {
+		pooler = &account{instance: instance}
+		a.accounts[from] = pooler
+	}
+	if pooler.instance != instance {
+		pooler.instance = instance
+		pooler.lastNumber = 0
+		for i := range pooler.allocations {
+			pooler.allocations[i].number = neverSuperseded
 		}
-		d.holders[key][from] = true
 	}
+	return pooler
 }
 
-// supersededNever is no ask's number: what a process before this one held goes by its end alone.
-const supersededNever = ^uint64(0)
-
-// quotaInForce is the slice by the answer that a pooler goes by.
-func (p *account) quotaInForce(number uint64, key string) float64 {
-	for _, o := range p.allocations {
-		if o.number == number {
-			return o.quotas[key]
-		}
+// recordReport takes over what a request reports to be in force. Grants before the one that the pooler applies are superseded for
+// good, as is what it reported before that. The caller holds the mutex.
+func (a *Allocator) recordReport(from string, pooler *account, r Request, now time.Time) {
+	switch {
+	case r.AppliedNumber > 0:
+		pooler.allocations = slices.DeleteFunc(pooler.allocations, func(old allocation) bool { return old.number < r.AppliedNumber })
+	case len(r.Held) > 0:
+		a.recordAllocation(from, pooler, allocation{until: a.endOfQuota(now), quotas: r.Held})
 	}
-	return 0
 }
 
-// maxQuota is the largest slice of a key that may be in force at a pooler.
-func (p *account) maxQuota(key string, now time.Time) (most float64) {
-	p.allocations = slices.DeleteFunc(p.allocations, func(o allocation) bool { return !now.Before(o.until) })
-	for _, o := range p.allocations {
-		most = max(most, o.quotas[key])
+// recordAllocation adds an allocation to an account. The caller holds the mutex.
+func (a *Allocator) recordAllocation(from string, pooler *account, added allocation) {
+	pooler.allocations = append(pooler.allocations, added)
+	for key := range added.quotas {
+		if a.holders[key] == nil {
+			a.holders[key] = map[string]bool{}
+		}
+		a.holders[key][from] = true
 	}
-	return most
 }
 
-// setWants notes what a pooler wants now, in place of what it wanted before.
-func (d *Allocator) setWants(from string, p *account, wants map[string]float64) {
-	for key := range p.wants {
-		if delete(d.wants[key], from); len(d.wants[key]) == 0 {
-			delete(d.wants, key)
+// setWants replaces what a pooler wants. The caller holds the mutex.
+func (a *Allocator) setWants(from string, pooler *account, wants map[string]float64) {
+	for key := range pooler.wants {
+		delete(a.wants[key], from)
+		if len(a.wants[key]) == 0 {
+			delete(a.wants, key)
 		}
 	}
-	p.wants = wants
+	pooler.wants = wants
 	for key, want := range wants {
-		if d.wants[key] == nil {
-			d.wants[key] = map[string]float64{}
+		if a.wants[key] == nil {
+			a.wants[key] = map[string]float64{}
 		}
-		d.wants[key][from] = want
+		a.wants[key][from] = want
 	}
 }
 
-// allocatable is what may be dealt of a key: the limit without its reserve.
-func (d *Allocator) allocatable(key string) float64 {
+// quotaFor decides the quota of a key that a request is granted, in tokens a second: the pooler's fair share, as far as no other pooler
+// may hold it; while learning no more than the pooler holds already. The caller holds the mutex.
+func (a *Allocator) quotaFor(key, from string, r Request, learning bool, now time.Time) float64 {
+	quota := min(a.fairShare(key, from, now), a.unallocated(key, from, now))
+	switch {
+	case !learning:
+		return quota
+	case r.AppliedNumber > 0: // the pooler applies a grant of this leader already, which was within what it held
+		return min(r.Wants[key], a.accounts[from].quotaInForce(r.AppliedNumber, key))
+	}
+	return min(quota, r.Held[key], r.Wants[key])
+}
+
+// allocatable is what may be allocated of a key: the limit less its reserve. The caller holds the mutex.
+func (a *Allocator) allocatable(key string) float64 {
 	name, _, _ := strings.Cut(key, "/")
-	for _, l := range d.limits.List {
+	for _, l := range a.limits.List {
 		if l.Name == name {
 			return l.Rate * (1 - l.Reserve)
 		}
@@ -179,51 +198,81 @@
 	return 0
 }
 
-// unallocated is what no other pooler may hold of a key.
-func (d *Allocator) unallocated(key, from string, now time.Time) float64 {
-	left := d.allocatable(key)
-	for name := range d.holders[key] {
-		most := d.accounts[name].maxQuota(key, now)
-		if most == 0 {
-			if delete(d.holders[key], name); len(d.holders[key]) == 0 {
-				delete(d.holders, key)
-			}
-		} else if name != from {
-			left -= most
+// unallocated is what no other pooler may hold of a key. The caller holds the mutex.
+func (a *Allocator) unallocated(key, from string, now time.Time) float64 {
+	left := a.allocatable(key)
+	for holder := range a.holders[key] {
+		held := a.accounts[holder].maxQuota(key, now)
+		switch {
+		case held == 0:
+			a.removeHolder(key, holder)
+		case holder != from:
+			left -= held
 		}
 	}
 	return max(left, 0)
 }
 
-// fairShare is a pooler's max-min fair part of a key: nobody can have more but from one who has no more. Where all have what they
-// want, half of what is left goes to them in equal parts, as wants come unevenly; the other half is for who wants next, whom
-// the others' slices would keep waiting. Who has not asked for a term wants nothing.
-func (d *Allocator) fairShare(key, from string, now time.Time) float64 {
+// removeHolder notes that a pooler holds no quota of a key. The caller holds the mutex.
+func (a *Allocator) removeHolder(key, holder string) {
+	delete(a.holders[key], holder)
+	if len(a.holders[key]) == 0 {
+		delete(a.holders, key)
+	}
+}
+
+// fairShare is a pooler's max-min fair share of a key: nobody can have more except from a pooler that has no more. Where all wants are
+// met, half of what is left is divided equally among those with wants, as wants come unevenly. The other half is for the pooler that
+// wants next, which the quotas of the others would keep waiting. A pooler that has sent no request for a term wants nothing. The caller
+// holds the mutex.
+func (a *Allocator) fairShare(key, from string, now time.Time) float64 {
 	var wants []float64
-	for name, want := range d.wants[key] {
-		if now.Sub(d.accounts[name].lastRequestAt) < d.term {
+	for pooler, want := range a.wants[key] {
+		if now.Sub(a.accounts[pooler].lastRequestAt) < a.term {
 			wants = append(wants, want)
 		}
 	}
-	total, want := d.allocatable(key), d.wants[key][from]
-	if l := waterLevel(total, wants); want > l || !math.IsInf(l, 1) {
-		return min(want, l)
+	left := a.allocatable(key)
+	want := a.wants[key][from]
+	if level := waterLevel(left, wants); !math.IsInf(level, 1) {
+		return min(want, level)
 	}
-	for _, w := range wants {
-		total -= w
+	for _, met := range wants {
+		left -= met
 	}
-	return want + total/2/float64(len(wants))
+	return want + left/2/float64(len(wants))
 }
 
-// waterLevel is the water level of max-min fairness: each gets its want or this, whichever is less.
+// waterLevel is the level of max-min fairness: each want gets the level or what it wants, whichever is less. It is infinite if all
+// wants are met. It sorts wants.
 func waterLevel(total float64, wants []float64) float64 {
 	slices.Sort(wants)
 	for i, want := range wants {
-		part := total / float64(len(wants)-i)
-		if want >= part {
-			return part
+		share := total / float64(len(wants)-i)
+		if want >= share {
+			return share
 		}
 		total -= want
 	}
-	return math.Inf(1) // all have what they want
+	return math.Inf(1)
+}
+
+// quotaInForce is the quota of a key by the grant that a pooler applies.
+func (p *account) quotaInForce(number uint64, key string) float64 {
+	for _, allocated := range p.allocations {
+		if allocated.number == number {
+			return allocated.quotas[key]
+		}
+	}
+	return 0
+}
+
+// maxQuota is the largest quota of a key that may be in force at a pooler. It forgets allocations that have ended.
+func (p *account) maxQuota(key string, now time.Time) float64 {
+	p.allocations = slices.DeleteFunc(p.allocations, func(old allocation) bool { return !now.Before(old.until) })
+	largest := 0.0
+	for _, allocated := range p.allocations {
+		largest = max(largest, allocated.quotas[key])
+	}
+	return largest
 }
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -10,186 +10,227 @@
 	"threadsail/internal/config"
 )
 
-// Client is one pooler's side: its tokens, what it asks for, and which answers it goes by. It is safe for use by several
-// goroutines; its mutex guards all that is below it.
+const (
+	// significantChange is the factor by which a want must have grown, or a quota shrunk, for a request out of turn.
+	significantChange = 1.25
+	// requestsPerTerm is how often a pooler sends a request in a quota's term, so that two answers may be lost.
+	requestsPerTerm = 3
+	// minWeight is the least share of its work that a cold server is counted to bear.
+	minWeight = 0.05
+)
+
+// Client is one pooler's side: its tokens, what it requests, and which grant it applies. It is safe for concurrent use, and no method
+// blocks.
 type Client struct {
 	instance string
-	term     time.Duration
-
-	mu            sync.Mutex
-	fleetSize     int
-	limits        config.Limits
-	buckets       map[string]*bucket // by "LIMIT/KEY"
-	token         uint64             // the newest heard of
-	leader        string             // who has it
-	appliedToken  uint64             // the token of the answer in force
-	appliedNumber uint64             // the ask that it answers
-	appliedUntil  time.Time          // its end
-	lastNumber    uint64
-	requestedAt   map[uint64]time.Time
-	demandSince   time.Time // since when wants are counted
-	requestDue    bool      // Short
-	refused       map[string]uint64
-}
-
-// NewClient returns the side of one process of a pooler. fleet is how many poolers there may be.
-func NewClient(instance string, term time.Duration, fleet int, set config.Limits) *Client {
-	return &Client{instance: instance, term: term, fleetSize: max(fleet, 1), limits: set, buckets: map[string]*bucket{}, requestedAt: map[uint64]time.Time{},
-		demandSince: time.Now(), refused: map[string]uint64{}}
-}
-
-// significantChange is by how much a want must have grown, or a slice shrunk, for an ask out of turn.
-const significantChange = 1.25
-
-// SetLimits puts a newer set of limits in force; an older one changes nothing. Tokens put by of a limit that has changed are gone:
-// they were another limit's.
-func (t *Client) SetLimits(set config.Limits) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if set.Revision <= t.limits.Revision {
-		return false
+	term     time.Duration // of quotas
+
+	mu          sync.Mutex // guards the fields below
+	fleetSize   int
+	limits      config.Limits
+	buckets     map[string]*bucket // by "LIMIT/KEY"
+	token       uint64             // the newest leader's fencing token
+	leader      string             // the pooler that has it; "": none is known
+	applied     appliedGrant
+	lastNumber  uint64               // of the last request
+	requestedAt map[uint64]time.Time // of the requests whose grants are still accepted, by number
+	demandSince time.Time            // when the span of demand that is counted now began
+	requestDue  bool                 // as RequestDue
+	refused     map[string]uint64    // by limit: how often there was no token
+}
+
+// appliedGrant is the grant that a pooler applies.
+type appliedGrant struct {
+	token  uint64
+	number uint64
+	until  time.Time
+}
+
+// NewClient returns the client of one process of a pooler. fleetSize is how many poolers there may be.
+func NewClient(instance string, term time.Duration, fleetSize int, limits config.Limits) *Client {
+	return &Client{
+		instance:    instance,
+		term:        term,
+		fleetSize:   max(fleetSize, 1),
+		limits:      limits,
+		buckets:     map[string]*bucket{},
+		requestedAt: map[uint64]time.Time{},
+		demandSince: time.Now(),
+		refused:     map[string]uint64{},
 	}
-	for key, b := range t.buckets {
-		if !slices.Contains(set.List, b.limit) {
-			delete(t.buckets, key)
-		}
+}
+
+// SetLimits puts a newer set of limits in force, and reports whether it was newer. Tokens at hand of a limit that has changed are
+// dropped: they were of another limit.
+func (c *Client) SetLimits(limits config.Limits) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if limits.Revision <= c.limits.Revision {
+		return false
 	}
-	t.limits = set
+	maps.DeleteFunc(c.buckets, func(_ string, b *bucket) bool { return !slices.Contains(limits.List, b.limit) })
+	c.limits = limits
 	return true
 }
 
-// Limits are those in force.
-func (t *Client) Limits() config.Limits {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.limits
+// Limits returns the limits in force.
+func (c *Client) Limits() config.Limits {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.limits
 }
 
-// SetFleetSize tells how many poolers there may be: the settings' number, or those alive where they are more. Safe shares shrink at
-// once, and grow at once: at any time all are parts of the same reserve as far as poolers agree on the number.
-func (t *Client) SetFleetSize(fleet int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if fleet == t.fleetSize || fleet < 1 {
+// SetFleetSize sets how many poolers there may be: the settings' number, or those alive where they are more. Safe shares shrink and
+// grow at once, so as far as poolers agree on the number their shares are parts of one reserve at any time.
+func (c *Client) SetFleetSize(fleetSize int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if fleetSize == c.fleetSize || fleetSize < 1 {
 		return
 	}
-	t.fleetSize = fleet
+	c.fleetSize = fleetSize
 	now := time.Now()
-	for _, b := range t.buckets {
+	for _, b := range c.buckets {
 		b.refill(now)
-		b.setFleetSize(fleet)
-		b.level = min(b.level, b.depth(b.rate(now)))
+		b.setFleetSize(fleetSize)
+		b.trimToCapacity(now)
 	}
 }
 
-// Take takes a token of a limit at a key. If there is none it tells after how long there will be, by what is in force now.
-// weigh, above 0 and at most 1, makes one want count for 1/weigh tokens: a cold server bears a part of what it will.
-func (t *Client) Take(l config.Limit, key string, weigh float64) (after time.Duration, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// Take takes a token of a limit at a key. Without one it returns after how long there will be one, by what is in force now. weight,
+// above 0 and at most 1, is the share of its work that a cold server bears: one want counts for 1/weight tokens.
+func (c *Client) Take(l config.Limit, key string, weight float64) (after time.Duration, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	b := t.bucket(l, key, now)
+	b := c.bucket(l, key, now)
 	if b == nil {
-		return t.term / 3, false
+		return c.requestInterval(), false
 	}
-	after, ok = b.take(now, 1/min(max(weigh, 0.05), 1))
+	after, ok = b.take(now, 1/min(max(weight, minWeight), 1))
 	if !ok {
-		t.requestDue = t.requestDue || b.excessDemand(now.Sub(t.demandSince), false) > significantChange*b.reportedDemand
-		t.refused[l.Name]++
+		c.refused[l.Name]++
+		if b.excessDemand(now.Sub(c.demandSince), false) > significantChange*b.reportedDemand {
+			c.requestDue = true
+		}
 	}
 	return after, ok
 }
 
-// Refund gives back a token that was taken just now and not used.
-func (t *Client) Refund(l config.Limit, key string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if b := t.buckets[l.Name+"/"+key]; b != nil {
+// Refund puts back a token that was taken just now and not used.
+func (c *Client) Refund(l config.Limit, key string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if b := c.buckets[bucketKey(l, key)]; b != nil {
 		b.refund(time.Now())
 	}
 }
 
-// bucket finds a key's, or begins it. Where there are too many, those at rest go: one made anew is the same. nil: none is.
-func (t *Client) bucket(l config.Limit, key string, now time.Time) *bucket {
-	key = l.Name + "/" + key
-	b := t.buckets[key]
-	if b != nil {
+// bucketKey is the name of a limit's bucket at a key, in Client.buckets and in messages.
+func bucketKey(l config.Limit, key string) string { return l.Name + "/" + key }
+
+// bucket returns the bucket of a limit at a key, a new one if there is none. Where there are too many, idle buckets are dropped: a new
+// one is the same. It returns nil if there are too many still. The caller holds the mutex.
+func (c *Client) bucket(l config.Limit, key string, now time.Time) *bucket {
+	name := bucketKey(l, key)
+	if b := c.buckets[name]; b != nil {
 		return b
 	}
-	if len(t.buckets) >= maxBuckets {
-		maps.DeleteFunc(t.buckets, func(_ string, b *bucket) bool { return b.idle(now) })
-		if len(t.buckets) >= maxBuckets {
-			return nil
-		}
+	if len(c.buckets) >= maxBuckets {
+		maps.DeleteFunc(c.buckets, func(_ string, b *bucket) bool { return b.isIdle(now) })
 	}
-	b = newBucket(l, t.fleetSize, now)
-	t.buckets[key] = b
+	if len(c.buckets) >= maxBuckets {
+		return nil
+	}
+	b := newBucket(l, c.fleetSize, now)
+	c.buckets[name] = b
 	return b
 }
 
-// ObserveLeader takes in that a holder acts by a token. An older one than was heard of is no holder any more.
-func (t *Client) ObserveLeader(holder string, token uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if token < t.token {
+// requestInterval is how often a request is sent in turn.
+func (c *Client) requestInterval() time.Duration { return c.term / requestsPerTerm }
+
+// ObserveLeader records that a pooler leads by a token. It reports false for a token that is older than one observed before.
+func (c *Client) ObserveLeader(leader string, token uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if token < c.token {
 		return false
 	}
-	t.requestDue = t.requestDue || token > t.token // a new holder learns until it is told
-	t.token, t.leader = token, holder
+	if token > c.token {
+		c.requestDue = true // a new leader learns what is held from requests
+	}
+	c.token = token
+	c.leader = leader
 	return true
 }
 
-// Leader is the newest heard of; "": none.
-func (t *Client) Leader() (string, uint64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.leader, t.token
+// Leader returns the newest leader that is known, and its token; "" if none is.
+func (c *Client) Leader() (name string, token uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leader, c.token
 }
 
-// RequestDue tells that since the last ask a new holder was heard of, something was refused that is wanted more than the holder knows,
-// or a slice became smaller by as much: an ask now is worth more than one in its turn. The holder can deal what a pooler gave up only once it is told so.
-func (t *Client) RequestDue() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.requestDue
+// RequestDue reports whether a request out of turn is worth its cost: since the last request a new leader was observed, something was
+// refused that is wanted more than the leader knows, or a quota shrank, which the leader can allocate to others only once it knows.
+func (c *Client) RequestDue() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requestDue
 }
 
-// NextRequest writes down the next ask; it is counted from now. ok: there is something to say.
-func (t *Client) NextRequest() (a Request, to string, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// NextRequest makes the next request; a quota counts from now. ok is false while no leader is known to send the request to.
+func (c *Client) NextRequest() (r Request, leader string, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	next := now.Sub(t.demandSince) >= t.term/3
-	a = Request{Instance: t.instance, Wants: map[string]float64{}}
-	for key, b := range t.buckets {
-		b.reportedDemand = b.excessDemand(now.Sub(t.demandSince), next)
+	r = Request{Instance: c.instance, Wants: c.currentWants(now)}
+	inForce := now.Before(c.applied.until)
+	switch {
+	case inForce && c.applied.token == c.token:
+		r.AppliedNumber = c.applied.number
+	case inForce:
+		r.Held = c.heldQuotas(now)
+	}
+	c.lastNumber++
+	r.Number = c.lastNumber
+	c.requestDue = false
+	c.requestedAt[r.Number] = now
+	delete(c.requestedAt, r.Number-maxPendingRequests)
+	return r, c.leader, c.leader != ""
+}
+
+// currentWants returns what to request of each key, and ends the span of demand if it has lasted. The caller holds the mutex.
+func (c *Client) currentWants(now time.Time) map[string]float64 {
+	span := now.Sub(c.demandSince)
+	endSpan := span >= c.requestInterval()
+	wants := map[string]float64{}
+	for key, b := range c.buckets {
+		b.reportedDemand = b.excessDemand(span, endSpan)
 		if b.reportedDemand > 0 {
-			a.Wants[key] = b.reportedDemand
+			wants[key] = b.reportedDemand
 		}
 	}
-	if next {
-		t.demandSince = now
-	}
-	trimWants(a.Wants)
-	inForce := now.Before(t.appliedUntil)
-	if inForce && t.appliedToken == t.token {
-		a.AppliedNumber = t.appliedNumber
-	} else if inForce {
-		a.Held = map[string]float64{}
-		for key, b := range t.buckets {
-			if now.Before(b.quotaUntil) && b.quotaRate > 0 {
-				a.Held[key] = b.quotaRate
-			}
+	if endSpan {
+		c.demandSince = now
+	}
+	trimWants(wants)
+	return wants
+}
+
+// heldQuotas returns the quotas that are in force, by key. The caller holds the mutex.
+func (c *Client) heldQuotas(now time.Time) map[string]float64 {
+	held := map[string]float64{}
+	for key, b := range c.buckets {
+		if now.Before(b.quotaUntil) && b.quotaRate > 0 {
+			held[key] = b.quotaRate
 		}
 	}
-	t.lastNumber++
-	a.Number, t.requestDue = t.lastNumber, false
-	t.requestedAt[t.lastNumber] = now
-	delete(t.requestedAt, t.lastNumber-maxPendingRequests)
-	return a, t.leader, t.leader != ""
+	return held
 }
 
-// trimWants leaves the greatest wants, where there are too many.
+// trimWants leaves the highest wants where there are too many.
 func trimWants(wants map[string]float64) {
 	if len(wants) <= maxRequestedKeys {
 		return
@@ -202,44 +243,44 @@
 	}
 }
 
-// ApplyGrant puts an answer in force, all of it, until its ask and the term. It refuses one by an older token than was heard of,
-// one to an ask before the one whose answer is in force, and one that is over.
-func (t *Client) ApplyGrant(holder string, g Grant) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// ApplyGrant puts a grant in force, until its term after its request, and reports whether it did. It refuses a grant by an older token
+// than was observed, a grant of a request before the one whose grant is applied, and one that has ended.
+func (c *Client) ApplyGrant(leader string, g Grant) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	asked, known := t.requestedAt[g.Number]
-	until := asked.Add(g.Term)
-	if g.Token < t.token || !known || g.Number <= t.appliedNumber || !now.Before(until) {
+	requestedAt, pending := c.requestedAt[g.Number]
+	until := requestedAt.Add(g.Term)
+	if g.Token < c.token || !pending || g.Number <= c.applied.number || !now.Before(until) {
 		return false
 	}
-	t.token, t.leader = g.Token, holder
-	t.appliedToken, t.appliedNumber, t.appliedUntil = g.Token, g.Number, until
-	for key, b := range t.buckets {
-		was, slice := 0.0, g.Quotas[key]
-		if now.Before(b.quotaUntil) {
-			was = b.quotaRate
+	c.token = g.Token
+	c.leader = leader
+	c.applied = appliedGrant{token: g.Token, number: g.Number, until: until}
+	for key, b := range c.buckets {
+		quota := g.Quotas[key]
+		if now.Before(b.quotaUntil) && quota*significantChange < b.quotaRate {
+			c.requestDue = true
 		}
-		t.requestDue = t.requestDue || slice*significantChange < was
-		b.applyQuota(now, slice, until)
+		b.applyQuota(now, quota, until)
 	}
 	return true
 }
 
-// Metrics tell, by limit, what this pooler may take a second now, and how often it found no token.
+// Metrics tell, by limit, how many tokens a second this pooler may take now, and how often there was none.
 type Metrics struct {
 	Rate    map[string]float64
 	Refused map[string]uint64
 }
 
-// Metrics are summed over keys.
-func (t *Client) Metrics() Metrics {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// Metrics returns the metrics, summed over the keys of each limit.
+func (c *Client) Metrics() Metrics {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	f := Metrics{Rate: map[string]float64{}, Refused: maps.Clone(t.refused)}
-	for _, b := range t.buckets {
-		f.Rate[b.limit.Name] += b.rate(now)
+	m := Metrics{Rate: map[string]float64{}, Refused: maps.Clone(c.refused)}
+	for _, b := range c.buckets {
+		m.Rate[b.limit.Name] += b.rate(now)
 	}
-	return f
+	return m
 }
--- a/internal/fleet/quota/component.go
+++ b/internal/fleet/quota/component.go
@@ -8,274 +8,245 @@
 	"sync"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"threadsail/internal/config"
 	"threadsail/internal/fleet"
 	"threadsail/internal/fleet/audit"
-	"threadsail/internal/fleet/bus"
 	"threadsail/internal/fleet/replication"
 )
 
-// Document is where the set of limits in force stands.
+// Document is the key of the document that holds the set of limits in force.
 const Document = "limits/set"
 
 const (
-	topicLeader  = "quota/holder" // cast by the holder: its token
-	topicRequest = "quota/ask"
-	topicGrant   = "quota/grant"
-
-	// A pooler that is short asks again after this long for each pooler of the fleet, so that a thousand a second ask at most.
+	// requestGapPerPooler, times the fleet's size, is the least time between requests out of turn, so that the fleet sends a thousand a
+	// second at most; minRequestGap is the least time in a small fleet.
 	requestGapPerPooler = time.Millisecond
 	minRequestGap       = 20 * time.Millisecond
-
-	refusalLogInterval = 5 * time.Second // what was refused, in the log
-
-	grantSenders      = 8    // answers on their way at once
-	maxQueuedRequests = 1024 // asks that wait for them: a whole fleet may ask at one instant, when it hears of a new holder
+	// refusalLogInterval is how often refusals are logged, if there were any.
+	refusalLogInterval = 5 * time.Second
 )
 
-// Options are a Part's.
+// Options configure a Component.
 type Options struct {
-	Instance  string        // tells this process apart from the one before it
-	Term      time.Duration // of slices
+	Instance  string        // tells this process apart from the pooler's earlier processes
+	Term      time.Duration // of quotas
 	Drift     time.Duration // the most by which two monotonic clocks differ over a term
 	FleetSize int           // poolers, by the settings
-	Limits    config.Limits // the operators' file's
+	Limits    config.Limits // of the operators' file, as it was read first
 }
 
-// Component is the limits' part at one pooler: it asks, and deals while it holds the duty.
+// Component is one pooler's part in keeping the limits: it requests quotas, and allocates them while the pooler leads. Until it runs,
+// and without a leader, the Client's safe shares of the operators' limits hold. It is safe for concurrent use.
 type Component struct {
 	*Client
 	options Options
 
-	mu        sync.Mutex // guards what is below, and o.Limits
-	allocator *Allocator // nil: another holds the duty, or none
+	mu        sync.Mutex    // guards the fields below
+	proposed  config.Limits // of the operators' file
+	allocator *Allocator    // nil: this pooler does not lead
 }
 
 var _ fleet.Component = (*Component)(nil)
 
-// New returns a part that limits by the operators' file and safe shares until it runs.
+// New returns the component of one process.
 func New(o Options) *Component {
-	return &Component{Client: NewClient(o.Instance, o.Term, o.FleetSize, o.Limits), options: o}
+	return &Component{Client: NewClient(o.Instance, o.Term, o.FleetSize, o.Limits), options: o, proposed: o.Limits}
 }
 
-// Propose takes over the operators' file as it is read again: where its revision is the highest it holds here at once, and for
-// all once the holder has it.
-func (p *Component) Propose(set config.Limits) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.options.Limits = set
-	p.SetLimits(set)
+// Propose takes over the operators' file when it was read again. If its revision is the highest it is in force here at once, and at all
+// poolers once the leader has it.
+func (c *Component) Propose(limits config.Limits) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.proposed = limits
+	c.SetLimits(limits)
 }
 
-// Run implements fleet.Part. It never returns an error: without holder, bus or documents safe shares stand.
-func (p *Component) Run(ctx context.Context, g fleet.Runtime) error {
-	tenure := g.Campaign(ctx, LeaseName)
-	grants := make(chan func(), maxQueuedRequests)
-	wake := make(chan struct{}, 1)
-	var sending sync.WaitGroup
-	for range grantSenders {
-		sending.Go(func() {
-			for {
-				select {
-				case send := <-grants:
-					send()
-				case <-ctx.Done():
-					return
-				}
-			}
-		})
+// proposedLimits returns the limits of the operators' file.
+func (c *Component) proposedLimits() config.Limits {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.proposed
+}
+
+// Run implements fleet.Component. It never returns an error: without a leader, messages or documents the safe shares hold.
+func (c *Component) Run(ctx context.Context, runtime fleet.Runtime) error {
+	s := &session{
+		component:      c,
+		runtime:        runtime,
+		leadership:     runtime.Campaign(ctx, LeaseName),
+		term:           c.options.Term,
+		requests:       make(chan receivedRequest, maxQueuedRequests),
+		leaderObserved: make(chan struct{}, 1),
 	}
-	defer sending.Wait()
-	g.Bus.Handle(topicLeader, func(from string, body []byte) {
-		var token uint64
-		if json.Unmarshal(body, &token) != nil || !p.ObserveLeader(from, token) {
-			return
-		}
-		select {
-		case wake <- struct{}{}:
-		default:
-		}
-	})
-	g.Bus.Handle(topicGrant, func(from string, body []byte) {
-		var grant Grant
-		if json.Unmarshal(body, &grant) != nil || !p.ApplyGrant(from, grant) {
-			g.Log.Debug().Str("from", from).Msg("limits: a slice was refused")
-		}
-	})
-	g.Bus.Handle(topicRequest, func(from string, body []byte) {
-		var a Request
-		if json.Unmarshal(body, &a) != nil {
-			return
-		}
-		select {
-		case grants <- func() { p.handleRequest(ctx, g, tenure, from, a) }:
-		default: // it asks again
-		}
-	})
-	select { // so that poolers that start at one instant do not ask at one
-	case <-time.After(time.Duration(rand.Int64N(int64(p.options.Term / 3)))):
-	case <-ctx.Done():
+	var answering sync.WaitGroup
+	for range grantSenders {
+		answering.Go(func() { s.answerRequests(ctx) }) // ends with ctx
 	}
-	every := time.NewTicker(p.options.Term / 3)
-	defer every.Stop()
-	quick := time.NewTicker(max(minRequestGap, time.Duration(p.options.FleetSize)*requestGapPerPooler))
-	defer quick.Stop()
-	tell := time.NewTicker(refusalLogInterval)
-	defer tell.Stop()
-	var told Metrics
-	documents := g.View.Changed()
-	p.syncLimits(ctx, g, tenure)
+	defer answering.Wait()
+	s.handleMessages()
+	s.run(ctx)
+	return nil
+}
+
+// session is one run of a Component. Its fields do not change.
+type session struct {
+	component      *Component
+	runtime        fleet.Runtime
+	leadership     replication.Leadership
+	term           time.Duration        // of quotas
+	requests       chan receivedRequest // of other poolers, to be answered
+	leaderObserved chan struct{}        // wakes run: another pooler has announced that it leads
+}
+
+// run sends requests and follows the leadership and the documents, until ctx ends.
+func (s *session) run(ctx context.Context) {
+	s.waitForTurn(ctx)
+	inTurn := time.NewTicker(s.component.requestInterval())
+	defer inTurn.Stop()
+	outOfTurn := time.NewTicker(max(minRequestGap, time.Duration(s.component.options.FleetSize)*requestGapPerPooler))
+	defer outOfTurn.Stop()
+	logDue := time.NewTicker(refusalLogInterval)
+	defer logDue.Stop()
+	var logged Metrics
+	documentsChanged := s.runtime.View.Changed()
+	s.syncLimits(ctx)
 	for ctx.Err() == nil {
 		select {
-		case <-tenure.Changed():
-			p.updateLeadership(g, tenure)
-		case <-documents:
-			documents = g.View.Changed()
-			p.syncLimits(ctx, g, tenure)
-		case <-every.C:
-			p.updateLeadership(g, tenure)
-			p.sendRequest(ctx, g, tenure)
-			p.syncLimits(ctx, g, tenure)
-		case <-tell.C:
-			told = p.logRefusals(g.Log, told)
-		case <-quick.C:
-			if p.RequestDue() {
-				p.sendRequest(ctx, g, tenure)
-			}
-		case <-wake:
-			if p.RequestDue() {
-				p.sendRequest(ctx, g, tenure)
-			}
+		case <-s.leadership.Changed():
+			s.updateLeadership()
+		case <-documentsChanged:
+			documentsChanged = s.runtime.View.Changed()
+			s.syncLimits(ctx)
+		case <-inTurn.C:
+			s.updateLeadership()
+			s.sendRequest(ctx)
+			s.syncLimits(ctx)
+		case <-logDue.C:
+			logged = s.logRefusals(logged)
+		case <-outOfTurn.C:
+			s.sendDueRequest(ctx)
+		case <-s.leaderObserved:
+			s.sendDueRequest(ctx)
 		case <-ctx.Done():
 		}
 	}
-	return nil
 }
 
-// updateLeadership begins or ends this pooler's dealing, and tells the others of it.
-func (p *Component) updateLeadership(g fleet.Runtime, tenure replication.Leadership) {
-	token, _, ok := tenure.Token()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !ok {
-		if p.allocator != nil {
-			g.Log.Info().Uint64("token", p.allocator.token).Msg("limits: another deals from now on")
-		}
-		p.allocator = nil
-		return
-	}
-	if p.allocator == nil || p.allocator.token != token {
-		p.allocator = NewAllocator(token, p.options.Term, p.options.Drift, p.poolerCount(g.Bus), p.Limits())
-		g.Log.Info().Uint64("token", token).Msg("limits: dealt here from now on")
-		g.Audit(audit.Record{Act: audit.QuotasAllocated, Token: token})
+// waitForTurn waits for a random part of the interval between requests, so that poolers that start at one instant do not send their
+// requests at one instant.
+func (s *session) waitForTurn(ctx context.Context) {
+	timer := time.NewTimer(time.Duration(rand.Int64N(int64(s.component.requestInterval()))))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
 	}
-	p.ObserveLeader(g.Bus.Self(), token)
-	body, _ := json.Marshal(token)
-	g.Bus.Broadcast(topicLeader, body)
 }
 
-// activeAllocator is the dealer while this pooler may act by its token.
-func (p *Component) activeAllocator(tenure replication.Leadership) *Allocator {
-	token, _, ok := tenure.Token()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !ok || p.allocator == nil || p.allocator.token != token {
-		return nil
+// updateLeadership begins or ends this pooler's allocation, and announces to the others that it leads.
+func (s *session) updateLeadership() {
+	token, _, leads := s.leadership.Token()
+	if !leads {
+		s.endAllocation()
+		return
 	}
-	return p.allocator
+	s.beginAllocation(token)
+	s.component.ObserveLeader(s.runtime.Bus.Self(), token)
+	s.announceLeadership(token)
 }
 
-// handleRequest deals. Should this pooler stall behind the look at its lease, what it says late is no harm: the slice counts from the
-// ask, and so ends before a holder that came meanwhile has learnt.
-func (p *Component) handleRequest(ctx context.Context, g fleet.Runtime, tenure replication.Leadership, from string, a Request) {
-	d := p.activeAllocator(tenure)
-	if d == nil {
+// endAllocation ends this pooler's allocation, if it has begun.
+func (s *session) endAllocation() {
+	c := s.component
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.allocator == nil {
 		return
 	}
-	grant, ok := d.Allocate(from, a)
-	if !ok {
+	s.runtime.Log.Info().Uint64("token", c.allocator.token).Msg("quota: another pooler allocates from now on")
+	c.allocator = nil
+}
+
+// beginAllocation begins this pooler's allocation by a token, unless it has begun.
+func (s *session) beginAllocation(token uint64) {
+	c := s.component
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.allocator != nil && c.allocator.token == token {
 		return
 	}
-	body, _ := json.Marshal(grant)
-	within, cancel := context.WithTimeout(ctx, p.options.Term/3)
-	defer cancel()
-	if err := g.Bus.Send(within, from, topicGrant, body); err != nil {
-		g.Log.Debug().Err(err).Str("to", from).Msg("limits: a slice could not be sent")
-	}
+	c.allocator = NewAllocator(token, s.term, c.options.Drift, s.poolerCount(), c.Limits())
+	s.runtime.Log.Info().Uint64("token", token).Msg("quota: this pooler allocates from now on")
+	s.runtime.Audit(audit.Record{Act: audit.QuotasAllocated, Token: token})
 }
 
-// sendRequest asks the holder, whoever that is.
-func (p *Component) sendRequest(ctx context.Context, g fleet.Runtime, tenure replication.Leadership) {
-	p.SetFleetSize(p.poolerCount(g.Bus))
-	a, to, ok := p.NextRequest()
-	switch {
-	case !ok:
-	case to == g.Bus.Self():
-		if d := p.activeAllocator(tenure); d != nil {
-			if grant, ok := d.Allocate(to, a); ok {
-				p.ApplyGrant(to, grant)
-			}
-		}
-	default:
-		body, _ := json.Marshal(a)
-		within, cancel := context.WithTimeout(ctx, p.options.Term/3)
-		defer cancel()
-		if err := g.Bus.Send(within, to, topicRequest, body); err != nil && !errors.Is(err, bus.ErrUnknownMember) {
-			g.Log.Debug().Err(err).Str("to", to).Msg("limits: the holder can't be asked")
-		}
+// activeAllocator returns the allocator while this pooler may act by its token; otherwise nil.
+func (s *session) activeAllocator() *Allocator {
+	token, _, leads := s.leadership.Token()
+	s.component.mu.Lock()
+	defer s.component.mu.Unlock()
+	allocator := s.component.allocator
+	if !leads || allocator == nil || allocator.token != token {
+		return nil
 	}
+	return allocator
 }
 
 // poolerCount is how many poolers share a reserve: the settings' number, or those alive where they are more.
-func (p *Component) poolerCount(b bus.Bus) int { return max(p.options.FleetSize, b.Size()) }
+func (s *session) poolerCount() int {
+	return max(s.component.options.FleetSize, s.runtime.Bus.Size())
+}
 
-// syncLimits takes over the set of limits that the fleet agrees on, and as the holder writes the operators' file's where that is newer.
-func (p *Component) syncLimits(ctx context.Context, g fleet.Runtime, tenure replication.Leadership) {
-	doc, found := g.View.Get(Document)
-	var set config.Limits
+// syncLimits puts the fleet's limits in force, and as the leader writes those of the operators' file where they are newer.
+func (s *session) syncLimits(ctx context.Context) {
+	document, found := s.runtime.View.Get(Document)
+	var limits config.Limits
 	if found {
 		var err error
-		if set, err = config.ParseLimits(doc.Value); err != nil { // a newer build's: what is in force stands
-			g.Log.Error().Err(err).Uint64("version", doc.Version).Msg("limits: the fleet's can't be read")
+		limits, err = config.ParseLimits(document.Value)
+		if err != nil { // of a newer build: what is in force stays
+			s.runtime.Log.Error().Err(err).Uint64("version", document.Version).Msg("quota: fleet's limits can't be decoded")
 			return
 		}
 	}
-	if p.SetLimits(set) {
-		logLimits(g.Log, set)
+	if s.component.SetLimits(limits) {
+		s.runtime.Log.Info().Uint64("revision", limits.Revision).Int("limits", len(limits.List)).Msg("quota: limits applied")
 	}
-	d := p.activeAllocator(tenure)
-	if d == nil {
+	allocator := s.activeAllocator()
+	if allocator == nil {
 		return
 	}
-	d.SetLimits(p.Limits())
-	p.mu.Lock()
-	file := p.options.Limits
-	p.mu.Unlock()
-	if file.Revision > set.Revision {
-		body, _ := json.Marshal(file)
-		within, cancel := context.WithTimeout(ctx, p.options.Term/3)
-		defer cancel()
-		if _, err := g.Store.Put(within, Document, doc.Version, body, replication.Fence{Lease: LeaseName, Token: d.token}); err != nil && !errors.Is(err, replication.ErrConflict) {
-			g.Log.Warn().Err(err).Msg("limits: the file's could not be written to the stewards; it is tried again")
-		}
+	allocator.SetLimits(s.component.Limits())
+	if proposed := s.component.proposedLimits(); proposed.Revision > limits.Revision {
+		s.writeLimits(ctx, proposed, document.Version, allocator.token)
 	}
 }
 
-// logRefusals logs, for each limit that had no token here since it was told last, how often that was and what may be taken here now.
-func (p *Component) logRefusals(log zerolog.Logger, before Metrics) Metrics {
-	f := p.Metrics()
-	holder, token := p.Leader()
-	for name, n := range f.Refused {
-		if since := n - before.Refused[name]; since > 0 {
-			log.Info().Str("limit", name).Uint64("refused", since).Float64("rate_here", f.Rate[name]).Str("holder", holder).
-				Uint64("token", token).Msg("limits: no token")
-		}
+// writeLimits writes the limits of the operators' file as the fleet's. A failure is made up for at the next syncLimits.
+func (s *session) writeLimits(ctx context.Context, limits config.Limits, version, token uint64) {
+	value, err := json.Marshal(limits)
+	if err != nil {
+		s.runtime.Log.Error().Err(err).Msg("quota: file's limits can't be encoded")
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, s.component.requestInterval())
+	defer cancel()
+	_, err = s.runtime.Store.Put(ctx, Document, version, value, replication.Fence{Lease: LeaseName, Token: token})
+	if err != nil && !errors.Is(err, replication.ErrConflict) {
+		s.runtime.Log.Warn().Err(err).Msg("quota: file's limits not written to the voters, tried again")
 	}
-	return f
 }
 
-func logLimits(log zerolog.Logger, set config.Limits) {
-	log.Info().Uint64("revision", set.Revision).Int("limits", len(set.List)).Msg("limits: taken")
+// logRefusals logs, for each limit that had no token since the last time, how often that was and what may be taken here now.
+func (s *session) logRefusals(logged Metrics) Metrics {
+	metrics := s.component.Metrics()
+	leader, token := s.component.Leader()
+	for limit, total := range metrics.Refused {
+		if refused := total - logged.Refused[limit]; refused > 0 {
+			s.runtime.Log.Info().Str("limit", limit).Uint64("refused", refused).Float64("rate_here", metrics.Rate[limit]).
+				Str("leader", leader).Uint64("token", token).Msg("quota: no token")
+		}
+	}
+	return metrics
 }
--- a/internal/fleet/quota/guard.go
+++ b/internal/fleet/quota/guard.go
@@ -10,13 +10,13 @@
 	"threadsail/internal/policy"
 )
 
-// Guard holds one front's requests, attempts, connections and probes to the limits. Its calls are on that front's loop, and it
-// is that loop's; fronts of one process share a Taker.
+// Guard holds one front's requests, attempts, connections and probes to the limits. It belongs to that front's event loop, on which
+// all of its methods are called; the fronts of one process share a Client.
 type Guard struct {
 	client    *Client
-	class     func(int) policy.Class
+	classOf   func(class int) policy.Class
 	settings  func() policy.Settings
-	startedAt map[string]time.Duration // of servers that may be cold, Unix times
+	startedAt map[string]time.Duration // of servers that may be cold: Unix times
 }
 
 var (
@@ -24,117 +24,126 @@
 	_ dispatch.ConnectionGate = (*Guard)(nil)
 )
 
-// NewGuard returns a front's guard. class tells of a request's class; settings say how a server warms, and what clients may be
-// told of when to return; they may change under way.
-func NewGuard(t *Client, class func(int) policy.Class, settings func() policy.Settings) *Guard {
-	return &Guard{client: t, class: class, settings: settings, startedAt: map[string]time.Duration{}}
+// NewGuard returns the guard of a front. classOf returns a request's class; settings return how a server's slow start goes, and what
+// clients may be told about retries. Both may change at any time.
+func NewGuard(c *Client, classOf func(class int) policy.Class, settings func() policy.Settings) *Guard {
+	return &Guard{client: c, classOf: classOf, settings: settings, startedAt: map[string]time.Duration{}}
 }
 
-// Admit implements routing.Guard: a request needs a token of each limit that is on it.
+// takenToken is a token that a request has taken of a limit.
+type takenToken struct {
+	limit config.Limit
+	key   string
+}
+
+// Admit implements dispatch.Guard: a request takes a token of each limit that applies to it, or none.
 func (g *Guard) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
-	class := g.class(r.Class)
-	var taken []func()
+	class := g.classOf(r.Class)
+	var taken []takenToken
 	for _, l := range g.client.Limits().List {
 		if l.On != config.LimitRequests || l.Class != "" && l.Class != class.Name {
 			continue
 		}
-		key := ""
+		token := takenToken{limit: l}
 		if l.Tenants {
-			key = tenantKey(class, r)
+			token.key = tenantKey(class, r)
 		}
-		after, ok := g.client.Take(l, key, 1)
+		after, ok := g.client.Take(l, token.key, 1)
 		if !ok {
-			for _, spare := range taken {
-				spare()
+			for _, unused := range taken {
+				g.client.Refund(unused.limit, unused.key)
 			}
 			return dispatch.Admission{Reject: true, RetryAfter: g.retryAfter(after)}
 		}
-		taken = append(taken, func() { g.client.Refund(l, key) })
+		taken = append(taken, token)
 	}
 	return dispatch.Admission{}
 }
 
-// tenantKey is whom a request is counted for: the session that its quoted key names, where its class has sessions or writes for
-// them, else its group. Keys are told to other poolers as numbers: they are the clients'.
+// tenantKey is the tenant that a request counts for: the session that its key names, where its class reads or writes for sessions, else
+// its group. A key is sent to other poolers as a number, as it is the client's.
 func tenantKey(class policy.Class, r *dispatch.Request) string {
-	if (class.Access == policy.ReadSession || class.Access == policy.Write) && r.Key != "" {
-		h := fnv.New64a()
-		h.Write([]byte(r.Key))
-		return "s" + strconv.FormatUint(h.Sum64(), 36)
+	forSession := class.Access == policy.ReadSession || class.Access == policy.Write
+	if forSession && r.Key != "" {
+		hash := fnv.New64a()
+		hash.Write([]byte(r.Key))
+		return "s" + strconv.FormatUint(hash.Sum64(), 36)
 	}
 	return "g" + strconv.Itoa(r.Group)
 }
 
-// retryAfter is when a refused client is told to return: when there will be a token here, or when the next answer of the holder is
-// here, which may bring a larger slice; as far as the settings let clients be told.
-func (g *Guard) retryAfter(d time.Duration) time.Duration {
-	set := g.settings()
-	if !set.RetryAfterSupported {
+// retryAfter is when the client of a rejected request may retry: when there will be a token, or when the leader's next grant arrives,
+// which may bring a larger quota; within what the settings let clients be told. 0 tells a client nothing.
+func (g *Guard) retryAfter(untilToken time.Duration) time.Duration {
+	settings := g.settings()
+	if !settings.RetryAfterSupported {
 		return 0
 	}
-	if holder, _ := g.client.Leader(); holder != "" {
-		d = min(d, g.client.term/3)
+	after := untilToken
+	if leader, _ := g.client.Leader(); leader != "" {
+		after = min(after, g.client.requestInterval())
 	}
-	return min(max(d, time.Millisecond), set.MaxRetryAfter)
+	return min(max(after, time.Millisecond), settings.MaxRetryAfter)
 }
 
-// MaySend implements routing.Guard: an attempt for a cold server needs a token of its limit, more the colder it is. The rules'
-// own share for each front holds beside it.
+// MaySend implements dispatch.Guard: an attempt at a cold server takes a token of its limit, or more the colder the server is. The
+// policy's own share for each front holds beside it.
 func (g *Guard) MaySend(now time.Duration, r *dispatch.Request, server string) dispatch.SendDecision {
 	if r.WaitedForConnection { // its token was taken before it waited
 		return dispatch.Send
 	}
-	warmth, cold := g.slowStartWeight(now, server)
-	if l, ok := g.client.Limits().On(config.LimitCold); ok && cold {
-		if _, ok := g.client.Take(l, server, warmth); !ok {
-			return dispatch.SendElsewhere
-		}
+	weight, cold := g.slowStartWeight(now, server)
+	l, limited := g.client.Limits().On(config.LimitCold)
+	if !cold || !limited {
+		return dispatch.Send
+	}
+	if _, ok := g.client.Take(l, server, weight); !ok {
+		return dispatch.SendElsewhere
 	}
 	return dispatch.Send
 }
 
-// RequestEnded implements routing.Guard.
+// RequestEnded implements dispatch.Guard.
 func (g *Guard) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
 
-// ServerListed implements routing.Gate.
-func (g *Guard) ServerListed(server string, started time.Duration) {
-	if started > 0 && g.settings().SlowStartDuration > 0 {
-		g.startedAt[server] = started
+// ServerListed implements dispatch.ConnectionGate.
+func (g *Guard) ServerListed(server string, startedAt time.Duration) {
+	if startedAt > 0 && g.settings().SlowStartDuration > 0 {
+		g.startedAt[server] = startedAt
 	}
 }
 
-// slowStartWeight is the share of its work that a server bears that the list says has started a while ago, by the rules' own line.
-func (g *Guard) slowStartWeight(now time.Duration, server string) (warmth float64, cold bool) {
-	started, ok := g.startedAt[server]
-	if !ok {
+// slowStartWeight is the share of its work that a server in its slow start bears, as the policy has it; cold is false for others.
+func (g *Guard) slowStartWeight(now time.Duration, server string) (weight float64, cold bool) {
+	startedAt, listed := g.startedAt[server]
+	if !listed {
 		return 1, false
 	}
-	set := g.settings()
-	if now >= started+set.SlowStartDuration {
+	settings := g.settings()
+	if now >= startedAt+settings.SlowStartDuration {
 		delete(g.startedAt, server)
 		return 1, false
 	}
-	f := max(set.SlowStartCapacity, minSlowStartWeight)
-	return f + (1-f)*float64(max(now-started, 0))/float64(set.SlowStartDuration), true
+	initial := max(settings.SlowStartCapacity, minWeight)
+	progress := float64(max(now-startedAt, 0)) / float64(settings.SlowStartDuration)
+	return initial + (1-initial)*progress, true
 }
 
-const minSlowStartWeight = 0.05 // as in internal/policy/cold.go
-
-// MayDial implements routing.Gate.
+// MayDial implements dispatch.ConnectionGate.
 func (g *Guard) MayDial(_ time.Duration, server string) (time.Duration, bool) {
-	l, ok := g.client.Limits().On(config.LimitConnections)
-	if !ok {
+	l, limited := g.client.Limits().On(config.LimitConnections)
+	if !limited {
 		return 0, true
 	}
 	return g.client.Take(l, server, 1)
 }
 
-// MayProbe implements routing.Gate.
+// MayProbe implements dispatch.ConnectionGate.
 func (g *Guard) MayProbe(_ time.Duration, server string) bool {
-	l, ok := g.client.Limits().On(config.LimitProbes)
-	if !ok {
+	l, limited := g.client.Limits().On(config.LimitProbes)
+	if !limited {
 		return true
 	}
-	_, ok = g.client.Take(l, server, 1)
+	_, ok := g.client.Take(l, server, 1)
 	return ok
 }
--- a/internal/fleet/quota/guard_test.go
+++ b/internal/fleet/quota/guard_test.go
@@ -10,9 +10,10 @@
 	"threadsail/internal/policy"
 )
 
+// Requests, attempts at cold servers, connections and probes take tokens of their limits, and clients are told when to retry.
 func TestGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		taker := NewClient("a/1", term, 10, config.Limits{Revision: 1, List: []config.Limit{
+		client := NewClient("a/1", term, 10, config.Limits{Revision: 1, List: []config.Limit{
 			{Name: "all", On: config.LimitRequests, Rate: 100, Burst: 80, Reserve: 0.5},
 			{Name: "tenant", On: config.LimitRequests, Tenants: true, Rate: 10, Reserve: 0.5},
 			{Name: "cold", On: config.LimitCold, Rate: 100, Burst: 40, Reserve: 0.5},
@@ -20,8 +21,8 @@
 			{Name: "probes", On: config.LimitProbes, Rate: 10, Reserve: 0.5},
 		}})
 		classes := []policy.Class{{Name: "any"}, {Name: "own", Access: policy.ReadSession}}
-		set := policy.Settings{RetryAfterSupported: true, MaxRetryAfter: 300 * time.Millisecond, SlowStartCapacity: 0.5, SlowStartDuration: 10 * time.Second}
-		g := NewGuard(taker, func(i int) policy.Class { return classes[i] }, func() policy.Settings { return set })
+		settings := policy.Settings{RetryAfterSupported: true, MaxRetryAfter: 300 * time.Millisecond, SlowStartCapacity: 0.5, SlowStartDuration: 10 * time.Second}
+		g := NewGuard(client, func(i int) policy.Class { return classes[i] }, func() policy.Settings { return settings })
 		admit := func(want bool, class int, key string, group int) {
 			t.Helper()
 			a := g.Admit(0, &dispatch.Request{Class: class, Key: key, Group: group})
@@ -30,15 +31,15 @@
 			}
 		}
 		admit(true, 1, "x", 1)
-		admit(false, 1, "x", 2) // its session is the tenant
+		admit(false, 1, "x", 2) // the session is the tenant
 		admit(true, 1, "y", 1)
-		admit(true, 0, "x", 1) // no sessions there: its group is
+		admit(true, 0, "x", 1) // a class without sessions: the group is the tenant
 		admit(false, 0, "y", 1)
 		now := 100 * time.Second
 		g.ServerListed("s", now-time.Second)
 		r := &dispatch.Request{}
 		if r.WaitedForConnection = true; g.MaySend(now, r, "s") != dispatch.Send {
-			t.Error("an attempt is stopped behind its connection, whose token it has")
+			t.Error("an attempt that has waited for its connection is stopped, though it has taken a token")
 		}
 		if r.WaitedForConnection = false; g.MaySend(now, r, "warm") != dispatch.Send {
 			t.Error("nothing is sent to a warm server")
@@ -56,7 +57,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if sent < 25 || sent > 30 { // at a warmth of 0.55
+		if sent < 25 || sent > 30 { // at a weight of 0.55
 			t.Errorf("%d attempts sent to a cold server in 10 s at five a second, want about 27", sent)
 		}
 		for range 10 {
@@ -69,8 +70,8 @@
 		}
 		admit(true, 1, "z", 1)
 		admit(false, 1, "z", 1)
-		set.MaxRetryAfter = 200 * time.Millisecond // settings that come under way hold
-		if a := g.Admit(0, &dispatch.Request{Class: 1, Key: "z"}); a.RetryAfter != set.MaxRetryAfter {
+		settings.MaxRetryAfter = 200 * time.Millisecond // changed settings apply
+		if a := g.Admit(0, &dispatch.Request{Class: 1, Key: "z"}); a.RetryAfter != settings.MaxRetryAfter {
 			t.Errorf("%+v, want the new time", a)
 		}
 	})
--- a/internal/fleet/quota/load_test.go
+++ b/internal/fleet/quota/load_test.go
@@ -12,16 +12,16 @@
 	"threadsail/internal/fleet/replication/replicationtest"
 )
 
-// tenantLimit has a second's burst: wants come unevenly, and a small burst is none at one of thirty poolers.
+// tenantLimit has a second's burst: wants come unevenly, and of a small burst nothing is left at one of thirty poolers.
 var tenantLimit = config.Limit{Name: "tenant", On: config.LimitRequests, Tenants: true, Rate: 200, Burst: 200, Reserve: 0.25}
 
-// load has a fleet take by a plan for so long, step by step: wants tells how often each pooler tries each tenant in a step, in
-// thousandths. It returns what was tried and taken in the last part, by tenant.
-func load(t *testing.T, size, tenants int, warm, length time.Duration, wants func(pooler, tenant int) int) (tried, taken []float64, w *world) {
+// load makes a fleet take tokens for a time, step by step: wants returns how often each pooler tries each tenant in a step, in
+// thousandths. It returns what was tried and taken after the warm-up, by tenant.
+func load(size, tenants int, warm, length time.Duration, wants func(pooler, tenant int) int) (tried, taken []float64, w *world) {
 	const step = 10 * time.Millisecond
 	tried, taken = make([]float64, tenants), make([]float64, tenants)
-	w = &world{net: bustest.New(1), register: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
-	w.net.SetDelay(time.Millisecond, time.Millisecond)
+	w = &world{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
+	w.network.SetDelay(time.Millisecond, time.Millisecond)
 	for i := range size {
 		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
 	}
@@ -38,7 +38,7 @@
 					tries++
 				}
 				for range tries {
-					_, ok := n.part.Take(l, fmt.Sprint(tenant), 1)
+					_, ok := n.component.Take(l, fmt.Sprint(tenant), 1)
 					if now >= warm {
 						tried[tenant]++
 						if ok {
@@ -63,7 +63,7 @@
 func TestHotTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, warm, length = 30, 3 * time.Second, 8 * time.Second
-		tried, taken, _ := load(t, size, 5, warm, length, func(pooler, tenant int) int {
+		tried, taken, _ := load(size, 5, warm, length, func(pooler, tenant int) int {
 			switch {
 			case tenant > 0:
 				return 1000 / size // 100 a second over all
@@ -87,8 +87,8 @@
 	})
 }
 
-// What a pooler says a second does not grow with the fleet.
-func TestSaidBySize(t *testing.T) {
+// The messages that a pooler sends a second do not grow with the fleet.
+func TestMessagesBySize(t *testing.T) {
 	sizes := map[int]float64{30: 0, 100: 0}
 	if !testing.Short() {
 		sizes[300] = 0
@@ -96,16 +96,16 @@
 	for size := range sizes {
 		synctest.Test(t, func(t *testing.T) {
 			const length = 4 * time.Second
-			_, _, w := load(t, size, 3, 0, length, func(pooler, tenant int) int { return 9000 / size }) // 900 a second of a limit of 200
-			sends, casts := w.net.MessageCounts()
+			_, _, w := load(size, 3, 0, length, func(int, int) int { return 9000 / size }) // 900 a second of a limit of 200
+			sends, broadcasts := w.network.MessageCounts()
 			sizes[size] = float64(sends) / length.Seconds() / float64(size)
-			t.Logf("%d poolers: %.1f messages a second each, %.0f bytes; %.1f datagrams of the holder's a second for each",
-				size, sizes[size], float64(w.bytes.Load())/length.Seconds()/float64(size), float64(casts)/length.Seconds()/float64(size))
+			t.Logf("%d poolers: %.1f messages a second each, %.0f bytes; %.1f datagrams of the leader's a second for each",
+				size, sizes[size], float64(w.sentBytes.Load())/length.Seconds()/float64(size), float64(broadcasts)/length.Seconds()/float64(size))
 		})
 	}
 	for size, n := range sizes {
 		if n > 2*(1/minRequestGap.Seconds()) || size > 30 && n > 1.5*sizes[30] {
-			t.Errorf("%d poolers say %.1f messages a second each", size, n)
+			t.Errorf("%d poolers send %.1f messages a second each", size, n)
 		}
 	}
 }
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -50,52 +50,52 @@
 	tenantLimit,
 }}
 
-// stalled is a bus whose process can be stopped: what it was about to say goes out when it goes on, and what comes waits. Its
-// clock is slow by skew over a term.
-type stalled struct {
+// stallableBus is the bus of a process that can be stalled: what it was about to send is sent once it resumes, and what arrives
+// waits. Its clock is slow by skew over a term.
+type stallableBus struct {
 	*bustest.Bus
-	skew time.Duration
-	said *atomic.Int64 // bytes
+	skew      time.Duration
+	sentBytes *atomic.Int64
 
-	mu   sync.Mutex
-	wait chan struct{} // closed when it goes on; nil: it runs
+	mu      sync.Mutex
+	resumed chan struct{} // closed when the process resumes; nil: it runs
 }
 
-func (s *stalled) stop() {
+func (s *stallableBus) stall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wait == nil {
-		s.wait = make(chan struct{})
+	if s.resumed == nil {
+		s.resumed = make(chan struct{})
 	}
 }
 
-func (s *stalled) cont() {
+func (s *stallableBus) resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wait != nil {
-		close(s.wait)
-		s.wait = nil
+	if s.resumed != nil {
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
-func (s *stalled) runs() {
+func (s *stallableBus) waitUntilRunning() {
 	s.mu.Lock()
-	wait := s.wait
+	resumed := s.resumed
 	s.mu.Unlock()
-	if wait != nil {
-		<-wait
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-func (s *stalled) Send(ctx context.Context, to, topic string, body []byte) error {
-	s.runs()
-	s.said.Add(int64(len(body)))
+func (s *stallableBus) Send(ctx context.Context, to, topic string, body []byte) error {
+	s.waitUntilRunning()
+	s.sentBytes.Add(int64(len(body)))
 	return s.Bus.Send(context.WithoutCancel(ctx), to, topic, body)
 }
 
-func (s *stalled) Handle(topic string, f func(string, []byte)) {
+func (s *stallableBus) Handle(topic string, f func(string, []byte)) {
 	s.Bus.Handle(topic, func(from string, body []byte) {
-		s.runs()
+		s.waitUntilRunning()
 		var g Grant
 		if topic == topicGrant && json.Unmarshal(body, &g) == nil {
 			g.Term += s.skew
@@ -105,60 +105,60 @@
 	})
 }
 
-// node is one pooler; a process of it runs or not.
+// node is one pooler. component is that of its running process; nil: none runs.
 type node struct {
-	name    string
-	bus     *stalled
-	part    *Component
-	steward *replicationtest.Client
-	end     context.CancelFunc
-	starts  int
-	demand  [2]int // wants of each limit in a step
+	name      string
+	bus       *stallableBus
+	component *Component
+	voters    *replicationtest.Client
+	end       context.CancelFunc
+	starts    int
+	demand    [2]int // tokens of each limit that are wanted in a step
 }
 
-// world is a fleet in a bubble.
+// world is a fleet within a synctest bubble.
 type world struct {
-	net      *bustest.Network
-	register *replicationtest.Cluster
-	nodes    []*node
-	rng      *rand.Rand
-	running  sync.WaitGroup
-	fresh    int // processes started again
-	bytes    atomic.Int64
+	network   *bustest.Network
+	cluster   *replicationtest.Cluster
+	nodes     []*node
+	rng       *rand.Rand
+	running   sync.WaitGroup
+	restarts  int // of processes
+	sentBytes atomic.Int64
 }
 
 func (w *world) start(n *node) {
 	n.starts++
 	instance := fmt.Sprint(n.name, "/", n.starts)
-	n.bus = &stalled{Bus: w.net.Join(n.name), skew: time.Duration(w.rng.Int64N(int64(drift))), said: &w.bytes}
-	n.steward = w.register.Client(instance)
-	n.part = New(Options{Instance: instance, Term: term, Drift: drift, FleetSize: len(w.nodes), Limits: limits})
+	n.bus = &stallableBus{Bus: w.network.Join(n.name), skew: time.Duration(w.rng.Int64N(int64(drift))), sentBytes: &w.sentBytes}
+	n.voters = w.cluster.Client(instance)
+	n.component = New(Options{Instance: instance, Term: term, Drift: drift, FleetSize: len(w.nodes), Limits: limits})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.end = cancel
-	steward, spread := n.steward, w.rng.Float64()
-	ground := fleet.Runtime{Bus: n.bus, View: w.register.View(), Store: steward, Log: zerolog.Nop(), Audit: func(audit.Record) {},
+	voters, jitter := n.voters, w.rng.Float64()
+	runtime := fleet.Runtime{Bus: n.bus, View: w.cluster.View(), Store: voters, Log: zerolog.Nop(), Audit: func(audit.Record) {},
 		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
-			return steward.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: spread})
+			return voters.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: jitter})
 		}}
-	part := n.part
-	w.running.Go(func() { _ = part.Run(ctx, ground) })
+	component := n.component
+	w.running.Go(func() { _ = component.Run(ctx, runtime) })
 }
 
 func (w *world) kill(n *node) {
 	n.end()
-	n.bus.cont()
+	n.bus.resume()
 	n.bus.Stop()
-	n.part = nil
+	n.component = nil
 }
 
-// deals is the pooler that deals.
-func (w *world) deals() *node {
+// leader returns the pooler that allocates, or the first.
+func (w *world) leader() *node {
 	for _, n := range w.nodes {
-		if n.part != nil {
-			n.part.mu.Lock()
-			deals := n.part.allocator != nil
-			n.part.mu.Unlock()
-			if deals {
+		if n.component != nil {
+			n.component.mu.Lock()
+			leads := n.component.allocator != nil
+			n.component.mu.Unlock()
+			if leads {
 				return n
 			}
 		}
@@ -170,12 +170,13 @@
 type fault struct {
 	At, For time.Duration
 	What    string
-	Node    int // -1: who deals
+	Node    int // -1: the leader
 }
 
+// play runs a fleet for so long with the faults, and returns how an invariant was violated, if one was.
 func play(seed uint64, size int, length time.Duration, faults []fault) (err error) {
-	w := &world{net: bustest.New(seed), register: replicationtest.New(drift), rng: rand.New(rand.NewPCG(seed, 7))}
-	w.net.SetDelay(2*time.Millisecond, 4*time.Millisecond)
+	w := &world{network: bustest.New(seed), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(seed, 7))}
+	w.network.SetDelay(2*time.Millisecond, 4*time.Millisecond)
 	for i := range size {
 		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
 	}
@@ -185,7 +186,7 @@
 	defer w.running.Wait()
 	defer func() {
 		for _, n := range w.nodes {
-			if n.part != nil {
+			if n.component != nil {
 				w.kill(n)
 			}
 		}
@@ -197,7 +198,7 @@
 	for now := time.Duration(0); now < length; now += step {
 		for _, f := range faults {
 			if f.At/step == now/step {
-				heal := w.strike(f)
+				heal := w.inject(f)
 				undo, undoAt = append(undo, heal), append(undoAt, now+f.For)
 			}
 		}
@@ -218,28 +219,28 @@
 		for i, l := range limits.List[:2] {
 			got := 0
 			for _, n := range w.nodes {
-				if n.part == nil {
+				if n.component == nil {
 					continue
 				}
 				for range n.demand[i] {
-					if _, ok := n.part.Take(l, "k", 1); ok {
+					if _, ok := n.component.Take(l, "k", 1); ok {
 						got++
 					}
 				}
-				n.part.Client.mu.Lock()
-				if b := n.part.buckets[l.Name+"/k"]; b != nil {
+				n.component.Client.mu.Lock()
+				if b := n.component.buckets[l.Name+"/k"]; b != nil {
 					rates[i] += b.rate(time.Now())
 					if n.demand[i] > 0 {
 						wanted[i] += b.rate(time.Now())
 					}
 				}
-				n.part.Client.mu.Unlock()
+				n.component.Client.mu.Unlock()
 			}
 			if rates[i] > l.Rate*(1+1e-9) {
 				return fmt.Errorf("at %v %s: rates of %.2f a second are in force, the limit is %v", now, l.Name, rates[i], l.Rate)
 			}
 			excess[i] = max(0, excess[i]-l.Rate*step.Seconds()) + float64(got)
-			started := float64(w.fresh) * max(1, l.Burst*l.Reserve/float64(size))
+			started := float64(w.restarts) * max(1, l.Burst*l.Reserve/float64(size))
 			if most := l.Burst + float64(size) + started + l.Rate*step.Seconds(); excess[i] > most+1e-6 {
 				return fmt.Errorf("at %v %s: %.2f over its rate were taken, the bound is %.2f", now, l.Name, excess[i], most)
 			}
@@ -249,22 +250,22 @@
 	}
 	for i, l := range limits.List[:2] { // all is healed, and wants have stood for three terms
 		if least := 0.95 * (1 - l.Reserve) * l.Rate; size > 2 && wanted[i] < least {
-			return fmt.Errorf("%s: who has wants may take %.1f of %v a second: more lies unused than the reserve", l.Name, wanted[i], l.Rate)
+			return fmt.Errorf("%s: those with wants may take %.1f of %v a second: more than the reserve is unused", l.Name, wanted[i], l.Rate)
 		}
 	}
 	return nil
 }
 
-// strike does a fault, and returns what undoes it.
-func (w *world) strike(f fault) (heal func()) {
+// inject injects a fault, and returns what heals it.
+func (w *world) inject(f fault) (heal func()) {
 	n := w.nodes[max(f.Node, 0)%len(w.nodes)]
 	if f.Node < 0 {
-		n = w.deals()
+		n = w.leader()
 	}
 	switch f.What {
 	case "cut":
-		w.net.SetIsolated(n.name, true)
-		return func() { w.net.SetIsolated(n.name, false) }
+		w.network.SetIsolated(n.name, true)
+		return func() { w.network.SetIsolated(n.name, false) }
 	case "half":
 		var left, right []string
 		for i, n := range w.nodes {
@@ -274,46 +275,46 @@
 				right = append(right, n.name)
 			}
 		}
-		w.net.SetCut(left, right, true)
-		return func() { w.net.SetCut(left, right, false) }
+		w.network.SetCut(left, right, true)
+		return func() { w.network.SetCut(left, right, false) }
 	case "one way": // it hears nobody
 		for _, o := range w.nodes {
-			w.net.SetOneWayCut(o.name, n.name, true)
+			w.network.SetOneWayCut(o.name, n.name, true)
 		}
 		return func() {
 			for _, o := range w.nodes {
-				w.net.SetOneWayCut(o.name, n.name, false)
+				w.network.SetOneWayCut(o.name, n.name, false)
 			}
 		}
-	case "no stewards":
-		steward := n.steward
-		steward.SetPartitioned(true)
-		return func() { steward.SetPartitioned(false) }
+	case "no voters":
+		voters := n.voters
+		voters.SetPartitioned(true)
+		return func() { voters.SetPartitioned(false) }
 	case "stall":
 		b := n.bus
-		b.stop()
-		return b.cont
+		b.stall()
+		return b.resume
 	case "slow":
-		w.net.SetDelay(100*time.Millisecond, 500*time.Millisecond)
-		return func() { w.net.SetDelay(2*time.Millisecond, 4*time.Millisecond) }
+		w.network.SetDelay(100*time.Millisecond, 500*time.Millisecond)
+		return func() { w.network.SetDelay(2*time.Millisecond, 4*time.Millisecond) }
 	case "loss":
-		w.net.SetLoss(0.5, 0.2)
-		return func() { w.net.SetLoss(0, 0) }
+		w.network.SetLoss(0.5, 0.2)
+		return func() { w.network.SetLoss(0, 0) }
 	default: // "kill"
-		if n.part == nil {
+		if n.component == nil {
 			return func() {}
 		}
 		w.kill(n)
 		return func() {
-			if n.part == nil {
-				w.fresh++
+			if n.component == nil {
+				w.restarts++
 				w.start(n)
 			}
 		}
 	}
 }
 
-var what = []string{"cut", "half", "one way", "no stewards", "stall", "slow", "loss", "kill"}
+var faultKinds = []string{"cut", "half", "one way", "no voters", "stall", "slow", "loss", "kill"}
 
 func testBound(t *testing.T, size, most int) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -321,7 +322,7 @@
 		faults := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) fault {
 			return fault{At: time.Duration(rapid.IntRange(0, 60).Draw(rt, "at")) * 100 * time.Millisecond,
 				For:  time.Duration(rapid.IntRange(1, 25).Draw(rt, "for")) * 100 * time.Millisecond,
-				What: rapid.SampledFrom(what).Draw(rt, "what"), Node: rapid.IntRange(-1, size-1).Draw(rt, "node")}
+				What: rapid.SampledFrom(faultKinds).Draw(rt, "what"), Node: rapid.IntRange(-1, size-1).Draw(rt, "node")}
 		}), 0, most).Draw(rt, "faults")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var err error
@@ -332,12 +333,12 @@
 	})
 }
 
-// Whatever is cut, stalled, killed, lost or late, and whoever deals: the rates in force never sum up to more than a limit, and
-// what is taken over it stays under the bound; once all is healed most of each limit is used.
+// Whatever is cut, stalled, killed, lost or late, and whoever leads: the rates in force never sum up to more than a limit, what is
+// taken over it stays under the bound, and once all faults are healed most of each limit is used.
 func TestBoundOf2(t *testing.T)  { testBound(t, 2, 8) }
 func TestBoundOf12(t *testing.T) { testBound(t, 12, 12) }
 
-// The same at 300, of which 210 are killed at once, the dealer among them, and 30 are cut off.
+// The same at 300, of which 210 are killed at once, the leader among them, and 30 are cut off.
 func TestBoundOf300(t *testing.T) {
 	if testing.Short() {
 		t.Skip("300 poolers")
@@ -356,7 +357,7 @@
 	}
 }
 
-func TestLevel(t *testing.T) {
+func TestWaterLevel(t *testing.T) {
 	for _, c := range []struct {
 		total float64
 		wants []float64
@@ -374,105 +375,105 @@
 	}
 }
 
-// A pooler goes by the newest answer alone, from its ask on: not by one of an older holder, one that was overtaken, or one that
-// came when it was over.
-func TestRefused(t *testing.T) {
+// A pooler applies the newest grant alone, from its request on: not one of an earlier leader, one that was overtaken, or one that
+// arrives after its end.
+func TestApplyGrantRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := limits.List[0]
-		p := NewClient("a/1", term, 10, limits)
-		ask := func() uint64 {
-			p.Take(l, "k", 1)
-			a, _, _ := p.NextRequest()
-			return a.Number
+		client := NewClient("a/1", term, 10, limits)
+		request := func() uint64 {
+			client.Take(l, "k", 1)
+			r, _, _ := client.NextRequest()
+			return r.Number
 		}
 		grant := func(token, number uint64) Grant {
 			return Grant{Token: token, Number: number, Term: term, Quotas: map[string]float64{"hot/k": 50}}
 		}
-		rate := func() float64 { return p.Metrics().Rate["hot"] }
-		p.ObserveLeader("h", 7)
-		first := ask()
+		rate := func() float64 { return client.Metrics().Rate["hot"] }
+		client.ObserveLeader("h", 7)
+		first := request()
 		time.Sleep(term / 2)
-		second := ask()
-		if p.ApplyGrant("g", grant(6, second)) || rate() != 5 {
-			t.Error("took an older holder's answer")
+		second := request()
+		if client.ApplyGrant("g", grant(6, second)) || rate() != 5 {
+			t.Error("applied an earlier leader's grant")
 		}
-		if !p.ApplyGrant("h", grant(7, second)) || rate() != 55 {
-			t.Errorf("an answer was refused, or gives %v", rate())
+		if !client.ApplyGrant("h", grant(7, second)) || rate() != 55 {
+			t.Errorf("a grant was refused, or gives %v", rate())
 		}
-		if p.ApplyGrant("h", grant(7, first)) {
-			t.Error("took an answer that was overtaken")
+		if client.ApplyGrant("h", grant(7, first)) {
+			t.Error("applied a grant that was overtaken")
 		}
-		if a, _, _ := p.NextRequest(); a.AppliedNumber != second {
-			t.Errorf("goes by the answer to ask %d and tells %d", second, a.AppliedNumber)
+		if r, _, _ := client.NextRequest(); r.AppliedNumber != second {
+			t.Errorf("applies the grant of request %d and reports %d", second, r.AppliedNumber)
 		}
-		p.ObserveLeader("i", 8)
-		if a, _, _ := p.NextRequest(); a.AppliedNumber != 0 || a.Held["hot/k"] != 50 {
-			t.Errorf("tells the next holder %+v", a)
+		client.ObserveLeader("i", 8)
+		if r, _, _ := client.NextRequest(); r.AppliedNumber != 0 || r.Held["hot/k"] != 50 {
+			t.Errorf("reports to the next leader %+v", r)
 		}
 		time.Sleep(term - time.Millisecond)
 		if rate() != 55 {
-			t.Error("over before its end")
+			t.Error("the quota has ended before its time")
 		}
-		late := ask()
+		late := request()
 		time.Sleep(time.Millisecond)
 		if rate() != 5 {
-			t.Error("a slice goes on")
+			t.Error("the quota goes on after its end")
 		}
 		time.Sleep(term)
-		if p.ApplyGrant("i", grant(8, late)) {
-			t.Error("took an answer that was over")
+		if client.ApplyGrant("i", grant(8, late)) {
+			t.Error("applied a grant that has ended")
 		}
 	})
 }
 
-// A new holder deals a pooler no more than it tells, counts that for others until it is over, and deals anew once all have told
-// or all earlier slices are over.
+// A new leader grants a pooler no more than the pooler reports, counts that against others until it has ended, and allocates anew once
+// all poolers have reported or all earlier quotas have ended.
 func TestLearning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := NewAllocator(9, term, drift, 3, limits)
-		deal := func(from string, number uint64, held, want float64) float64 {
-			a := Request{Instance: from, Number: number, Wants: map[string]float64{"hot/k": want}}
+		allocator := NewAllocator(9, term, drift, 3, limits)
+		allocate := func(from string, number uint64, held, want float64) float64 {
+			r := Request{Instance: from, Number: number, Wants: map[string]float64{"hot/k": want}}
 			if held > 0 {
-				a.Held = map[string]float64{"hot/k": held}
+				r.Held = map[string]float64{"hot/k": held}
 			}
-			g, ok := d.Allocate(from, a)
+			g, ok := allocator.Allocate(from, r)
 			if !ok {
-				t.Errorf("%s: ask %d refused", from, number)
+				t.Errorf("%s: request %d refused", from, number)
 			}
 			return g.Quotas["hot/k"]
 		}
-		if got := deal("a", 1, 100, 30); got != 30 {
+		if got := allocate("a", 1, 100, 30); got != 30 {
 			t.Errorf("a holds 100 and wants 30: %v", got)
 		}
-		if got := deal("b", 1, 0, 500); got != 0 {
+		if got := allocate("b", 1, 0, 500); got != 0 {
 			t.Errorf("b holds none: %v", got)
 		}
-		if _, ok := d.Allocate("a", Request{Instance: "a", Number: 1}); ok {
-			t.Error("answered an ask twice")
+		if _, ok := allocator.Allocate("a", Request{Instance: "a", Number: 1}); ok {
+			t.Error("answered a request twice")
 		}
-		if got := deal("c", 1, 10, 10); got != 10 || d.Learning() {
-			t.Errorf("c holds 10: %v; learning %v after all have told", got, d.Learning())
+		if got := allocate("c", 1, 10, 10); got != 10 || allocator.Learning() {
+			t.Errorf("c holds 10: %v; learning %v after all have reported", got, allocator.Learning())
 		}
-		if got := deal("b", 2, 0, 500); got != 40 { // 150 less the 100 and 10 that may still be in force
-			t.Errorf("b, while a may go by what it held: %v", got)
+		if got := allocate("b", 2, 0, 500); got != 40 { // 150 less the 100 and 10 that may still be in force
+			t.Errorf("b, while a may apply what it held: %v", got)
 		}
 		time.Sleep(term + drift)
-		if got := deal("b", 3, 0, 500); got != 150 {
-			t.Errorf("b, once all are over: %v", got)
+		if got := allocate("b", 3, 0, 500); got != 150 {
+			t.Errorf("b, once all quotas have ended: %v", got)
 		}
-		if e := NewAllocator(10, term, drift, 3, limits); !e.Learning() {
-			t.Error("a new holder does not learn")
-		} else if time.Sleep(term + drift); e.Learning() {
-			t.Error("learns after all is over")
+		if next := NewAllocator(10, term, drift, 3, limits); !next.Learning() {
+			t.Error("a new leader does not learn")
+		} else if time.Sleep(term + drift); next.Learning() {
+			t.Error("learns after all earlier quotas have ended")
 		}
 	})
 }
 
-// A set of a higher revision in the file of who deals reaches all others through the documents, and
-// the sum is within the lower limit two terms later. A lower revision changes nothing.
-func TestChange(t *testing.T) {
+// Limits of a higher revision in the leader's file reach all other poolers through the documents, and the sum is within the lower
+// limit two terms later. A lower revision changes nothing.
+func TestChangeOfLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{net: bustest.New(1), register: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
+		w := &world{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
 		for i := range 5 {
 			w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
 		}
@@ -483,8 +484,8 @@
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				rate = 0
 				for _, n := range w.nodes {
-					n.part.Take(n.part.Limits().List[0], "k", 1)
-					rate += n.part.Metrics().Rate["hot"]
+					n.component.Take(n.component.Limits().List[0], "k", 1)
+					rate += n.component.Metrics().Rate["hot"]
 				}
 			}
 			return rate
@@ -494,15 +495,15 @@
 		}
 		lower := config.Limits{Revision: 7, List: slices.Clone(limits.List)}
 		lower.List[0].Rate = 40
-		w.deals().part.Propose(lower)
+		w.leader().component.Propose(lower)
 		if rate := run(2*term + drift); rate > 40*(1+1e-9) {
 			t.Errorf("%v a second of a limit that is 40 now", rate)
 		}
-		w.nodes[1].part.Propose(limits)
+		w.nodes[1].component.Propose(limits)
 		run(term)
 		for _, n := range w.nodes {
-			if got := n.part.Limits().Revision; got != 7 {
-				t.Errorf("%s goes by revision %d", n.name, got)
+			if got := n.component.Limits().Revision; got != 7 {
+				t.Errorf("%s applies revision %d", n.name, got)
 			}
 			w.kill(n)
 		}
@@ -510,4 +511,4 @@
 	})
 }
 
-var _ bus.Bus = (*stalled)(nil)
+var _ bus.Bus = (*stallableBus)(nil)
--- a/internal/lab/limits.go
+++ b/internal/lab/limits.go
@@ -28,7 +28,7 @@
 }
 
 func (d *dealer) heard(i int, line string) {
-	if strings.Contains(line, "limits: dealt here") {
+	if strings.Contains(line, "quota: this pooler allocates") {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.i = []int{i}
