--- a/cmd/threadsail-fleet/main_test.go
+++ b/cmd/threadsail-fleet/main_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"threadsail/internal/config"
 	"threadsail/internal/fleet/audit"
 	"threadsail/internal/lab"
 	"threadsail/internal/lab/judge"
+	"threadsail/internal/lab/scenario"
 )
 
 // TestMain lets the test's own binary stand for the program.
@@ -49,20 +49,20 @@
 	Until   int64 `json:"until_ns"`
 }
 
-func play(t *testing.T, scenario string, builds ...string) (lab.FleetReport, []line, config.Scenario) {
+func play(t *testing.T, text string, builds ...string) (lab.FleetReport, []line, scenario.Scenario) {
 	t.Helper()
 	var env [][]string
 	for _, build := range builds {
 		env = append(env, []string{"THREADSAIL_TEST_BUILD=" + build})
 	}
-	rep, logs, s := playLogs(t, scenario, env...)
+	rep, logs, s := playLogs(t, text, env...)
 	return rep, parse[line](logs), s
 }
 
 // playLogs plays a scenario, with further environment of the first poolers, and returns all poolers' logs.
-func playLogs(t *testing.T, scenario string, env ...[]string) (lab.FleetReport, string, config.Scenario) {
+func playLogs(t *testing.T, text string, env ...[]string) (lab.FleetReport, string, scenario.Scenario) {
 	t.Helper()
-	s, err := config.ParseScenario("scenario.json", []byte(scenario))
+	s, err := scenario.Parse("scenario.json", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/threadsail-lab/fleet.go
+++ b/cmd/threadsail-lab/fleet.go
@@ -12,8 +12,8 @@
 	"strings"
 	"syscall"
 
-	"threadsail/internal/config"
 	"threadsail/internal/lab"
+	"threadsail/internal/lab/scenario"
 )
 
 //go:embed scenarios/*.json
@@ -44,7 +44,7 @@
 		raw["poolers"] = c.Poolers
 		text, _ = json.Marshal(raw)
 	}
-	s, err := config.ParseScenario(name, text)
+	s, err := scenario.Parse(name, text)
 	if err != nil {
 		return err
 	}
--- a/cmd/threadsail/fleet_test.go
+++ b/cmd/threadsail/fleet_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"threadsail/internal/config"
 	"threadsail/internal/lab"
 	"threadsail/internal/lab/judge"
+	"threadsail/internal/lab/scenario"
 )
 
 // Twelve processes of the pooler before three servers: four are cut off from the primary, one is killed and started
@@ -27,7 +27,7 @@
 		t.Skip("starts twelve processes")
 	}
 	path := filepath.Join(t.TempDir(), "scenario.json")
-	scenario := `{"poolers": 12, "servers": 3, "length_ms": 12000, "seed": 7, "clients": 2, "rest_ms": 40, "writes": 0.3,
+	text := `{"poolers": 12, "servers": 3, "length_ms": 12000, "seed": 7, "clients": 2, "rest_ms": 40, "writes": 0.3,
 	  "patience_ms": 1500, "steps": [
 		{"at_ms": 1500, "act": "cut", "poolers": "0-3", "servers": "0", "for_ms": 3000},
 		{"at_ms": 2500, "act": "kill", "poolers": "5", "for_ms": 2000},
@@ -37,10 +37,10 @@
 		{"at_ms": 8000, "act": "promote", "servers": "1"},
 		{"at_ms": 9000, "act": "replace", "servers": "2"},
 		{"at_ms": 10000, "act": "move", "poolers": "0-5"}]}`
-	if err := os.WriteFile(path, []byte(scenario), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := config.LoadScenario(path)
+	s, err := scenario.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 
 // The judge is not idle: poolers that answer nothing lose every request.
 func TestFleetJudgesSilence(t *testing.T) {
-	s, err := config.ParseScenario("silent.json", []byte(`{"poolers": 2, "servers": 1, "length_ms": 500, "patience_ms": 100}`))
+	s, err := scenario.Parse("silent.json", []byte(`{"poolers": 2, "servers": 1, "length_ms": 500, "patience_ms": 100}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	s, err := config.ParseScenario("scenario", []byte(`{"poolers": 2, "servers": 6, "length_ms": 9000, "seed": 7, "clients": 4, "rest_ms": 30,
+	s, err := scenario.Parse("scenario", []byte(`{"poolers": 2, "servers": 6, "length_ms": 9000, "seed": 7, "clients": 4, "rest_ms": 30,
 	  "writes": 0.1, "unkeyed": true, "work_ms": 5, "patience_ms": 1500, "push": true, "grace_ms": 250,
 	  "log": {"wait_ms": 50, "bound_ms": 300, "reports": 0.1, "report_ms": 400}, "steps": [
 		{"at_ms": 1000, "act": "drain", "servers": "1"},
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -10,7 +10,7 @@
 // What the code says of the size that is coming where no record does: bounds by its constants, and which mechanism carries what.
 
 func (g *page) roles() Table {
-	n, term := g.n, c("config.defaultTerm")
+	n, term := g.n, c("config.DefaultTerm")
 	pull := c("gossip.pushPullInterval") * (math.Ceil(math.Log2(n)-5) + 1)
 	return Table{"roles", []string{"role", "state it holds", "bound at this size, by the code", "carried by"}, [][]string{
 		{"client", "one connection, one request at a time", fmt.Sprintf("%s connections a pooler; no control message reaches it", digits(float64(g.Clients)/n)), "`internal/pooler/connlimit`, `internal/transport`"},
@@ -19,7 +19,7 @@
 				digits(c("serverlist.MaxServers")), quantity(c("replication.MaxTotalSize"), "B"), digits(n), digits(pull)),
 			"`internal/pooler`, `internal/fleet/replication`, `internal/fleet/gossip`"},
 		{"steward", "leases and all documents, its log, a connection of each asker", fmt.Sprintf("%s askers at once (`consensus.maxConnections`), %s poolers with a connection or two each; at most %s stewards (`config.mostStewards`)",
-			digits(c("consensus.maxConnections")), digits(n), digits(c("config.mostStewards"))), "`internal/fleet/consensus`"},
+			digits(c("consensus.maxConnections")), digits(n), digits(c("config.MostStewards"))), "`internal/fleet/consensus`"},
 		{"leader", "the same, and a datagram a pooler for each word", fmt.Sprintf("%s datagrams a beat of %s, and as many at each change (one in %s)", digits(n-1), quantity(term/3, "s"), quantity(day/g.ConfigChanges.PerDay, "s")),
 			"`internal/fleet/replication` (`Replicator.announce`), `internal/fleet/gossip` (`Bus.Broadcast`)"},
 		{"holder of the list duty", "the list service's watch, the newest list", fmt.Sprintf("%s datagrams a third of a term; whole lists to %d askers at once (`fleet.maxListTransfers`); a pooler shows its list %s after it has it at the latest (`gossip.metaUpdateSpacing`), so nearly all ask the holder",
@@ -39,7 +39,7 @@
 
 // rows are those that a page of this size may not leave out.
 func (g *page) rows() Table {
-	n, term, within := g.n, c("config.defaultTerm"), g.ConfigChanges.Within
+	n, term, within := g.n, c("config.DefaultTerm"), g.ConfigChanges.Within
 	clients := float64(g.Clients / g.Poolers)
 	fleet := func(phase string) string { return fmt.Sprintf("%s_fleet_%d", phase, g.Poolers) }
 	fetch := c("replication.minAnnouncementInterval") + c("replication.fetchSpreadPerMember")*n
--- a/internal/capacity/constants.go
+++ b/internal/capacity/constants.go
@@ -5,8 +5,8 @@
 var constants = map[string]float64{
 	"config.defaultJournalMB":             8,
 	"config.defaultKeep":                  4,
-	"config.defaultTerm":                  3,
-	"config.mostStewards":                 7,
+	"config.DefaultTerm":                  3,
+	"config.MostStewards":                 7,
 	"discovery.maxText":                   1 << 20,
 	"discoveryleader.fetchSpacing":        0.005,
 	"fleet.maxListTransfers":              8,
--- a/internal/capacity/stored_test.go
+++ b/internal/capacity/stored_test.go
@@ -7,7 +7,6 @@
 	"path/filepath"
 	"testing"
 
-	"threadsail/internal/config"
 	"threadsail/internal/goldentest"
 )
 
@@ -39,8 +38,8 @@
 // The plan reads and writes back as the same values under the same keys in the same order, none left out.
 func TestStoredPlan(t *testing.T) {
 	path := filepath.Join(data, "plan.json")
-	var p Plan
-	if _, err := config.ReadPlan(path, &p); err != nil {
+	p, _, err := readPlan(path)
+	if err != nil {
 		t.Fatal(err)
 	}
 	was, err := os.ReadFile(path)
--- /dev/null
+++ b/internal/config/config_file.go
@@ -0,0 +1,179 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"strconv"
+	"time"
+
+	"threadsail/internal/jsonfile"
+	"threadsail/internal/protocol/discovery"
+)
+
+// Defaults for what PROXY_CONFIG's file leaves out.
+const (
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	defaultMaxOpen        = 20000
+	defaultConnIdle       = 15 * time.Second
+	defaultConnectTimeout = 250 * time.Millisecond
+)
+
+// Bounds of the process limits: with less a pooler can't work.
+const (
+	leastSockets     = 32
+	leastMemoryBytes = 16 << 20
+)
+
+// firstInherited is the first descriptor that a platform can hand down: standard input, output and error come before it.
+const firstInherited = 3
+
+// configFile is the form of the file that PROXY_CONFIG names. The platform adds keys to it, so unknown ones are skipped.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Admin     string          `json:"admin"`
+	Discovery string          `json:"discovery"`
+	Seed      string          `json:"seed"` // hexadecimal
+	Limits    limitsFile      `json:"limits"`
+	Known     json.RawMessage `json:"known"`
+	Settings  *Facts          `json:"settings"`
+}
+
+type limitsFile struct {
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+func parse(text []byte, getenv func(string) string) (*Config, error) {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		return nil, jsonfile.DescribeAt(err)
+	}
+	c := &Config{
+		Name:      or(file.Name, getenv("PROXY_NAME")),
+		Listen:    or(file.Listen, getenv("PROXY_LISTEN")),
+		Discovery: or(file.Discovery, getenv("PROXY_DISCOVERY")),
+		ProcessLimits: ProcessLimits{
+			MemoryBytes: int64(or(file.Limits.MemoryMB, defaultMemoryMB) * (1 << 20)),
+			Sockets:     or(file.Limits.Sockets, defaultSockets),
+		},
+		shape: jsonfile.ShapeOf(text),
+	}
+	if err := c.setAddresses(&file, getenv); err != nil {
+		return nil, err
+	}
+	if c.Sockets < leastSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	}
+	if c.MemoryBytes < leastMemoryBytes {
+		return nil, fmt.Errorf("limits.memory_mb: %v is under 16", file.Limits.MemoryMB)
+	}
+	if err := c.setSeed(file.Seed); err != nil {
+		return nil, err
+	}
+	if err := c.setKnown(file.Known); err != nil {
+		return nil, err
+	}
+	if file.Settings == nil {
+		return nil, errors.New("settings: missing")
+	}
+	return c, c.setSettings(file.Settings)
+}
+
+// setAddresses checks the addresses, and takes over those that are not always there.
+func (c *Config) setAddresses(file *configFile, getenv func(string) string) error {
+	if err := address("listen", c.Listen); err != nil {
+		return err
+	}
+	if text := getenv("PROXY_FD"); text != "" {
+		descriptor, err := strconv.Atoi(text)
+		if err != nil || descriptor < firstInherited {
+			return fmt.Errorf("PROXY_FD: %q names no inherited descriptor", text)
+		}
+		c.Inherited = descriptor
+	}
+	if err := address("discovery", c.Discovery); err != nil {
+		return err
+	}
+	c.Admin = or(file.Admin, getenv("PROXY_ADMIN"))
+	if c.Admin == "" {
+		return nil
+	}
+	return address("admin", c.Admin)
+}
+
+func (c *Config) setSeed(text string) error {
+	if text == "" {
+		return nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", text)
+	}
+	c.Seed = seed
+	return nil
+}
+
+func (c *Config) setKnown(text json.RawMessage) error {
+	if len(text) == 0 {
+		return nil
+	}
+	known, err := discovery.ParseList(text)
+	if err != nil {
+		return fmt.Errorf("known.%w", err)
+	}
+	c.Known = known
+	return nil
+}
+
+// setSettings checks the settings object and takes it over.
+func (c *Config) setSettings(facts *Facts) (err error) {
+	if c.Settings, err = Settings(facts); err != nil {
+		return err
+	}
+	c.Digest = facts.digest()
+	if err := c.checkClasses(); err != nil {
+		return err
+	}
+	if err := notNegative("settings", reflect.ValueOf(*facts)); err != nil {
+		return err
+	}
+	if share := facts.Contract.ColdFrom; share > 1 {
+		return fmt.Errorf("settings.contract.coldFrom: %v is no share from 0 to 1", share)
+	}
+	if err := c.Settings.Validate(); err != nil {
+		return err
+	}
+	if n := len(facts.FamilyInfo.ClassRead); n > 0 && n != len(facts.Lanes) {
+		return fmt.Errorf("settings.familyInfo.classRead: %d words for %d lanes", n, len(facts.Lanes))
+	}
+	c.Zones = facts.Zones
+	c.ServerConnections = ServerConnections{
+		MaxOpen:        or(facts.Caps.MaxOpen, defaultMaxOpen),
+		ConnIdle:       or(Milliseconds(facts.Caps.ConnIdleMs), defaultConnIdle),
+		ConnectTimeout: or(Milliseconds(facts.Caps.ConnectTimeoutMs), defaultConnectTimeout),
+	}
+	c.Reports = facts.Report.How != "none" && len(facts.Report.Fields) > 0
+	return nil
+}
+
+// checkClasses checks that there are classes, each with a name of its own and a time limit.
+func (c *Config) checkClasses() error {
+	if len(c.Settings.Classes) == 0 {
+		return errors.New("settings.lanes: no class is named")
+	}
+	seen := map[string]bool{}
+	for i, class := range c.Settings.Classes {
+		switch {
+		case class.Name == "" || seen[class.Name]:
+			return fmt.Errorf("settings.lanes[%d].name: %q is empty or names another class too", i, class.Name)
+		case class.TotalTimeout <= 0:
+			return fmt.Errorf("settings.lanes[%d].hardLimitMs: not above 0", i)
+		}
+		seen[class.Name] = true
+	}
+	return nil
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
+	"threadsail/internal/jsonfile"
 	"threadsail/internal/policy"
 	"threadsail/internal/protocol/discovery"
 	"threadsail/internal/serverlist"
@@ -28,8 +29,8 @@
 		t.Fatal(err)
 	}
 	want := &Config{Name: "n3", Listen: "127.0.0.4:6432", Admin: "127.0.0.4:12000", Discovery: "127.2.0.1:8500", Seed: 0x8c1f30d27a5be964,
-		MemoryBytes: 64 << 20, Sockets: 512, Known: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{}},
-		Zones: []string{"a"}, Reports: true, MaxOpen: 7, ConnIdle: 9 * time.Second, ConnectTimeout: defaultConnectTimeout,
+		ProcessLimits: ProcessLimits{MemoryBytes: 64 << 20, Sockets: 512}, Known: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{}},
+		Zones: []string{"a"}, Reports: true, ServerConnections: ServerConnections{MaxOpen: 7, ConnIdle: 9 * time.Second, ConnectTimeout: defaultConnectTimeout},
 		Settings: policy.Settings{Classes: []policy.Class{{Name: "w", Access: policy.Write, Idempotency: policy.IdempotentByKey,
 			DedupScope: policy.DedupInGroup, TotalTimeout: 3 * time.Second}}}}
 	if d := cmp.Diff(want, got, cmpopts.IgnoreFields(Config{}, "shape", "Digest")); d != "" {
@@ -191,7 +192,7 @@
 func FuzzShape(f *testing.F) {
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if s := shapeOf(text); s.within(s) != nil {
+		if s := jsonfile.ShapeOf(text); missingKey(s, s) != nil {
 			t.Errorf("%q is not within itself", text)
 		}
 	})
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -2,93 +2,94 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
-	"strings"
 
 	"github.com/cespare/xxhash/v2"
+
+	"threadsail/internal/jsonfile"
 )
 
-// Facts is the text that an instance is born with. Unknown keys are skipped.
+// Facts is the form of the object "settings". Unknown keys are skipped. Files begin each key with a small letter, and are read without
+// regard to case; the tags begin with a capital because Digest is of the text that they give.
 type Facts struct {
-	Balancers  int
-	Me         int
-	Zone       int
-	Discovery  string
-	TickMs     float64
-	Caps       Caps
-	Contract   Contract
-	FamilyInfo FamilyInfo
-	Lanes      []Lane
-	Zones      []string
+	Balancers  int        `json:"Balancers"`
+	Me         int        `json:"Me"`
+	Zone       int        `json:"Zone"`
+	Discovery  string     `json:"Discovery"`
+	TickMs     float64    `json:"TickMs"`
+	Caps       Caps       `json:"Caps"`
+	Contract   Contract   `json:"Contract"`
+	FamilyInfo FamilyInfo `json:"FamilyInfo"`
+	Lanes      []Lane     `json:"Lanes"`
+	Zones      []string   `json:"Zones"`
 	Clients    struct {
-		MarksRetry bool
-	}
+		MarksRetry bool `json:"MarksRetry"`
+	} `json:"Clients"`
 	Report struct {
-		Fields []string
-		How    string
-	}
+		Fields []string `json:"Fields"`
+		How    string   `json:"How"`
+	} `json:"Report"`
 }
 
 // Caps is what the site allows.
 type Caps struct {
-	ConnIdleMs       float64
-	ConnectTimeoutMs float64
-	MaxOpen          int
-	MaxAttempts      int
-	MaxRetryAfterMs  float64
-	MayCancel        bool
-	MayTell          bool
-	Probing          bool
-	RetryAfter       bool
-	SecondCopies     bool
+	ConnIdleMs       float64 `json:"ConnIdleMs"`
+	ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
+	MaxOpen          int     `json:"MaxOpen"`
+	MaxAttempts      int     `json:"MaxAttempts"`
+	MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
+	MayCancel        bool    `json:"MayCancel"`
+	MayTell          bool    `json:"MayTell"`
+	Probing          bool    `json:"Probing"`
+	RetryAfter       bool    `json:"RetryAfter"`
+	SecondCopies     bool    `json:"SecondCopies"`
 }
 
 // Contract has the figures of the rules.
 type Contract struct {
-	AnswerSlackMs     float64
-	MustAskInMs       float64
-	ColdFrom          float64
-	ColdMs            float64
-	DrainGraceMs      float64
-	OverloadFactor    float64
-	OverloadForMs     float64
-	OnlyDrainingBinds bool
+	AnswerSlackMs     float64 `json:"AnswerSlackMs"`
+	MustAskInMs       float64 `json:"MustAskInMs"`
+	ColdFrom          float64 `json:"ColdFrom"`
+	ColdMs            float64 `json:"ColdMs"`
+	DrainGraceMs      float64 `json:"DrainGraceMs"`
+	OverloadFactor    float64 `json:"OverloadFactor"`
+	OverloadForMs     float64 `json:"OverloadForMs"`
+	OnlyDrainingBinds bool    `json:"OnlyDrainingBinds"`
 }
 
 // FamilyInfo describes replicated groups.
 type FamilyInfo struct {
-	BaseTimeMs   float64
-	Behind       string
-	ClassRead    []string
-	LagAllowedMs []float64
-	ShowsRole    string
-	Tokens       string
-	WaitMs       float64
+	BaseTimeMs   float64   `json:"BaseTimeMs"`
+	Behind       string    `json:"Behind"`
+	ClassRead    []string  `json:"ClassRead"`
+	LagAllowedMs []float64 `json:"LagAllowedMs"`
+	ShowsRole    string    `json:"ShowsRole"`
+	Tokens       string    `json:"Tokens"`
+	WaitMs       float64   `json:"WaitMs"`
 }
 
 // Lane is a class of requests.
 type Lane struct {
-	Name        string
-	Semantics   string
-	Group       string
-	AimMs       float64
-	HardLimitMs float64
-	LateWorth   float64
-	Worth       float64
-	WindowMs    float64
+	Name        string  `json:"Name"`
+	Semantics   string  `json:"Semantics"`
+	Group       string  `json:"Group"`
+	AimMs       float64 `json:"AimMs"`
+	HardLimitMs float64 `json:"HardLimitMs"`
+	LateWorth   float64 `json:"LateWorth"`
+	Worth       float64 `json:"Worth"`
+	WindowMs    float64 `json:"WindowMs"`
 }
 
-// ParseFacts reads the settings text.
+// ParseFacts reads the text of a settings object.
 func ParseFacts(text []byte) (*Facts, error) {
 	f := &Facts{}
 	if err := json.Unmarshal(text, f); err != nil {
-		return nil, fmt.Errorf("unreadable settings: %w", jsonError(err))
+		return nil, fmt.Errorf("unreadable settings: %w", jsonfile.Describe(err))
 	}
 	return f, nil
 }
 
-// digest is the same for the same facts about the fleet, wherever in it they are told.
+// digest is the same at all poolers of a fleet that have the same settings: it leaves out the pooler's own number and zone.
 func (f Facts) digest() string {
 	f.Me, f.Zone = 0, 0
 	text, err := json.Marshal(f)
@@ -97,28 +98,3 @@
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
-
-// misfit is a value of the wrong type.
-type misfit struct{ *json.UnmarshalTypeError }
-
-func (m misfit) Error() string {
-	keys := strings.Split(m.Field, ".")
-	for i, name := range keys {
-		keys[i] = keyOf(name)
-	}
-	return fmt.Sprintf("%s: a %s does not fit", strings.Join(keys, "."), m.Value)
-}
-
-// keyOf is the key of a field that has no tag.
-func keyOf(field string) string { return strings.ToLower(field[:1]) + field[1:] }
-
-func (m misfit) Unwrap() error { return m.UnmarshalTypeError }
-
-// jsonError names the key at fault where the decoder knows it.
-func jsonError(err error) error {
-	var t *json.UnmarshalTypeError
-	if errors.As(err, &t) && t.Field != "" {
-		return misfit{t}
-	}
-	return err
-}
--- /dev/null
+++ b/internal/config/fleet_check.go
@@ -0,0 +1,123 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"golang.org/x/mod/semver"
+)
+
+// Bounds of the fleet's times, and of the number of its voters.
+const (
+	LeastTerm     = 300 * time.Millisecond
+	mostTerm      = time.Minute
+	leastDrift    = time.Millisecond
+	leastElection = 50 * time.Millisecond
+	MostStewards  = 7
+	mostStraggler = time.Hour
+)
+
+// Bounds of the journal.
+const (
+	leastJournalBytes = 64 << 10
+	mostJournalBytes  = 1 << 30
+	mostJournalFiles  = 100
+)
+
+// checks returns what is wrong with the keys that stand by themselves in the file, in the order in which they are told.
+func (f *Fleet) checks() []keyCheck {
+	return []keyCheck{
+		{"name", f.checkName()},
+		{"listen", f.checkListen()},
+		{"advertise", f.checkAdvertise()},
+		{"peers", checkPeers("peers", f.Peers)},
+		{"stewards", checkPeers("stewards", f.Stewards)},
+		{"stewards", f.checkStewards()},
+		{"journal", f.Journal.check()},
+		{"least_build", f.checkLeastBuild()},
+		{"least_config", f.checkLeastConfig()},
+		{"straggler_ms", within("straggler_ms", f.Bound, 4*f.Term, mostStraggler)}, // three terms may pass until it calls by itself
+		{"term_ms", within("term_ms", f.Term, LeastTerm, mostTerm)},
+		{"drift_ms", within("drift_ms", f.Drift, leastDrift, f.Term/4)}, // a holder acts for two thirds of its term at the least
+		{"election_ms", within("election_ms", f.Election, leastElection, f.Term)},
+	}
+}
+
+func (f *Fleet) checkName() error {
+	if f.Name == "" {
+		return errors.New("name: missing, here and in PROXY_CONFIG")
+	}
+	return nil
+}
+
+// checkListen checks the address for other poolers, which only poolers that gossip need.
+func (f *Fleet) checkListen() error {
+	if !f.Gossips() {
+		return nil
+	}
+	return ipAddress("listen", f.Listen)
+}
+
+func (f *Fleet) checkAdvertise() error {
+	if f.Advertise == "" {
+		return nil
+	}
+	return ipAddress("advertise", f.Advertise)
+}
+
+// checkPeers checks that each of the list at a key has a name of its own and an address.
+func checkPeers(key string, peers []Peer) error {
+	seen := map[string]bool{}
+	for i, p := range peers {
+		if p.Name == "" || seen[p.Name] {
+			return fmt.Errorf("%s[%d].name: %q is empty or names another too", key, i, p.Name)
+		}
+		seen[p.Name] = true
+		if err := ipAddress(fmt.Sprintf("%s[%d].addr", key, i), p.Addr); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkStewards checks the number of the consensus's voters, and what this pooler needs if it is one.
+func (f *Fleet) checkStewards() error {
+	n := len(f.Stewards)
+	switch {
+	case n == 0 || n%2 == 0 || n > MostStewards:
+		return fmt.Errorf("stewards: %d are named, not an odd number up to %d: an even one bears no more losses", n, MostStewards)
+	case f.Steward.Listen == "":
+		return nil
+	case f.Steward.Dir == "":
+		return errors.New("steward.dir: missing")
+	case !slices.ContainsFunc(f.Stewards, func(p Peer) bool { return p.Name == f.Name }):
+		return fmt.Errorf("stewards: this pooler, %q, is a steward and not among them", f.Name)
+	}
+	return ipAddress("steward.listen", f.Steward.Listen)
+}
+
+func (f *Fleet) checkLeastConfig() error {
+	if f.LeastConfig > f.ConfigRevision {
+		return fmt.Errorf("least_config: %d is above this file's own config_revision, %d", f.LeastConfig, f.ConfigRevision)
+	}
+	return nil
+}
+
+func (f *Fleet) checkLeastBuild() error {
+	if f.LeastBuild != "" && !semver.IsValid(f.LeastBuild) {
+		return fmt.Errorf("least_build: %q is no version such as v1.4.0", f.LeastBuild)
+	}
+	return nil
+}
+
+func (j JournalPart) check() error {
+	switch {
+	case j.Bytes < leastJournalBytes || j.Bytes > mostJournalBytes:
+		return fmt.Errorf("journal.max_mb: %d bytes are not from 64 KiB to 1 GiB", j.Bytes)
+	case j.Keep < 0 || j.Keep > mostJournalFiles:
+		return fmt.Errorf("journal.keep: %d is not from 0 to %d", j.Keep, mostJournalFiles)
+	}
+	return nil
+}
--- a/internal/config/fleet_distribution.go
+++ b/internal/config/fleet_distribution.go
@@ -7,9 +7,8 @@
 )
 
 const (
-	// mostDistributors: each has a link to each other one.
-	mostDistributors = 64
-	mostRegion       = 128
+	MostDistributors = 64  // each has a link to each other one
+	mostRegion       = 128 // bytes of a region's name
 )
 
 // DistributionPart is how the fleet's documents and words reach this pooler. Without Distributors each pooler knows each other one,
@@ -33,43 +32,55 @@
 // Gossips tells whether this pooler is known to others by gossip: all of a fleet without distributors, and the distributors.
 func (f *Fleet) Gossips() bool { return !f.Distributes() || f.Distribution.Listen != "" }
 
-// distribution checks the part, and what else of the file it leaves no sense.
-func distribution(f *Fleet) (key string, err error) {
+// checkDistribution checks the part, and what of the rest of the file does not go with it. Errors have the path of their key.
+func (f *Fleet) checkDistribution() error {
+	if err := f.checkDistributors(); err != nil {
+		return atPath(err, "distribution", "distributors")
+	}
 	p := f.Distribution
-	if len(p.Distributors) > mostDistributors {
-		return "distributors", fmt.Errorf("distribution.distributors: %d are named, at most %d may be", len(p.Distributors), mostDistributors)
+	switch {
+	case len(p.Region) > mostRegion:
+		return atPath(fmt.Errorf("distribution.region: over %d bytes", mostRegion), "distribution", "region")
+	case !f.Distributes() && p.Listen != "":
+		return atPath(errors.New("distribution.listen: no distributors are named"), "distribution", "listen")
+	case !f.Distributes():
+		return nil
+	case p.Listen == "" && f.Steward.Listen != "":
+		return atPath(errors.New("distribution.listen: missing, and a steward is a distributor"), "distribution", "listen")
+	case p.Listen != "" && !p.names(f.Name):
+		err := fmt.Errorf("distribution.distributors: this pooler, %q, is one and not among them", f.Name)
+		return atPath(err, "distribution", "distributors")
+	case p.Listen != "":
+		return atPath(ipAddress("distribution.listen", p.Listen), "distribution", "listen")
+	}
+	return nil
+}
+
+// checkDistributors checks the list of distributors, which must have each voter of the consensus among them.
+func (f *Fleet) checkDistributors() error {
+	list := f.Distribution.Distributors
+	if len(list) > MostDistributors {
+		return fmt.Errorf("distribution.distributors: %d are named, at most %d may be", len(list), MostDistributors)
 	}
-	var places []Peer
-	for i, d := range p.Distributors {
+	var peers []Peer
+	for i, d := range list {
 		if len(d.Region) > mostRegion {
-			return "distributors", fmt.Errorf("distribution.distributors[%d].region: over %d bytes", i, mostRegion)
+			return fmt.Errorf("distribution.distributors[%d].region: over %d bytes", i, mostRegion)
 		}
-		places = append(places, Peer{d.Name, d.Addr})
+		peers = append(peers, Peer{d.Name, d.Addr})
 	}
-	if err := named("distribution.distributors", places); err != nil {
-		return "distributors", err
-	}
-	among := func(name string) bool {
-		return slices.ContainsFunc(p.Distributors, func(d Distributor) bool { return d.Name == name })
+	if err := checkPeers("distribution.distributors", peers); err != nil {
+		return err
 	}
 	for _, s := range f.Stewards {
-		if f.Distributes() && !among(s.Name) {
-			return "distributors", fmt.Errorf("distribution.distributors: %q is a steward and not among them", s.Name)
+		if f.Distributes() && !f.Distribution.names(s.Name) {
+			return fmt.Errorf("distribution.distributors: %q is a steward and not among them", s.Name)
 		}
 	}
-	switch {
-	case len(p.Region) > mostRegion:
-		return "region", fmt.Errorf("distribution.region: over %d bytes", mostRegion)
-	case !f.Distributes() && p.Listen != "":
-		return "listen", errors.New("distribution.listen: no distributors are named")
-	case !f.Distributes():
-		return "", nil
-	case p.Listen == "" && f.Steward.Listen != "":
-		return "listen", errors.New("distribution.listen: missing, and a steward is a distributor")
-	case p.Listen != "" && !among(f.Name):
-		return "distributors", fmt.Errorf("distribution.distributors: this pooler, %q, is one and not among them", f.Name)
-	case p.Listen != "":
-		return "listen", ipAddress("distribution.listen", p.Listen)
-	}
-	return "", nil
+	return nil
+}
+
+// names tells whether a pooler is among the distributors.
+func (p DistributionPart) names(pooler string) bool {
+	return slices.ContainsFunc(p.Distributors, func(d Distributor) bool { return d.Name == pooler })
 }
--- a/internal/config/fleet_limits.go
+++ b/internal/config/fleet_limits.go
@@ -8,6 +8,8 @@
 	"fmt"
 	"math"
 	"slices"
+
+	"threadsail/internal/jsonfile"
 )
 
 // What a limit can be on.
@@ -54,55 +56,70 @@
 }
 
 // ParseLimits reads a set as the fleet passes it on: checked as the operators' file is.
-func ParseLimits(text []byte) (Limits, error) {
-	l, _, err := parseLimits(text)
-	return l, err
+func ParseLimits(text []byte) (Limits, error) { return parseLimits(text) }
+
+// limitsForm is the form of a set; each limit is decoded by itself, so that an error can name it.
+type limitsForm struct {
+	Revision uint64            `json:"revision"`
+	List     []json.RawMessage `json:"list"`
 }
 
-// parseLimits returns the set, or an error with the offset in text of what it is about.
-func parseLimits(text []byte) (Limits, int64, error) {
-	var file struct {
-		Revision uint64
-		List     []json.RawMessage
-	}
+// parseLimits is ParseLimits. Errors are *jsonfile.Mistake at an offset of the text.
+func parseLimits(text []byte) (Limits, error) {
 	if len(text) == 0 {
-		return Limits{}, 0, nil
+		return Limits{}, nil
 	}
-	at, err := decodeStrict(text, &file)
-	if err != nil {
-		return Limits{}, at, fmt.Errorf("limits: %w", err)
+	var file limitsForm
+	if err := jsonfile.DecodeValue(text, &file); err != nil {
+		return Limits{}, rewrap(err, 0, "limits")
 	}
 	out := Limits{Revision: file.Revision}
-	at = 0
+	at := int64(0) // behind the limits that were read
 	for i, raw := range file.List {
 		at += int64(max(bytes.Index(text[at:], raw), 0))
-		l := Limit{Reserve: defaultReserve}
-		off, err := decodeStrict(raw, &l)
+		limit, err := parseLimit(raw)
 		if err != nil {
-			return Limits{}, at + off, fmt.Errorf("limits.list[%d]: %w", i, err)
+			return Limits{}, rewrap(err, at, fmt.Sprintf("limits.list[%d]", i))
 		}
-		out.List = append(out.List, l)
+		out.List = append(out.List, limit)
 		if key, err := checkLimit(out.List, i); err != nil {
-			return Limits{}, at + int64(max(bytes.Index(raw, []byte(`"`+key+`"`)), 0)), fmt.Errorf("limits.list[%d].%s: %w", i, key, err)
+			return Limits{}, jsonfile.At(at+max(jsonfile.FindKey(raw, key), 0), fmt.Errorf("limits.list[%d].%s: %w", i, key, err))
 		}
 		at += int64(len(raw))
 	}
 	switch {
 	case len(out.List) > mostLimits:
-		return Limits{}, at, fmt.Errorf("limits.list: %d are more than %d", len(out.List), mostLimits)
+		return Limits{}, jsonfile.At(at, fmt.Errorf("limits.list: %d are more than %d", len(out.List), mostLimits))
 	case len(out.List) > 0 && out.Revision == 0:
-		return Limits{}, 0, errors.New("limits.revision: 0; the fleet tells sets apart by it, so it must grow with every change")
+		return Limits{}, jsonfile.At(0, errNoLimitsRevision)
+	}
+	return out, nil
+}
+
+var errNoLimitsRevision = errors.New("limits.revision: 0; the fleet tells sets apart by it, so it must grow with every change")
+
+func parseLimit(text []byte) (Limit, error) {
+	l := Limit{Reserve: defaultReserve}
+	return l, jsonfile.DecodeValue(text, &l)
+}
+
+// rewrap puts a key before a mistake's text, and moves it by the offset of the value that it is in.
+func rewrap(err error, offset int64, key string) error {
+	var mistake *jsonfile.Mistake
+	if errors.As(err, &mistake) {
+		offset += mistake.Offset
+		err = mistake.Err
 	}
-	return out, 0, nil
+	return jsonfile.At(offset, fmt.Errorf("%s: %w", key, err))
 }
 
-func decodeStrict(text []byte, v any) (int64, error) {
-	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(v); err != nil {
-		return min(jsonOffset(err, dec.InputOffset()), int64(len(text))), jsonError(err)
+// placeInside moves a mistake of a value by where the value stands in the file's text.
+func placeInside(text, value []byte, err error) error {
+	var mistake *jsonfile.Mistake
+	if errors.As(err, &mistake) {
+		return jsonfile.At(int64(bytes.Index(text, value))+mistake.Offset, mistake.Err)
 	}
-	return 0, nil
+	return err
 }
 
 // checkLimit tells which key of the list's i-th limit can't be used.
--- a/internal/config/fleet_purges.go
+++ b/internal/config/fleet_purges.go
@@ -1,26 +1,25 @@
 package config
 
 import (
-	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"strconv"
-	"strings"
 	"time"
 
-	"threadsail/internal/fleet/calendar"
+	"threadsail/internal/calendar"
 )
 
 // Defaults of the purges.
 const (
-	defaultGuard     = 500 * time.Millisecond // machines that keep their time by NTP are within a tenth of it
-	defaultConfirm   = 10 * time.Second
-	defaultSettle    = time.Second // lag of replicas
-	defaultAnswersMB = 4
+	DefaultPurgeGuard   = 500 * time.Millisecond // machines that keep their time by NTP are within a tenth of it
+	DefaultPurgeConfirm = 10 * time.Second
+	defaultSettle       = time.Second // lag of replicas
+	defaultAnswersMB    = 4
 
 	// answersShare is the most of limits.memory_mb that answers may take, an eighth: the heap grows to three times what lives.
 	answersShare = 8
+
+	mostCluster = 1 << 16
 )
 
 // PurgesPart is what empties this pooler's cache of answers, and what the cache is; Site empty: there is none of it.
@@ -44,104 +43,108 @@
 	Cluster *int      `json:"cluster"` // nil: all
 }
 
-// purgesFile is its object in the file of the fleet.
+// purgesFile is the form of the purges' object in the file of the fleet.
 type purgesFile struct {
-	Site      string
-	Revision  uint64
-	ClockMs   float64  `json:"clock_ms"`
-	ConfirmMs float64  `json:"confirm_ms"`
-	SettleMs  *float64 `json:"settle_ms"`
-	AnswersMB float64  `json:"answers_mb"`
-	Classes   []string
-	Orders    []PurgeOrder
+	Site      string       `json:"site"`
+	Revision  uint64       `json:"revision"`
+	ClockMs   float64      `json:"clock_ms"`
+	ConfirmMs float64      `json:"confirm_ms"`
+	SettleMs  *float64     `json:"settle_ms"`
+	AnswersMB float64      `json:"answers_mb"`
+	Classes   []string     `json:"classes"`
+	Orders    []PurgeOrder `json:"orders"`
 }
 
-// part fills defaults in. An error comes with the path of the key that it is about.
-func (f purgesFile) part(book calendar.Book, journal string, term time.Duration) (p PurgesPart, path []string, err error) {
-	p = PurgesPart{Site: f.Site, Answers: int64(or(f.AnswersMB, defaultAnswersMB) * (1 << 20)), Classes: f.Classes, Revision: f.Revision,
-		Guard: or(Milliseconds(f.ClockMs), defaultGuard), Confirm: or(Milliseconds(f.ConfirmMs), max(defaultConfirm, 3*term)), Settle: defaultSettle,
-		Book: book, Orders: f.Orders}
+// part fills in defaults and checks the part. Errors have the path of their key.
+func (f purgesFile) part(book calendar.Book, journal string, term time.Duration) (PurgesPart, error) {
+	p := PurgesPart{
+		Site:     f.Site,
+		Answers:  int64(or(f.AnswersMB, defaultAnswersMB) * (1 << 20)),
+		Classes:  f.Classes,
+		Revision: f.Revision,
+		Guard:    or(Milliseconds(f.ClockMs), DefaultPurgeGuard),
+		Confirm:  or(Milliseconds(f.ConfirmMs), max(DefaultPurgeConfirm, 3*term)),
+		Settle:   defaultSettle,
+		Book:     book,
+		Orders:   f.Orders,
+	}
 	if f.SettleMs != nil {
 		p.Settle = Milliseconds(*f.SettleMs)
 	}
-	if err := book.Check(); err != nil {
-		var at *calendar.Error
-		errors.As(err, &at)
-		return p, at.Path, err
+	if err := checkBook(book); err != nil {
+		return p, err
+	}
+	if failed, ok := firstFailed(p.checks(journal, term)); ok {
+		return p, atPath(fmt.Errorf("purges.%s: %w", failed.key, failed.err), "purges", failed.key)
+	}
+	return p, p.checkOrders()
+}
+
+// checkBook checks the calendars and sites.
+func checkBook(book calendar.Book) error {
+	err := book.Check()
+	var at *calendar.Error
+	if errors.As(err, &at) {
+		return atPath(err, at.Path...)
 	}
-	known := func(site string) bool { _, ok := book.Sites[site]; return ok || p.Revision == 0 }
-	for _, check := range []struct {
-		key string
-		err error
-	}{
-		{"site", unless(p.Site == "" || known(p.Site), "%q is not among the sites", p.Site)},
+	return err
+}
+
+// Bounds of the purges.
+const (
+	leastGuard   = 10 * time.Millisecond
+	mostGuard    = 10 * time.Second
+	mostConfirm  = time.Hour
+	mostSettle   = time.Minute
+	leastAnswers = 64 << 10
+	mostAnswers  = 256 << 20
+)
+
+// hasSite tells whether the plan has a site; without a plan of this file's own any may be meant.
+func (p *PurgesPart) hasSite(site string) bool {
+	_, ok := p.Book.Sites[site]
+	return ok || p.Revision == 0
+}
+
+func (p *PurgesPart) checks(journal string, term time.Duration) []keyCheck {
+	return []keyCheck{
+		{"site", unless(p.Site == "" || p.hasSite(p.Site), "%q is not among the sites", p.Site)},
 		{"site", unless(p.Site == "" || journal != "", "it needs journal.file: a purge that is not noted would be noted again after a restart")},
-		{"revision", unless(p.Revision == 0 || len(book.Sites) > 0, "a plan without sites")},
-		{"clock_ms", bounds("clock_ms", p.Guard, 10*time.Millisecond, 10*time.Second)},
-		{"confirm_ms", bounds("confirm_ms", p.Confirm, term, time.Hour)}, // copies are confirmed three times a term
-		{"settle_ms", bounds("settle_ms", p.Settle, 0, time.Minute)},
-		{"answers_mb", unless(p.Answers >= 64<<10 && p.Answers <= 256<<20, "%d bytes are not from 64 KiB to 256 MiB", p.Answers)},
-	} {
-		if check.err != nil {
-			return p, []string{"purges", check.key}, fmt.Errorf("purges.%s: %w", check.key, check.err)
-		}
+		{"revision", unless(p.Revision == 0 || len(p.Book.Sites) > 0, "a plan without sites")},
+		{"clock_ms", within("clock_ms", p.Guard, leastGuard, mostGuard)},
+		{"confirm_ms", within("confirm_ms", p.Confirm, term, mostConfirm)}, // copies are confirmed three times a term
+		{"settle_ms", within("settle_ms", p.Settle, 0, mostSettle)},
+		{"answers_mb", unless(p.Answers >= leastAnswers && p.Answers <= mostAnswers, "%d bytes are not from 64 KiB to 256 MiB", p.Answers)},
 	}
+}
+
+// checkOrders checks the orders by hand.
+func (p *PurgesPart) checkOrders() error {
 	seen := map[string]bool{}
 	for i, o := range p.Orders {
 		for _, check := range []struct {
 			key string
 			bad bool
 		}{
-			{"name", len(o.Name) < 1 || len(o.Name) > 100 || strings.Trim(o.Name, "abcdefghijklmnopqrstuvwxyz0123456789-") != "" || seen[o.Name]},
+			{"name", !validOrderName(o.Name, seen)},
 			{"issued", o.Issued.IsZero()},
-			{"site", o.Site != "" && !known(o.Site)},
-			{"cluster", o.Cluster != nil && (*o.Cluster < 0 || *o.Cluster > 1<<16)},
+			{"site", o.Site != "" && !p.hasSite(o.Site)},
+			{"cluster", o.Cluster != nil && (*o.Cluster < 0 || *o.Cluster > mostCluster)},
 		} {
 			if check.bad {
-				return p, []string{"purges", "orders", strconv.Itoa(i), check.key},
-					fmt.Errorf("purges.orders[%d].%s: it takes a name of its own (a-z, 0-9, -), when it was issued, and a site and cluster that there are, or none", i, check.key)
+				err := fmt.Errorf("purges.orders[%d].%s: it takes a name of its own (a-z, 0-9, -), when it was issued, and a site and cluster that there are, or none", i, check.key)
+				return atPath(err, "purges", "orders", strconv.Itoa(i), check.key)
 			}
 		}
 		seen[o.Name] = true
 	}
-	return p, nil, nil
+	return nil
 }
 
-func unless(ok bool, format string, args ...any) error {
-	if ok {
+// checkMemory checks that the answers leave the pooler the memory that it needs for its work.
+func (p *PurgesPart) checkMemory(memoryBytes int64) error {
+	if p.Site == "" || p.Answers <= memoryBytes/answersShare {
 		return nil
 	}
-	return fmt.Errorf(format, args...)
-}
-
-// placeOf is where a path's key begins in a text that is known to be JSON, or the last of its keys that is there.
-func placeOf(text []byte, path []string) (place int64) {
-	dec := json.NewDecoder(bytes.NewReader(text))
-	for len(path) > 0 {
-		open, _ := dec.Token()
-		found := false
-		for i := 0; !found && dec.More(); i++ {
-			if open == json.Delim('[') {
-				found = path[0] == strconv.Itoa(i)
-			} else {
-				key, _ := dec.Token()
-				name, _ := key.(string)
-				found = strings.EqualFold(name, path[0])
-			}
-			if found {
-				place = dec.InputOffset()
-				for open == json.Delim('[') && strings.ContainsRune(" \t\r\n,", rune(text[place])) {
-					place++ // an element begins behind them
-				}
-			} else {
-				var skip json.RawMessage
-				_ = dec.Decode(&skip)
-			}
-		}
-		if !found {
-			break
-		}
-		path = path[1:]
-	}
-	return place
+	return atPath(errors.New("purges.answers_mb: more than an eighth of limits.memory_mb"), "purges", "answers_mb")
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -106,14 +106,15 @@
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := LoadFleet(func(string) string { return path }, &Config{Name: "n1", MemoryBytes: 256 << 20})
+		_, err := LoadFleet(func(string) string { return path }, &Config{Name: "n1", ProcessLimits: ProcessLimits{MemoryBytes: 256 << 20}})
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), path)) {
 			t.Errorf("%s: %v, want %q", c.text, err, c.want)
 		}
 	}
-	got, _, err := parseFleet([]byte(`{`+peers+`, `+stewards+`, "shared": {"dir": "d"}, "config_revision": 4, "least_config": 3}`), "n1", nil)
-	want := &Fleet{Name: "n1", Listen: "127.0.0.1:7946", Peers: []Peer{{"n2", "127.0.0.2:7946"}}, Stewards: []Peer{{"n1", "127.0.0.1:7950"}},
-		Shared: SharedPart{Dir: "d"}, ConfigRevision: 4, LeastConfig: 3, Term: 3 * time.Second, Drift: 100 * time.Millisecond, Election: time.Second, Journal: JournalPart{Bytes: 8 << 20, Keep: 4}, Bound: 30 * time.Second, Shards: ShardsPart{PreparedMost: 10 * time.Minute, FencedMost: 9 * time.Second},
+	got, err := parseFleet([]byte(`{`+peers+`, `+stewards+`, "shared": {"dir": "d"}, "config_revision": 4, "least_config": 3}`), "n1", nil)
+	want := &Fleet{Name: "n1", GossipPart: GossipPart{Listen: "127.0.0.1:7946", Peers: []Peer{{"n2", "127.0.0.2:7946"}}}, Stewards: []Peer{{"n1", "127.0.0.1:7950"}},
+		Shared: SharedPart{Dir: "d"}, RevisionPart: RevisionPart{ConfigRevision: 4, LeastConfig: 3},
+		LeasePart: LeasePart{Term: 3 * time.Second, Drift: 100 * time.Millisecond, Election: time.Second}, Journal: JournalPart{Bytes: 8 << 20, Keep: 4}, Bound: 30 * time.Second, Shards: ShardsPart{PreparedMost: 10 * time.Minute, FencedMost: 9 * time.Second},
 		Verdicts: VerdictsPart{Observers: 3, Rooms: 2, Share: 0.5, Term: 5 * time.Second},
 		Purges:   PurgesPart{Answers: 4 << 20, Guard: 500 * time.Millisecond, Confirm: 10 * time.Second, Settle: time.Second}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
@@ -123,11 +124,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, _, err := parseFleet(shipped, "n1", nil); f != nil || err != nil {
+	if f, err := parseFleet(shipped, "n1", nil); f != nil || err != nil {
 		t.Errorf("the shipped file is not off: %+v %v", f, err)
 	}
 	on := strings.Replace(string(shipped), "false", "true", 1)
-	if f, _, err := parseFleet([]byte(on), "n1", nil); f == nil || err != nil {
+	if f, err := parseFleet([]byte(on), "n1", nil); f == nil || err != nil {
 		t.Errorf("the shipped file can't be turned on: %v", err)
 	}
 }
--- a/internal/config/fleet_verdicts.go
+++ b/internal/config/fleet_verdicts.go
@@ -22,18 +22,33 @@
 	Term      time.Duration // of a first verdict
 }
 
-// verdictsFile is its object in the file of the fleet.
+// verdictsFile is the form of the verdicts' object in the file of the fleet.
 type verdictsFile struct {
-	Enabled   bool
-	Observers *int
-	Rooms     *int
-	Share     *float64
-	TermMs    float64 `json:"term_ms"`
+	Enabled   bool     `json:"enabled"`
+	Observers *int     `json:"observers"`
+	Rooms     *int     `json:"rooms"`
+	Share     *float64 `json:"share"`
+	TermMs    float64  `json:"term_ms"`
 }
 
-// part fills defaults in. An error comes with the key that it is about.
-func (f verdictsFile) part() (p VerdictsPart, key string, err error) {
-	p = VerdictsPart{Enabled: f.Enabled, Observers: defaultObservers, Rooms: defaultRooms, Share: defaultShare, Term: or(Milliseconds(f.TermMs), defaultVerdictTerm)}
+// Bounds of the fleet's verdicts.
+const (
+	leastObservers   = 2
+	mostObservers    = 100
+	mostShare        = 0.9
+	leastVerdictTerm = time.Second
+	mostVerdictTerm  = 5 * time.Minute
+)
+
+// part fills in defaults and checks the part. Errors have the path of their key.
+func (f verdictsFile) part() (VerdictsPart, error) {
+	p := VerdictsPart{
+		Enabled:   f.Enabled,
+		Observers: defaultObservers,
+		Rooms:     defaultRooms,
+		Share:     defaultShare,
+		Term:      or(Milliseconds(f.TermMs), defaultVerdictTerm),
+	}
 	if f.Observers != nil {
 		p.Observers = *f.Observers
 	}
@@ -44,12 +59,12 @@
 		p.Share = *f.Share
 	}
 	switch {
-	case p.Observers < 2 || p.Observers > 100:
-		return p, "observers", errors.New("verdicts.observers: not from 2 to 100: one alone convicts nobody")
+	case p.Observers < leastObservers || p.Observers > mostObservers:
+		return p, atPath(errors.New("verdicts.observers: not from 2 to 100: one alone convicts nobody"), "verdicts", "observers")
 	case p.Rooms < 1 || p.Rooms > p.Observers:
-		return p, "rooms", errors.New("verdicts.rooms: not from 1 to verdicts.observers")
-	case !(p.Share > 0 && p.Share <= 0.9):
-		return p, "share", errors.New("verdicts.share: not above 0 and up to 0.9")
+		return p, atPath(errors.New("verdicts.rooms: not from 1 to verdicts.observers"), "verdicts", "rooms")
+	case !(p.Share > 0 && p.Share <= mostShare):
+		return p, atPath(errors.New("verdicts.share: not above 0 and up to 0.9"), "verdicts", "share")
 	}
-	return p, "term_ms", bounds("verdicts.term_ms", p.Term, time.Second, 5*time.Minute)
+	return p, atPath(within("verdicts.term_ms", p.Term, leastVerdictTerm, mostVerdictTerm), "verdicts", "term_ms")
 }
--- a/internal/config/mysql.go
+++ b/internal/config/mysql.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"threadsail/internal/jsonfile"
 	"threadsail/internal/translate"
 )
 
@@ -21,8 +22,8 @@
 
 // Default is what a statement without a comment counts as.
 type Default struct {
-	Class   string
-	Cluster int
+	Class   string `json:"class"`
+	Cluster int    `json:"cluster"`
 }
 
 // MySQL configures the MySQL front.
@@ -42,10 +43,13 @@
 	Translate      translate.Options
 }
 
-// Postgres is how PostgreSQL servers behind the MySQL front are reached.
+// Postgres is how PostgreSQL servers behind the MySQL front are reached. User, password and database are as at MySQL's servers where
+// they are empty.
 type Postgres struct {
-	User, Password, Database string // empty: as at MySQL servers
-	Heartbeat                string // as MySQL.Heartbeat
+	User      string `json:"user"`
+	Password  string `json:"password"`
+	Database  string `json:"database"`
+	Heartbeat string `json:"heartbeat"` // as MySQL.Heartbeat
 }
 
 // LoadMySQL reads the file of the MySQL front. Without the file, or with "enabled" false, the front is off: nil.
@@ -60,7 +64,7 @@
 	}
 	m, err := parseMySQL(text, cfg.ClassNames(), cfg.Lists.MySQL != ListSource{})
 	if err != nil {
-		return nil, located(path, text, err)
+		return nil, jsonfile.Locate(path, text, err)
 	}
 	if m != nil {
 		m.File = path
@@ -84,45 +88,81 @@
 	return nil
 }
 
-// parseMySQL reads the text. listed: the servers are named elsewhere, so that no inventory is needed.
+// mysqlFile is the form of the file of the MySQL front.
+type mysqlFile struct {
+	Enabled        bool              `json:"enabled"`
+	Listen         string            `json:"listen"`
+	Inventory      string            `json:"inventory"`
+	Heartbeat      string            `json:"heartbeat"`
+	User           string            `json:"user"`
+	Password       string            `json:"password"`
+	Database       string            `json:"database"`
+	Client         mysqlClientFile   `json:"client"`
+	Defaults       mysqlDefaultsFile `json:"defaults"`
+	ReloadMs       float64           `json:"reload_ms"`
+	ProbeTimeoutMs float64           `json:"probe_timeout_ms"`
+	Postgres       Postgres          `json:"postgres"`
+	Translate      translate.Options `json:"translate"`
+}
+
+type mysqlClientFile struct {
+	User     string `json:"user"`
+	Password string `json:"password"`
+}
+
+type mysqlDefaultsFile struct {
+	Read  Default `json:"read"`
+	Write Default `json:"write"`
+}
+
+// parseMySQL reads the text; nil without an error: the front is off. listed tells that the servers are named elsewhere, so that no
+// inventory is needed.
 func parseMySQL(text []byte, classes []string, listed bool) (*MySQL, error) {
-	var file struct {
-		Enabled                      bool
-		Listen, Inventory, Heartbeat string
-		User, Password, Database     string
-		Client                       struct{ User, Password string }
-		Defaults                     struct{ Read, Write Default }
-		ReloadMs                     float64 `json:"reload_ms"`
-		ProbeTimeoutMs               float64 `json:"probe_timeout_ms"`
-		Postgres                     Postgres
-		Translate                    translate.Options
-	}
-	if err := strict(text, &file); err != nil {
+	var file mysqlFile
+	if err := jsonfile.Decode(text, &file); err != nil {
 		return nil, err
 	}
 	if !file.Enabled {
 		return nil, nil
 	}
-	m := &MySQL{Listen: file.Listen, Inventory: file.Inventory, User: file.User, Password: file.Password,
-		Database: file.Database, ClientUser: file.Client.User, ClientPassword: file.Client.Password,
-		Heartbeat: file.Heartbeat, Read: file.Defaults.Read, Write: file.Defaults.Write,
-		Reload:       or(Milliseconds(file.ReloadMs), defaultReload),
-		ProbeTimeout: or(Milliseconds(file.ProbeTimeoutMs), defaultProbeTimeout),
-		Postgres:     file.Postgres, Translate: file.Translate}
-	m.Postgres.User = or(m.Postgres.User, m.User)
-	m.Postgres.Password = or(m.Postgres.Password, m.Password)
-	m.Postgres.Database = or(m.Postgres.Database, m.Database, "core")
+	m := file.front()
 	if err := address("listen", m.Listen); err != nil {
 		return nil, err
 	}
-	if m.Inventory == "" && !listed {
+	switch {
+	case m.Inventory == "" && !listed:
 		return nil, errors.New("inventory: missing")
-	}
-	if m.User == "" {
+	case m.User == "":
 		return nil, errors.New("user: missing")
-	}
-	if m.Reload < 0 || m.ProbeTimeout < 0 {
+	case m.Reload < 0 || m.ProbeTimeout < 0:
 		return nil, errors.New("reload_ms or probe_timeout_ms: below 0")
 	}
 	return m, m.Fits(classes)
 }
+
+// defaultPostgresDatabase is the database at PostgreSQL's servers where the file names none.
+const defaultPostgresDatabase = "core"
+
+// front fills in defaults.
+func (f *mysqlFile) front() *MySQL {
+	m := &MySQL{
+		Listen:         f.Listen,
+		Inventory:      f.Inventory,
+		User:           f.User,
+		Password:       f.Password,
+		Database:       f.Database,
+		ClientUser:     f.Client.User,
+		ClientPassword: f.Client.Password,
+		Heartbeat:      f.Heartbeat,
+		Read:           f.Defaults.Read,
+		Write:          f.Defaults.Write,
+		Reload:         or(Milliseconds(f.ReloadMs), defaultReload),
+		ProbeTimeout:   or(Milliseconds(f.ProbeTimeoutMs), defaultProbeTimeout),
+		Postgres:       f.Postgres,
+		Translate:      f.Translate,
+	}
+	m.Postgres.User = or(m.Postgres.User, m.User)
+	m.Postgres.Password = or(m.Postgres.Password, m.Password)
+	m.Postgres.Database = or(m.Postgres.Database, m.Database, defaultPostgresDatabase)
+	return m
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,9 +6,38 @@
 	"slices"
 	"time"
 
+	"threadsail/internal/jsonfile"
 	"threadsail/internal/policy"
 )
 
+// The words of the settings, and what they stand for.
+var (
+	staleReadWords = map[string]policy.StaleReadHandling{
+		"":       0,
+		"none":   0,
+		"bounce": policy.StaleReadRejected,
+		"await":  policy.StaleReadWaits,
+	}
+	idempotencyWords = map[string]policy.Idempotency{
+		"free":        policy.Idempotent,
+		"guarded":     policy.IdempotentByKey,
+		"single_shot": policy.NotIdempotent,
+	}
+	dedupScopeWords = map[string]policy.DedupScope{
+		"all":  policy.DedupEverywhere,
+		"zone": policy.DedupInZone,
+		"":     policy.DedupInGroup,
+		"cell": policy.DedupInGroup,
+	}
+	accessWords = map[string]policy.Access{
+		"eventual":  policy.ReadAny,
+		"lag_bound": policy.ReadBounded,
+		"causal":    policy.ReadSession,
+		"strong":    policy.ReadLatest,
+		"mutate":    policy.Write,
+	}
+)
+
 // Settings puts the facts into the module's words, for the pooler and for the simulator's adapter.
 func Settings(f *Facts) (policy.Settings, error) {
 	s := policy.Settings{
@@ -23,23 +52,13 @@
 		SlowStartDuration: Milliseconds(f.Contract.ColdMs),
 		OverloadFactor:    f.Contract.OverloadFactor, OverloadInterval: Milliseconds(f.Contract.OverloadForMs),
 	}
-	switch f.FamilyInfo.Behind {
-	case "", "none":
-	case "bounce":
-		s.StaleReads = policy.StaleReadRejected
-	case "await":
-		s.StaleReads = policy.StaleReadWaits
-	default:
-		return s, fmt.Errorf("settings.familyInfo.behind: unknown word %q", f.FamilyInfo.Behind)
+	staleReads, err := jsonfile.Word("settings.familyInfo.behind", f.FamilyInfo.Behind, staleReadWords)
+	if err != nil {
+		return s, err
 	}
-	for _, w := range []struct {
-		key, word string
-		known     []string
-	}{{"discovery", f.Discovery, []string{"", "ask", "push"}}, {"report.how", f.Report.How, []string{"", "none", "probe", "answers"}},
-		{"familyInfo.tokens", f.FamilyInfo.Tokens, []string{"", "brought", "kept"}}} {
-		if !slices.Contains(w.known, w.word) { // taken for another it would bring that one's rules
-			return s, fmt.Errorf("settings.%s: unknown word %q", w.key, w.word)
-		}
+	s.StaleReads = staleReads
+	if err := f.checkWords(); err != nil {
+		return s, err
 	}
 	if f.Report.How != "none" {
 		for _, name := range f.Report.Fields {
@@ -56,49 +75,41 @@
 	return s, nil
 }
 
-func class(f *Facts, i int, l Lane) (policy.Class, error) {
-	c := policy.Class{Name: l.Name, LatencyObjective: Milliseconds(l.AimMs), TotalTimeout: Milliseconds(l.HardLimitMs), PriorityWeight: l.Worth,
+// checkWords checks the words whose meaning is a boolean: one that is not known must not be taken for the other.
+func (f *Facts) checkWords() error {
+	for _, w := range []struct {
+		key, word string
+		known     []string
+	}{
+		{"discovery", f.Discovery, []string{"", "ask", "push"}},
+		{"report.how", f.Report.How, []string{"", "none", "probe", "answers"}},
+		{"familyInfo.tokens", f.FamilyInfo.Tokens, []string{"", "brought", "kept"}},
+	} {
+		if !slices.Contains(w.known, w.word) {
+			return fmt.Errorf("settings.%s: unknown word %q", w.key, w.word)
+		}
+	}
+	return nil
+}
+
+// class returns the policy's class for the lane of an index.
+func class(f *Facts, i int, l Lane) (c policy.Class, err error) {
+	c = policy.Class{Name: l.Name, LatencyObjective: Milliseconds(l.AimMs), TotalTimeout: Milliseconds(l.HardLimitMs), PriorityWeight: l.Worth,
 		LateWeightFraction: l.LateWorth, DedupWindow: Milliseconds(l.WindowMs)}
-	switch l.Semantics {
-	case "free":
-		c.Idempotency = policy.Idempotent
-	case "guarded":
-		c.Idempotency = policy.IdempotentByKey
-	case "single_shot":
-		c.Idempotency = policy.NotIdempotent
-	default:
-		return c, fmt.Errorf("lanes[%d].semantics: unknown word %q", i, l.Semantics)
+	lane := fmt.Sprintf("lanes[%d]", i)
+	if c.Idempotency, err = jsonfile.Word(lane+".semantics", l.Semantics, idempotencyWords); err != nil {
+		return c, err
 	}
-	switch l.Group {
-	case "all":
-		c.DedupScope = policy.DedupEverywhere
-	case "zone":
-		c.DedupScope = policy.DedupInZone
-	case "", "cell":
-		c.DedupScope = policy.DedupInGroup
-	default:
-		return c, fmt.Errorf("lanes[%d].group: unknown word %q", i, l.Group)
+	if c.DedupScope, err = jsonfile.Word(lane+".group", l.Group, dedupScopeWords); err != nil {
+		return c, err
 	}
 	if i < len(f.FamilyInfo.LagAllowedMs) {
 		c.MaxStaleness = Milliseconds(f.FamilyInfo.LagAllowedMs[i])
 	}
 	if i < len(f.FamilyInfo.ClassRead) {
-		switch w := f.FamilyInfo.ClassRead[i]; w {
-		case "eventual":
-			c.Access = policy.ReadAny
-		case "lag_bound":
-			c.Access = policy.ReadBounded
-		case "causal":
-			c.Access = policy.ReadSession
-		case "strong":
-			c.Access = policy.ReadLatest
-		case "mutate":
-			c.Access = policy.Write
-		default:
-			return c, fmt.Errorf("familyInfo.classRead[%d]: unknown word %q", i, w)
-		}
+		c.Access, err = jsonfile.Word(fmt.Sprintf("familyInfo.classRead[%d]", i), f.FamilyInfo.ClassRead[i], accessWords)
 	}
-	return c, nil
+	return c, err
 }
 
 // Milliseconds turns milliseconds, which count microseconds, into a duration.
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -104,21 +104,6 @@
 	}
 }
 
-// A scenario that sets every key and takes every action is read as it was when it was recorded.
-func TestScenarioIsReadAsRecorded(t *testing.T) {
-	text := readFile(t, "testdata/every-key-scenario.json")
-	load := func(text []byte) (Scenario, error) { return ParseScenario("every-key-scenario.json", text) }
-	s, err := load(text)
-	if err != nil {
-		t.Fatal(err)
-	}
-	goldentest.Check(t, "every-key-scenario.values", []byte(goldentest.Values(s)))
-	goldentest.Check(t, "every-key-scenario.mistakes", goldentest.Mistakes(t, text, func(text []byte) error {
-		_, err := load(text)
-		return withoutFolder(err, "/")
-	}))
-}
-
 // What PROXY_CONFIG's file leaves out is filled in from the environment, and then by defaults.
 func TestEnvironmentIsReadAsRecorded(t *testing.T) {
 	dir := t.TempDir()
--- a/internal/fleet/purge/proposal.go
+++ b/internal/fleet/purge/proposal.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"threadsail/internal/fleet/calendar"
+	"threadsail/internal/calendar"
 	"threadsail/internal/fleet/replication"
 )
 
--- a/internal/fleet/purge/purge_test.go
+++ b/internal/fleet/purge/purge_test.go
@@ -17,11 +17,11 @@
 	"github.com/rs/zerolog"
 	"pgregory.net/rapid"
 
+	"threadsail/internal/calendar"
 	"threadsail/internal/dispatch"
 	"threadsail/internal/fleet"
 	"threadsail/internal/fleet/audit"
 	"threadsail/internal/fleet/bus/bustest"
-	"threadsail/internal/fleet/calendar"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
 	"threadsail/internal/fleet/replication/replicationtest"
--- a/internal/fleet/shardmap/shardmap.go
+++ b/internal/fleet/shardmap/shardmap.go
@@ -19,7 +19,7 @@
 	"slices"
 
 	"threadsail/internal/fleet/lease"
-	"threadsail/internal/fleet/shardmap/ranges"
+	"threadsail/internal/keyrange"
 )
 
 // Where things stand in the shared documents.
@@ -36,7 +36,7 @@
 const maxFinishedMoves = 64
 
 // Range is the keys of a range, and its cluster.
-type Range = ranges.Range
+type Range = keyrange.Range
 
 // Document is the map and its moves, as they stand at an epoch. The zero Document is no map: everything routes as without one.
 type Document struct {
@@ -66,7 +66,7 @@
 
 // Home is the cluster of a key; ok: there is a map.
 func (d Document) Home(key string) (cluster int, ok bool) {
-	return ranges.Home(d.Ranges, key)
+	return keyrange.Home(d.Ranges, key)
 }
 
 // activeMoveOf is the move under way, before its switch, that a key's range is in.
@@ -195,7 +195,7 @@
 	d.Moves[i].State, d.Moves[i].SinceEpoch = to, d.Epoch
 	if to == Switched {
 		d.Moves[i].SwitchEpoch = d.Epoch
-		d.Ranges = ranges.Place(d.Ranges, d.Moves[i].Range)
+		d.Ranges = keyrange.Place(d.Ranges, d.Moves[i].Range)
 	}
 	return d
 }
--- a/internal/fleet/shardmap/shardmap_test.go
+++ b/internal/fleet/shardmap/shardmap_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"threadsail/internal/fleet/shardmap/ranges"
+	"threadsail/internal/keyrange"
 )
 
 // Whatever moves are begun, taken on and undone, the map stays whole, each key's home changes by switches alone, no two moves of
@@ -38,7 +38,7 @@
 				}
 				d = d.Advance(m.Name)
 			}
-			if at, err := ranges.Check(d.Ranges, func(int) bool { return true }); err != nil {
+			if at, err := keyrange.Check(d.Ranges, func(int) bool { return true }); err != nil {
 				t.Fatalf("%d: %v", at, err)
 			}
 			for _, k := range keys[1:] {
--- a/internal/fleet/shardmap/ranges/ranges.go
+++ b/internal/keyrange/ranges.go
@@ -1,6 +1,6 @@
-// Package ranges is a map of keys to clusters by ranges: what a whole map is, which cluster a key's is, and how a range gets
+// Package keyrange is a map of keys to clusters by ranges: what a whole map is, which cluster a key's is, and how a range gets
 // another. It decides nothing about time, and does no I/O.
-package ranges
+package keyrange
 
 import (
 	"fmt"
--- a/internal/fleet/shardmap/ranges/ranges_test.go
+++ b/internal/keyrange/ranges_test.go
@@ -1,4 +1,4 @@
-package ranges
+package keyrange
 
 import (
 	"strings"
--- a/internal/lab/drains.go
+++ b/internal/lab/drains.go
@@ -5,9 +5,9 @@
 	"io"
 	"math/rand/v2"
 	"strings"
+	"threadsail/internal/lab/scenario"
 	"time"
 
-	"threadsail/internal/config"
 	"threadsail/internal/lab/faults"
 	"threadsail/internal/lab/standin"
 )
@@ -24,7 +24,7 @@
 }
 
 // settle puts what a scenario says of the deployment into the poolers' settings.
-func settle(s config.Scenario, settings map[string]any) {
+func settle(s scenario.Scenario, settings map[string]any) {
 	settings["balancers"] = s.Poolers
 	if s.Push {
 		settings["discovery"] = "push"
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -8,11 +8,11 @@
 	"slices"
 	"strings"
 	"sync"
+	"threadsail/internal/lab/scenario"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"threadsail/internal/config"
 	"threadsail/internal/lab/judge"
 	"threadsail/internal/lab/relay"
 	"threadsail/internal/lab/standin"
@@ -21,7 +21,7 @@
 // Fleet is an experiment on many processes of the pooler among stand-in servers, with a relay on each link between a
 // pooler and a server and the scenario's faults put on links and processes. Clients speak PostgreSQL's wire.
 type Fleet struct {
-	Scenario config.Scenario
+	Scenario scenario.Scenario
 	Command  func() *exec.Cmd     // a new process of the pooler, which the experiment gives its environment
 	Env      func(i int) []string // further environment of the pooler of an index; nil: none
 	Logs     io.Writer            // where the poolers' log lines go, each with "pooler" put first; nil: nowhere
@@ -70,7 +70,7 @@
 // Run plays the scenario and judges it. It fails h if a pooler does not start.
 func (f Fleet) Run(h standin.Host) FleetReport {
 	s := f.Scenario
-	r := &fleetRun{Fleet: f, h: h, purges: purges{ScenarioPurges: s.Fleet.Purges}, shards: shards{ScenarioShards: s.Fleet.Shards}, held: map[int][]int{}, took: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	r := &fleetRun{Fleet: f, h: h, purges: purges{Purges: s.Fleet.Purges}, shards: shards{Shards: s.Fleet.Shards}, held: map[int][]int{}, took: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	names := make([]string, s.Servers)
 	for i := range names {
 		names[i] = fmt.Sprintf("db%d", i+1)
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -7,6 +7,7 @@
 	"path/filepath"
 	"slices"
 	"sync/atomic"
+	"threadsail/internal/lab/scenario"
 
 	"threadsail/internal/config"
 	"threadsail/internal/lab/relay"
@@ -61,7 +62,7 @@
 }
 
 // join writes each member's file of the fleet, with a relay on each link to another if the scenario wants them.
-func (n *peerNet) join(h standin.Host, s config.Scenario, members []*standin.Member, p purges, sh *shards) {
+func (n *peerNet) join(h standin.Host, s scenario.Scenario, members []*standin.Member, p purges, sh *shards) {
 	fleet := s.Fleet
 	if fleet.Stewards == 0 {
 		return
--- a/internal/lab/purges.go
+++ b/internal/lab/purges.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strconv"
 	"strings"
+	"threadsail/internal/lab/scenario"
 	"time"
 
-	"threadsail/internal/config"
 	"threadsail/internal/fleet/audit"
 	"threadsail/internal/lab/judge"
 	"threadsail/internal/lab/standin"
@@ -17,7 +17,7 @@
 
 // purges are what the operators' files say of purges, as the scenario's steps change them.
 type purges struct {
-	config.ScenarioPurges
+	scenario.Purges
 	revision, orders int
 }
 
--- /dev/null
+++ b/internal/lab/scenario/file.go
@@ -0,0 +1,192 @@
+package scenario
+
+import (
+	"encoding/json"
+	"os"
+	"time"
+
+	"threadsail/internal/config"
+	"threadsail/internal/jsonfile"
+)
+
+// Defaults for what a file leaves out.
+const (
+	defaultRestMs     = 50
+	defaultPatienceMs = 2000
+	defaultBoundMs    = 800
+)
+
+// file is the form of a scenario file.
+type file struct {
+	Poolers    int               `json:"poolers"`
+	Servers    int               `json:"servers"`
+	Groups     int               `json:"groups"`
+	Roles      bool              `json:"roles"`
+	Direct     bool              `json:"direct"`
+	Machines   int               `json:"machines"`
+	Clients    *int              `json:"clients"` // 0: idle poolers
+	Hot        string            `json:"hot"`
+	HotClients int               `json:"hot_clients"`
+	LengthMs   float64           `json:"length_ms"`
+	Seed       uint64            `json:"seed"`
+	RestMs     float64           `json:"rest_ms"`
+	Writes     float64           `json:"writes"`
+	PatienceMs float64           `json:"patience_ms"`
+	WorkMs     float64           `json:"work_ms"`
+	Fleet      fleetFile         `json:"fleet"`
+	Push       bool              `json:"push"`
+	Unkeyed    bool              `json:"unkeyed"`
+	GraceMs    float64           `json:"grace_ms"`
+	Log        logFile           `json:"log"`
+	Steps      []json.RawMessage `json:"steps"`
+}
+
+type fleetFile struct {
+	Stewards        int             `json:"stewards"`
+	Distributors    int             `json:"distributors"`
+	Regions         int             `json:"regions"`
+	TermMs          float64         `json:"term_ms"`
+	Relays          bool            `json:"relays"`
+	SharedAddresses bool            `json:"shared_addresses"`
+	LeastBuild      string          `json:"least_build"`
+	Zones           int             `json:"zones"`
+	Verdicts        bool            `json:"verdicts"`
+	Limits          json.RawMessage `json:"limits"`
+	Purges          purgesFile      `json:"purges"`
+	Shards          shardsFile      `json:"shards"`
+}
+
+type purgesFile struct {
+	Sites     int     `json:"sites"`
+	Rows      int     `json:"rows"`
+	ClockMs   float64 `json:"clock_ms"`
+	ConfirmMs float64 `json:"confirm_ms"`
+	SettleMs  float64 `json:"settle_ms"`
+}
+
+type shardsFile struct {
+	Keys    int             `json:"keys"`
+	Lenient bool            `json:"lenient"`
+	Faults  []moveFaultFile `json:"faults"`
+}
+
+type moveFaultFile struct {
+	Move    int     `json:"move"`
+	On      string  `json:"on"`
+	Act     string  `json:"act"`
+	Poolers string  `json:"poolers"`
+	ForMs   float64 `json:"for_ms"`
+}
+
+type logFile struct {
+	WaitMs   float64 `json:"wait_ms"`
+	BoundMs  float64 `json:"bound_ms"`
+	Reports  float64 `json:"reports"`
+	ReportMs float64 `json:"report_ms"`
+}
+
+// Load reads a scenario file. An error names the file, the line and the key.
+func Load(path string) (Scenario, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return Scenario{}, err
+	}
+	return Parse(path, text)
+}
+
+// Parse reads the text of a scenario; name stands for its file in errors.
+func Parse(name string, text []byte) (Scenario, error) {
+	s, err := parse(text)
+	if err != nil {
+		return Scenario{}, jsonfile.LocateFrom(name, text, err)
+	}
+	return s, nil
+}
+
+// parse reads a scenario's text. An error that has a place other than the first line is a *jsonfile.Mistake.
+func parse(text []byte) (Scenario, error) {
+	var form file
+	if err := jsonfile.DecodeValue(text, &form); err != nil {
+		return Scenario{}, err
+	}
+	s := form.scenario()
+	if err := s.check(); err != nil {
+		return s, err
+	}
+	s.Fleet = form.Fleet.fleet()
+	if err := s.checkFleet(); err != nil {
+		return s, err
+	}
+	var err error
+	if s.Fleet.Limits, err = form.Fleet.limits(text); err != nil {
+		return s, err
+	}
+	picks := s.newPicker()
+	if s.Fleet.Shards, err = form.Fleet.Shards.shards(&s, picks); err != nil {
+		return s, err
+	}
+	if err := s.setHot(&form, picks); err != nil {
+		return s, err
+	}
+	s.Plan, err = s.plan(text, form.Steps, picks)
+	return s, err
+}
+
+// scenario takes over all but the fleet, the hot poolers and the steps, and fills in defaults.
+func (f *file) scenario() Scenario {
+	s := Scenario{
+		Size:     Size{Poolers: f.Poolers, Servers: f.Servers, Groups: orDefault(f.Groups, 1)},
+		Roles:    f.Roles,
+		Direct:   f.Direct,
+		Length:   milliseconds(f.LengthMs),
+		Seed:     f.Seed,
+		Traffic:  Traffic{Clients: 1, Rest: milliseconds(orDefault(f.RestMs, defaultRestMs)), Writes: f.Writes, Patience: milliseconds(orDefault(f.PatienceMs, defaultPatienceMs))},
+		Work:     milliseconds(f.WorkMs),
+		Machines: f.Machines,
+		Push:     f.Push,
+		Grace:    milliseconds(f.GraceMs),
+		Unkeyed:  f.Unkeyed,
+		Log: Log{
+			Wait:    milliseconds(f.Log.WaitMs),
+			Bound:   milliseconds(orDefault(f.Log.BoundMs, defaultBoundMs)),
+			Reports: f.Log.Reports,
+			Report:  milliseconds(f.Log.ReportMs),
+		},
+	}
+	if f.Clients != nil {
+		s.Clients = *f.Clients
+	}
+	return s
+}
+
+// fleet takes over all of the fleet but its limits and shards, and fills in defaults.
+func (f *fleetFile) fleet() Fleet {
+	return Fleet{
+		Stewards:        f.Stewards,
+		Distributors:    f.Distributors,
+		Regions:         f.Regions,
+		Term:            orDefault(milliseconds(f.TermMs), config.DefaultTerm),
+		Relays:          f.Relays,
+		SharedAddresses: f.SharedAddresses,
+		LeastBuild:      f.LeastBuild,
+		Zones:           f.Zones,
+		Verdicts:        f.Verdicts,
+		Purges: Purges{
+			Sites:   f.Purges.Sites,
+			Rows:    orDefault(f.Purges.Rows, 1),
+			Guard:   orDefault(milliseconds(f.Purges.ClockMs), config.DefaultPurgeGuard),
+			Confirm: orDefault(milliseconds(f.Purges.ConfirmMs), config.DefaultPurgeConfirm),
+			Settle:  milliseconds(f.Purges.SettleMs),
+		},
+	}
+}
+
+func orDefault[T comparable](value, otherwise T) T {
+	var zero T
+	if value == zero {
+		return otherwise
+	}
+	return value
+}
+
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/config/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package config
+package scenario
 
 import (
 	"os"
@@ -32,7 +32,7 @@
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := LoadScenario(path)
+		s, err := Load(path)
 		switch {
 		case c.want == "" && (err != nil || s.Plan == nil):
 			t.Errorf("%s: %v", c.text, err)
--- a/internal/lab/shards.go
+++ b/internal/lab/shards.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 	"sync"
+	"threadsail/internal/lab/scenario"
 	"time"
 
-	"threadsail/internal/config"
 	"threadsail/internal/fleet/shardmap"
 	"threadsail/internal/lab/faults"
 	"threadsail/internal/lab/judge"
@@ -19,7 +19,7 @@
 // shards is what a run does with a shard map: the first half of the first group's keys goes to the second group and back, a move at
 // each reshard. The zero value does nothing.
 type shards struct {
-	config.ScenarioShards
+	scenario.Shards
 	rows  *standin.Shards
 	moves []map[string]any // as the operators' files order them
 
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -14,6 +14,7 @@
 	"strings"
 	"time"
 
+	"threadsail/internal/jsonfile"
 	"threadsail/internal/policy"
 )
 
@@ -41,6 +42,13 @@
 	Members  []Member
 }
 
+// phases are the words for a member's state.
+var phases = map[string]policy.MemberState{
+	"Ready":       policy.Ready,
+	"Terminating": policy.Draining,
+	"Gone":        policy.Removed,
+}
+
 // ParseList decodes one object.
 func ParseList(text []byte) (List, error) {
 	var in struct {
@@ -67,15 +75,9 @@
 	for i, m := range in.Members {
 		e := Member{Name: m.ID, Addr: m.HostPort, Zone: m.Locality, Group: m.Cell, Primary: m.Recovery == "off",
 			Started: time.Duration(m.UpSinceMS * float64(time.Millisecond))}
-		switch m.Phase {
-		case "Ready":
-			e.State = policy.Ready
-		case "Terminating":
-			e.State = policy.Draining
-		case "Gone":
-			e.State = policy.Removed
-		default:
-			return List{}, fmt.Errorf("members[%d].phase: unknown word %q", i, m.Phase)
+		var err error
+		if e.State, err = jsonfile.Word(fmt.Sprintf("members[%d].phase", i), m.Phase, phases); err != nil {
+			return List{}, err
 		}
 		if e.Name == "" || e.Addr == "" && e.State != policy.Removed {
 			return List{}, fmt.Errorf("members[%d]: id or host_port is missing", i)
