--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -65,7 +65,7 @@
 	dir := t.TempDir()
 	c := &config.Fleet{Name: "a", GossipPart: config.GossipPart{Listen: "127.0.0.1:0"}, Stewards: []config.Peer{{Name: "a", Addr: addr}},
 		LeasePart: config.LeasePart{Term: 900 * time.Millisecond, Drift: 30 * time.Millisecond, Election: 300 * time.Millisecond},
-		Steward: config.StewardPart{Listen: addr, Dir: t.TempDir()}, Shared: config.SharedPart{Dir: dir}}
+		Steward:   config.StewardPart{Listen: addr, Dir: t.TempDir()}, Shared: config.SharedPart{Dir: dir}}
 	coordinator, err := Start(Options{Config: c, Components: []Component{failingComponent{}, runningComponent(runtimes)}, Log: zerolog.Nop()},
 		coordination.Events{Failed: func(err error) { failed <- err }, Audit: func(r audit.Record) { records <- r }})
 	if err != nil {
--- a/internal/fleet/purge/golden_test.go
+++ b/internal/fleet/purge/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"threadsail/internal/fleet/calendar"
+	"threadsail/internal/calendar"
 	"threadsail/internal/fleet/goldentest"
 )
 
--- a/internal/pooler/log.go
+++ b/internal/pooler/logging.go
@@ -12,7 +12,7 @@
 	maxMessageLength = 300
 )
 
-// NewLogger returns a log that writes one JSON object a line, or words for a person, from a level on.
+// NewLogger returns a logger that writes to w from a level on: one JSON object a line, or, with console, text for a person to read.
 func NewLogger(w io.Writer, console bool, level zerolog.Level) zerolog.Logger {
 	if console {
 		w = zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00", TimeLocation: time.UTC}
@@ -22,7 +22,7 @@
 		Sample(zerolog.LevelSampler{DebugSampler: burst(), InfoSampler: burst(), WarnSampler: burst()})
 }
 
-// messageLogger is what the parts that know no log say: they have words only.
+// messageLogger returns a log function for the packages that know no logger. Long messages are cut.
 func messageLogger(log zerolog.Logger) func(string) {
 	return func(text string) { log.Info().Msg(text[:min(len(text), maxMessageLength)]) }
 }
--- a/internal/pooler/postgres/front.go
+++ b/internal/pooler/postgres/front.go
@@ -22,6 +22,9 @@
 )
 
 // Statement is the payload of a request: what the client sent, and its comment.
+// ListenFunc opens a listener that hands each accepted connection to accept.
+type ListenFunc func(accept func(*transport.Conn)) (*transport.Listener, error)
+
 type Statement struct {
 	Text    string
 	Comment comment.Comment
@@ -49,7 +52,7 @@
 
 // Listen starts a front for the clients that a door lets in; listen opens its socket, and fit tells why a statement can't be taken
 // by all servers of a group.
-func Listen(loop *dispatch.EventLoop, listen func(accept func(*transport.Conn)) (*transport.Listener, error), core *dispatch.Dispatcher,
+func Listen(loop *dispatch.EventLoop, listen ListenFunc, core *dispatch.Dispatcher,
 	d *connlimit.Limiter, fit func(text string, group int) error) (*Frontend, error) {
 	f := &Frontend{loop: loop, dispatcher: core, limiter: d, checkStatement: fit, sessions: map[*session]bool{}, requestIDs: map[string]bool{}, sessionsByKey: map[pgwire.Key]*session{}}
 	ln, err := listen(f.accept)
--- a/internal/pooler/signals.go
+++ b/internal/pooler/signals.go
@@ -8,8 +8,8 @@
 	"threadsail/internal/config"
 )
 
-// SignalControl is how a process of the pooler is told what to do: SIGTERM and SIGINT end it, SIGHUP has it read its
-// configuration again.
+// SignalControl returns a Control that follows the process's signals: SIGTERM and SIGINT shut the pooler down, SIGHUP has it read
+// its configuration again. Its goroutine lives as long as the process.
 func SignalControl() Control {
 	signals := make(chan os.Signal, 4)
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error of the write, not the end of the process
--- a/internal/pooler/build.go
+++ b/internal/pooler/version.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BuildVersion is the version that a program tells of itself: what its build was stamped with (-ldflags "-X main.version=v1.4.0"), else what
-// the Go command knows of its module, else a version made of the commit that it was built from, below every v0.0.1; "(devel)",
-// which is below every version, if it was built without any of these.
+// BuildVersion returns the version that a program reports of itself: what its build was stamped with (-ldflags "-X
+// main.version=v1.4.0"), else what the Go command knows of its module, else a version made of the commit that it was built from,
+// below every v0.0.1; "(devel)", which is below every version, if it was built without any of these.
 func BuildVersion(stamped string) string {
 	if stamped != "" {
 		return stamped
