--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -27,69 +27,69 @@
 }
 
 // insert puts a request before the first one that is worth no more.
-func (u *requestQueue) insert(q *request, worthNoMore func(*request) bool) {
-	i := slices.IndexFunc(u.requests, worthNoMore)
+func (q *requestQueue) insert(req *request, worthNoMore func(*request) bool) {
+	i := slices.IndexFunc(q.requests, worthNoMore)
 	if i < 0 {
-		i = len(u.requests)
+		i = len(q.requests)
 	}
-	u.requests = slices.Insert(u.requests, i, q)
-	q.queued = true
+	q.requests = slices.Insert(q.requests, i, req)
+	req.queued = true
 }
 
-func (u *requestQueue) remove(q *request) {
-	if i := slices.Index(u.requests, q); i >= 0 {
-		u.requests = slices.Delete(u.requests, i, i+1)
-		q.queued = false
+func (q *requestQueue) remove(req *request) {
+	if i := slices.Index(q.requests, req); i >= 0 {
+		q.requests = slices.Delete(q.requests, i, i+1)
+		req.queued = false
 	}
 }
 
-func (u *requestQueue) has(is func(*request) bool) bool { return slices.ContainsFunc(u.requests, is) }
+func (q *requestQueue) has(is func(*request) bool) bool { return slices.ContainsFunc(q.requests, is) }
 
 // enqueue puts a request into its group's queue, and schedules what may end or reorder its wait.
-func (r *Router) enqueue(q *request) {
-	weight := r.weightPerWork(q)
-	q.group.queue.insert(q, func(other *request) bool { return r.weightPerWork(other) <= weight })
-	if q.lastUsefulSendAt > r.now {
-		r.schedule(q.lastUsefulSendAt-r.now, func() { r.reassessLate(q) })
+func (r *Router) enqueue(req *request) {
+	weight := r.weightPerWork(req)
+	req.group.queue.insert(req, func(other *request) bool { return r.weightPerWork(other) <= weight })
+	if req.lastUsefulSendAt > r.now {
+		r.schedule(req.lastUsefulSendAt-r.now, func() { r.reassessLate(req) })
 	}
-	halfTimeAt := (q.arrivedAt+q.deadline)/2 - rejectMargin - r.settings.EventInterval
+	halfTimeAt := (req.arrivedAt+req.deadline)/2 - rejectMargin - r.settings.EventInterval
 	if halfTimeAt > r.now {
-		r.schedule(halfTimeAt-r.now, func() { r.rejectBeforeFailover(q) })
+		r.schedule(halfTimeAt-r.now, func() { r.rejectBeforeFailover(req) })
 	}
-	r.superviseQueue(q.group)
+	r.superviseQueue(req.group)
 }
 
 // rejectBeforeFailover ends a request that has waited for half of its time if it will hardly see
 // the next primary, so that its client can come again.
-func (r *Router) rejectBeforeFailover(q *request) {
-	if q.queued && !q.finished && !q.reachedServer && r.failoverTooLate(q) {
-		r.finishRequest(q)
+func (r *Router) rejectBeforeFailover(req *request) {
+	if req.queued && !req.finished && !req.reachedServer && r.failoverTooLate(req) {
+		r.finishRequest(req)
 	}
 }
 
 // failoverTooLate reports whether a wait for a primary will hardly end in time.
-func (r *Router) failoverTooLate(q *request) bool {
-	g := q.group
+func (r *Router) failoverTooLate(req *request) bool {
+	g := req.group
 	if g.primary != nil || !g.outage.confirmed {
 		return false
 	}
 	expected := g.outage.expectedLength
 	left := max(expected-(r.now-g.outage.beganAt), expected/2)
-	return float64(q.deadline-r.now) < minFailoverWaitFraction*float64(left)
+	return float64(req.deadline-r.now) < minFailoverWaitFraction*float64(left)
 }
 
 // reassessLate ends a queued request whose answer earns nothing from now on, and moves one that
 // earns less behind the others.
-func (r *Router) reassessLate(q *request) {
-	if q.finished || !q.queued {
+func (r *Router) reassessLate(req *request) {
+	if req.finished || !req.queued {
 		return
 	}
-	if q.class.LateWeightFraction == 0 {
-		r.finishRequest(q)
+	if req.class.LateWeightFraction == 0 {
+		r.finishRequest(req)
 		return
 	}
-	q.group.queue.remove(q)
-	r.enqueue(q)
+	req.group.queue.remove(req)
+	r.enqueue(req)
 }
 
 // dispatchQueued tries to send the queued requests of a group, in their order.
@@ -100,14 +100,14 @@
 	}
 	g.queue.requests = nil // what is queued meanwhile comes after those that stay
 	staying := waiting[:0]
-	for _, q := range waiting {
-		if q.finished {
+	for _, req := range waiting {
+		if req.finished {
 			continue
 		}
-		q.queued = false
-		if !r.dispatch(q) && !q.finished {
-			q.queued = true
-			staying = append(staying, q)
+		req.queued = false
+		if !r.dispatch(req) && !req.finished {
+			req.queued = true
+			staying = append(staying, req)
 		}
 	}
 	g.queue.requests = append(staying, g.queue.requests...)
@@ -139,10 +139,10 @@
 	if !r.settings.ProbesAllowed || r.pace.largeFleet {
 		return false
 	}
-	if g.queue.has(func(q *request) bool { return q.catchUpExpected }) {
+	if g.queue.has(func(req *request) bool { return req.catchUpExpected }) {
 		return true
 	}
-	return r.now >= g.queue.nextRefreshAt && g.queue.has(func(q *request) bool { return q.blockedByLag })
+	return r.now >= g.queue.nextRefreshAt && g.queue.has(func(req *request) bool { return req.blockedByLag })
 }
 
 // refreshAllPositions asks the ready replicas of a group for their positions, unless an answer is
--- a/internal/policy/counters.go
+++ b/internal/policy/counters.go
@@ -71,23 +71,23 @@
 }
 
 // countUnserved counts why a request that gets its final answer now has found no server.
-func (r *Router) countUnserved(q *request) {
-	reason := "end-" + q.class.Name
-	if len(q.attempts) > 0 {
-		if q.inFlight > 0 {
+func (r *Router) countUnserved(req *request) {
+	reason := "end-" + req.class.Name
+	if len(req.attempts) > 0 {
+		if req.inFlight > 0 {
 			r.countReason(reason + "-waiting")
 			return
 		}
 		reason += "-again"
 	}
-	if q.class.needsPrimary() {
-		r.countReason(reason + "-" + r.primaryObstacle(q))
+	if req.class.needsPrimary() {
+		r.countReason(reason + "-" + r.primaryObstacle(req))
 		return
 	}
 	var obstacles []string
-	for _, s := range q.group.members {
-		if s != q.group.primary {
-			obstacles = append(obstacles, r.obstacle(q, s))
+	for _, s := range req.group.members {
+		if s != req.group.primary {
+			obstacles = append(obstacles, r.obstacle(req, s))
 		}
 	}
 	slices.Sort(obstacles)
@@ -95,15 +95,15 @@
 }
 
 // primaryObstacle names what keeps the recorded primary from taking a request.
-func (r *Router) primaryObstacle(q *request) string {
-	if q.group.primary == nil {
+func (r *Router) primaryObstacle(req *request) string {
+	if req.group.primary == nil {
 		return "noprimary"
 	}
-	return r.obstacle(q, q.group.primary)
+	return r.obstacle(req, req.group.primary)
 }
 
 // obstacle names what keeps a server from taking a request.
-func (r *Router) obstacle(q *request, s *server) string {
+func (r *Router) obstacle(req *request, s *server) string {
 	switch {
 	case s.State != Ready:
 		return "drain"
@@ -111,15 +111,15 @@
 		return "unreach"
 	case s.ejection.ejected:
 		return "lost"
-	case s != q.group.primary && !r.freshEnough(q, s):
+	case s != req.group.primary && !r.freshEnough(req, s):
 		return "stale"
 	case r.now < s.pause.until:
 		return "paused"
 	case float64(s.outstanding.count()) >= s.window.limit():
 		return "window"
-	case r.inSlowStart(s) && !r.slowStartAllows(s, q.classIndex):
+	case r.inSlowStart(s) && !r.slowStartAllows(s, req.classIndex):
 		return "cold"
-	case !r.hasCapacity(s, q.classIndex):
+	case !r.hasCapacity(s, req.classIndex):
 		return "rest"
 	}
 	return "free"
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -159,12 +159,12 @@
 // period is left, less the events' interval, than a send has lately taken, and sendMargin at the
 // least.
 func (r *Router) gracePeriodOver(s *server) bool {
-	return s.sendUntil > 0 && r.now >= s.sendUntil-max(r.sendDuration-sendMargin, 0)
+	return s.sendUntil > 0 && r.now >= s.sendUntil-max(r.reported.sendDuration-sendMargin, 0)
 }
 
 // SetSendDuration takes in the longest time that a send has lately taken, from its choice to its
 // last byte.
-func (r *Router) SetSendDuration(d time.Duration) { r.sendDuration = d }
+func (r *Router) SetSendDuration(d time.Duration) { r.reported.sendDuration = d }
 
 // forgetRemovedServer drops a server that has left the list for good, once nothing of it is under
 // way: over a long time every server is replaced.
--- a/internal/policy/group.go
+++ b/internal/policy/group.go
@@ -101,13 +101,13 @@
 // them: first its home, of which each replica is given as many poolers, then the others by the
 // pooler's own ranking.
 func (r *Router) rankedReplicas(g *group) []*server {
-	ready := r.readyReplicas[:0]
+	ready := r.servers.scratch[:0]
 	for _, s := range g.members {
 		if g.isReadyReplica(s) {
 			ready = append(ready, s)
 		}
 	}
-	r.readyReplicas = ready
+	r.servers.scratch = ready
 	if slices.Equal(ready, g.ranking.replicas) {
 		return g.ranking.ranked
 	}
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -198,18 +198,18 @@
 // cancellation.
 func (r *Router) retrySilentElsewhere(s *server) {
 	for _, a := range slices.Clone(s.outstanding.attempts) {
-		q := a.request
-		if q.finished || q.class.Idempotency != Idempotent || q.inFlight > 1 || r.retryBudget < 1 {
+		req := a.request
+		if req.finished || req.class.Idempotency != Idempotent || req.inFlight > 1 || r.retryBudget < 1 {
 			continue
 		}
 		if r.settings.HedgingAllowed {
-			if r.dispatch(q) {
+			if r.dispatch(req) {
 				r.retryBudget--
 			}
 			continue
 		}
 		if r.settings.CancelAllowed {
-			r.actions.CancelAttempt(q.id, q.number(a))
+			r.actions.CancelAttempt(req.id, req.number(a))
 		}
 	}
 }
--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -118,7 +118,7 @@
 	warmLoadAt time.Duration
 }
 
-func (e *latencyEstimates) of(q *request) *classEstimate { return &e.classes[q.classIndex] }
+func (e *latencyEstimates) of(req *request) *classEstimate { return &e.classes[req.classIndex] }
 
 // decayLoad moves the load of all classes to the present.
 func (e *latencyEstimates) decayLoad(now time.Duration) {
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -182,7 +182,7 @@
 func (r *Router) ReportPrimaryDown(now time.Duration, group int) {
 	r.advanceClock(now)
 	g := r.groups[group]
-	if g != nil && r.roundLeader && r.now >= g.round.startedAt+roundInterval {
+	if g != nil && r.reported.roundLeader && r.now >= g.round.startedAt+roundInterval {
 		r.startRound(g)
 	}
 }
--- a/internal/policy/probe_rounds.go
+++ b/internal/policy/probe_rounds.go
@@ -55,7 +55,7 @@
 	switch {
 	case g.round.pending > 0 || !r.settings.ProbesAllowed:
 		return
-	case r.now < g.round.leaderUntil && !r.roundLeader:
+	case r.now < g.round.leaderUntil && !r.reported.roundLeader:
 		r.scheduleRound(g, roundInterval)
 		return
 	case g.round.startedAt > 0 && r.now < g.round.startedAt+minRoundGap:
@@ -78,9 +78,9 @@
 
 // startInitialRound starts the round of a group that is used for the first time. The poolers of a
 // large fleet leave it out where the list names a primary, and for reads that need none.
-func (r *Router) startInitialRound(q *request) {
-	g := q.group
-	if g.round.initialTriggered || r.pace.largeFleet && !q.class.needsPrimary() {
+func (r *Router) startInitialRound(req *request) {
+	g := req.group
+	if g.round.initialTriggered || r.pace.largeFleet && !req.class.needsPrimary() {
 		return
 	}
 	g.round.initialTriggered = true
@@ -109,7 +109,7 @@
 	if g.primary != nil {
 		return
 	}
-	if !r.pace.largeFleet || len(g.queue.requests) > 0 || r.roundLeader {
+	if !r.pace.largeFleet || len(g.queue.requests) > 0 || r.reported.roundLeader {
 		r.startRound(g)
 	}
 }
@@ -148,4 +148,4 @@
 
 // SetRoundLeader has this pooler repeat probe rounds for all poolers, also of groups that it has no
 // requests for, or leaves that to another pooler.
-func (r *Router) SetRoundLeader(leader bool) { r.roundLeader = leader }
+func (r *Router) SetRoundLeader(leader bool) { r.reported.roundLeader = leader }
--- a/internal/policy/read_staleness.go
+++ b/internal/policy/read_staleness.go
@@ -21,25 +21,25 @@
 
 // requiredPosition returns the position that a replica must have applied to answer a read, 0 or
 // less for none.
-func (r *Router) requiredPosition(q *request) time.Duration {
-	if q.class.Access == ReadBounded {
-		return r.now - q.class.MaxStaleness
+func (r *Router) requiredPosition(req *request) time.Duration {
+	if req.class.Access == ReadBounded {
+		return r.now - req.class.MaxStaleness
 	}
-	return q.sessionPosition
+	return req.sessionPosition
 }
 
 // missingLag returns how much a replica lacks for a read if it has kept the lag that it last
 // showed; 0 or less for nothing.
-func (r *Router) missingLag(q *request, s *server) time.Duration {
+func (r *Router) missingLag(req *request, s *server) time.Duration {
 	sinceProof := r.now - s.replication.provenAt
-	return r.requiredPosition(q) + positionTolerance - s.replication.position - sinceProof
+	return r.requiredPosition(req) + positionTolerance - s.replication.position - sinceProof
 }
 
 // freshEnough reports whether a replica is fresh enough for a read: by its proven position, or,
 // where servers check the position themselves and a wrong try is cheap, by the lag that it last
 // showed.
-func (r *Router) freshEnough(q *request, s *server) bool {
-	required := r.requiredPosition(q)
+func (r *Router) freshEnough(req *request, s *server) bool {
+	required := r.requiredPosition(req)
 	if required <= 0 || s.replication.position >= required+positionTolerance {
 		return true
 	}
@@ -49,7 +49,7 @@
 	if s.replication.provenAt == 0 && !r.inSlowStart(s) { // nothing is known of its position
 		return true
 	}
-	return !r.probesPositionsAhead(q.class) && r.missingLag(q, s) <= 0
+	return !r.probesPositionsAhead(req.class) && r.missingLag(req, s) <= 0
 }
 
 // rejectedReadsLately reports whether a server has turned a read away as too far behind within a
@@ -95,11 +95,11 @@
 // Such a read goes to the replica furthest behind, which all poolers see alike, or one behind by
 // that lag, else to the primary, which applies nothing: spread out, such reads leave no replica
 // fresh.
-func (r *Router) longReadMinLag(q *request) time.Duration {
-	if q.class.Access != ReadAny {
+func (r *Router) longReadMinLag(req *request) time.Duration {
+	if req.class.Access != ReadAny {
 		return 0
 	}
-	baseline := r.estimates.of(q).baseline.value
+	baseline := r.estimates.of(req).baseline.value
 	for i := range r.settings.Classes {
 		c := &r.settings.Classes[i]
 		if r.probesPositionsAhead(c) && baseline > longReadRatio*r.estimates.classes[i].baseline.value {
--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -40,17 +40,17 @@
 // healthy the one that holds least for its speed, ties by turn. A pooler of a large fleet, which
 // sees few requests, keeps to its home while that is not busy: so it has fewer connections, and
 // better estimates.
-func (r *Router) chooseReplica(q *request) *server {
-	g := q.group
+func (r *Router) chooseReplica(req *request) *server {
+	g := req.group
 	search := replicaSearch{
-		request:      q,
-		fallbackWait: time.Duration(fallbackWaitFraction * float64(q.class.LatencyObjective)),
-		minLag:       r.longReadMinLag(q),
+		request:      req,
+		fallbackWait: time.Duration(fallbackWaitFraction * float64(req.class.LatencyObjective)),
+		minLag:       r.longReadMinLag(req),
 		mostLagged:   g.mostLaggedReplica(),
 		bestCost:     math.Inf(1),
 	}
-	q.blockedByLag = false
-	q.catchUpExpected = false
+	req.blockedByLag = false
+	req.catchUpExpected = false
 	members, first := g.members, g.turnCursor
 	if r.pace.largeFleet {
 		members, first = r.rankedReplicas(g), 0
@@ -65,7 +65,7 @@
 	r.settleTurn(&search)
 	chosen := cmp.Or(search.trial, search.best)
 	if chosen == nil && r.mayFallBack(&search) {
-		chosen = r.chooseFallback(q)
+		chosen = r.chooseFallback(req)
 	}
 	if chosen != nil {
 		g.turnCursor++
@@ -75,12 +75,12 @@
 
 // considerReplica takes one replica into a search.
 func (r *Router) considerReplica(search *replicaSearch, s *server, place int) {
-	q := search.request
-	r.keepPositionProven(q.class, s)
-	if s.ReadWeight == NoReads || !r.canTake(q, s) || r.tooFreshForLongRead(search, s) {
+	req := search.request
+	r.keepPositionProven(req.class, s)
+	if s.ReadWeight == NoReads || !r.canTake(req, s) || r.tooFreshForLongRead(search, s) {
 		return
 	}
-	if !r.freshEnough(q, s) {
+	if !r.freshEnough(req, s) {
 		r.considerStale(search, s)
 		return
 	}
@@ -98,11 +98,11 @@
 // such replica for it: where that was too far behind, or has not answered, as seldom as rounds are
 // repeated.
 func (r *Router) considerStale(search *replicaSearch, s *server) {
-	q := search.request
-	q.blockedByLag = true
-	lag := r.missingLag(q, s)
+	req := search.request
+	req.blockedByLag = true
+	lag := r.missingLag(req, s)
 	if !s.ejection.ejected && lag <= search.fallbackWait {
-		q.catchUpExpected = true
+		req.catchUpExpected = true
 	}
 	if !r.pace.largeFleet || !r.settings.ProbesAllowed || s.ejection.ejected || search.stale != nil {
 		return
@@ -191,22 +191,22 @@
 // for its share of the objective, or at once where none will soon be fresh enough and there is a
 // primary.
 func (r *Router) mayFallBack(search *replicaSearch) bool {
-	q := search.request
-	return !q.catchUpExpected && q.group.primary != nil || r.now-q.arrivedAt >= search.fallbackWait
+	req := search.request
+	return !req.catchUpExpected && req.group.primary != nil || r.now-req.arrivedAt >= search.fallbackWait
 }
 
 // chooseFallback returns the primary, unless that is congested in a large fleet, or else an ejected
 // replica that is fresh enough.
-func (r *Router) chooseFallback(q *request) *server {
-	p := q.group.primary
-	if p != nil && r.canTake(q, p) {
+func (r *Router) chooseFallback(req *request) *server {
+	p := req.group.primary
+	if p != nil && r.canTake(req, p) {
 		if !r.pace.largeFleet || p.latency.decayedRatio(r.now) <= congestedLatencyRatio {
 			return p
 		}
 	}
 	var best *server
-	for _, s := range q.group.members {
-		if !s.ejection.ejected || s.health.unreachable || !r.canTake(q, s) || !r.freshEnough(q, s) {
+	for _, s := range req.group.members {
+		if !s.ejection.ejected || s.health.unreachable || !r.canTake(req, s) || !r.freshEnough(req, s) {
 			continue
 		}
 		if best == nil || s.outstanding.count() < best.outstanding.count() {
@@ -217,14 +217,17 @@
 }
 
 // canTake reports whether a server may take a read but for its freshness.
-func (r *Router) canTake(q *request, s *server) bool {
-	return s.State == Ready && !r.justTried(q, s) && r.attemptAllowed(q, s) && r.hasCapacity(s, q.classIndex)
+func (r *Router) canTake(req *request, s *server) bool {
+	if s.State != Ready || r.justTried(req, s) || !r.attemptAllowed(req, s) {
+		return false
+	}
+	return r.hasCapacity(s, req.classIndex)
 }
 
 // justTried reports whether a request's latest attempt went to a server and is in flight, or was
 // sent a moment ago.
-func (r *Router) justTried(q *request, s *server) bool {
-	last := q.last()
+func (r *Router) justTried(req *request, s *server) bool {
+	last := req.last()
 	if last == nil || last.server != s {
 		return false
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -96,70 +96,67 @@
 func (h *attemptHistory) number(a *attempt) int { return slices.Index(h.attempts, a) }
 
 // recordAttempt enters an attempt that is about to be sent.
-func (r *Router) recordAttempt(q *request, s *server) {
-	a := &attempt{server: s, sentAt: r.now, request: q}
-	q.add(a)
+func (r *Router) recordAttempt(req *request, s *server) {
+	a := &attempt{server: s, sentAt: r.now, request: req}
+	req.add(a)
 	s.outstanding.add(a)
 	if r.inSlowStart(s) {
-		s.slowStart.budget -= float64(r.estimates.of(q).meanLatency)
+		s.slowStart.budget -= float64(r.estimates.of(req).meanLatency)
 	}
 }
 
 // finishAttempt enters what an outcome tells of its attempt, request, server and session, and
 // returns the attempt; nil if there is none that the outcome could end.
 func (r *Router) finishAttempt(o Outcome) *attempt {
-	q := r.requests[o.RequestID]
-	if q == nil {
+	req := r.requests[o.RequestID]
+	if req == nil {
 		return nil
 	}
-	a := q.unfinished(o.Attempt)
+	a := req.unfinished(o.Attempt)
 	if a == nil {
 		return nil
 	}
-	s := a.server
-	s.outstanding.lastEndedAt = r.now
-	if o.Result == OK && !r.inSlowStart(s) {
-		r.observeWarmWork(q.classIndex)
+	if o.Result == OK && !r.inSlowStart(a.server) {
+		r.observeWarmWork(req.classIndex)
 	}
-	q.finish(a, o.Result)
-	s.outstanding.remove(a)
-	if o.Result == OK || o.Result == Misdirected || o.Result == ServerError {
-		s.outstanding.latestAnsweredSendAt = max(s.outstanding.latestAnsweredSendAt, a.sentAt)
-	}
-	if o.Result == Misdirected && q.class.Access != Write {
-		s.replication.lagRejectedAt = r.now
-	}
-	if o.Result == OK && !q.class.needsPrimary() && !o.HasPosition {
-		r.positionsOmitted = true
-	}
-	r.observeOutcomePosition(q, s, o)
+	req.finish(a, o.Result)
+	a.server.outstanding.finish(a, o.Result, r.now)
+	r.observePosition(a, o)
 	return a
 }
 
-// observeOutcomePosition takes in the position of an answer: of a write it belongs to the session,
-// of any other answer it is the server's.
-func (r *Router) observeOutcomePosition(q *request, s *server, o Outcome) {
+// observePosition takes in what an outcome tells of positions: the position of a write that was
+// executed belongs to its session, that of any other answer is the server's. A read may have been
+// turned away for its position.
+func (r *Router) observePosition(a *attempt, o Outcome) {
+	req := a.request
+	if o.Result == Misdirected && req.class.Access != Write {
+		a.server.replication.lagRejectedAt = r.now
+	}
+	if o.Result == OK && !req.class.needsPrimary() && !o.HasPosition {
+		r.positionsOmitted = true
+	}
 	if !o.HasPosition {
 		return
 	}
-	if q.class.Access != Write || o.Result != OK {
-		s.replication.advance(o.Position, r.now)
+	if o.Result != OK || req.class.Access != Write {
+		a.server.replication.advance(o.Position, r.now)
 		return
 	}
-	if r.settings.TrackSessions && q.session != 0 {
-		r.sessions.remember(q.session, o.Position)
+	if r.settings.TrackSessions && req.session != 0 {
+		r.sessions.remember(req.session, o.Position)
 	}
 }
 
 // forgetFinished drops a request that has its final answer and no attempt in flight.
-func (r *Router) forgetFinished(q *request) {
-	if q.finished && q.inFlight == 0 {
-		delete(r.requests, q.id)
+func (r *Router) forgetFinished(req *request) {
+	if req.finished && req.inFlight == 0 {
+		delete(r.requests, req.id)
 	}
 }
 
 // attemptsExhausted reports whether a request has had all its attempts. New settings may lower the
 // number for a request under way and do not raise it.
-func (r *Router) attemptsExhausted(q *request) bool {
-	return len(q.attempts) >= min(q.maxAttempts, r.settings.MaxAttempts)
+func (r *Router) attemptsExhausted(req *request) bool {
+	return len(req.attempts) >= min(req.maxAttempts, r.settings.MaxAttempts)
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -19,20 +19,20 @@
 // attemptAllowed reports whether a request may be sent to a server as far as its idempotency goes:
 // one that is not idempotent and may have executed is never sent again, and one that is by its key
 // only to the servers that drop its repeats, while they remember it.
-func (r *Router) attemptAllowed(q *request, s *server) bool {
+func (r *Router) attemptAllowed(req *request, s *server) bool {
 	if !s.listed {
 		return false
 	}
-	if q.class.Idempotency == Idempotent || q.possiblyExecuted == nil && q.inFlight == 0 {
+	if req.class.Idempotency == Idempotent || req.possiblyExecuted == nil && req.inFlight == 0 {
 		return true
 	}
-	if q.class.Idempotency == NotIdempotent || q.possiblyExecuted == nil {
+	if req.class.Idempotency == NotIdempotent || req.possiblyExecuted == nil {
 		return false
 	}
-	if r.now >= q.possiblyExecuted.sentAt+q.class.DedupWindow-sendMargin {
+	if r.now >= req.possiblyExecuted.sentAt+req.class.DedupWindow-sendMargin {
 		return false
 	}
-	return q.class.DedupScope.includes(q.possiblyExecuted.server, s)
+	return req.class.DedupScope.includes(req.possiblyExecuted.server, s)
 }
 
 // includes reports whether a server drops a repeat of what another one may have executed.
@@ -53,15 +53,15 @@
 // proven position is too old for the read.
 func (r *Router) MayStillSend(now time.Duration, id uint32, attempt int) bool {
 	r.advanceClock(now)
-	q := r.requests[id]
-	if q == nil || attempt < 0 || attempt >= len(q.attempts) {
+	req := r.requests[id]
+	if req == nil || attempt < 0 || attempt >= len(req.attempts) {
 		return false
 	}
-	s := q.attempts[attempt].server
-	if r.gracePeriodOver(s) || q.possiblyExecuted != nil && !r.attemptAllowed(q, s) {
+	s := req.attempts[attempt].server
+	if r.gracePeriodOver(s) || req.possiblyExecuted != nil && !r.attemptAllowed(req, s) {
 		return false
 	}
-	return s == q.group.primary || q.class.needsPrimary() || r.freshEnough(q, s)
+	return s == req.group.primary || req.class.needsPrimary() || r.freshEnough(req, s)
 }
 
 // HandleOutcome takes in the end of an attempt.
@@ -71,7 +71,7 @@
 	if a == nil {
 		return
 	}
-	q := a.request
+	req := a.request
 	r.observeHealth(a, o.Result)
 	switch o.Role {
 	case RolePrimary:
@@ -81,79 +81,79 @@
 	}
 	r.observeStatus(a.server, o.Status)
 	if o.Answered {
-		q.finished = true
+		req.finished = true
 	}
-	if !q.finished && q.inFlight == 0 {
-		r.retryOrFinish(q, o.Result)
+	if !req.finished && req.inFlight == 0 {
+		r.retryOrFinish(req, o.Result)
 	}
-	r.forgetFinished(q)
-	r.dispatchQueued(q.group)
+	r.forgetFinished(req)
+	r.dispatchQueued(req.group)
 }
 
 // retryOrFinish decides what follows an attempt that was not served: another attempt, a wait for
 // one, or the final answer.
-func (r *Router) retryOrFinish(q *request, result Result) {
-	repeated := q.possiblyExecuted != nil && q.class.Idempotency == Idempotent && result != Cancelled
-	if !r.mayRetry(q, result) || repeated && r.retryBudget < 1 {
-		r.finishRequest(q)
+func (r *Router) retryOrFinish(req *request, result Result) {
+	repeated := req.possiblyExecuted != nil && req.class.Idempotency == Idempotent && result != Cancelled
+	if !r.mayRetry(req, result) || repeated && r.retryBudget < 1 {
+		r.finishRequest(req)
 		return
 	}
 	if repeated {
 		r.retryBudget--
 	}
-	if !r.dispatch(q) {
-		r.enqueue(q)
+	if !r.dispatch(req) {
+		r.enqueue(req)
 	}
 }
 
 // mayRetry reports whether a request has time, attempts and worth left, and may be executed again.
-func (r *Router) mayRetry(q *request, result Result) bool {
-	if q.deadline-r.now <= rejectMargin+r.settings.EventInterval || r.worthless(q) {
+func (r *Router) mayRetry(req *request, result Result) bool {
+	if req.deadline-r.now <= rejectMargin+r.settings.EventInterval || r.worthless(req) {
 		return false
 	}
-	if q.possiblyExecuted != nil && q.class.Idempotency == NotIdempotent {
+	if req.possiblyExecuted != nil && req.class.Idempotency == NotIdempotent {
 		return false
 	}
-	return !r.attemptsExhausted(q) && result != NotSent
+	return !r.attemptsExhausted(req) && result != NotSent
 }
 
 // finishRequest gives a request its final answer: a rejection where a repeat is harmless, else a
 // failure.
-func (r *Router) finishRequest(q *request) {
-	if q.finished {
+func (r *Router) finishRequest(req *request) {
+	if req.finished {
 		return
 	}
-	q.finished = true
-	r.countUnserved(q)
-	if r.repeatHarmless(q) {
-		r.actions.Reject(q.id, r.retryAfter(q))
+	req.finished = true
+	r.countUnserved(req)
+	if r.repeatHarmless(req) {
+		r.actions.Reject(req.id, r.retryAfter(req))
 	} else {
-		r.actions.Fail(q.id)
+		r.actions.Fail(req.id)
 	}
-	r.forgetFinished(q)
+	r.forgetFinished(req)
 }
 
 // repeatHarmless reports whether the client may send the request again, to any server: it has not
 // been executed, or its repeats have no effect.
-func (r *Router) repeatHarmless(q *request) bool {
-	if q.possiblyExecuted == nil && q.inFlight == 0 {
+func (r *Router) repeatHarmless(req *request) bool {
+	if req.possiblyExecuted == nil && req.inFlight == 0 {
 		return true
 	}
-	c := q.class
+	c := req.class
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupEverywhere
 }
 
 // retryAfter returns how long the client of a rejected request is told to stay away, 0 for no
 // advice: as long as possible for a late read, and until its timeout would have ended for a request
 // that would not have seen the next primary.
-func (r *Router) retryAfter(q *request) time.Duration {
+func (r *Router) retryAfter(req *request) time.Duration {
 	switch {
 	case !r.settings.RetryAfterSupported:
 		return 0
-	case r.late(q) && q.class.Access != Write:
+	case r.late(req) && req.class.Access != Write:
 		return r.settings.MaxRetryAfter
-	case r.failoverTooLate(q):
-		return min(r.settings.MaxRetryAfter, max(q.deadline-r.now, 0))
+	case r.failoverTooLate(req):
+		return min(r.settings.MaxRetryAfter, max(req.deadline-r.now, 0))
 	}
 	return 0
 }
@@ -162,18 +162,18 @@
 // cancelled: they must not stand in a server's queue when nobody waits for them.
 func (r *Router) HandleDisconnect(now time.Duration, id uint32) {
 	r.advanceClock(now)
-	q := r.requests[id]
-	if q == nil {
+	req := r.requests[id]
+	if req == nil {
 		return
 	}
-	q.finished = true
-	q.clientDisconnected = true
+	req.finished = true
+	req.clientDisconnected = true
 	if r.settings.CancelAllowed {
-		for number, a := range q.attempts {
+		for number, a := range req.attempts {
 			if !a.finished {
 				r.actions.CancelAttempt(id, number)
 			}
 		}
 	}
-	r.forgetFinished(q)
+	r.forgetFinished(req)
 }
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -29,9 +29,13 @@
 	positionsOmitted bool    // an answer to a read came without the server's position
 
 	listPollScheduled bool
-	roundLeader       bool          // this pooler repeats probe rounds for all poolers
-	sendDuration      time.Duration // from a choice to the last byte of its send, as the host has lately seen it
-	readyReplicas     []*server     // scratch space of rankedReplicas
+	reported          hostReports
+}
+
+// hostReports is what the host has told of itself.
+type hostReports struct {
+	roundLeader  bool          // this pooler repeats probe rounds for all poolers
+	sendDuration time.Duration // the longest time that a send has lately taken, from its choice to its last byte
 }
 
 // pace is what follows from the number of poolers that share the servers and the list service.
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -39,10 +39,15 @@
 
 func (o *outstandingAttempts) add(a *attempt) { o.attempts = append(o.attempts, a) }
 
-func (o *outstandingAttempts) remove(a *attempt) {
+// finish records the end of an attempt.
+func (o *outstandingAttempts) finish(a *attempt, result Result, now time.Duration) {
 	if i := slices.Index(o.attempts, a); i >= 0 {
 		o.attempts = slices.Delete(o.attempts, i, i+1)
 	}
+	o.lastEndedAt = now
+	if result == OK || result == Misdirected || result == ServerError {
+		o.latestAnsweredSendAt = max(o.latestAnsweredSendAt, a.sentAt)
+	}
 }
 
 func (o *outstandingAttempts) count() int { return len(o.attempts) }
@@ -82,6 +87,7 @@
 type serverTable struct {
 	byID    map[uint32]*server
 	ordered []*server // in the order of their first listing
+	scratch []*server // reused by rankedReplicas
 }
 
 func (t *serverTable) add(s *server) {
--- a/internal/policy/write_routing.go
+++ b/internal/policy/write_routing.go
@@ -4,12 +4,12 @@
 // finds none is queued, where it can still be rejected.
 
 // choosePrimary returns the primary that may take a request now, nil if there is none.
-func (r *Router) choosePrimary(q *request) *server {
-	s := q.group.primary
-	if s == nil && r.mayGuessPrimary(q.group) {
-		s = r.guessPrimary(q)
+func (r *Router) choosePrimary(req *request) *server {
+	s := req.group.primary
+	if s == nil && r.mayGuessPrimary(req.group) {
+		s = r.guessPrimary(req)
 	}
-	if s == nil || !r.attemptAllowed(q, s) || r.gracePeriodOver(s) || !r.hasCapacity(s, q.classIndex) {
+	if s == nil || !r.attemptAllowed(req, s) || r.gracePeriodOver(s) || !r.hasCapacity(s, req.classIndex) {
 		return nil
 	}
 	return s
@@ -28,17 +28,17 @@
 // guessPrimary returns the member that is most likely the primary: the last one, then the listed
 // one, then any. A try is harmless, since a member that is not the primary turns a write away
 // untouched.
-func (r *Router) guessPrimary(q *request) *server {
-	g := q.group
+func (r *Router) guessPrimary(req *request) *server {
+	g := req.group
 	var best *server
 	bestLikelihood := -1
 	for i := range g.members {
 		s := g.members[(g.turnCursor+i)%len(g.members)]
 		likelihood := primaryLikelihood(s)
-		if s.ejection.ejected || r.wouldAnswerStale(q, likelihood) || r.deniedRecently(s) {
+		if s.ejection.ejected || r.wouldAnswerStale(req, likelihood) || r.deniedRecently(s) {
 			continue
 		}
-		if likelihood > bestLikelihood && r.canTake(q, s) {
+		if likelihood > bestLikelihood && r.canTake(req, s) {
 			best = s
 			bestLikelihood = likelihood
 		}
@@ -60,8 +60,8 @@
 
 // wouldAnswerStale reports whether a member that is hardly the primary would answer a read of the
 // latest data from its own.
-func (r *Router) wouldAnswerStale(q *request, likelihood int) bool {
-	return q.class.Access == ReadLatest && r.settings.StaleReads == StaleReadAnswered && likelihood == 0
+func (r *Router) wouldAnswerStale(req *request, likelihood int) bool {
+	return req.class.Access == ReadLatest && r.settings.StaleReads == StaleReadAnswered && likelihood == 0
 }
 
 // deniedRecently reports whether a member has said within a round's interval that it is a replica.
