--- a/internal/policy/decisions_recorder_test.go
+++ b/internal/policy/decisions_recorder_test.go
@@ -1,12 +1,12 @@
 package policy_test
 
 import (
+	"bufio"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
 	"hash"
-	"io"
 	"time"
 )
 
@@ -34,10 +34,10 @@
 	sum     hash.Hash
 	records int
 	kinds   [recordKinds]int
-	trace   io.Writer // every record as a line of integers; nil: none
+	trace   *bufio.Writer // every record as a line of integers; nil for none
 }
 
-func newRecorder(trace io.Writer) *recorder { return &recorder{sum: sha256.New(), trace: trace} }
+func newRecorder(trace *bufio.Writer) *recorder { return &recorder{sum: sha256.New(), trace: trace} }
 
 func (r *recorder) add(clock time.Duration, kind int, values ...int64) {
 	r.records++
@@ -50,7 +50,7 @@
 	}
 	r.sum.Write(buffer)
 	if r.trace != nil {
-		fmt.Fprintln(r.trace, int64(clock), kind, values)
+		_, _ = fmt.Fprintln(r.trace, int64(clock), kind, values) // an error stays until Flush
 	}
 }
 
--- a/internal/policy/decisions_scripts_test.go
+++ b/internal/policy/decisions_scripts_test.go
@@ -40,8 +40,8 @@
 	reportShare          float64 // of the answers carry a report
 	weighted             bool
 	firstList            policy.ListKind
-	leastPatience        time.Duration     // of a client's later try
-	mostPatience         time.Duration     // and no more than its class's deadline
+	minTimeout           time.Duration     // of a client's later try
+	maxTimeout           time.Duration     // and no more than its class's deadline
 	opening              func(*simulation) // a second after the beginning; nil: nothing
 }
 
@@ -101,7 +101,7 @@
 func scripts() []*script {
 	base := script{duration: 150 * time.Second, requestEvery: 9 * millisecond, disturbEvery: 1500 * millisecond, groups: 3,
 		positions: true, answersTellPositions: true, roles: true, busy: true, reportShare: 0.3, firstList: policy.ListFull,
-		leastPatience: 10 * millisecond, mostPatience: time.Minute}
+		minTimeout: 10 * millisecond, maxTimeout: time.Minute}
 	variant := func(name string, seed uint64, change func(*script)) *script {
 		made := base
 		made.name, made.seed = name, seed
@@ -136,7 +136,7 @@
 			c.opening = (*simulation).replace
 		}),
 		variant("one-hurried", 14, func(c *script) {
-			c.leastPatience, c.mostPatience = millisecond, 20*millisecond
+			c.minTimeout, c.maxTimeout = millisecond, 20*millisecond
 			c.change = func(s *policy.Settings) { s.SlowStartCapacity = 0 }
 		}),
 		variant("five", 7, func(c *script) { c.change, c.weighted = fleetOf(5, 2), true }),
@@ -218,14 +218,14 @@
 // arrivals submits one request and schedules the next.
 func (s *simulation) arrivals() {
 	class := s.drawClass()
-	patience := 2 * time.Second
+	timeout := 2 * time.Second
 	if class < len(s.settings.Classes) {
-		patience = s.settings.Classes[class].TotalTimeout
+		timeout = s.settings.Classes[class].TotalTimeout
 	}
 	if s.chance(0.15) { // a client's later try has less time left
-		patience = s.between(s.script.leastPatience, min(patience, s.script.mostPatience))
+		timeout = s.between(s.script.minTimeout, min(timeout, s.script.maxTimeout))
 	}
-	in := policy.Request{Group: s.anyGroup(), Timeout: patience}
+	in := policy.Request{Group: s.anyGroup(), Timeout: timeout}
 	if s.chance(0.5) {
 		in.Session = 1 + s.random.Uint64N(20)
 		in.SinceLastWrite = s.between(0, 400*millisecond)
--- a/internal/policy/decisions_simulation_test.go
+++ b/internal/policy/decisions_simulation_test.go
@@ -105,13 +105,13 @@
 // ---- What the router asks for ----
 
 // Attempt begins an attempt at a server.
-func (s *simulation) Attempt(id, store uint32, timeout time.Duration) {
-	s.record(recordAttempt, int64(id), int64(store), int64(timeout))
+func (s *simulation) Attempt(id, serverID uint32, timeout time.Duration) {
+	s.record(recordAttempt, int64(id), int64(serverID), int64(timeout))
 	request := s.requests[id]
 	if request == nil {
 		return
 	}
-	attempt := &modelAttempt{request: request, number: len(request.attempts), server: s.server(store)}
+	attempt := &modelAttempt{request: request, number: len(request.attempts), server: s.server(serverID)}
 	request.attempts = append(request.attempts, attempt)
 	s.schedule(0, func() { s.begin(attempt, timeout) })
 }
@@ -138,12 +138,12 @@
 }
 
 // Probe checks a server.
-func (s *simulation) Probe(store uint32) {
-	s.record(recordProbe, int64(store))
-	server := s.server(store)
+func (s *simulation) Probe(serverID uint32) {
+	s.record(recordProbe, int64(serverID))
+	server := s.server(serverID)
 	result, after := s.probe(server)
 	s.schedule(after, func() {
-		found := policy.ProbeResult{Server: store, Result: result}
+		found := policy.ProbeResult{Server: serverID, Result: result}
 		if result == policy.OK {
 			found.Status = s.report(server)
 		}
@@ -158,7 +158,7 @@
 }
 
 // CloseIdle is only recorded.
-func (s *simulation) CloseIdleConnections(store uint32) { s.record(recordCloseIdle, int64(store)) }
+func (s *simulation) CloseIdleConnections(server uint32) { s.record(recordCloseIdle, int64(server)) }
 
 // Watch answers with a full list, or fails.
 func (s *simulation) WatchList() {
--- a/internal/policy/decisions_test.go
+++ b/internal/policy/decisions_test.go
@@ -55,10 +55,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer file.Close()
-		buffered := bufio.NewWriter(file)
-		defer buffered.Flush()
-		recorder.trace = buffered
+		defer closeFile(t, file)
+		recorder.trace = bufio.NewWriter(file)
+		defer func() {
+			if err := recorder.trace.Flush(); err != nil {
+				t.Error(err)
+			}
+		}()
 	}
 	checkpoints, err := run(recorder)
 	if err != nil {
@@ -78,6 +81,13 @@
 	}
 }
 
+func closeFile(t *testing.T, file *os.File) {
+	t.Helper()
+	if err := file.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 func checkpointName(script string, number int) string { return fmt.Sprintf("%s/%d", script, number+1) }
 
 // readDigests reads lines of a checkpoint's name, its number of records and its digest.
@@ -109,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer closeFile(t, file)
 	var lines strings.Builder
 	for i, c := range checkpoints {
 		fmt.Fprintf(&lines, "%s %d %s\n", checkpointName(script, i), c.records, c.digest)
