--- a/internal/dispatch/connection_gate.go
+++ b/internal/dispatch/connection_gate.go
@@ -4,26 +4,27 @@
 
 // ConnectionGate stands before new connections to servers and before probes. All calls are on the loop; none may wait.
 type ConnectionGate interface {
-	// ServerListed tells of a server that the list in force names, and of its last start (Unix time; 0: long ago).
+	// ServerListed is called for each server that a list names as ready or draining, with the Unix time of its last start;
+	// 0: long ago.
 	ServerListed(server string, started time.Duration)
-	// MayDial is asked before each new connection; a yes is for that one. Of a no: after how long to ask again.
+	// MayDial is asked before each new connection, and allows that one. If it does not: after how long to ask again.
 	MayDial(now time.Duration, server string) (after time.Duration, ok bool)
-	// MayProbe is asked before each probe; one that may not go ends as if the server had sent it away.
+	// MayProbe is asked before each probe. A probe that is not allowed ends as if the server had been overloaded.
 	MayProbe(now time.Duration, server string) bool
 }
 
 // SetConnectionGate puts a gate in place. It must be called before the loop runs.
-func (c *Dispatcher) SetConnectionGate(g ConnectionGate) { c.connectionGate = g }
+func (d *Dispatcher) SetConnectionGate(gate ConnectionGate) { d.connectionGate = gate }
 
-// MayDial asks the gate, if there is one, for a new connection to an address.
-func (c *Dispatcher) MayDial(addr string) (after time.Duration, ok bool) {
-	if c.connectionGate == nil {
+// MayDial asks the gate, if there is one, for a new connection to an address. An address that no list names any more is
+// allowed.
+func (d *Dispatcher) MayDial(address string) (after time.Duration, ok bool) {
+	if d.connectionGate == nil {
 		return 0, true
 	}
-	for id, at := range c.addresses {
-		if at == addr {
-			return c.connectionGate.MayDial(c.loop.Now(), c.serverName(id))
-		}
+	server, found := d.servers.nameAt(address)
+	if !found {
+		return 0, true
 	}
-	return 0, true // no list names it any more
+	return d.connectionGate.MayDial(d.loop.Now(), server)
 }
--- a/internal/dispatch/connection_gate_test.go
+++ b/internal/dispatch/connection_gate_test.go
@@ -46,7 +46,7 @@
 			t.Error("no leave for an address that no list names")
 		}
 		before := len(b.calls)
-		c.probe(c.serverIDs["s"])
+		c.startHealthCheck(c.servers.ids["s"])
 		if g.probes == 0 || len(b.calls) != before {
 			t.Errorf("%d probes asked for", g.probes)
 		}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -116,12 +116,12 @@
 	r, w := submit(c, b, 20*time.Second)
 	known := func(change func()) (n int) {
 		done := make(chan int)
-		c.loop.Post(func() { change(); done <- len(c.serverIDs) + len(c.addresses) })
+		c.loop.Post(func() { change(); done <- len(c.servers.ids) + len(c.servers.addresses) })
 		return <-done
 	}
 	due := func() {
-		for name, id := range c.serverIDs {
-			if since, ok := c.removedAt[id]; ok {
+		for name, id := range c.servers.ids {
+			if since, ok := c.servers.removedAt[id]; ok {
 				c.forgetServer(name, id, since)
 			}
 		}
@@ -155,8 +155,9 @@
 	done := make(chan struct{})
 	c.loop.Post(func() {
 		defer close(done)
-		if err := c.Retune(set("x", -1, false), 1, 0); err == nil || c.classNumbers["w"] != 0 || len(c.classNumbers) != 1 || c.options.MaxOpen != 9 {
-			t.Errorf("%v: classes %v, %d open at most", err, c.classNumbers, c.options.MaxOpen)
+		if err := c.Retune(set("x", -1, false), 1, 0); err == nil || c.classes.numbers["w"] != 0 || len(c.classes.numbers) != 1 ||
+			c.admission.maxOpen != 9 {
+			t.Errorf("%v: classes %v, %d open at most", err, c.classes.numbers, c.admission.maxOpen)
 		}
 		for _, drainOnly := range []bool{true, false} {
 			if err := c.Retune(set("w", 6, drainOnly), 1, 0); err != nil {
@@ -165,7 +166,7 @@
 			if drainOnly {
 				c.ApplyList(policy.ListFull, nil)
 			}
-			if avoids := c.router.Avoids(c.serverIDs["s"]); avoids == drainOnly {
+			if avoids := c.router.Avoids(c.servers.ids["s"]); avoids == drainOnly {
 				t.Errorf("only drains bind: %v; what has left the list is avoided: %v", drainOnly, avoids)
 			}
 		}
--- a/internal/dispatch/drain_reserve.go
+++ b/internal/dispatch/drain_reserve.go
@@ -6,46 +6,49 @@
 // ago may be so again.
 const sendMemory = 5 * time.Second
 
-// drainReserve is how much of a drain's grace has to stay unused: the longest time that a send has lately taken from its choice to
-// its last byte, or, for the length of a grace, how late a list was heard. Its times are Unix times on the loop's clock. It
-// belongs to the loop.
+// drainReserve computes how much of a drain's grace period has to stay unused: the longest time that a send has lately taken
+// from its choice to its last byte, or, for the length of a grace period, the delay of a list. Its times are Unix times on
+// the loop's clock. It belongs to the loop.
 type drainReserve struct {
-	longestNow, longestBefore time.Duration // the longest of this span and of the one before
-	spanEnd                   time.Duration // the end of this span
-	listDelay                 time.Duration // how late a list was heard
+	longestNow, longestBefore time.Duration // the longest send of this span, and of the span before
+	spanEnd                   time.Duration
+	listDelay                 time.Duration // from a list's announcement until it came here
 	listDelayUntil            time.Duration // to which that counts
 }
 
-// observeSend takes in that the last byte of a request has gone out at now, whose server was chosen at chosen.
-func (s *drainReserve) observeSend(now, chosen time.Duration) {
-	s.rotate(now)
-	s.longestNow = max(s.longestNow, now-chosen)
+// observeSend takes in that the last byte of a request has gone out now, which was allowed to go at allowedAt.
+func (r *drainReserve) observeSend(now, allowedAt time.Duration) {
+	r.rotate(now)
+	r.longestNow = max(r.longestNow, now-allowedAt)
 }
 
-// observeListDelay takes in a list that may have counted as told since told, where a drain has a grace.
-func (s *drainReserve) observeListDelay(now, told, grace time.Duration) {
-	if now >= s.listDelayUntil || now-told >= s.listDelay {
-		s.listDelay, s.listDelayUntil = now-told, now+grace
+// observeListDelay takes in a list that may have counted as announced since notifiedAt, where a drain has a grace period.
+func (r *drainReserve) observeListDelay(now, notifiedAt, grace time.Duration) {
+	if now >= r.listDelayUntil || now-notifiedAt >= r.listDelay {
+		r.listDelay = now - notifiedAt
+		r.listDelayUntil = now + grace
 	}
 }
 
-// required is what has to stay unused now.
-func (s *drainReserve) required(now time.Duration) time.Duration {
-	s.rotate(now)
-	d := max(s.longestNow, s.longestBefore)
-	if now < s.listDelayUntil {
-		d = max(d, s.listDelay)
+// required returns what has to stay unused now.
+func (r *drainReserve) required(now time.Duration) time.Duration {
+	r.rotate(now)
+	reserve := max(r.longestNow, r.longestBefore)
+	if now < r.listDelayUntil {
+		reserve = max(reserve, r.listDelay)
 	}
-	return d
+	return reserve
 }
 
-func (s *drainReserve) rotate(now time.Duration) {
-	if now < s.spanEnd {
+// rotate begins a new span once the present one is over.
+func (r *drainReserve) rotate(now time.Duration) {
+	if now < r.spanEnd {
 		return
 	}
-	s.longestBefore = s.longestNow
-	if now >= s.spanEnd+sendMemory {
-		s.longestBefore = 0
+	r.longestBefore = r.longestNow
+	if now >= r.spanEnd+sendMemory { // nothing was sent for all of a span
+		r.longestBefore = 0
 	}
-	s.longestNow, s.spanEnd = 0, now+sendMemory
+	r.longestNow = 0
+	r.spanEnd = now + sendMemory
 }
--- a/internal/dispatch/drain_reserve_test.go
+++ b/internal/dispatch/drain_reserve_test.go
@@ -63,10 +63,10 @@
 		t.Run(name, func(t *testing.T) {
 			core, b := start(t)
 			if c.want { // however late this machine is
-				set := core.options.Settings
+				set := core.Settings()
 				set.DrainGracePeriod = time.Minute
 				retuned := make(chan error)
-				core.loop.Post(func() { retuned <- core.Retune(set, core.options.MaxOpen, core.options.ProbeTimeout) })
+				core.loop.Post(func() { retuned <- core.Retune(set, core.admission.maxOpen, core.probeTimeout) })
 				if err := <-retuned; err != nil {
 					t.Fatal(err)
 				}
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -6,33 +6,38 @@
 	"time"
 )
 
-// EventLoop is the one goroutine that a core and its fronts and backends run on. Its clock is the wall time at the
-// start plus the monotonic time since: it never steps, and positions on sockets, Unix times, compare with it.
+// idleWait is how long the loop sleeps at the most.
+const idleWait = time.Hour
+
+// EventLoop is the one goroutine that a Dispatcher, its frontends and its backend run on. It works in rounds: all events that
+// are ready, then the timers that are due, then what these have led to. Its clock is the wall time at the start plus the
+// monotonic time since: it never steps, and compares with positions on sockets, which are Unix times.
 type EventLoop struct {
 	start      time.Time
-	base       time.Duration
-	mu         sync.Mutex
-	queue      []func()
+	startUnix  time.Duration
 	wake       chan struct{}
 	timers     timerHeap
-	seq        uint64
+	sequence   uint64 // of the latest timer
 	endOfRound func() // carries out what a round of events has led to
 	stopped    bool
+
+	mu    sync.Mutex // guards queue
+	queue []func()
 }
 
 // NewEventLoop returns a loop whose clock runs.
 func NewEventLoop() *EventLoop {
 	now := time.Now()
-	return &EventLoop{start: now, base: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1), endOfRound: func() {}}
+	return &EventLoop{start: now, startUnix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1), endOfRound: func() {}}
 }
 
-// Now is the time since the Unix epoch. It may be called from any goroutine.
-func (l *EventLoop) Now() time.Duration { return l.base + time.Since(l.start) }
+// Now returns the time since the Unix epoch. It may be called from any goroutine.
+func (l *EventLoop) Now() time.Duration { return l.startUnix + time.Since(l.start) }
 
-// Post hands an event to the loop from any goroutine.
-func (l *EventLoop) Post(f func()) {
+// Post hands an event to the loop. It may be called from any goroutine.
+func (l *EventLoop) Post(event func()) {
 	l.mu.Lock()
-	l.queue = append(l.queue, f)
+	l.queue = append(l.queue, event)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -40,86 +45,76 @@
 	}
 }
 
-// Timer is one call in the future.
-type Timer struct {
-	at       time.Duration
-	seq      uint64
-	callback func()
-	stopped  bool
-}
-
-// Stop keeps a timer from firing; stopping nil or a fired timer does nothing.
-func (t *Timer) Stop() {
-	if t != nil {
-		t.stopped, t.callback = true, nil
-	}
-}
-
-// At calls f on the loop at a time. It must be called on the loop, or before Run.
+// At calls f on the loop at a Unix time. It must be called on the loop, or before Run.
 func (l *EventLoop) At(at time.Duration, f func()) *Timer {
-	l.seq++
-	t := &Timer{at: at, seq: l.seq, callback: f}
-	heap.Push(&l.timers, t)
-	return t
+	l.sequence++
+	timer := &Timer{at: at, sequence: l.sequence, callback: f}
+	heap.Push(&l.timers, timer)
+	return timer
 }
 
-// After is At, counted from now.
+// After calls f on the loop after a time. It must be called on the loop, or before Run.
 func (l *EventLoop) After(d time.Duration, f func()) *Timer { return l.At(l.Now()+d, f) }
 
-// Stop ends Run after the round under way.
+// Stop ends Run after the round under way. It may be called from any goroutine.
 func (l *EventLoop) Stop() { l.Post(func() { l.stopped = true }) }
 
-// Run gathers what is ready, lets it be taken in, and then has what came of it carried out, until Stop.
+// Run runs rounds on the calling goroutine until Stop.
 func (l *EventLoop) Run() {
-	sleep := time.NewTimer(time.Hour)
+	sleep := time.NewTimer(idleWait)
 	defer sleep.Stop()
-	var batch []func()
+	var events []func()
 	for !l.stopped {
-		l.mu.Lock()
-		batch, l.queue = l.queue, batch[:0]
-		l.mu.Unlock()
-		for i, f := range batch {
-			f()
-			batch[i] = nil
-		}
-		now := l.Now()
-		for len(l.timers) > 0 && (l.timers[0].stopped || l.timers[0].at <= now) {
-			if t := heap.Pop(&l.timers).(*Timer); !t.stopped {
-				t.stopped = true
-				t.callback()
-			}
+		events = l.takeEvents(events)
+		for i, event := range events {
+			event()
+			events[i] = nil
 		}
+		l.fireTimers()
 		l.endOfRound()
-		l.mu.Lock()
-		ready := len(l.queue) > 0
-		l.mu.Unlock()
-		if ready || l.stopped {
-			continue
-		}
-		wait := time.Hour
-		if len(l.timers) > 0 {
-			wait = l.timers[0].at - l.Now()
-		}
-		sleep.Reset(wait)
-		select {
-		case <-l.wake:
-		case <-sleep.C:
+		if !l.stopped && !l.hasEvents() {
+			l.wait(sleep)
 		}
 	}
 }
 
-type timerHeap []*Timer
+// takeEvents returns what is queued, and leaves the space of the events before for the next ones.
+func (l *EventLoop) takeEvents(before []func()) []func() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	events := l.queue
+	l.queue = before[:0]
+	return events
+}
 
-func (h timerHeap) Len() int { return len(h) }
-func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (l *EventLoop) hasEvents() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.queue) > 0
 }
-func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(x any)   { *h = append(*h, x.(*Timer)) }
-func (h *timerHeap) Pop() any {
-	old := *h
-	t := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return t
+
+// fireTimers calls all timers that are due now.
+func (l *EventLoop) fireTimers() {
+	now := l.Now()
+	for len(l.timers) > 0 && (l.timers[0].stopped || l.timers[0].at <= now) {
+		timer := heap.Pop(&l.timers).(*Timer)
+		if timer.stopped {
+			continue
+		}
+		timer.stopped = true
+		timer.callback()
+	}
+}
+
+// wait sleeps until an event comes or a timer is due.
+func (l *EventLoop) wait(sleep *time.Timer) {
+	wait := idleWait
+	if len(l.timers) > 0 {
+		wait = l.timers[0].at - l.Now()
+	}
+	sleep.Reset(wait)
+	select {
+	case <-l.wake:
+	case <-sleep.C:
+	}
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -9,52 +9,72 @@
 	Attempts                 uint64 // whose request has gone out whole
 }
 
-// Metrics is what a core reports.
+func (c *ClassCounters) count(answer FinalAnswer) {
+	switch {
+	case answer.Served:
+		c.Served++
+	case answer.Rejected:
+		c.Rejected++
+	default:
+		c.Failed++
+	}
+}
+
+func (c *ClassCounters) add(other ClassCounters) {
+	c.Served += other.Served
+	c.Rejected += other.Rejected
+	c.Failed += other.Failed
+	c.Attempts += other.Attempts
+}
+
+// counterTable holds the counters of all classes that there have been, in the order of their first appearance.
+type counterTable []*ClassCounters
+
+// of returns the counters of a class by its name, and begins them if there are none.
+func (t *counterTable) of(class string) *ClassCounters {
+	for _, counters := range *t {
+		if counters.Class == class {
+			return counters
+		}
+	}
+	counters := &ClassCounters{Class: class}
+	*t = append(*t, counters)
+	return counters
+}
+
+// Metrics is what a Dispatcher reports of itself.
 type Metrics struct {
 	Classes     []ClassCounters
-	Pending     int // requests taken and not ended
+	Pending     int // requests admitted and not ended
 	Servers     int // servers in the list
-	Unavailable int // of them, those that the module avoids
+	Unavailable int // of them, those that the policy avoids
 }
 
-// Metrics tells how things stand. A class that has left the settings keeps its counts.
-func (c *Dispatcher) Metrics() Metrics {
-	f := Metrics{Pending: c.pending, Servers: len(c.listed)}
-	for _, n := range c.counters {
-		f.Classes = append(f.Classes, *n)
+// Metrics returns the present figures. A class that has left the settings keeps its counters.
+func (d *Dispatcher) Metrics() Metrics {
+	metrics := Metrics{Pending: d.requests.pending, Servers: len(d.servers.listed)}
+	for _, counters := range d.counters {
+		metrics.Classes = append(metrics.Classes, *counters)
 	}
-	for id := range c.listed {
-		if c.router.Avoids(id) {
-			f.Unavailable++
+	for id := range d.servers.listed {
+		if d.router.Avoids(id) {
+			metrics.Unavailable++
 		}
 	}
-	return f
+	return metrics
 }
 
-// Add joins the figures of another core to these.
-func (f *Metrics) Add(other Metrics) {
-	for _, n := range other.Classes {
-		i := slices.IndexFunc(f.Classes, func(x ClassCounters) bool { return x.Class == n.Class })
+// Add adds the metrics of another Dispatcher.
+func (m *Metrics) Add(other Metrics) {
+	for _, counters := range other.Classes {
+		i := slices.IndexFunc(m.Classes, func(c ClassCounters) bool { return c.Class == counters.Class })
 		if i < 0 {
-			f.Classes = append(f.Classes, n)
-			continue
-		}
-		x := &f.Classes[i]
-		x.Served, x.Rejected, x.Failed, x.Attempts = x.Served+n.Served, x.Rejected+n.Rejected, x.Failed+n.Failed, x.Attempts+n.Attempts
-	}
-	f.Pending += other.Pending
-	f.Servers += other.Servers
-	f.Unavailable += other.Unavailable
-}
-
-// countersOf finds a class's counts by its name, or begins them.
-func (c *Dispatcher) countersOf(class string) *ClassCounters {
-	for _, n := range c.counters {
-		if n.Class == class {
-			return n
+			m.Classes = append(m.Classes, counters)
+		} else {
+			m.Classes[i].add(counters)
 		}
 	}
-	n := &ClassCounters{Class: class}
-	c.counters = append(c.counters, n)
-	return n
+	m.Pending += other.Pending
+	m.Servers += other.Servers
+	m.Unavailable += other.Unavailable
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -7,53 +7,50 @@
 	"threadsail/internal/policy"
 )
 
-// OnOutcome has f told, on the loop, what each attempt at a server met with, and how long it took from its choice on. Errored
-// is told only where another server has then served the request, as the error may be the request's own, and Cancelled only
-// where the module gave a silent server up. Attempts that were never sent are not told. It must be called before the loop runs.
-func (c *Dispatcher) OnOutcome(f func(server string, class int, result policy.Result, took time.Duration)) {
-	c.outcomeObserver = f
-}
+// OutcomeObserver is called on the loop with the end of an attempt and how long it took from its start on.
+type OutcomeObserver = func(server string, class int, result policy.Result, took time.Duration)
 
-// observeOutcome tells an attempt's end.
-func (o *OpenRequest) observeOutcome(k *inFlightAttempt, result policy.Result) {
-	took := o.dispatcher.loop.Now() - k.chosenAt
-	tell := func(store uint32, result policy.Result) {
-		if server := o.dispatcher.serverName(store); server != "" {
-			o.dispatcher.outcomeObserver(server, o.request.Class, result, took)
-		}
-	}
+// OnOutcome sets the observer of attempts at servers. policy.ServerError is reported only where another server has then
+// served the request, as the error may be the request's own, and policy.Cancelled only where the policy gave a silent server
+// up. Attempts that were never sent are not reported. OnOutcome must be called before the loop runs.
+func (d *Dispatcher) OnOutcome(observer OutcomeObserver) { d.outcomeObserver = observer }
+
+// observeOutcome reports the end of an attempt to the observer.
+func (o *OpenRequest) observeOutcome(a *attempt, result policy.Result) {
+	took := o.dispatcher.loop.Now() - a.startedAt
 	switch {
 	case result == policy.NotSent || result == policy.Cancelled && o.ended:
 		return
 	case result == policy.ServerError:
-		o.failedServers = append(o.failedServers, k.server)
+		o.failedServers = append(o.failedServers, a.server)
 		return
 	case result == policy.OK:
-		slices.Sort(o.failedServers)
-		for _, store := range slices.Compact(o.failedServers) {
-			if store != k.server {
-				tell(store, policy.ServerError)
-			}
+		o.reportFailedServers(a.server, took)
+	}
+	o.reportOutcome(a.server, result, took)
+}
+
+// reportFailedServers reports the errors of a request that another server has then served, once a server.
+func (o *OpenRequest) reportFailedServers(servedBy uint32, took time.Duration) {
+	slices.Sort(o.failedServers)
+	for _, server := range slices.Compact(o.failedServers) {
+		if server != servedBy {
+			o.reportOutcome(server, policy.ServerError, took)
 		}
-		o.failedServers = nil
 	}
-	tell(k.server, result)
+	o.failedServers = nil
 }
 
-// SetEjectedByFleet takes in the fleet's word that a server is bad, or no longer. One that no list here has named is passed over.
-func (c *Dispatcher) SetEjectedByFleet(server string, bad bool) {
-	if id, ok := c.serverIDs[server]; ok {
-		c.router.ObserveFleetEjection(c.loop.Now(), id, bad)
+func (o *OpenRequest) reportOutcome(server uint32, result policy.Result, took time.Duration) {
+	if name := o.dispatcher.servers.name(server); name != "" {
+		o.dispatcher.outcomeObserver(name, o.request.Class, result, took)
 	}
 }
 
-// ReadyMembers are the servers that the list holds to be ready, by group.
-func (c *Dispatcher) ReadyMembers() map[int][]string {
-	out := map[int][]string{}
-	for id, group := range c.readyGroups {
-		if name := c.serverName(id); name != "" {
-			out[group] = append(out[group], name)
-		}
+// SetEjectedByFleet takes in that the fleet ejects a server, or no longer does. A server that no list here has named is
+// passed over.
+func (d *Dispatcher) SetEjectedByFleet(server string, ejected bool) {
+	if id, ok := d.servers.ids[server]; ok {
+		d.router.ObserveFleetEjection(d.loop.Now(), id, ejected)
 	}
-	return out
 }
--- a/internal/dispatch/outcome_test.go
+++ b/internal/dispatch/outcome_test.go
@@ -48,16 +48,16 @@
 	want("its own error", fmt.Sprint("s", policy.OK))
 	<-r.ended
 	on(func() {
-		o := &OpenRequest{dispatcher: c, request: &Request{}, failedServers: []uint32{c.serverIDs["s"]}}
-		o.observeOutcome(&inFlightAttempt{server: 99, chosenAt: c.loop.Now()}, policy.OK)
+		o := &OpenRequest{dispatcher: c, request: &Request{}, failedServers: []uint32{c.servers.ids["s"]}}
+		o.observeOutcome(&attempt{server: 99, startedAt: c.loop.Now()}, policy.OK)
 	})
 	want("the server's error", fmt.Sprint("s", policy.ServerError))
 	on(func() {
 		o := &OpenRequest{dispatcher: c, request: &Request{}}
-		o.observeOutcome(&inFlightAttempt{server: c.serverIDs["s"], chosenAt: c.loop.Now()}, policy.Cancelled)
+		o.observeOutcome(&attempt{server: c.servers.ids["s"], startedAt: c.loop.Now()}, policy.Cancelled)
 		o.ended = true
-		o.observeOutcome(&inFlightAttempt{server: c.serverIDs["s"], chosenAt: c.loop.Now()}, policy.Cancelled)
-		o.observeOutcome(&inFlightAttempt{server: c.serverIDs["s"], chosenAt: c.loop.Now()}, policy.NotSent)
+		o.observeOutcome(&attempt{server: c.servers.ids["s"], startedAt: c.loop.Now()}, policy.Cancelled)
+		o.observeOutcome(&attempt{server: c.servers.ids["s"], startedAt: c.loop.Now()}, policy.NotSent)
 	})
 	want("given up", fmt.Sprint("s", policy.Cancelled))
 	on(func() {
