--- a/internal/fleet/distribution/dial.go
+++ b/internal/fleet/distribution/dial.go
@@ -3,66 +3,70 @@
 import (
 	"bufio"
 	"context"
-	"encoding/binary"
-	"encoding/json"
 	"fmt"
 	"net"
 	"time"
 )
 
-// refusedError is a call that was not taken.
-type refusedError struct{ refusal }
+// streamDialer opens streams to distributors.
+type streamDialer struct {
+	dial    Dialer
+	timing  timing
+	counter Counter
+}
 
-func (r refusedError) Error() string { return r.Reason }
+// openedStream is a stream that a distributor has admitted.
+type openedStream struct {
+	Endpoint
+	conn   net.Conn
+	reader *bufio.Reader
+}
 
-// openStream opens a stream to a distributor. An error is of the network, refused, or of what it answered. Its answer has to come within the
-// caller's patience: there are others to turn to.
-func openStream(ctx context.Context, dial Dialer, p Endpoint, patience, beat time.Duration, count Counter, h hello) (net.Conn, *bufio.Reader, error) {
-	within, cancel := context.WithTimeout(ctx, patience)
+// open calls a distributor, whose answer must come within a timeout, as there are others to call. Errors are refusedError,
+// errMalformedFrame, errFrameTooLong, and the network's.
+func (d streamDialer) open(ctx context.Context, endpoint Endpoint, timeout time.Duration, h hello) (*openedStream, error) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c, err := dial(within, p.Addr)
+	plain, err := d.dial(callCtx, endpoint.Addr)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	stop := context.AfterFunc(within, func() { _ = c.Close() })
-	conn := timeoutConn{c, tenthsOfHeartbeat(beat, readTimeoutTenths), writeTimeoutHeartbeats * beat}
-	in := bufio.NewReaderSize(conn, 4<<10)
-	fail := func(err error) (net.Conn, *bufio.Reader, error) {
-		stop()
-		_ = c.Close()
-		return nil, nil, err
+	stop := context.AfterFunc(callCtx, func() { _ = plain.Close() })
+	conn := timeoutConn{plain, d.timing}
+	reader := bufio.NewReaderSize(conn, bufferSize)
+	err = d.handshake(conn, reader, h)
+	if !stop() && err == nil { // the time is over, and the connection closed
+		err = callCtx.Err()
 	}
+	if err != nil {
+		_ = plain.Close()
+		return nil, err
+	}
+	return &openedStream{endpoint, conn, reader}, nil
+}
+
+// handshake says hello, and waits for the welcome.
+func (d streamDialer) handshake(conn net.Conn, reader *bufio.Reader, h hello) error {
 	frame := encodeJSONFrame(kindHello, h)
 	if _, err := conn.Write(frame); err != nil {
-		return fail(err)
+		return err
 	}
-	count.Out(kindHello.String(), len(frame))
-	k, body, size, err := readFrame(in, maxPoolerFrame)
+	d.counter.Out(kindHello.String(), len(frame))
+	answer, err := readFrame(reader, maxPoolerFrame)
 	if err != nil {
-		return fail(err)
+		return err
 	}
-	count.In(k.String(), size)
-	switch k {
+	d.counter.In(answer.kind.String(), answer.size)
+	switch answer.kind {
 	case kindWelcome:
+		return nil
 	case kindRefusal:
 		var r refusal
-		if err := json.Unmarshal(body, &r); err != nil {
-			return fail(fmt.Errorf("%w: %w", errMalformedFrame, err))
+		if err := decodeJSON(answer.body, &r); err != nil {
+			return err
 		}
-		return fail(refusedError{r})
+		return refusedError{r}
 	default:
-		return fail(fmt.Errorf("%w: %s", errMalformedFrame, k))
-	}
-	if !stop() { // its time is over, and the connection closed
-		return fail(within.Err())
-	}
-	return conn, in, nil
-}
-
-// frameKind is the kind of a sealed frame.
-func frameKind(frame []byte) frameKindID {
-	if _, used := binary.Uvarint(frame); used > 0 && used < len(frame) {
-		return frameKindID(frame[used])
+		return fmt.Errorf("%w: %s", errMalformedFrame, answer.kind)
 	}
-	return 0
 }
--- a/internal/fleet/distribution/directory.go
+++ b/internal/fleet/distribution/directory.go
@@ -4,101 +4,102 @@
 
 // directory is where each pooler's stream ends, as the other distributors tell. It is not safe for use by several goroutines.
 type directory struct {
-	distributorOf map[string]string // by pooler: the distributor that told last that it came
-	links         map[string]*distributorState
+	distributorOf map[string]string            // by pooler: the distributor that told last that the pooler arrived
+	distributors  map[string]*distributorState // by name; each that distributorOf names is among them
 }
 
-// distributorState is what one other distributor has told.
+// distributorState is what is known of one other distributor.
 type distributorState struct {
 	region       string
-	summary      Summary   // of its poolers
-	poolerCount  int       // of those that at names it for
-	openLinks    int       // links of it that are open here
-	lastClosedAt time.Time // when the last one ended
+	summary      Summary   // of its poolers, as reported last
+	poolerCount  int       // of the poolers for which distributorOf names it
+	openLinks    int       // links that it has open to this distributor
+	lastClosedAt time.Time // when the last link ended
 }
 
 func newDirectory() directory {
-	return directory{distributorOf: map[string]string{}, links: map[string]*distributorState{}}
+	return directory{distributorOf: map[string]string{}, distributors: map[string]*distributorState{}}
 }
 
 // linkOpened takes in that a distributor has called.
 func (d *directory) linkOpened(name, region string) {
-	t := d.links[name]
-	if t == nil {
-		t = &distributorState{}
-		d.links[name] = t
+	state := d.distributors[name]
+	if state == nil {
+		state = &distributorState{}
+		d.distributors[name] = state
 	}
-	t.region = region
-	t.openLinks++
+	state.region = region
+	state.openLinks++
 }
 
-// linkClosed takes in that its link has ended. What it held is known for a while yet: its poolers are on their way elsewhere, and
-// shares that are dealt by the fleet's size must not grow for a link that was reset.
+// linkClosed takes in that a distributor's link has ended. Its poolers are kept for a while: they are on their way to others, and quota
+// shares that depend on the fleet's size must not grow for a link that was reset.
 func (d *directory) linkClosed(name string, now time.Time) {
-	if t := d.links[name]; t != nil {
-		t.openLinks--
-		t.lastClosedAt = now
+	if state := d.distributors[name]; state != nil {
+		state.openLinks--
+		state.lastClosedAt = now
 	}
 }
 
-// update takes in what a distributor tells.
+// update takes in the holdings that a distributor reports.
 func (d *directory) update(name string, h holdings) {
-	t := d.links[name]
-	if t == nil {
+	state := d.distributors[name]
+	if state == nil {
 		return
 	}
 	if h.Complete {
 		d.forget(name)
 	}
 	for _, pooler := range h.Arrived {
-		if old, ok := d.distributorOf[pooler]; ok {
-			d.links[old].poolerCount--
+		if previous, known := d.distributorOf[pooler]; known {
+			d.distributors[previous].poolerCount--
 		}
 		d.distributorOf[pooler] = name
-		t.poolerCount++
+		state.poolerCount++
 	}
 	for _, pooler := range h.Departed {
-		if d.distributorOf[pooler] == name { // else it has come elsewhere already
+		if d.distributorOf[pooler] == name { // else it has arrived elsewhere already
 			delete(d.distributorOf, pooler)
-			t.poolerCount--
+			state.poolerCount--
 		}
 	}
 }
 
+// forget removes a distributor's poolers.
 func (d *directory) forget(name string) {
-	for pooler, at := range d.distributorOf {
-		if at == name {
+	for pooler, distributor := range d.distributorOf {
+		if distributor == name {
 			delete(d.distributorOf, pooler)
 		}
 	}
-	d.links[name].poolerCount = 0
+	d.distributors[name].poolerCount = 0
 }
 
-// expire forgets what was told by distributors that have been gone for a while.
+// expire removes the distributors that have had no link for a while, and their poolers.
 func (d *directory) expire(now time.Time, after time.Duration) {
-	for name, t := range d.links {
-		if t.openLinks == 0 && now.Sub(t.lastClosedAt) >= after {
+	for name, state := range d.distributors {
+		if state.openLinks == 0 && now.Sub(state.lastClosedAt) >= after {
 			d.forget(name)
-			delete(d.links, name)
+			delete(d.distributors, name)
 		}
 	}
 }
 
-// alive are the distributors that are linked to here.
+// alive are the distributors that have a link open here.
 func (d *directory) alive() (names []string) {
-	for name, t := range d.links {
-		if t.openLinks > 0 {
+	for name, state := range d.distributors {
+		if state.openLinks > 0 {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// load is how many streams the other distributors of a region hold, and how many of those distributors are alive.
+// load is how many streams the other live distributors of a region hold, and how many of those distributors there are.
 func (d *directory) load(region string) (streams, distributors int) {
-	for _, t := range d.links {
-		if t.region == region && t.openLinks > 0 {
-			streams += t.poolerCount
+	for _, state := range d.distributors {
+		if state.region == region && state.openLinks > 0 {
+			streams += state.poolerCount
 			distributors++
 		}
 	}
--- a/internal/fleet/distribution/distributor_bus.go
+++ b/internal/fleet/distribution/distributor_bus.go
@@ -8,105 +8,28 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// handleMessage passes a message on towards its pooler. What another distributor has passed on goes no further than here.
-func (d *Distributor) handleMessage(s *stream, body []byte) error {
-	var to, from, topic string
-	text, err := splitNames(body, &to, &from, &topic)
-	if err != nil {
-		return err
-	}
-	if from != s.Name && !s.Distributor {
-		return fmt.Errorf("%w: it speaks for %s", errMalformedFrame, from)
-	}
-	d.forward(to, from, topic, text, s.Distributor)
-	return nil
-}
-
-// forward gives a message to a pooler, if it is known; its sender will miss the answer else.
-func (d *Distributor) forward(to, from, topic string, text []byte, last bool) (known bool) {
-	if to == d.options.Name {
-		d.dispatch(from, topic, text)
-		return true
-	}
-	frame := encodeFrame(kindMessage, prependNames(text, to, from, topic))
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if s := d.streams[to]; s != nil && !s.Distributor {
-		return s.outbox.enqueue(frame)
-	}
-	if last {
-		return false
-	}
-	out := d.links[to]
-	if out == nil {
-		out = d.links[d.directory.distributorOf[to]]
-	}
-	return out != nil && out.enqueue(frame)
-}
-
-// handleBroadcast passes a cast on to all: a pooler's to this distributor's own and to the other distributors, another's to its own.
-func (d *Distributor) handleBroadcast(s *stream, body []byte) error {
-	var from, topic string
-	text, err := splitNames(body, &from, &topic)
-	if err != nil {
-		return err
-	}
-	if from != s.Name && !s.Distributor {
-		return fmt.Errorf("%w: it speaks for %s", errMalformedFrame, from)
-	}
-	d.forwardBroadcast(from, topic, body, s.Distributor)
-	d.dispatch(from, topic, text)
-	return nil
-}
-
-func (d *Distributor) forwardBroadcast(from, topic string, body []byte, last bool) {
-	frame, key := encodeFrame(kindBroadcast, body), from+"\x00"+topic
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, s := range d.streams {
-		if !s.Distributor && s.Name != from {
-			s.outbox.enqueueBroadcast(key, frame)
-		}
-	}
-	if !last {
-		for _, out := range d.links {
-			out.enqueueBroadcast(key, frame)
-		}
-	}
-}
-
 // Self is documented with bus.Bus.
 func (d *Distributor) Self() string { return d.options.Name }
 
-// Members are the distributors that are alive: those that any pooler may ask.
+// Members are the distributors that are alive, which any pooler may call.
 func (d *Distributor) Members() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := append(d.directory.alive(), d.options.Name)
-	slices.Sort(out)
-	return out
+	members := append(d.registry.aliveDistributors(), d.options.Name)
+	slices.Sort(members)
+	return members
 }
 
 // Size is documented with bus.Bus.
-func (d *Distributor) Size() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.directory.distributorOf) + d.poolerCount + len(d.directory.alive()) + 1
-}
+func (d *Distributor) Size() int { return d.registry.fleetSize() }
 
 // StreamCount is how many poolers' streams end here.
-func (d *Distributor) StreamCount() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.poolerCount
-}
+func (d *Distributor) StreamCount() int { return d.registry.streamCount() }
 
 // Send is documented with bus.Bus.
 func (d *Distributor) Send(ctx context.Context, to, topic string, body []byte) error {
 	if err := checkMessageSize(topic, body, maxQueuedBytes/2); err != nil {
 		return err
 	}
-	if !d.forward(to, d.options.Name, topic, slices.Clone(body), false) {
+	if !d.forward(message{to: to, from: d.options.Name, topic: topic, body: slices.Clone(body)}, false) {
 		return fmt.Errorf("%w: %s", bus.ErrUnknownMember, to)
 	}
 	return ctx.Err()
@@ -115,19 +38,53 @@
 // Broadcast is documented with bus.Bus.
 func (d *Distributor) Broadcast(topic string, body []byte) {
 	if err := checkMessageSize(topic, body, maxQueuedBytes/2); err != nil {
-		d.options.Log("distributor: " + err.Error())
+		d.options.Log("distributor: broadcast not sent: " + err.Error())
 		return
 	}
-	d.forwardBroadcast(d.options.Name, topic, prependNames(body, d.options.Name, topic), false)
+	d.registry.forwardBroadcast(broadcast{from: d.options.Name, topic: topic, body: body}, false)
+}
+
+// handleMessage forwards a message towards its pooler. One from another distributor goes no further than to this one's poolers.
+func (d *Distributor) handleMessage(s *stream, body []byte) error {
+	m, err := decodeMessage(body)
+	if err != nil {
+		return err
+	}
+	if err := checkSender(s, m.from); err != nil {
+		return err
+	}
+	d.forward(m, s.Distributor)
+	return nil
+}
+
+// forward gives a message to this process, or queues it towards its pooler; ok false: the pooler is not known.
+func (d *Distributor) forward(m message, lastHop bool) (ok bool) {
+	if m.to == d.options.Name {
+		d.dispatch(m.from, m.topic, m.body)
+		return true
+	}
+	return d.registry.forward(m.to, m.frame(), lastHop)
+}
+
+// handleBroadcast forwards a broadcast: a pooler's to this distributor's poolers and the other distributors, a distributor's to this
+// one's poolers.
+func (d *Distributor) handleBroadcast(s *stream, body []byte) error {
+	b, err := decodeBroadcast(body)
+	if err != nil {
+		return err
+	}
+	if err := checkSender(s, b.from); err != nil {
+		return err
+	}
+	d.registry.forwardBroadcast(b, s.Distributor)
+	d.dispatch(b.from, b.topic, b.body)
+	return nil
 }
 
-// checkMessageSize refuses what the receiver would end the stream for.
-func checkMessageSize(topic string, body []byte, most int) error {
-	switch {
-	case topic == "" || len(topic) > maxNameLength:
-		return fmt.Errorf("a topic of %d bytes", len(topic))
-	case len(body) > most:
-		return fmt.Errorf("%w: %d bytes on %s", errFrameTooLong, len(body), topic)
+// checkSender refuses a message that a pooler sends under another's name. Distributors forward the messages of others.
+func checkSender(s *stream, from string) error {
+	if from != s.Name && !s.Distributor {
+		return fmt.Errorf("%w: it speaks for %s", errMalformedFrame, from)
 	}
 	return nil
 }
--- a/internal/fleet/distribution/faults_test.go
+++ b/internal/fleet/distribution/faults_test.go
@@ -90,11 +90,11 @@
 		asked, why := 0, (*refusal)(nil)
 		synctest.Test(t, func(*testing.T) {
 			begun := time.Now()
-			d := &Distributor{streams: map[string]*stream{}, directory: newDirectory()}
+			d := &Distributor{registry: newRegistry()}
 			for ; len(due) > 0 && why == nil; asked++ {
 				at := heap.Pop(&due).(time.Duration)
 				time.Sleep(time.Until(begun.Add(at)))
-				no := d.addStream(&stream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", asked)}})
+				no := d.admit(&stream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", asked)}})
 				switch {
 				case no == nil:
 					took = append(took, at)
@@ -377,7 +377,7 @@
 						running.Go(func() {
 							defer conn.Close()
 							in := bufio.NewReader(conn)
-							if _, _, _, err := readFrame(in, maxPoolerFrame); err != nil {
+							if _, err := readFrame(in, maxPoolerFrame); err != nil {
 								return
 							}
 							for _, frame := range c.says {
@@ -399,7 +399,7 @@
 				if n := f.logged(c.why); n != 1 || came < 4 {
 					t.Errorf("%d lines after %d calls: %q", n, came, f.log)
 				}
-				if c.words > 0 && f.logged("tells of version") != 1 {
+				if c.words > 0 && f.logged("is newer (version") != 1 {
 					t.Errorf("another log: %q", f.log)
 				}
 				f.poolers["n0"].Close()
@@ -425,11 +425,11 @@
 		"a long name":            {hello{Protocol: protocolVersion, Name: long}, nil, "empty or too long"},
 		"speaks for another":     {call, encodeFrame(kindMessage, prependNames([]byte("x"), "n0", "n1", "t")), "it speaks for n1"},
 		"casts for another":      {call, encodeFrame(kindBroadcast, prependNames([]byte("x"), "n1", "t")), "it speaks for n1"},
-		"a frame over its bound": {call, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "a frame over its bound"},
+		"a frame over its bound": {call, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "frame too long"},
 		"an unknown kind":        {call, encodeFrame(99), "kind 99"},
 		"not its to tell":        {call, encodeJSONFrame(kindHoldings, holdings{Complete: true}), "holds"},
-		"can't be read":          {call, encodeFrame(kindHeartbeat, []byte("{")), "a frame that can't be read"},
-		"a link's can't be read": {hello{Protocol: protocolVersion, Name: "d0", Distributor: true}, encodeFrame(kindHoldings, []byte("{")), "a frame that can't be read"},
+		"can't be read":          {call, encodeFrame(kindHeartbeat, []byte("{")), "malformed frame"},
+		"a link's can't be read": {hello{Protocol: protocolVersion, Name: "d0", Distributor: true}, encodeFrame(kindHoldings, []byte("{")), "malformed frame"},
 		"a link of a stranger":   {hello{Protocol: protocolVersion, Name: "bad", Distributor: true}, nil, "not among those named here"},
 	} {
 		t.Run(what, func(t *testing.T) {
--- a/internal/fleet/distribution/link.go
+++ b/internal/fleet/distribution/link.go
@@ -1,102 +1,85 @@
 package distribution
 
 import (
+	"bufio"
+	"bytes"
 	"context"
 	"errors"
-	"slices"
+	"net"
+	"sync"
 	"time"
 )
 
-// maintainLink keeps a stream open to another distributor, by which this one tells it whom it holds and passes messages on.
-func (d *Distributor) maintainLink(p Endpoint) {
-	for d.ctx.Err() == nil {
-		if err := d.serveLink(p); err != nil && d.ctx.Err() == nil {
-			d.logRefusalOnce("link: "+err.Error(), p.Name, "link: "+err.Error())
+// maintainLink keeps a stream open to another distributor, by which this one reports its holdings and forwards messages, until ctx ends.
+func (d *Distributor) maintainLink(ctx context.Context, endpoint Endpoint) {
+	for ctx.Err() == nil {
+		var refused refusedError
+		if err := d.openLink(ctx, endpoint); errors.As(err, &refused) && ctx.Err() == nil {
+			d.logRefusalOnce("link: "+refused.Reason, endpoint.Name, "link: "+refused.Reason)
 		}
-		sleep(d.ctx, d.options.HeartbeatInterval)
-		d.mu.Lock()
-		d.directory.expire(time.Now(), avoidHeartbeats*d.options.HeartbeatInterval)
-		d.mu.Unlock()
+		sleep(ctx, d.timing.heartbeat)
+		d.registry.expire(d.timing.avoidFor())
 	}
 }
 
-func (d *Distributor) serveLink(p Endpoint) error {
-	conn, in, err := openStream(d.ctx, d.options.Dial, p, tenthsOfHeartbeat(d.options.HeartbeatInterval, answerTimeoutTenths), d.options.HeartbeatInterval, d.options.Counter, hello{Protocol: protocolVersion, Name: d.options.Name, Region: d.options.Region, Distributor: true})
-	var no refusedError
-	switch {
-	case errors.As(err, &no):
+// openLink opens a link and uses it until it ends. The error tells why it could not be opened.
+func (d *Distributor) openLink(ctx context.Context, endpoint Endpoint) error {
+	h := hello{Protocol: protocolVersion, Name: d.options.Name, Region: d.options.Region, Distributor: true}
+	opened, err := d.dialer.open(ctx, endpoint, d.timing.answerTimeout(), h)
+	if err != nil {
 		return err
-	case err != nil:
-		return nil // it is not there: tried again
 	}
-	defer conn.Close()
-	defer context.AfterFunc(d.ctx, func() { _ = conn.Close() })()
-	out := newOutbox(maxLinkQueuedBytes, func() { _ = conn.Close() })
-	d.mu.Lock()
-	all := holdings{Complete: true}
-	for name, s := range d.streams {
-		if !s.Distributor {
-			all.Arrived = append(all.Arrived, name)
-		}
-	}
-	slices.Sort(all.Arrived)
-	out.enqueue(encodeJSONFrame(kindHoldings, all))
-	d.links[p.Name] = out
-	d.mu.Unlock()
-	defer func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.links[p.Name] == out {
-			delete(d.links, p.Name)
-		}
-	}()
-	go func() { // the words that come back tell that it lives
-		for {
-			k, _, size, err := readFrame(in, maxDistributorFrame)
-			if err != nil {
-				_ = conn.Close()
-				out.enqueue(nil)
-				return
-			}
-			d.options.Counter.In(k.String(), size)
-		}
-	}()
-	w := newFrameWriter(conn, d.options.Counter)
-	beat := time.NewTicker(d.options.HeartbeatInterval)
-	defer beat.Stop()
-	told := ""
+	closeConn := func() { _ = opened.conn.Close() }
+	out := newOutbox(linkQueueLimits, closeConn)
+	d.registry.addLink(endpoint.Name, out)
+	defer d.registry.removeLink(endpoint.Name, out)
+	var reader sync.WaitGroup
+	defer reader.Wait()
+	defer closeConn()
+	defer context.AfterFunc(ctx, closeConn)()
+	reader.Go(func() { // ends with the connection
+		d.discardFrames(opened.reader)
+		closeConn()
+		out.endOfStream()
+	})
+	d.writeLink(ctx, opened.conn, out)
+	return nil
+}
+
+// discardFrames reads until the connection ends: announcements come on a link only to show that the other side is alive.
+func (d *Distributor) discardFrames(reader *bufio.Reader) {
 	for {
-		if w.writeFrames(out.drain()...) != nil || w.Flush() != nil {
-			return nil
-		}
-		select {
-		case <-d.ctx.Done():
-			return nil
-		case <-out.wake:
-		case <-beat.C:
-			var frame []byte
-			frame, told = d.heartbeatFrame(told)
-			out.enqueue(frame)
+		frame, err := readFrame(reader, maxDistributorFrame)
+		if err != nil {
+			return
 		}
+		d.options.Counter.In(frame.kind.String(), frame.size)
 	}
 }
 
-// sendHoldings tells all other distributors. The caller has the lock.
-func (d *Distributor) sendHoldings(h holdings) {
-	frame := encodeJSONFrame(kindHoldings, h)
-	for _, out := range d.links {
-		out.enqueue(frame)
+// writeLink writes what waits, and a heartbeat at each interval, until ctx ends or a write fails.
+func (d *Distributor) writeLink(ctx context.Context, conn net.Conn, out *outbox) {
+	writer := newFrameWriter(conn, d.options.Counter)
+	ticker := time.NewTicker(d.timing.heartbeat)
+	defer ticker.Stop()
+	var reported []byte
+	for writer.flushFrames(out.drain()...) == nil {
+		select {
+		case <-ctx.Done():
+			return
+		case <-out.wake:
+		case <-ticker.C:
+			summary := mustMarshal(d.ownSummary())
+			out.enqueue(summaryFrame(summary, reported))
+			reported = summary
+		}
 	}
 }
 
-// handleHoldings takes in whom another distributor holds. A pooler that has come there has left here, whatever its old stream says.
-func (d *Distributor) handleHoldings(name string, h holdings) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.directory.update(name, h)
-	for _, pooler := range h.Arrived {
-		if s := d.streams[pooler]; s != nil && !s.Distributor && !h.Complete {
-			_ = s.conn.Close()
-		}
+// summaryFrame is the frame of a link's heartbeat, which has the summary only where that differs from the one before it.
+func summaryFrame(summary, reported []byte) []byte {
+	if bytes.Equal(summary, reported) {
+		return encodeFrame(kindHeartbeat)
 	}
+	return encodeFrame(kindHeartbeat, summary)
 }
--- a/internal/fleet/distribution/outbox.go
+++ b/internal/fleet/distribution/outbox.go
@@ -1,72 +1,77 @@
 package distribution
 
 import (
-	"bufio"
-	"io"
-	"net"
+	"math"
 	"sync"
 )
 
-// The bounds of what may wait for a reader. Beyond them it is cut off: what the feeds hold it gets by version when it comes again.
-const (
-	maxQueuedFrames     = 512 // frames, in their order
-	maxQueuedBroadcasts = 1024
-	// maxQueuedBytes of queued frames and casts: a whole list of servers among them.
-	maxQueuedBytes = 4 << 20
-	// maxLinkQueuedBytes is the same between two distributors, where one stands for hundreds of poolers.
-	maxLinkQueuedBytes = 32 << 20
+// queueLimits bound what may wait for a reader. A reader is disconnected beyond them: what the resources hold it gets by its versions when
+// it calls again.
+type queueLimits struct{ bytes, frames, broadcasts int }
+
+// maxQueuedBytes bounds what may wait for a pooler, a whole list of servers among it, in bytes.
+const maxQueuedBytes = 4 << 20
+
+var (
+	poolerQueueLimits = queueLimits{bytes: maxQueuedBytes, frames: 512, broadcasts: 1024}
+	// linkQueueLimits hold for another distributor, which stands for hundreds of poolers.
+	linkQueueLimits = queueLimits{bytes: 32 << 20, frames: math.MaxInt, broadcasts: math.MaxInt}
 )
 
-// outbox is what waits for a stream's writer: frames in order, and the newest cast of each topic and speaker. It is safe for use by several goroutines.
+// outbox is what waits for a stream's writer: frames in their order, and of the broadcasts the newest of each topic and sender. It is safe
+// for use by several goroutines.
 type outbox struct {
-	wake     chan struct{}
-	maxBytes int // bytes
+	limits     queueLimits
+	onOverflow func()        // called once, when a limit is passed; it must not wait
+	wake       chan struct{} // has a token when the writer has something to look for
 
-	mu             sync.Mutex
-	queue          [][]byte
-	broadcasts     map[string][]byte
-	broadcastOrder []string // of casts
-	bytes          int
-	closed         bool
-	onOverflow     func() // called once, when a bound is passed; it must not wait
+	mu             sync.Mutex // guards the fields below
+	frames         [][]byte
+	broadcasts     map[string][]byte // by key
+	broadcastOrder []string          // keys
+	bytes          int               // of all frames and broadcasts
+	overflowed     bool              // nothing is taken any more
 }
 
-func newOutbox(most int, over func()) *outbox {
-	return &outbox{wake: make(chan struct{}, 1), maxBytes: most, broadcasts: map[string][]byte{}, onOverflow: over}
+func newOutbox(limits queueLimits, onOverflow func()) *outbox {
+	return &outbox{limits: limits, onOverflow: onOverflow, wake: make(chan struct{}, 1), broadcasts: map[string][]byte{}}
 }
 
-// enqueue queues a frame; ok false: the reader is cut off.
+// enqueue queues a frame; ok false: the reader is being disconnected, and the frame is dropped.
 func (o *outbox) enqueue(frame []byte) (ok bool) {
 	return o.add(func() {
-		o.queue = append(o.queue, frame)
+		o.frames = append(o.frames, frame)
 		o.bytes += len(frame)
 	})
 }
 
-// enqueueBroadcast puts a frame in the place of one with the same key that still waits.
-func (o *outbox) enqueueBroadcast(key string, frame []byte) (ok bool) {
-	return o.add(func() {
-		if old, waits := o.broadcasts[key]; waits {
-			o.bytes -= len(old)
-		} else {
+// endOfStream queues a frame of no bytes, which no peer sends: the writer ends at it.
+func (o *outbox) endOfStream() { o.enqueue(nil) }
+
+// enqueueBroadcast queues a frame in the place of one with the same key that still waits.
+func (o *outbox) enqueueBroadcast(key string, frame []byte) {
+	o.add(func() {
+		replaced, waits := o.broadcasts[key]
+		if !waits {
 			o.broadcastOrder = append(o.broadcastOrder, key)
 		}
 		o.broadcasts[key] = frame
-		o.bytes += len(frame)
+		o.bytes += len(frame) - len(replaced)
 	})
 }
 
-func (o *outbox) add(in func()) bool {
+// add changes what waits, and wakes the writer or, beyond a limit, disconnects the reader (ok false).
+func (o *outbox) add(change func()) (ok bool) {
 	o.mu.Lock()
-	if o.closed {
+	if o.overflowed {
 		o.mu.Unlock()
 		return false
 	}
-	in()
-	o.closed = o.bytes > o.maxBytes || len(o.queue) > maxQueuedFrames && o.maxBytes < maxLinkQueuedBytes || len(o.broadcasts) > maxQueuedBroadcasts && o.maxBytes < maxLinkQueuedBytes
-	over := o.closed
+	change()
+	o.overflowed = o.bytes > o.limits.bytes || len(o.frames) > o.limits.frames || len(o.broadcasts) > o.limits.broadcasts
+	overflowed := o.overflowed
 	o.mu.Unlock()
-	if over {
+	if overflowed {
 		o.onOverflow()
 		return false
 	}
@@ -74,7 +79,7 @@
 	return true
 }
 
-// wakeWriter has the writer look for what is new.
+// wakeWriter has the writer look for what is new, here and in the resources.
 func (o *outbox) wakeWriter() {
 	select {
 	case o.wake <- struct{}{}:
@@ -82,39 +87,16 @@
 	}
 }
 
-// drain is all that waits, the queue first.
+// drain takes all that waits, the frames before the broadcasts.
 func (o *outbox) drain() [][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := o.queue
+	waiting := o.frames
 	for _, key := range o.broadcastOrder {
-		out = append(out, o.broadcasts[key])
+		waiting = append(waiting, o.broadcasts[key])
 	}
-	o.queue, o.broadcastOrder, o.bytes = nil, nil, 0
+	o.frames, o.broadcastOrder = nil, nil
+	o.bytes = 0
 	clear(o.broadcasts)
-	return out
-}
-
-// frameWriter writes sealed frames to a connection, and counts them. It is not safe for use by several goroutines.
-type frameWriter struct {
-	*bufio.Writer
-	counter Counter
-}
-
-func newFrameWriter(w io.Writer, count Counter) frameWriter {
-	return frameWriter{bufio.NewWriterSize(w, 4<<10), count}
-}
-
-// writeFrames writes frames in their order. An empty one, which no peer sends, tells that the connection has ended.
-func (f frameWriter) writeFrames(all ...[]byte) error {
-	for _, frame := range all {
-		if len(frame) == 0 {
-			return net.ErrClosed
-		}
-		f.counter.Out(frameKind(frame).String(), len(frame))
-		if _, err := f.Write(frame); err != nil {
-			return err
-		}
-	}
-	return nil
+	return waiting
 }
--- a/internal/fleet/distribution/published_resource.go
+++ b/internal/fleet/distribution/published_resource.go
@@ -2,30 +2,35 @@
 
 import (
 	"context"
-	"encoding/json"
 	"sync"
 	"time"
 
 	"threadsail/internal/fleet/replication"
 )
 
-// publishedResource is a Feed as a distributor tells it: deltas and wholes are made once for all streams that need the same one. It is safe for
-// use by several goroutines.
+// publishedResource is a Resource as a distributor publishes it: a delta or snapshot is encoded once for all streams that need the same
+// one. It is safe for use by several goroutines.
 type publishedResource struct {
 	Resource
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	history       replication.History
-	deltaFrames   map[uint64][]byte // frames to the newest version, by the version that they begin at
-	snapshotFrame []byte
+	deltaFrames   map[uint64][]byte // to the newest version, by the version that they begin at
+	snapshotFrame []byte            // of the newest version; nil: not needed yet
 }
 
-// follow notes each version of the copy, and tells of it, until ctx ends.
-func (f *publishedResource) follow(ctx context.Context, news func()) {
+func newPublishedResource(resource Resource) *publishedResource {
+	published := &publishedResource{Resource: resource, history: replication.History{FullReplacement: resource.FullReplacement}}
+	published.record()
+	return published
+}
+
+// follow records each version of the replica, and calls onChange after it, until ctx ends.
+func (p *publishedResource) follow(ctx context.Context, onChange func()) {
 	for {
-		changed := f.Replica.Changed()
-		f.record()
-		news()
+		changed := p.Replica.Changed()
+		p.record()
+		onChange()
 		select {
 		case <-ctx.Done():
 			return
@@ -34,52 +39,62 @@
 	}
 }
 
-func (f *publishedResource) record() {
-	s := f.Replica.Snapshot()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if s.Version > f.history.Version() {
-		f.history.Record(s)
-		f.deltaFrames, f.snapshotFrame = map[uint64][]byte{}, nil
+// record takes the replica's snapshot into the history, if it is newer.
+func (p *publishedResource) record() {
+	snapshot := p.Replica.Snapshot()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if snapshot.Version <= p.history.Version() {
+		return
 	}
+	p.history.Record(snapshot)
+	p.deltaFrames = map[uint64][]byte{}
+	p.snapshotFrame = nil
+}
+
+// publishedUpdate is the frame that brings a replica to a version.
+type publishedUpdate struct {
+	frame   []byte // nil: there is nothing newer
+	version uint64 // the newest
 }
 
-// frameSince is the frame that brings a copy of a version to the newest one; nil: it is not older.
-func (f *publishedResource) frameSince(version uint64) (k frameKindID, frame []byte, newest uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	newest = f.history.Version()
+// isSnapshot tells whether the update is a snapshot.
+func (u publishedUpdate) isSnapshot() bool { return frameKind(u.frame) == kindSnapshot }
+
+// updateSince is what a replica of a version lacks: a delta where the history reaches back to it, and else a snapshot.
+func (p *publishedResource) updateSince(version uint64) publishedUpdate {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	newest := p.history.Version()
 	if version >= newest {
-		return 0, nil, newest
+		return publishedUpdate{version: newest}
 	}
-	if frame := f.deltaFrames[version]; frame != nil {
-		return kindDelta, frame, newest
+	if frame := p.deltaFrames[version]; frame != nil {
+		return publishedUpdate{frame, newest}
 	}
-	if d, ok := f.history.DeltaSince(version); ok {
-		frame = f.encodeFrame(kindDelta, d)
-		f.deltaFrames[version] = frame
-		return kindDelta, frame, newest
+	if delta, ok := p.history.DeltaSince(version); ok {
+		frame := p.encode(kindDelta, delta)
+		p.deltaFrames[version] = frame
+		return publishedUpdate{frame, newest}
 	}
-	if f.snapshotFrame == nil {
-		f.snapshotFrame = f.encodeFrame(kindSnapshot, f.history.Snapshot())
+	if p.snapshotFrame == nil {
+		p.snapshotFrame = p.encode(kindSnapshot, p.history.Snapshot())
 	}
-	return kindSnapshot, f.snapshotFrame, newest
+	return publishedUpdate{p.snapshotFrame, newest}
 }
 
-func (f *publishedResource) encodeFrame(k frameKindID, v any) []byte {
-	text, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // documents are bytes
-	}
-	return encodeFrame(k, prependNames(text, f.Name))
+// encode is the frame of an update, with the resource's name before its JSON.
+func (p *publishedResource) encode(kind frameKindID, update any) []byte {
+	return encodeFrame(kind, prependNames(mustMarshal(update), p.Name))
 }
 
-// announcement is what confirms the feed's version now. The version is read after the time: as of that time nothing was newer.
-func (f *publishedResource) announcement(now time.Time) resourceAnnouncement {
-	at := f.Replica.ConfirmedAt()
-	w := resourceAnnouncement{Resource: f.Name, Version: f.Replica.Version()}
-	if !at.IsZero() {
-		w.ConfirmedAtUnixNano, w.Age = at.UnixNano(), now.Sub(at)
+// announcement tells as of when no version newer than the replica's was known. The version is read after that time.
+func (p *publishedResource) announcement(now time.Time) resourceAnnouncement {
+	confirmedAt := p.Replica.ConfirmedAt()
+	a := resourceAnnouncement{Resource: p.Name, Version: p.Replica.Version()}
+	if !confirmedAt.IsZero() {
+		a.ConfirmedAtUnixNano = confirmedAt.UnixNano()
+		a.Age = now.Sub(confirmedAt)
 	}
-	return w
+	return a
 }
--- a/internal/fleet/distribution/rank.go
+++ b/internal/fleet/distribution/rank.go
@@ -7,36 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank is how a pooler prefers distributors: those of its own region first, within a region by rendezvous hashing, so that poolers
-// spread evenly, that all which know the same distributors agree, and that those of a distributor which is lost spread over all
-// the others. Loads are bounded where the poolers arrive: see room.
-func Rank(pooler, region string, all []Endpoint) []Endpoint {
-	out := slices.Clone(all)
-	weight := func(p Endpoint) uint64 { return xxhash.Sum64String(pooler + "\x00" + p.Name) }
-	far := func(p Endpoint) int {
-		if p.Region == region {
+// Rank orders distributors by a pooler's preference: those of its own region first, and within a region by rendezvous hashing, so that
+// poolers spread evenly, all that know the same distributors agree, and the poolers of a lost distributor spread over all others.
+// Loads are bounded where the poolers call: see streamLimit.
+func Rank(pooler, region string, distributors []Endpoint) []Endpoint {
+	distance := func(e Endpoint) int {
+		if e.Region == region {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(out, func(a, b Endpoint) int {
-		return cmp.Or(cmp.Compare(far(a), far(b)), cmp.Compare(weight(b), weight(a)), cmp.Compare(a.Name, b.Name))
+	weight := func(e Endpoint) uint64 { return xxhash.Sum64String(pooler + "\x00" + e.Name) }
+	ranked := slices.Clone(distributors)
+	slices.SortStableFunc(ranked, func(a, b Endpoint) int {
+		return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(weight(b), weight(a)), cmp.Compare(a.Name, b.Name))
 	})
-	return out
+	return ranked
 }
 
-// deprioritize moves those that were lost lately behind all others, in their order.
-func deprioritize(ranked []Endpoint, lately func(Endpoint) bool) []Endpoint {
-	out := slices.Clone(ranked)
-	slices.SortStableFunc(out, func(a, b Endpoint) int {
-		x, y := lately(a), lately(b)
-		switch {
-		case x == y:
-			return 0
-		case y:
-			return -1
+// deprioritize moves the distributors that are to be avoided behind all others, and keeps the order otherwise.
+func deprioritize(ranked []Endpoint, avoided func(Endpoint) bool) []Endpoint {
+	order := make([]Endpoint, 0, len(ranked))
+	var last []Endpoint
+	for _, endpoint := range ranked {
+		if avoided(endpoint) {
+			last = append(last, endpoint)
+		} else {
+			order = append(order, endpoint)
 		}
-		return 1
-	})
-	return out
+	}
+	return append(order, last...)
 }
--- a/internal/fleet/distribution/stream_test.go
+++ b/internal/fleet/distribution/stream_test.go
@@ -319,18 +319,18 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		in := bufio.NewReader(bytes.NewReader(text))
 		for {
-			k, body, size, err := readFrame(in, maxPoolerFrame)
+			frame, err := readFrame(in, maxPoolerFrame)
 			if err != nil {
 				return
 			}
-			if size > len(text) || len(body) >= size {
-				t.Errorf("%d bytes of %d", size, len(text))
+			if frame.size > len(text) || len(frame.body) >= frame.size {
+				t.Errorf("%d bytes of %d", frame.size, len(text))
 			}
 			var to, from, topic string
-			if rest, err := splitNames(body, &to, &from, &topic); err == nil && !bytes.Equal(prependNames(rest, to, from, topic), body) {
+			if rest, err := splitNames(frame.body, &to, &from, &topic); err == nil && !bytes.Equal(prependNames(rest, to, from, topic), frame.body) {
 				t.Skip("a length in more bytes than it needs")
 			}
-			_, _ = nextSnapshot(k, body, replication.Snapshot{Version: 3})
+			_, _, _ = nextSnapshot(frame.kind, frame.body, replication.Snapshot{Version: 3})
 		}
 	})
 }
--- /dev/null
+++ b/internal/fleet/distribution/subscriber_stream.go
@@ -0,0 +1,187 @@
+package distribution
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"sync"
+	"time"
+
+	"threadsail/internal/fleet/replication"
+)
+
+// useStream uses a stream until it ends, and returns why; or until the preferred distributor admits the pooler again, whose stream is
+// the replacement then.
+func (s *Subscriber) useStream(ctx context.Context, stream *openedStream) (replacement *openedStream, err error) {
+	streamCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	closeConn := func() { _ = stream.conn.Close() }
+	defer closeConn()
+	defer context.AfterFunc(streamCtx, closeConn)()
+	out := newOutbox(poolerQueueLimits, closeConn)
+	s.setStream(stream.Name, out)
+	defer s.setStream("", nil)
+
+	replacements := make(chan *openedStream, 1)
+	var running sync.WaitGroup
+	running.Go(func() { // ends with streamCtx, or where a write fails
+		if err := s.writeStream(streamCtx, stream.conn, out); err != nil {
+			closeConn()
+		}
+	})
+	running.Go(func() { s.returnToPreferred(ctx, streamCtx, stream, replacements) }) // ends after streamCtx, and a call
+	err = s.readStream(stream)
+	cancel()
+	running.Wait()
+	select {
+	case replacement = <-replacements:
+	default:
+	}
+	return replacement, err
+}
+
+// setStream sets the stream that messages take.
+func (s *Subscriber) setStream(distributor string, out *outbox) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.distributor = distributor
+	s.outbox = out
+}
+
+// writeStream sends a heartbeat at each interval, with a report where that has changed, and what waits in the outbox, until ctx ends or
+// a write fails.
+func (s *Subscriber) writeStream(ctx context.Context, conn net.Conn, out *outbox) error {
+	writer := newFrameWriter(conn, s.options.Counter)
+	ticker := time.NewTicker(s.timing.heartbeat)
+	defer ticker.Stop()
+	var reported heartbeat
+	for due := true; ; {
+		frames := out.drain()
+		if due {
+			report := s.report()
+			frames = append(frames, heartbeatFrame(report, reported))
+			reported = report
+		}
+		if err := writer.flushFrames(frames...); err != nil {
+			return err
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-out.wake:
+			due = false
+		case <-ticker.C:
+			due = true
+		}
+	}
+}
+
+// heartbeatFrame is the frame of a heartbeat, which has a report only where that differs from the one before it.
+func heartbeatFrame(report, reported heartbeat) []byte {
+	if report.Status == reported.Status && maps.Equal(report.Versions, reported.Versions) {
+		return encodeFrame(kindHeartbeat)
+	}
+	return encodeJSONFrame(kindHeartbeat, report)
+}
+
+// readStream takes in what the distributor sends, until the connection fails, or the distributor breaks the protocol or lags for too long.
+func (s *Subscriber) readStream(stream *openedStream) error {
+	lag := lagDetector{limit: s.timing.maxLag()}
+	for {
+		frame, err := readFrame(stream.reader, maxDistributorFrame)
+		if err != nil {
+			return err
+		}
+		s.options.Counter.In(frame.kind.String(), frame.size)
+		if err := s.handleFrame(frame, &lag); err != nil {
+			return err
+		}
+	}
+}
+
+// handleFrame takes in one frame. An error ends the stream.
+func (s *Subscriber) handleFrame(frame receivedFrame, lag *lagDetector) error {
+	switch frame.kind {
+	case kindAnnouncement:
+		differs, err := s.handleAnnouncement(frame.body)
+		if err != nil {
+			return err
+		}
+		if lag.observe(differs, time.Now()) {
+			return errDistributorLags
+		}
+	case kindDelta, kindSnapshot:
+		return s.handleUpdate(frame)
+	case kindMessage:
+		m, err := decodeMessage(frame.body)
+		if err != nil {
+			return err
+		}
+		s.dispatch(m.from, m.topic, m.body)
+	case kindBroadcast:
+		b, err := decodeBroadcast(frame.body)
+		if err != nil {
+			return err
+		}
+		s.dispatch(b.from, b.topic, b.body)
+	default:
+		return fmt.Errorf("%w: %s", errMalformedFrame, frame.kind)
+	}
+	return nil
+}
+
+// handleAnnouncement confirms the replicas by what the distributor knows. differs: it announces another version of one than this pooler
+// holds.
+func (s *Subscriber) handleAnnouncement(body []byte) (differs bool, err error) {
+	var a announcement
+	if err := decodeJSON(body, &a); err != nil {
+		return false, err
+	}
+	s.mu.Lock()
+	s.fleetSize = a.Poolers
+	s.mu.Unlock()
+	now := time.Now()
+	for _, resource := range s.options.Resources {
+		for _, announced := range a.Resources {
+			if announced.Resource != resource.Name {
+				continue
+			}
+			differs = differs || announced.Version != resource.Replica.Version()
+			s.confirm(resource, announced, now)
+		}
+	}
+	return differs, nil
+}
+
+// confirm confirms a replica by an announcement of its resource, if the distributor's own was ever confirmed.
+func (s *Subscriber) confirm(resource Resource, announced resourceAnnouncement, now time.Time) {
+	if announced.ConfirmedAtUnixNano <= 0 {
+		return
+	}
+	confirmedAt := replication.ConfirmationTime(now, announced.ConfirmedAtUnixNano, announced.Age)
+	if !resource.Replica.Confirm(announced.Version, confirmedAt) {
+		s.logger.logOnce("newer "+resource.Name, fmt.Sprintf("distribution: replica of %s is newer (version %d) than the voters' log (version %d); "+
+			"if that log has begun anew, stop this pooler, empty shared.dir and start it", resource.Name, resource.Replica.Version(), announced.Version))
+	}
+}
+
+// handleUpdate installs a newer version of a resource, complete, or changes nothing.
+func (s *Subscriber) handleUpdate(frame receivedFrame) error {
+	var name string
+	text, err := splitNames(frame.body, &name)
+	if err != nil {
+		return err
+	}
+	for _, resource := range s.options.Resources {
+		if resource.Name != name {
+			continue
+		}
+		next, newer, err := nextSnapshot(frame.kind, text, resource.Replica.Snapshot())
+		if newer {
+			resource.Replica.Install(next)
+		}
+		return err
+	}
+	return fmt.Errorf("%w: %s", errUnknownResource, name)
+}
--- a/internal/fleet/distribution/summary.go
+++ b/internal/fleet/distribution/summary.go
@@ -1,89 +1,94 @@
 package distribution
 
-import "encoding/json"
-
-// maxSummaryKeys bounds how many builds and configurations a summary tells apart; the rest is counted under "".
+// maxSummaryKeys bounds how many builds and configurations a summary tells apart; further ones are counted under "".
 const maxSummaryKeys = 16
 
-// Summary is what poolers tell of themselves, summed over those of a distributor, or over all.
+// Summary adds up the reports of poolers: of one distributor's, or of all.
 type Summary struct {
 	Poolers       int            `json:"poolers"`
 	Lagging       int            `json:"behind,omitempty"` // poolers whose documents are older than their distributor's
-	OldestVersion uint64         `json:"oldest,omitempty"` // version of the documents in force at any of them; 0: at none, or none has any
-	Builds        map[string]int `json:"builds,omitempty"`
+	OldestVersion uint64         `json:"oldest,omitempty"` // of the documents in force at any pooler; 0: one has none, or all have
+	Builds        map[string]int `json:"builds,omitempty"` // poolers by Status.Build
 	Configs       map[string]int `json:"configs,omitempty"`
 }
 
-// add counts a pooler, or the poolers of another summary.
-func (s *Summary) add(o Summary) {
-	if s.Poolers == 0 || o.Poolers > 0 && o.OldestVersion < s.OldestVersion {
-		s.OldestVersion = o.OldestVersion
+// summaryOf is the summary of one pooler, by its report on the documents and the distributor's version of them.
+func summaryOf(report heartbeat, documents string, newest uint64) Summary {
+	one := Summary{Poolers: 1, Builds: map[string]int{report.Status.Build: 1}, Configs: map[string]int{report.Status.Config: 1}}
+	if newest == 0 {
+		return one
+	}
+	one.OldestVersion = report.Versions[documents]
+	if one.OldestVersion < newest {
+		one.Lagging = 1
 	}
-	s.Poolers += o.Poolers
-	s.Lagging += o.Lagging
-	addCounts(&s.Builds, o.Builds)
-	addCounts(&s.Configs, o.Configs)
+	return one
 }
 
-func addCounts(into *map[string]int, counts map[string]int) {
-	if *into == nil {
-		*into = map[string]int{}
-	}
-	for kind, n := range counts {
-		if _, known := (*into)[kind]; !known && len(*into) >= maxSummaryKeys {
-			kind = ""
-		}
-		(*into)[kind] += n
+// add adds other poolers to a summary.
+func (s *Summary) add(other Summary) {
+	if s.Poolers == 0 || other.Poolers > 0 && other.OldestVersion < s.OldestVersion {
+		s.OldestVersion = other.OldestVersion
 	}
+	s.Poolers += other.Poolers
+	s.Lagging += other.Lagging
+	addCounts(&s.Builds, other.Builds)
+	addCounts(&s.Configs, other.Configs)
 }
 
-// ownSummary sums this distributor's poolers. The caller has the lock.
-func (d *Distributor) ownSummary() (s Summary) {
-	newest := uint64(0)
-	if len(d.resources) > 0 {
-		newest = d.resources[0].Replica.Version()
+// addCounts adds counts to a total of up to maxSummaryKeys keys.
+func addCounts(total *map[string]int, counts map[string]int) {
+	if *total == nil {
+		*total = map[string]int{}
 	}
-	for _, p := range d.streams {
-		if p.Distributor {
-			continue
+	for key, count := range counts {
+		if _, known := (*total)[key]; !known && len(*total) >= maxSummaryKeys {
+			key = ""
 		}
-		one := Summary{Poolers: 1, Builds: map[string]int{p.status.Build: 1}, Configs: map[string]int{p.status.Config: 1}}
-		if newest > 0 {
-			if one.OldestVersion = p.versionsInForce[d.resources[0].Name]; one.OldestVersion < newest {
-				one.Lagging = 1
-			}
-		}
-		s.add(one)
+		(*total)[key] += count
 	}
-	return s
 }
 
-// Summary is of this distributor's poolers, and of all poolers as the distributors that are alive told last. Documents are those of the
-// first feed.
+// Summary is of this distributor's poolers (own), and of all poolers as the live distributors have reported them. Versions are those of
+// the first resource, the documents.
 func (d *Distributor) Summary() (own, all Summary) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
 	own = d.ownSummary()
 	all.add(own)
-	for _, t := range d.directory.links {
-		if t.openLinks > 0 && t.summary.Poolers > 0 {
-			all.add(t.summary)
-		}
+	for _, reported := range d.registry.reportedSummaries() {
+		all.add(reported)
 	}
 	return own, all
 }
 
-// heartbeatFrame is what a link tells each beat: the summary, where it has changed.
-func (d *Distributor) heartbeatFrame(told string) (frame []byte, now string) {
-	d.mu.Lock()
-	own := d.ownSummary()
-	d.mu.Unlock()
-	text, err := json.Marshal(own)
-	if err != nil {
-		panic(err) // numbers and strings
+// ownSummary is of this distributor's poolers.
+func (d *Distributor) ownSummary() Summary {
+	if len(d.resources) == 0 {
+		return d.registry.summary("", 0)
 	}
-	if now = string(text); now == told {
-		return encodeFrame(kindHeartbeat), now
+	documents := d.resources[0]
+	return d.registry.summary(documents.Name, documents.Replica.Version())
+}
+
+// summary is of the poolers whose streams end here.
+func (r *registry) summary(documents string, newest uint64) (total Summary) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, s := range r.streams {
+		if !s.Distributor {
+			total.add(summaryOf(s.report, documents, newest))
+		}
+	}
+	return total
+}
+
+// reportedSummaries are those of the live distributors that have reported poolers.
+func (r *registry) reportedSummaries() (summaries []Summary) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, state := range r.directory.distributors {
+		if state.openLinks > 0 && state.summary.Poolers > 0 {
+			summaries = append(summaries, state.summary)
+		}
 	}
-	return encodeFrame(kindHeartbeat, text), now
+	return summaries
 }
