--- a/internal/fleet/distribution/admission.go
+++ b/internal/fleet/distribution/admission.go
@@ -14,7 +14,7 @@
 	minStreamLimit = 64
 	// maxStreams bounds the descriptors of streams, whoever calls: the largest fleet fits on one distributor.
 	maxStreams = 8192
-	// maxPendingCalls bounds the connections that have not said hello yet.
+	// maxPendingCalls bounds the connections that have not sent a hello yet.
 	maxPendingCalls = 1024
 	// admissionInterval is the time between two new streams, and admissionBurst how many may come at once. A whole fleet of 5,000 comes
 	// to 18 distributors, 278 each, within 0.5 s; the poolers of a lost one, 16 for each of the others, at once.
@@ -31,7 +31,7 @@
 	lastRetryAt time.Time // the latest time that a caller was told to come back at
 }
 
-// admit tells whether a caller is admitted now (retryAfter 0), or after how long it is to call again. Each that is to call again is
+// admit returns after how long a caller is to call again; 0: it is admitted now. Each that is to call again is
 // given a time of its own, so that a thousand at once are spread at the pace, and not again and again at random.
 func (a *admission) admit(now time.Time) (retryAfter time.Duration) {
 	earliest := now.Add(-admissionBurst * admissionInterval)
@@ -49,7 +49,7 @@
 	return a.lastRetryAt.Sub(now)
 }
 
-// streamLimit is how many streams a distributor holds at most before it refuses callers as full, where the distributors of its region,
+// streamLimit returns how many streams a distributor holds at most before it refuses callers as full, where the distributors of its region,
 // itself among them, hold so many streams together.
 func streamLimit(streams, distributors int) int {
 	mean := float64(streams+1) / float64(max(distributors, 1))
--- a/internal/fleet/distribution/conn.go
+++ b/internal/fleet/distribution/conn.go
@@ -49,7 +49,7 @@
 		if len(frame) == 0 {
 			return net.ErrClosed
 		}
-		w.counter.Out(frameKind(frame).String(), len(frame))
+		w.counter.Out(kindOfFrame(frame).String(), len(frame))
 		if _, err := w.Write(frame); err != nil {
 			return err
 		}
--- a/internal/fleet/distribution/dial.go
+++ b/internal/fleet/distribution/dial.go
@@ -15,8 +15,8 @@
 	counter Counter
 }
 
-// openedStream is a stream that a distributor has admitted.
-type openedStream struct {
+// clientStream is a stream that a distributor has admitted.
+type clientStream struct {
 	Endpoint
 	conn   net.Conn
 	reader *bufio.Reader
@@ -24,7 +24,7 @@
 
 // open calls a distributor, whose answer must come within a timeout, as there are others to call. Errors are refusedError,
 // errMalformedFrame, errFrameTooLong, and the network's.
-func (d streamDialer) open(ctx context.Context, endpoint Endpoint, timeout time.Duration, h hello) (*openedStream, error) {
+func (d streamDialer) open(ctx context.Context, endpoint Endpoint, timeout time.Duration, h hello) (*clientStream, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	plain, err := d.dial(callCtx, endpoint.Addr)
@@ -42,10 +42,10 @@
 		_ = plain.Close()
 		return nil, err
 	}
-	return &openedStream{endpoint, conn, reader}, nil
+	return &clientStream{endpoint, conn, reader}, nil
 }
 
-// handshake says hello, and waits for the welcome.
+// handshake sends the hello and waits for the welcome.
 func (d streamDialer) handshake(conn net.Conn, reader *bufio.Reader, h hello) error {
 	frame := encodeJSONFrame(kindHello, h)
 	if _, err := conn.Write(frame); err != nil {
--- a/internal/fleet/distribution/directory.go
+++ b/internal/fleet/distribution/directory.go
@@ -21,7 +21,7 @@
 	return directory{distributorOf: map[string]string{}, distributors: map[string]*distributorState{}}
 }
 
-// linkOpened takes in that a distributor has called.
+// linkOpened records that a distributor has opened a link.
 func (d *directory) linkOpened(name, region string) {
 	state := d.distributors[name]
 	if state == nil {
@@ -32,7 +32,7 @@
 	state.openLinks++
 }
 
-// linkClosed takes in that a distributor's link has ended. Its poolers are kept for a while: they are on their way to others, and quota
+// linkClosed records that a distributor's link has ended. Its poolers are kept for a while: they are on their way to others, and quota
 // shares that depend on the fleet's size must not grow for a link that was reset.
 func (d *directory) linkClosed(name string, now time.Time) {
 	if state := d.distributors[name]; state != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// update takes in the holdings that a distributor reports.
+// update records the holdings that a distributor reports.
 func (d *directory) update(name string, h holdings) {
 	state := d.distributors[name]
 	if state == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// alive are the distributors that have a link open here.
+// alive returns the distributors that have a link open here.
 func (d *directory) alive() (names []string) {
 	for name, state := range d.distributors {
 		if state.openLinks > 0 {
@@ -95,7 +95,7 @@
 	return names
 }
 
-// load is how many streams the other live distributors of a region hold, and how many of those distributors there are.
+// load returns how many streams the other live distributors of a region hold, and how many of those distributors there are.
 func (d *directory) load(region string) (streams, distributors int) {
 	for _, state := range d.distributors {
 		if state.region == region && state.openLinks > 0 {
--- a/internal/fleet/distribution/distributor.go
+++ b/internal/fleet/distribution/distributor.go
@@ -33,7 +33,7 @@
 	listener      net.Listener
 	resources     []*publishedResource
 	snapshotSlots chan struct{} // holds a token for each snapshot that is being written
-	pendingCalls  chan struct{} // holds a token for each connection that has not said hello yet
+	pendingCalls  chan struct{} // holds a token for each connection that has not sent a hello yet
 	cancel        context.CancelFunc
 	running       sync.WaitGroup
 	registry      registry
@@ -93,7 +93,7 @@
 		select {
 		case d.pendingCalls <- struct{}{}:
 			d.running.Go(func() { d.serve(ctx, conn) }) // ends with ctx or the connection; Close waits for it
-		default: // more than a whole fleet calls, and says nothing
+		default: // more than a whole fleet calls, and sends nothing
 			_ = conn.Close()
 		}
 	}
--- a/internal/fleet/distribution/distributor_bus.go
+++ b/internal/fleet/distribution/distributor_bus.go
@@ -11,7 +11,7 @@
 // Self is documented with bus.Bus.
 func (d *Distributor) Self() string { return d.options.Name }
 
-// Members are the distributors that are alive, which any pooler may call.
+// Members returns the distributors that are alive, which any pooler may call.
 func (d *Distributor) Members() []string {
 	members := append(d.registry.aliveDistributors(), d.options.Name)
 	slices.Sort(members)
@@ -21,7 +21,7 @@
 // Size is documented with bus.Bus.
 func (d *Distributor) Size() int { return d.registry.fleetSize() }
 
-// StreamCount is how many poolers' streams end here.
+// StreamCount returns how many poolers' streams end here.
 func (d *Distributor) StreamCount() int { return d.registry.streamCount() }
 
 // Send is documented with bus.Bus.
@@ -45,7 +45,7 @@
 }
 
 // handleMessage forwards a message towards its pooler. One from another distributor goes no further than to this one's poolers.
-func (d *Distributor) handleMessage(s *stream, body []byte) error {
+func (d *Distributor) handleMessage(s *serverStream, body []byte) error {
 	m, err := decodeMessage(body)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 
 // handleBroadcast forwards a broadcast: a pooler's to this distributor's poolers and the other distributors, a distributor's to this
 // one's poolers.
-func (d *Distributor) handleBroadcast(s *stream, body []byte) error {
+func (d *Distributor) handleBroadcast(s *serverStream, body []byte) error {
 	b, err := decodeBroadcast(body)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 }
 
 // checkSender refuses a message that a pooler sends under another's name. Distributors forward the messages of others.
-func checkSender(s *stream, from string) error {
+func checkSender(s *serverStream, from string) error {
 	if from != s.Name && !s.Distributor {
 		return fmt.Errorf("%w: it speaks for %s", errMalformedFrame, from)
 	}
--- a/internal/fleet/distribution/distributor_stream.go
+++ b/internal/fleet/distribution/distributor_stream.go
@@ -36,13 +36,13 @@
 	defer d.registry.remove(s)
 	err = d.useStream(ctx, reader, s)
 	if isProtocolError(err) {
-		d.logRefusalOnce(h.Name+": "+faultKind(err).Error(), h.Name, err.Error())
+		d.logRefusalOnce(h.Name+": "+sentinelOf(err).Error(), h.Name, err.Error())
 	}
 }
 
-// newStream is the stream of a caller that is not admitted yet.
-func (d *Distributor) newStream(conn net.Conn, h hello) *stream {
-	s := &stream{hello: h, conn: conn, report: heartbeat{Versions: h.Versions, Status: h.Status}}
+// newStream returns the stream of a caller that is not admitted yet.
+func (d *Distributor) newStream(conn net.Conn, h hello) *serverStream {
+	s := &serverStream{hello: h, conn: conn, report: heartbeat{Versions: h.Versions, Status: h.Status}}
 	for _, resource := range d.resources {
 		s.sentVersions = append(s.sentVersions, h.Versions[resource.Name])
 	}
@@ -53,8 +53,8 @@
 	return s
 }
 
-// admit takes a caller in, or tells why not.
-func (d *Distributor) admit(s *stream) *refusal {
+// admit admits a caller, or returns the refusal.
+func (d *Distributor) admit(s *serverStream) *refusal {
 	if err := s.validate(); err != nil {
 		return &refusal{Reason: err.Error()}
 	}
@@ -81,7 +81,7 @@
 }
 
 // useStream reads and writes an admitted caller's stream until it ends, and returns why.
-func (d *Distributor) useStream(ctx context.Context, reader *bufio.Reader, s *stream) error {
+func (d *Distributor) useStream(ctx context.Context, reader *bufio.Reader, s *serverStream) error {
 	var writer sync.WaitGroup
 	writer.Go(func() { // ends with ctx, at the end of the outbox, or where a write fails
 		if err := d.writeStream(ctx, s); err != nil {
@@ -95,8 +95,8 @@
 	return err
 }
 
-// readStream takes in what a caller sends, until the connection fails or the caller breaks the protocol.
-func (d *Distributor) readStream(reader *bufio.Reader, s *stream) error {
+// readStream handles what a caller sends, until the connection fails or the caller breaks the protocol.
+func (d *Distributor) readStream(reader *bufio.Reader, s *serverStream) error {
 	maxLength := maxPoolerFrame
 	if s.Distributor { // it may forward what was sent down to it
 		maxLength = maxDistributorFrame
@@ -113,8 +113,8 @@
 	}
 }
 
-// handleFrame takes in one frame. An error ends the stream.
-func (d *Distributor) handleFrame(s *stream, frame receivedFrame) error {
+// handleFrame handles one frame. An error ends the stream.
+func (d *Distributor) handleFrame(s *serverStream, frame receivedFrame) error {
 	switch {
 	case frame.kind == kindHeartbeat:
 		return d.handleHeartbeat(s, frame.body)
@@ -134,8 +134,8 @@
 	}
 }
 
-// handleHeartbeat takes in a pooler's report, or a distributor's summary; neither has changed where the body is empty.
-func (d *Distributor) handleHeartbeat(s *stream, body []byte) error {
+// handleHeartbeat records a pooler's report, or a distributor's summary; neither has changed where the body is empty.
+func (d *Distributor) handleHeartbeat(s *serverStream, body []byte) error {
 	if len(body) == 0 {
 		return nil
 	}
@@ -157,7 +157,7 @@
 
 // writeStream sends a caller what it lacks, an announcement at each heartbeat and after each update, and what waits in the outbox, until
 // ctx ends or a write fails.
-func (d *Distributor) writeStream(ctx context.Context, s *stream) error {
+func (d *Distributor) writeStream(ctx context.Context, s *serverStream) error {
 	writer := newFrameWriter(s.conn, d.options.Counter)
 	if err := writer.writeFrames(encodeFrame(kindWelcome)); err != nil {
 		return err
@@ -180,7 +180,7 @@
 }
 
 // writePending writes what waits, the updates that a pooler lacks, and an announcement if it is due or there was an update.
-func (d *Distributor) writePending(ctx context.Context, s *stream, writer frameWriter, due bool) error {
+func (d *Distributor) writePending(ctx context.Context, s *serverStream, writer frameWriter, due bool) error {
 	if err := writer.writeFrames(s.outbox.drain()...); err != nil {
 		return err
 	}
@@ -197,8 +197,8 @@
 	return writer.flushFrames(encodeJSONFrame(kindAnnouncement, d.announcement()))
 }
 
-// writeUpdates writes what a pooler lacks of the resources, and tells whether it lacked anything.
-func (d *Distributor) writeUpdates(ctx context.Context, s *stream, writer frameWriter) (updated bool, err error) {
+// writeUpdates writes what a pooler lacks of the resources, and reports whether it lacked anything.
+func (d *Distributor) writeUpdates(ctx context.Context, s *serverStream, writer frameWriter) (updated bool, err error) {
 	for i, resource := range d.resources {
 		update := resource.updateSince(s.sentVersions[i])
 		if update.frame == nil {
@@ -227,7 +227,7 @@
 	}
 }
 
-// announcement is what the distributor knows of its resources and of the fleet's size now.
+// announcement returns what the distributor knows of its resources and of the fleet's size now.
 func (d *Distributor) announcement() announcement {
 	a := announcement{Poolers: d.Size()}
 	now := time.Now()
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -12,8 +12,8 @@
 	errDistributorLags = errors.New("distributor stays behind this pooler's replicas")
 )
 
-// faultKind is the sentinel error that an error wraps, without its versions and lengths; the error itself where it wraps none.
-func faultKind(err error) error {
+// sentinelOf returns the sentinel error that an error wraps, without its versions and lengths; the error itself where it wraps none.
+func sentinelOf(err error) error {
 	for _, sentinel := range []error{errMalformedFrame, errFrameTooLong, errDeltaGap, errUnknownResource, errDistributorLags} {
 		if errors.Is(err, sentinel) {
 			return sentinel
--- a/internal/fleet/distribution/faults_test.go
+++ b/internal/fleet/distribution/faults_test.go
@@ -94,7 +94,7 @@
 			for ; len(due) > 0 && why == nil; asked++ {
 				at := heap.Pop(&due).(time.Duration)
 				time.Sleep(time.Until(begun.Add(at)))
-				no := d.admit(&stream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", asked)}})
+				no := d.admit(&serverStream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", asked)}})
 				switch {
 				case no == nil:
 					took = append(took, at)
@@ -334,7 +334,7 @@
 // pooler has each change from another.
 func TestBadDistributor(t *testing.T) {
 	welcome := encodeFrame(kindWelcome)
-	text := func(k frameKindID, feed, json string) []byte { return encodeFrame(k, prependNames([]byte(json), feed)) }
+	text := func(k frameKind, feed, json string) []byte { return encodeFrame(k, prependNames([]byte(json), feed)) }
 	ended, refused := "the stream to x has ended", "x refuses this pooler: protocol 2"
 	for what, c := range map[string]struct {
 		says  [][]byte
@@ -450,7 +450,7 @@
 					})
 					time.Sleep(testHeartbeat / 10)
 					answer, _ := bufio.NewReader(conn).Peek(2)
-					if refused := frameKind(append(answer, 0)) == kindRefusal; refused != (c.says == nil) {
+					if refused := kindOfFrame(append(answer, 0)) == kindRefusal; refused != (c.says == nil) {
 						t.Errorf("answered by %q", answer)
 					}
 					_ = conn.SetReadDeadline(time.Now().Add(testHeartbeat / 10)) // fails once it has ended
--- a/internal/fleet/distribution/frame.go
+++ b/internal/fleet/distribution/frame.go
@@ -12,28 +12,28 @@
 
 // A frame on a connection is the length of what follows as a uvarint, its kind in a byte, and its body.
 
-// frameKindID is a frame's kind.
-type frameKindID byte
+// frameKind is a frame's kind.
+type frameKind byte
 
 // The kinds of frames. "Up" is from the caller to the distributor that it has called.
 const (
-	kindHello        frameKindID = iota + 1 // up, first: JSON hello
-	kindWelcome                             // down, first: the call is admitted; no body
-	kindRefusal                             // down, first and last: JSON refusal
-	kindHeartbeat                           // up, each heartbeat: JSON heartbeat, on links JSON Summary; no body where nothing has changed
-	kindAnnouncement                        // down, each heartbeat and at each change: JSON announcement
-	kindDelta                               // down: update with a JSON replication.Delta
-	kindSnapshot                            // down: update with a JSON replication.Snapshot
-	kindMessage                             // both ways: message
-	kindBroadcast                           // both ways: broadcast
-	kindHoldings                            // up, on links: JSON holdings
+	kindHello        frameKind = iota + 1 // up, first: JSON hello
+	kindWelcome                           // down, first: the call is admitted; no body
+	kindRefusal                           // down, first and last: JSON refusal
+	kindHeartbeat                         // up, each heartbeat: JSON heartbeat, on links JSON Summary; no body where nothing has changed
+	kindAnnouncement                      // down, each heartbeat and at each change: JSON announcement
+	kindDelta                             // down: update with a JSON replication.Delta
+	kindSnapshot                          // down: update with a JSON replication.Snapshot
+	kindMessage                           // both ways: message
+	kindBroadcast                         // both ways: broadcast
+	kindHoldings                          // up, on links: JSON holdings
 )
 
 // kindNames are the names that frames are counted under; some differ from the constants, as the metrics keep their names.
 var kindNames = [...]string{kindHello: "hello", kindWelcome: "welcome", kindRefusal: "refusal", kindHeartbeat: "live", kindAnnouncement: "word",
 	kindDelta: "delta", kindSnapshot: "whole", kindMessage: "message", kindBroadcast: "cast", kindHoldings: "holds"}
 
-func (k frameKindID) String() string {
+func (k frameKind) String() string {
 	if int(k) < len(kindNames) && kindNames[k] != "" {
 		return kindNames[k]
 	}
@@ -50,8 +50,8 @@
 	maxPreallocated = 64 << 10
 )
 
-// encodeFrame is the frame of a kind whose body is the parts, one behind the other.
-func encodeFrame(kind frameKindID, parts ...[]byte) []byte {
+// encodeFrame returns the frame of a kind whose body is the parts, one behind the other.
+func encodeFrame(kind frameKind, parts ...[]byte) []byte {
 	length := 1
 	for _, part := range parts {
 		length += len(part)
@@ -64,12 +64,12 @@
 	return frame
 }
 
-// encodeJSONFrame is the frame of a kind with a message's JSON. The message's type must be one that JSON can always hold.
-func encodeJSONFrame(kind frameKindID, message any) []byte {
+// encodeJSONFrame returns the frame of a kind with a message's JSON. The message's type must be one that JSON can always hold.
+func encodeJSONFrame(kind frameKind, message any) []byte {
 	return encodeFrame(kind, mustMarshal(message))
 }
 
-// mustMarshal is the JSON of a value whose type JSON can always hold.
+// mustMarshal returns the JSON of a value whose type JSON can always hold.
 func mustMarshal(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -86,17 +86,17 @@
 	return nil
 }
 
-// frameKind is the kind of an encoded frame; 0: it is too short to have one.
-func frameKind(frame []byte) frameKindID {
+// kindOfFrame returns the kind of an encoded frame; 0: it is too short to have one.
+func kindOfFrame(frame []byte) frameKind {
 	if _, used := binary.Uvarint(frame); used > 0 && used < len(frame) {
-		return frameKindID(frame[used])
+		return frameKind(frame[used])
 	}
 	return 0
 }
 
 // receivedFrame is a frame as it was read.
 type receivedFrame struct {
-	kind frameKindID
+	kind frameKind
 	body []byte
 	size int // of the whole frame on the connection, in bytes
 }
@@ -122,7 +122,7 @@
 		return receivedFrame{}, err
 	}
 	prefix := len(binary.AppendUvarint(nil, length))
-	return receivedFrame{kind: frameKindID(kind), body: body, size: prefix + int(length)}, nil
+	return receivedFrame{kind: frameKind(kind), body: body, size: prefix + int(length)}, nil
 }
 
 // readBody reads a frame's body, and allocates little more than has come.
@@ -137,7 +137,7 @@
 	return body.Bytes(), err
 }
 
-// isProtocolError tells whether a stream has ended by a frame that the protocol does not allow, and not by its connection.
+// isProtocolError reports whether a stream has ended by a frame that the protocol does not allow, and not by its connection.
 func isProtocolError(err error) bool {
 	return errors.Is(err, errMalformedFrame) || errors.Is(err, errFrameTooLong)
 }
--- a/internal/fleet/distribution/golden_test.go
+++ b/internal/fleet/distribution/golden_test.go
@@ -35,7 +35,7 @@
 // What frames are counted as is part of the metrics' names.
 func TestFrameKinds(t *testing.T) {
 	for number, want := range []string{"kind 0", "hello", "welcome", "refusal", "live", "word", "delta", "whole", "message", "cast", "holds", "kind 11"} {
-		if got := frameKindID(number).String(); got != want {
+		if got := frameKind(number).String(); got != want {
 			t.Errorf("%d: got %q, want %q", number, got, want)
 		}
 	}
--- a/internal/fleet/distribution/handlers.go
+++ b/internal/fleet/distribution/handlers.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// find is the handler of a topic, or of the prefix up to its first slash; nil: neither has one.
+// find returns the handler of a topic, or of the prefix up to its first slash; nil: neither has one.
 func (h *handlers) find(topic string) func(from string, body []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/distribution/link.go
+++ b/internal/fleet/distribution/link.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// summaryFrame is the frame of a link's heartbeat, which has the summary only where that differs from the one before it.
+// summaryFrame returns the frame of a link's heartbeat, which has the summary only where that differs from the one before it.
 func summaryFrame(summary, reported []byte) []byte {
 	if bytes.Equal(summary, reported) {
 		return encodeFrame(kindHeartbeat)
--- a/internal/fleet/distribution/messages.go
+++ b/internal/fleet/distribution/messages.go
@@ -29,7 +29,7 @@
 	Status  Status `json:"status"`
 }
 
-// validate tells why a call can't be served.
+// validate returns why a call can't be served.
 func (h hello) validate() error {
 	switch {
 	case h.Protocol != protocolVersion:
@@ -49,7 +49,7 @@
 	Full bool `json:"full,omitempty"`
 }
 
-// permanent tells whether the call would be refused again, here and whenever it came.
+// permanent reports whether the call would be refused again, here and whenever it came.
 func (r refusal) permanent() bool { return !r.Full && r.RetryAfterMillis == 0 }
 
 // heartbeat is a pooler's report at each heartbeat.
@@ -85,14 +85,14 @@
 	body            []byte
 }
 
-// frame is the message's frame.
+// frame returns the message's frame.
 func (m message) frame() []byte {
 	return encodeFrame(kindMessage, prependNames(m.body, m.to, m.from, m.topic))
 }
 
 // decodeMessage decodes the body of a message's frame. The error is errMalformedFrame.
 func decodeMessage(body []byte) (m message, err error) {
-	m.body, err = splitNames(body, &m.to, &m.from, &m.topic)
+	m.body, err = cutNames(body, &m.to, &m.from, &m.topic)
 	return m, err
 }
 
@@ -102,14 +102,14 @@
 	body        []byte
 }
 
-// frame is the broadcast's frame.
+// frame returns the broadcast's frame.
 func (b broadcast) frame() []byte {
 	return encodeFrame(kindBroadcast, prependNames(b.body, b.from, b.topic))
 }
 
 // decodeBroadcast decodes the body of a broadcast's frame. The error is errMalformedFrame.
 func decodeBroadcast(body []byte) (b broadcast, err error) {
-	b.body, err = splitNames(body, &b.from, &b.topic)
+	b.body, err = cutNames(body, &b.from, &b.topic)
 	return b, err
 }
 
@@ -134,8 +134,8 @@
 	return append(out, body...)
 }
 
-// splitNames undoes prependNames. The error is errMalformedFrame.
-func splitNames(text []byte, names ...*string) (body []byte, err error) {
+// cutNames undoes prependNames. The error is errMalformedFrame.
+func cutNames(text []byte, names ...*string) (body []byte, err error) {
 	for _, name := range names {
 		length, used := binary.Uvarint(text)
 		if used <= 0 || length == 0 || length > maxNameLength || length > uint64(len(text)-used) {
--- a/internal/fleet/distribution/outbox.go
+++ b/internal/fleet/distribution/outbox.go
@@ -79,7 +79,7 @@
 	return true
 }
 
-// wakeWriter has the writer look for what is new, here and in the resources.
+// wakeWriter makes the writer look for what is new, here and in the resources.
 func (o *outbox) wakeWriter() {
 	select {
 	case o.wake <- struct{}{}:
@@ -87,7 +87,7 @@
 	}
 }
 
-// drain takes all that waits, the frames before the broadcasts.
+// drain removes and returns all that waits, the frames before the broadcasts.
 func (o *outbox) drain() [][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fleet/distribution/published_resource.go
+++ b/internal/fleet/distribution/published_resource.go
@@ -58,10 +58,10 @@
 	version uint64 // the newest
 }
 
-// isSnapshot tells whether the update is a snapshot.
-func (u publishedUpdate) isSnapshot() bool { return frameKind(u.frame) == kindSnapshot }
+// isSnapshot reports whether the update is a snapshot.
+func (u publishedUpdate) isSnapshot() bool { return kindOfFrame(u.frame) == kindSnapshot }
 
-// updateSince is what a replica of a version lacks: a delta where the history reaches back to it, and else a snapshot.
+// updateSince returns what a replica of a version lacks: a delta where the history reaches back to it, and else a snapshot.
 func (p *publishedResource) updateSince(version uint64) publishedUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,12 +83,12 @@
 	return publishedUpdate{p.snapshotFrame, newest}
 }
 
-// encode is the frame of an update, with the resource's name before its JSON.
-func (p *publishedResource) encode(kind frameKindID, update any) []byte {
+// encode returns the frame of an update, with the resource's name before its JSON.
+func (p *publishedResource) encode(kind frameKind, update any) []byte {
 	return encodeFrame(kind, prependNames(mustMarshal(update), p.Name))
 }
 
-// announcement tells as of when no version newer than the replica's was known. The version is read after that time.
+// announcement returns as of when no version newer than the replica's was known. The version is read after that time.
 func (p *publishedResource) announcement(now time.Time) resourceAnnouncement {
 	confirmedAt := p.Replica.ConfirmedAt()
 	a := resourceAnnouncement{Resource: p.Name, Version: p.Replica.Version()}
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// stream is an admitted caller's.
-type stream struct {
+// serverStream is an admitted caller's.
+type serverStream struct {
 	hello
 	conn         net.Conn
 	outbox       *outbox
@@ -20,20 +20,20 @@
 // registry is a distributor's streams, links and knowledge of the other distributors, and decides which callers are admitted. Its zero
 // value is not ready for use. It is safe for use by several goroutines.
 type registry struct {
-	mu          sync.Mutex         // guards the fields below
-	streams     map[string]*stream // by caller: poolers, and distributors that have called
-	poolerCount int                // of streams
-	links       map[string]*outbox // of the links that this distributor has opened, by distributor
+	mu          sync.Mutex               // guards the fields below
+	streams     map[string]*serverStream // by caller: poolers, and distributors that have called
+	poolerCount int                      // of streams
+	links       map[string]*outbox       // of the links that this distributor has opened, by distributor
 	directory   directory
 	admission   admission
 }
 
 func newRegistry() registry {
-	return registry{streams: map[string]*stream{}, links: map[string]*outbox{}, directory: newDirectory()}
+	return registry{streams: map[string]*serverStream{}, links: map[string]*outbox{}, directory: newDirectory()}
 }
 
-// add admits a caller to a distributor of a region, or tells why not.
-func (r *registry) add(s *stream, region string) *refusal {
+// add admits a caller to a distributor of a region, or returns the refusal.
+func (r *registry) add(s *serverStream, region string) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous := r.streams[s.Name]
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// refusePooler tells why a pooler is not admitted now; nil: it is. A pooler that returns takes the place of its own stream. The caller
+// refusePooler returns why a pooler is not admitted now; nil: it is admitted. A pooler that returns takes the place of its own stream. The caller
 // holds the mutex.
-func (r *registry) refusePooler(s *stream, region string, returns bool) *refusal {
+func (r *registry) refusePooler(s *serverStream, region string, returns bool) *refusal {
 	if !returns {
 		if r.poolerCount >= maxStreams {
 			return &refusal{Reason: "no descriptor is left", Full: true}
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// remove takes in the end of a stream, which a newer one of its caller may have replaced.
-func (r *registry) remove(s *stream) {
+// remove records the end of a stream, which a newer one of its caller may have replaced.
+func (r *registry) remove(s *serverStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.Distributor {
@@ -92,7 +92,7 @@
 	}
 }
 
-// addLink takes in a link that this distributor has opened, and queues all its holdings on it.
+// addLink records a link that this distributor has opened, and queues all its holdings on it.
 func (r *registry) addLink(name string, out *outbox) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +107,7 @@
 	r.links[name] = out
 }
 
-// removeLink takes in the end of a link.
+// removeLink records the end of a link.
 func (r *registry) removeLink(name string, out *outbox) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// takeHoldings takes in another distributor's holdings. A pooler that has arrived there has left here, even if its stream is still open.
+// takeHoldings records another distributor's holdings. A pooler that has arrived there has left here, even if its stream is still open.
 func (r *registry) takeHoldings(distributor string, h holdings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,14 +139,14 @@
 	}
 }
 
-// takeReport takes in a pooler's report.
-func (r *registry) takeReport(s *stream, report heartbeat) {
+// takeReport records a pooler's report.
+func (r *registry) takeReport(s *serverStream, report heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.report = report
 }
 
-// takeSummary takes in another distributor's summary of its poolers.
+// takeSummary records another distributor's summary of its poolers.
 func (r *registry) takeSummary(distributor string, summary Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,7 +162,7 @@
 	r.directory.expire(time.Now(), after)
 }
 
-// wakeStreams has the writers of all streams look at the resources.
+// wakeStreams makes the writers of all streams look at the resources.
 func (r *registry) wakeStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,21 +208,21 @@
 	}
 }
 
-// aliveDistributors are the other distributors that have a link open here.
+// aliveDistributors returns the other distributors that have a link open here.
 func (r *registry) aliveDistributors() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.directory.alive()
 }
 
-// fleetSize is how many poolers are known to be alive, this distributor and the others among them.
+// fleetSize returns how many poolers are known to be alive, this distributor and the others among them.
 func (r *registry) fleetSize() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.directory.distributorOf) + r.poolerCount + len(r.directory.alive()) + 1
 }
 
-// streamCount is how many poolers' streams end here.
+// streamCount returns how many poolers' streams end here.
 func (r *registry) streamCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/distribution/stream_test.go
+++ b/internal/fleet/distribution/stream_test.go
@@ -327,7 +327,7 @@
 				t.Errorf("%d bytes of %d", frame.size, len(text))
 			}
 			var to, from, topic string
-			if rest, err := splitNames(frame.body, &to, &from, &topic); err == nil && !bytes.Equal(prependNames(rest, to, from, topic), frame.body) {
+			if rest, err := cutNames(frame.body, &to, &from, &topic); err == nil && !bytes.Equal(prependNames(rest, to, from, topic), frame.body) {
 				t.Skip("a length in more bytes than it needs")
 			}
 			_, _, _ = nextSnapshot(frame.kind, frame.body, replication.Snapshot{Version: 3})
--- a/internal/fleet/distribution/subscriber.go
+++ b/internal/fleet/distribution/subscriber.go
@@ -76,7 +76,7 @@
 	s.status = status
 }
 
-// Distributor is the distributor that the pooler has a stream to; "": none.
+// Distributor returns the distributor that the pooler has a stream to; "": none.
 func (s *Subscriber) Distributor() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 // Self is documented with bus.Bus.
 func (s *Subscriber) Self() string { return s.options.Name }
 
-// Members are the distributors and this pooler, as no pooler knows the others. While it has no stream it is alone.
+// Members returns the distributors and this pooler, as no pooler knows the others. While it has no stream it is alone.
 func (s *Subscriber) Members() []string {
 	members := []string{s.options.Name}
 	if s.Distributor() != "" {
@@ -133,7 +133,7 @@
 	}
 }
 
-// currentOutbox is that of the stream; nil: there is no stream.
+// currentOutbox returns the outbox of the stream; nil: there is no stream.
 func (s *Subscriber) currentOutbox() *outbox {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/distribution/subscriber_connect.go
+++ b/internal/fleet/distribution/subscriber_connect.go
@@ -11,7 +11,7 @@
 
 // run uses one stream after another, until ctx ends.
 func (s *Subscriber) run(ctx context.Context) {
-	var stream *openedStream
+	var stream *clientStream
 	timeout := s.timing.answerTimeout()
 	for ctx.Err() == nil {
 		if stream == nil {
@@ -32,7 +32,7 @@
 
 // useUntilLost uses a stream until it ends, and returns the one that replaces it; nil: it was lost. All poolers of a lost distributor call
 // others now, within a heartbeat by their jitter.
-func (s *Subscriber) useUntilLost(ctx context.Context, stream *openedStream) (replacement *openedStream) {
+func (s *Subscriber) useUntilLost(ctx context.Context, stream *clientStream) (replacement *clientStream) {
 	replacement, err := s.useStream(ctx, stream)
 	if replacement != nil || ctx.Err() != nil {
 		return replacement
@@ -45,7 +45,7 @@
 
 // connect calls the distributors in their order until one admits the pooler; nil: none does. Where distributors are full, all are called
 // once more with that said, and only the limit of descriptors may refuse the pooler then.
-func (s *Subscriber) connect(ctx context.Context, timeout time.Duration) *openedStream {
+func (s *Subscriber) connect(ctx context.Context, timeout time.Duration) *clientStream {
 	for _, insist := range []bool{false, true} {
 		stream, full := s.callInOrder(ctx, timeout, insist)
 		if stream != nil || !full {
@@ -56,7 +56,7 @@
 }
 
 // callInOrder calls the distributors until one admits the pooler; nil: none does. full: one has refused it as full.
-func (s *Subscriber) callInOrder(ctx context.Context, timeout time.Duration, insist bool) (stream *openedStream, full bool) {
+func (s *Subscriber) callInOrder(ctx context.Context, timeout time.Duration, insist bool) (stream *clientStream, full bool) {
 	for _, endpoint := range s.preferredOrder() {
 		stream, err := s.callUntilDecided(ctx, endpoint, timeout, insist)
 		if ctx.Err() != nil {
@@ -83,7 +83,7 @@
 }
 
 // callUntilDecided calls a distributor, and again each time that it names a time to call again.
-func (s *Subscriber) callUntilDecided(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*openedStream, error) {
+func (s *Subscriber) callUntilDecided(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*clientStream, error) {
 	for {
 		stream, err := s.call(ctx, endpoint, timeout, insist)
 		var refused refusedError
@@ -95,13 +95,13 @@
 }
 
 // call calls a distributor once.
-func (s *Subscriber) call(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*openedStream, error) {
+func (s *Subscriber) call(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*clientStream, error) {
 	report := s.report()
 	return s.dialer.open(ctx, endpoint, timeout, hello{Protocol: protocolVersion, Name: s.options.Name, Region: s.options.Region,
 		Versions: report.Versions, Insists: insist, Status: report.Status})
 }
 
-// report is the pooler's report as of now.
+// report returns the pooler's report as of now.
 func (s *Subscriber) report() heartbeat {
 	report := heartbeat{Versions: map[string]uint64{}}
 	for _, resource := range s.options.Resources {
@@ -113,7 +113,7 @@
 	return report
 }
 
-// preferredOrder is the distributors in the order in which they are called now: those that were lost lately come last.
+// preferredOrder returns the distributors in the order in which they are called now: those that were lost lately come last.
 func (s *Subscriber) preferredOrder() []Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,14 +123,14 @@
 	})
 }
 
-// markLost has a distributor avoided for a while.
+// markLost makes a distributor avoided for a while.
 func (s *Subscriber) markLost(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lostAt[name] = time.Now()
 }
 
-// jittered is from half of a time up to one and a half of it, by the pooler's jitter.
+// jittered returns from half of a time up to one and a half of it, by the pooler's jitter.
 func (s *Subscriber) jittered(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.options.JitterFraction*float64(d))
 }
@@ -138,7 +138,7 @@
 // returnToPreferred calls the preferred distributor from time to time while the current stream to another lasts, sends the new stream to
 // replacement once it is admitted, and ends the current one. The call may outlast the current stream: its distributor may hear that the
 // pooler has moved, and end it, before the pooler hears that it is admitted.
-func (s *Subscriber) returnToPreferred(ctx, streamCtx context.Context, current *openedStream, replacement chan<- *openedStream) {
+func (s *Subscriber) returnToPreferred(ctx, streamCtx context.Context, current *clientStream, replacement chan<- *clientStream) {
 	preferred := s.ranked[0]
 	for preferred.Name != current.Name {
 		sleep(streamCtx, s.jittered(s.timing.preferredRetry()))
@@ -163,7 +163,7 @@
 		s.options.Log(line)
 		return
 	}
-	s.logger.logOnce(fmt.Sprintf("ended %s: %v", distributor, faultKind(err)), line)
+	s.logger.logOnce(fmt.Sprintf("ended %s: %v", distributor, sentinelOf(err)), line)
 }
 
 // logRefusal logs why a distributor does not admit the pooler, unless it is full, busy or can't be reached.
--- a/internal/fleet/distribution/subscriber_stream.go
+++ b/internal/fleet/distribution/subscriber_stream.go
@@ -13,7 +13,7 @@
 
 // useStream uses a stream until it ends, and returns why; or until the preferred distributor admits the pooler again, whose stream is
 // the replacement then.
-func (s *Subscriber) useStream(ctx context.Context, stream *openedStream) (replacement *openedStream, err error) {
+func (s *Subscriber) useStream(ctx context.Context, stream *clientStream) (replacement *clientStream, err error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	closeConn := func() { _ = stream.conn.Close() }
@@ -23,7 +23,7 @@
 	s.setStream(stream.Name, out)
 	defer s.setStream("", nil)
 
-	replacements := make(chan *openedStream, 1)
+	replacements := make(chan *clientStream, 1)
 	var running sync.WaitGroup
 	running.Go(func() { // ends with streamCtx, or where a write fails
 		if err := s.writeStream(streamCtx, stream.conn, out); err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// heartbeatFrame is the frame of a heartbeat, which has a report only where that differs from the one before it.
+// heartbeatFrame returns the frame of a heartbeat, which has a report only where that differs from the one before it.
 func heartbeatFrame(report, reported heartbeat) []byte {
 	if report.Status == reported.Status && maps.Equal(report.Versions, reported.Versions) {
 		return encodeFrame(kindHeartbeat)
@@ -85,8 +85,8 @@
 	return encodeJSONFrame(kindHeartbeat, report)
 }
 
-// readStream takes in what the distributor sends, until the connection fails, or the distributor breaks the protocol or lags for too long.
-func (s *Subscriber) readStream(stream *openedStream) error {
+// readStream handles what the distributor sends, until the connection fails, or the distributor breaks the protocol or lags for too long.
+func (s *Subscriber) readStream(stream *clientStream) error {
 	lag := lagDetector{limit: s.timing.maxLag()}
 	for {
 		frame, err := readFrame(stream.reader, maxDistributorFrame)
@@ -100,7 +100,7 @@
 	}
 }
 
-// handleFrame takes in one frame. An error ends the stream.
+// handleFrame handles one frame. An error ends the stream.
 func (s *Subscriber) handleFrame(frame receivedFrame, lag *lagDetector) error {
 	switch frame.kind {
 	case kindAnnouncement:
@@ -169,7 +169,7 @@
 // handleUpdate installs a newer version of a resource, complete, or changes nothing.
 func (s *Subscriber) handleUpdate(frame receivedFrame) error {
 	var name string
-	text, err := splitNames(frame.body, &name)
+	text, err := cutNames(frame.body, &name)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/distribution/summary.go
+++ b/internal/fleet/distribution/summary.go
@@ -12,7 +12,7 @@
 	Configs       map[string]int `json:"configs,omitempty"`
 }
 
-// summaryOf is the summary of one pooler, by its report on the documents and the distributor's version of them.
+// summaryOf returns the summary of one pooler, by its report on the documents and the distributor's version of them.
 func summaryOf(report heartbeat, documents string, newest uint64) Summary {
 	one := Summary{Poolers: 1, Builds: map[string]int{report.Status.Build: 1}, Configs: map[string]int{report.Status.Config: 1}}
 	if newest == 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Summary is of this distributor's poolers (own), and of all poolers as the live distributors have reported them. Versions are those of
+// Summary returns the summaries of this distributor's poolers (own) and of all poolers as the live distributors have reported them. Versions are those of
 // the first resource, the documents.
 func (d *Distributor) Summary() (own, all Summary) {
 	own = d.ownSummary()
@@ -60,7 +60,7 @@
 	return own, all
 }
 
-// ownSummary is of this distributor's poolers.
+// ownSummary returns the summary of this distributor's poolers.
 func (d *Distributor) ownSummary() Summary {
 	if len(d.resources) == 0 {
 		return d.registry.summary("", 0)
@@ -69,7 +69,7 @@
 	return d.registry.summary(documents.Name, documents.Replica.Version())
 }
 
-// summary is of the poolers whose streams end here.
+// summary returns the summary of the poolers whose streams end here.
 func (r *registry) summary(documents string, newest uint64) (total Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +81,7 @@
 	return total
 }
 
-// reportedSummaries are those of the live distributors that have reported poolers.
+// reportedSummaries returns those of the live distributors that have reported poolers.
 func (r *registry) reportedSummaries() (summaries []Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/distribution/timing.go
+++ b/internal/fleet/distribution/timing.go
@@ -21,28 +21,28 @@
 // timing derives the time limits of a stream from the heartbeat interval, a third of a lease's term: 1 s at the default term of 3 s.
 type timing struct{ heartbeat time.Duration }
 
-// readTimeout is how long a peer may send no byte: two heartbeats may come late, or one be lost with the connection's retransmission.
+// readTimeout returns how long a peer may send no byte: two heartbeats may come late, or one be lost with the connection's retransmission.
 func (t timing) readTimeout() time.Duration { return t.heartbeat * 5 / 2 }
 
-// writeTimeout is how long a peer may take no byte.
+// writeTimeout returns how long a peer may take no byte.
 func (t timing) writeTimeout() time.Duration { return writeTimeoutHeartbeats * t.heartbeat }
 
-// answerTimeout is how long a distributor may take to answer a call.
+// answerTimeout returns how long a distributor may take to answer a call.
 func (t timing) answerTimeout() time.Duration { return t.heartbeat / 2 }
 
-// nextAnswerTimeout follows on a timeout within which no distributor has answered: where all are slow, calls that are given up make them
+// nextAnswerTimeout returns what follows on a timeout within which no distributor has answered: where all are slow, calls that are given up make them
 // slower still.
 func (t timing) nextAnswerTimeout(last time.Duration) time.Duration {
 	return min(2*last, maxAnswerHeartbeats*t.heartbeat)
 }
 
-// maxLag is how long a distributor may lag.
+// maxLag returns how long a distributor may lag.
 func (t timing) maxLag() time.Duration { return maxLagHeartbeats * t.heartbeat }
 
-// avoidFor is how long a distributor is avoided, and how long the poolers of one that was lost are still counted.
+// avoidFor returns how long a distributor is avoided, and how long the poolers of one that was lost are still counted.
 func (t timing) avoidFor() time.Duration { return avoidHeartbeats * t.heartbeat }
 
-// preferredRetry is the mean time between two calls to the preferred distributor.
+// preferredRetry returns the mean time between two calls to the preferred distributor.
 func (t timing) preferredRetry() time.Duration { return preferredRetryHeartbeats * t.heartbeat }
 
 // lagDetector decides when a distributor has announced other versions than the subscriber holds for too long.
@@ -51,7 +51,7 @@
 	since time.Time // of the first such announcement in a row; the zero time: the last one announced what the subscriber holds
 }
 
-// observe takes in an announcement, and tells whether the limit is reached.
+// observe records an announcement, and reports whether the limit is reached.
 func (l *lagDetector) observe(differs bool, now time.Time) (exceeded bool) {
 	switch {
 	case !differs:
--- a/internal/fleet/distribution/update.go
+++ b/internal/fleet/distribution/update.go
@@ -8,7 +8,7 @@
 
 // nextSnapshot decides what an update, a delta or a snapshot by its frame's kind, makes of a replica's current snapshot; newer false: the
 // replica holds it already. Errors are errMalformedFrame and errDeltaGap.
-func nextSnapshot(kind frameKindID, text []byte, current replication.Snapshot) (next replication.Snapshot, newer bool, err error) {
+func nextSnapshot(kind frameKind, text []byte, current replication.Snapshot) (next replication.Snapshot, newer bool, err error) {
 	if kind == kindSnapshot {
 		err = decodeJSON(text, &next)
 		return next, err == nil && next.Version > current.Version, err
