--- a/cmd/threadsail-fleet/admin_test.go
+++ b/cmd/threadsail-fleet/admin_test.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	_, _ = io.WriteString(c, call)
 	answer, _ := io.ReadAll(c)
