--- a/internal/fleet/component_host.go
+++ b/internal/fleet/component_host.go
@@ -229,5 +229,3 @@
 	}
 	return s
 }
-
-func (h *componentHost) logWarning(line string) { h.log.Warn().Msg(line) }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packed.Close()
+	defer func() { _ = packed.Close() }()
 	plain, err := gzip.NewReader(packed)
 	if err != nil {
 		t.Fatal(err)
