--- a/cmd/threadsail-fleet/admin_test.go
+++ b/cmd/threadsail-fleet/admin_test.go
@@ -22,7 +22,7 @@
 
 const adminPort = 12000
 
-// startPoolers starts a steward, which is the distributor where distributes says so, and two more poolers, and gives the addresses at
+// startPoolers starts a voter, which is the distributor where distributes says so, and two more poolers, and gives the addresses at
 // which operators call them.
 func startPoolers(t *testing.T, distributes bool) (admins []string) {
 	t.Helper()
--- a/cmd/threadsail-fleet/components.go
+++ b/cmd/threadsail-fleet/components.go
@@ -7,13 +7,13 @@
 	"threadsail/internal/pooler"
 )
 
-// limiterFactory returns what holds a front to the fleet's limits, by the front's classes and its settings at the time.
+// limiterFactory returns what holds a frontend to the fleet's limits, by the frontend's classes and its settings at the time.
 type limiterFactory func(class func(int) policy.Class, settings func() policy.Settings) pooler.Limiter
 
 // component is a component of the fleet as this program wires it. A function that a component has no use for is nil.
 type component struct {
 	fleet.Component
-	attach     func(pooler.Frontend) // adds guards and the like to each front, before its loop runs
+	attach     func(pooler.Frontend) // adds guards and the like to each frontend, before its loop runs
 	newLimiter limiterFactory
 	reload     func(*config.Config, *config.Fleet) // takes over the files as they are read again at SIGHUP
 }
@@ -42,7 +42,7 @@
 // testComponents are components that only this program's own tests have.
 var testComponents []component
 
-// attach joins all components to a front, before its loop runs.
+// attach joins all components to a frontend, before its loop runs.
 func (all components) attach(f pooler.Frontend) {
 	for _, c := range all {
 		if c.attach != nil {
--- a/cmd/threadsail-fleet/outlier.go
+++ b/cmd/threadsail-fleet/outlier.go
@@ -11,23 +11,23 @@
 	"threadsail/internal/pooler"
 )
 
-// frontStride is the distance between the numbers that two fronts' groups and classes have for the detector.
-const frontStride = 1 << 20
+// frontendStride is the distance between the numbers that two frontends' groups and classes have for the detector.
+const frontendStride = 1 << 20
 
-// memberRefreshInterval is how often the members of the fronts' groups are read.
+// memberRefreshInterval is how often the members of the frontends' groups are read.
 const memberRefreshInterval = time.Second
 
-// outlierHost carries the fleet's ejections out on the fronts, each on its own event loop. It implements outlier.Host and is safe for
+// outlierHost carries the fleet's ejections out on the frontends, each on its own event loop. It implements outlier.Host and is safe for
 // use by several goroutines.
 type outlierHost struct {
 	detector *outlier.Component
 
-	mu      sync.Mutex // guards the fields below
-	fronts  []pooler.Frontend
-	members []map[int][]string // by front, then group, as of the last refreshMembers
+	mu        sync.Mutex // guards the fields below
+	frontends []pooler.Frontend
+	members   []map[int][]string // by frontend, then group, as of the last refreshMembers
 }
 
-// newOutlierComponent returns the component by which the fleet detects outliers among the servers and ejects them at the fronts.
+// newOutlierComponent returns the component by which the fleet detects outliers among the servers and ejects them at the frontends.
 func newOutlierComponent(settings *config.Config, c config.VerdictsPart) component {
 	zone := ""
 	if z := settings.Settings.Zone; z >= 0 && z < len(settings.Zones) {
@@ -43,13 +43,13 @@
 	return component{Component: h.detector, attach: h.attach}
 }
 
-// attach joins the detector to a front, before its loop runs.
+// attach joins the detector to a frontend, before its loop runs.
 func (h *outlierHost) attach(f pooler.Frontend) {
-	i := h.addFront(f)
+	i := h.addFrontend(f)
 	f.Dispatcher.AddGuard(outlierGuard{h.detector, f.Dispatcher})
 	f.Dispatcher.OnOutcome(func(server string, class int, result policy.Result, took time.Duration) {
 		if kind, ok := outlier.FromResult(result); ok {
-			h.detector.Observe(server, i*frontStride+class, kind, took)
+			h.detector.Observe(server, i*frontendStride+class, kind, took)
 		}
 	})
 	f.Dispatcher.OnPrimary(func(kind policy.PrimaryEventKind, _ int, server string, _ time.Duration) {
@@ -60,16 +60,16 @@
 	f.Loop.Post(func() { h.refreshMembers(i, f) })
 }
 
-// addFront returns the index of a new front.
-func (h *outlierHost) addFront(f pooler.Frontend) int {
+// addFrontend returns the index of a new frontend.
+func (h *outlierHost) addFrontend(f pooler.Frontend) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fronts = append(h.fronts, f)
+	h.frontends = append(h.frontends, f)
 	h.members = append(h.members, nil)
-	return len(h.fronts) - 1
+	return len(h.frontends) - 1
 }
 
-// refreshMembers takes over the members of a front's groups, again after each memberRefreshInterval, on the front's event loop. An
+// refreshMembers takes over the members of a frontend's groups, again after each memberRefreshInterval, on the frontend's event loop. An
 // ejection of a server that has just been removed has no effect.
 func (h *outlierHost) refreshMembers(i int, f pooler.Frontend) {
 	ready := f.Dispatcher.ReadyMembers()
@@ -79,26 +79,26 @@
 	f.Loop.After(memberRefreshInterval, func() { h.refreshMembers(i, f) })
 }
 
-// allFronts is the fronts in the order of their indices.
-func (h *outlierHost) allFronts() []pooler.Frontend {
+// allFrontends is the frontends in the order of their indices.
+func (h *outlierHost) allFrontends() []pooler.Frontend {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fronts
+	return h.frontends
 }
 
 // SetEjected implements outlier.Host.
 func (h *outlierHost) SetEjected(server string, ejected bool) {
-	for _, f := range h.allFronts() {
+	for _, f := range h.allFrontends() {
 		f.Loop.Post(func() { f.Dispatcher.SetEjectedByFleet(server, ejected) })
 	}
 }
 
 // ReportPrimaryDown implements outlier.Host.
 func (h *outlierHost) ReportPrimaryDown(group int) {
-	fronts := h.allFronts()
-	if group/frontStride < len(fronts) {
-		f := fronts[group/frontStride]
-		f.Loop.Post(func() { f.Dispatcher.ReportPrimaryDown(group % frontStride) })
+	frontends := h.allFrontends()
+	if group/frontendStride < len(frontends) {
+		f := frontends[group/frontendStride]
+		f.Loop.Post(func() { f.Dispatcher.ReportPrimaryDown(group % frontendStride) })
 	}
 }
 
@@ -109,7 +109,7 @@
 	all := map[int][]string{}
 	for i, groups := range h.members {
 		for g, members := range groups {
-			all[i*frontStride+g] = members
+			all[i*frontendStride+g] = members
 		}
 	}
 	return all
--- a/cmd/threadsail-fleet/verdicts_test.go
+++ b/cmd/threadsail-fleet/outlier_test.go
@@ -8,8 +8,8 @@
 )
 
 // A server fails every statement, for all; the link of one pooler to another server, a good one, passes no answers. All poolers
-// come to the verdict on the first, one among them that has no client and sees nothing, and it ends once the server is
-// well; nobody convicts the second. Requests go on all the time. Journals and the stand-ins' ledgers judge.
+// eject the first, one among them that has no client and sees nothing, and it ends once the server is
+// well; nobody ejects the second. Requests go on all the time. Journals and the stand-ins' ledgers judge.
 func TestVerdicts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes")
@@ -29,10 +29,10 @@
 		}
 	}
 	if begun["db3"] < s.Poolers || ended["db3"] < s.Poolers {
-		t.Errorf("verdicts begun %v, ended %v: want db3 at all %d poolers", begun, ended, s.Poolers)
+		t.Errorf("ejections begun %v, ended %v: want db3 at all %d poolers", begun, ended, s.Poolers)
 	}
 	if begun["db4"] > 0 {
-		t.Errorf("db4, to which one link was bad, was convicted %d times", begun["db4"])
+		t.Errorf("db4, to which one link was bad, was ejected %d times", begun["db4"])
 	}
 	if len(rep.Bad) != 1 || rep.Bad[0].Server != "db3" || len(rep.Bad[0].Statements) == 0 {
 		t.Fatalf("bad for all: %+v", rep.Bad)
--- a/cmd/threadsail-fleet/purge.go
+++ b/cmd/threadsail-fleet/purge.go
@@ -10,7 +10,7 @@
 	"threadsail/internal/pooler/postgres"
 )
 
-// purgeComponent is the purges, with a cache of its own for each front.
+// purgeComponent is the purges, with a cache of its own for each frontend.
 type purgeComponent struct {
 	*purge.Component
 	settings config.PurgesPart
@@ -28,13 +28,13 @@
 	return c
 }
 
-// cacheableAnswers says of each front which answers its cache may keep, in which form and of which size.
+// cacheableAnswers says of each frontend which answers its cache may keep, in which form and of which size.
 var cacheableAnswers = map[string]func(answer any) (kept any, size int, ok bool){
 	"postgres": postgres.Cacheable,
 	"mysql":    mysql.Cacheable,
 }
 
-// attach puts the cache before a front.
+// attach puts the cache before a frontend.
 func (c *purgeComponent) attach(f pooler.Frontend) {
 	if len(c.settings.Classes) == 0 {
 		return
--- a/cmd/threadsail-fleet/quota.go
+++ b/cmd/threadsail-fleet/quota.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// newLimiter returns what a front asks before it takes, sends or dials.
+// newLimiter returns what a frontend asks before it takes, sends or dials.
 func newLimiter(c *quota.Component) limiterFactory {
 	return func(class func(int) policy.Class, settings func() policy.Settings) pooler.Limiter {
 		return quota.NewGuard(c.Client, class, settings)
--- a/cmd/threadsail-fleet/limits_test.go
+++ b/cmd/threadsail-fleet/quota_test.go
@@ -6,8 +6,8 @@
 	"threadsail/internal/lab/judge"
 )
 
-// Eight poolers before three servers want several times what limits let pass, one of them on a server that has just started. Whoever deals is stalled, killed and cut off,
-// and a steward's process is gone for a while. Clients and stand-ins tell that no limit was exceeded by more than its bound,
+// Eight poolers before three servers want several times what limits let pass, one of them on a server that has just started. Whoever allocates is stalled, killed and cut off,
+// and a voter's process is down for a while. Clients and stand-ins tell that no limit was exceeded by more than its bound,
 // that what is not reserved was used, and that nothing was lost.
 func TestLimitsUnderFaults(t *testing.T) {
 	if testing.Short() {
--- a/cmd/threadsail-fleet/shardmap.go
+++ b/cmd/threadsail-fleet/shardmap.go
@@ -33,7 +33,7 @@
 	return c.Component.Run(ctx, runtime)
 }
 
-// attach adds the guard to a front.
+// attach adds the guard to a frontend.
 func (c *shardComponent) attach(f pooler.Frontend) {
 	isWrite := func(class int) bool { return f.Dispatcher.ClassInfo(class).Access == policy.Write }
 	f.Dispatcher.AddGuard(c.Guard(isWrite))
--- a/cmd/threadsail-fleet/shards_test.go
+++ b/cmd/threadsail-fleet/shardmap_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Six poolers on three machines, a steward on each, before two clusters; the first half of one's keys moves to the other and back,
+// Six poolers on three machines, a voter on each, before two clusters; the first half of one's keys moves to the other and back,
 // again and again, while one pooler is held up on the way to the servers for longer than a fence. Whoever takes a move on is killed
 // in each of its states, or its machine drops, or it is stalled before its last copy; routers are stalled, killed and started again
-// from their old copies, cut off from the others and from the servers' answers; a steward's disk is full. What clients were told of
+// from their old copies, cut off from the others and from the servers' answers; a voter's disk is full. What clients were told of
 // each row is what one copy of it could have told, though servers take writes of any epoch, and no attempt of a request overlaps
 // another.
 func TestMovesUnderFaults(t *testing.T) {
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -103,10 +103,10 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// storedDB is the log of a steward that has given a lease away and written two documents, as its build left it on the disk.
+// storedDB is the log of a voter that has granted a lease and taken two documents, as its build left it on the disk.
 const storedDB = "testdata/raft.db.gz"
 
-// A steward starts on the log that an earlier build left on the disk, and knows all that is in it.
+// A voter starts on the log that an earlier build left on the disk, and knows all that is in it.
 func TestStoredLogIsServed(t *testing.T) {
 	dir := t.TempDir()
 	if os.Getenv("THREADSAIL_RECORD_GOLDEN") == "1" {
@@ -158,7 +158,7 @@
 	if _, err := c.Put(ctx, "purge/plan", 0, []byte("plan"), replication.Fence{}); err != nil {
 		t.Fatal(err)
 	}
-	holder := NewClientPool(1, "pooler-1/1", c.stewards(), 5*time.Second)
+	holder := NewClientPool(1, "pooler-1/1", c.voters(), 5*time.Second)
 	if _, ok, err := holder.Acquire(ctx, "lists", 1000*time.Hour); err != nil || !ok {
 		t.Fatal(ok, err)
 	}
@@ -185,14 +185,14 @@
 	}
 }
 
-// stewards are those that idle clients ask.
-func (c *ClientPool) stewards() []Peer {
+// voters are those that the idle clients ask.
+func (c *ClientPool) voters() []Peer {
 	one := <-c.idle
 	defer func() { c.idle <- one }()
 	return one.Voters
 }
 
-// startAlone starts a set of one steward on a folder, with a client of it.
+// startAlone starts a set of one voter on a directory, with a client of it.
 func startAlone(t *testing.T, dir string) (*Voter, *ClientPool) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// What a message of the list duty is counted as hangs on the first bytes of its JSON.
+// The kind by which a leader's message is counted depends on the first bytes of its JSON.
 func TestMessageKinds(t *testing.T) {
 	goldentest.Names(t, map[string]string{"duty/word": leaderMessageKinds[`{"kind":"word"`], "duty/want": leaderMessageKinds[`{"kind":"want"`],
 		"duty/list": leaderMessageKinds[`{"kind":"list"`], "duty/lost": leaderMessageKinds[`{"kind":"lost"`], "duty/found": leaderMessageKinds[`{"kind":"found"`]})
