--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -88,11 +88,11 @@
 }
 
 func (h *host) spawn(e *simulator.Event) error {
-	facts, err := config.ParseFacts(e.Bytes)
+	facts, err := config.ParseSettings(e.Bytes)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", e.Who, err)
 	}
-	set, err := config.Settings(facts)
+	set, err := config.PolicySettings(facts)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", e.Who, err)
 	}
@@ -178,11 +178,11 @@
 }
 func (f *front) Reject(id uint32, after time.Duration) { f.reply.TurnAway(f.who, id, toMs(after)) }
 func (f *front) Fail(id uint32)                        { f.reply.GiveUp(f.who, id) }
-func (f *front) CancelAttempt(id uint32, attempt int)         { f.reply.Abandon(f.who, id, uint8(attempt)) }
+func (f *front) CancelAttempt(id uint32, attempt int)  { f.reply.Abandon(f.who, id, uint8(attempt)) }
 func (f *front) Probe(store uint32)                    { f.reply.Sample(f.who, store) }
 func (f *front) SetTimer(after time.Duration)          { f.reply.WakeMe(f.who, toMs(after), 0) }
-func (f *front) CloseIdleConnections(store uint32)                { f.reply.ShutIdle(f.who, store) }
-func (f *front) WatchList()                                { f.reply.Observe(f.who, true) }
+func (f *front) CloseIdleConnections(store uint32)     { f.reply.ShutIdle(f.who, store) }
+func (f *front) WatchList()                            { f.reply.Observe(f.who, true) }
 func (f *front) Log(text string)                       { f.reply.Emit(f.who, text) }
 
 func (f *front) PrimaryChanged(n policy.PrimaryEvent) {
--- a/cmd/threadsail-fleet/admin_test.go
+++ b/cmd/threadsail-fleet/admin_test.go
@@ -34,13 +34,13 @@
 		fleet := map[string]any{"enabled": true, "name": name(i), "listen": block.Addr(i, lab.GossipPort), "term_ms": 1000, "drift_ms": 30,
 			"peers":    []config.Peer{{Name: name(0), Addr: block.Addr(0, lab.GossipPort)}},
 			"stewards": []config.Peer{{Name: name(0), Addr: block.Addr(0, lab.StewardPort)}},
-			"limits":   map[string]any{"revision": 1, "list": []config.Limit{{Name: "all", On: config.LimitRequests, Rate: 100, Reserve: 0.5}}},
+			"limits":   map[string]any{"revision": 1, "list": []config.Limit{{Name: "all", Target: config.LimitRequests, Rate: 100, Reserve: 0.5}}},
 			"verdicts": map[string]any{"enabled": true}}
 		if i == 0 {
-			fleet["steward"] = config.StewardPart{Listen: block.Addr(0, lab.StewardPort), Dir: filepath.Join(dir, "steward")}
+			fleet["steward"] = config.VoterConfig{Listen: block.Addr(0, lab.StewardPort), Dir: filepath.Join(dir, "steward")}
 		}
 		if distributes {
-			part := config.DistributionPart{Distributors: []config.Distributor{{Name: name(0), Addr: block.Addr(0, lab.StreamPort)}}}
+			part := config.DistributionConfig{Distributors: []config.Distributor{{Name: name(0), Addr: block.Addr(0, lab.StreamPort)}}}
 			if i == 0 {
 				part.Listen = block.Addr(0, lab.StreamPort)
 			}
--- a/cmd/threadsail-fleet/components.go
+++ b/cmd/threadsail-fleet/components.go
@@ -30,8 +30,8 @@
 	if c := newShardComponent(fleetSettings); c != nil {
 		all = append(all, component{Component: c, attach: c.attach, reload: c.reload})
 	}
-	if fleetSettings.Verdicts.Enabled {
-		all = append(all, newOutlierComponent(settings, fleetSettings.Verdicts))
+	if fleetSettings.Outliers.Enabled {
+		all = append(all, newOutlierComponent(settings, fleetSettings.Outliers))
 	}
 	if c := newPurgeComponent(fleetSettings); c != nil { // behind the shard map, which may send a request to another cluster
 		all = append(all, component{Component: c, attach: c.attach, reload: c.reload})
--- a/cmd/threadsail-fleet/outlier.go
+++ b/cmd/threadsail-fleet/outlier.go
@@ -28,17 +28,17 @@
 }
 
 // newOutlierComponent returns the component by which the fleet detects outliers among the servers and ejects them at the frontends.
-func newOutlierComponent(settings *config.Config, c config.VerdictsPart) component {
+func newOutlierComponent(settings *config.Config, c config.OutlierConfig) component {
 	zone := ""
 	if z := settings.Settings.Zone; z >= 0 && z < len(settings.Zones) {
 		zone = settings.Zones[z]
 	}
 	h := &outlierHost{}
 	h.detector = outlier.New(outlier.Settings{
-		MinObservers:     c.Observers,
-		MinZones:         c.Rooms,
-		MaxEjectedShare:  c.Share,
-		BaseEjectionTime: c.Term,
+		MinObservers:     c.MinObservers,
+		MinZones:         c.MinZones,
+		MaxEjectedShare:  c.MaxEjectedShare,
+		BaseEjectionTime: c.EjectionTime,
 	}, zone, h)
 	return component{Component: h.detector, attach: h.attach}
 }
--- a/cmd/threadsail-fleet/purge.go
+++ b/cmd/threadsail-fleet/purge.go
@@ -13,7 +13,7 @@
 // purgeComponent is the purges, with a cache of its own for each frontend.
 type purgeComponent struct {
 	*purge.Component
-	settings config.PurgesPart
+	settings config.PurgeConfig
 }
 
 // newPurgeComponent returns the component that empties this pooler's cache at its site's close; nil: it has no site.
@@ -24,7 +24,7 @@
 	c := &purgeComponent{purge.New(fleetSettings.Purges.Site, purgeProposal(fleetSettings)), fleetSettings.Purges}
 	c.Term = fleetSettings.Term
 	c.Journal = fleetSettings.Journal.File
-	c.KeptJournals = fleetSettings.Journal.Keep
+	c.KeptJournals = fleetSettings.Journal.MaxRotated
 	return c
 }
 
@@ -39,7 +39,7 @@
 	if len(c.settings.Classes) == 0 {
 		return
 	}
-	f.Dispatcher.AddGuard(c.NewCacheGuard(uint64(c.settings.Answers), c.settings.Classes, f.Dispatcher.ClassInfo, cacheableAnswers[f.Name]))
+	f.Dispatcher.AddGuard(c.NewCacheGuard(uint64(c.settings.CacheBytes), c.settings.Classes, f.Dispatcher.ClassInfo, cacheableAnswers[f.Name]))
 }
 
 // reload takes over what the operators propose and order.
@@ -52,14 +52,14 @@
 	file := fleetSettings.Purges
 	proposal := purge.Proposal{
 		Revision: file.Revision,
-		Book:     file.Book,
+		Book:     file.Calendars,
 		Bounds: purge.Bounds{
 			Guard:         file.Guard,
-			MaxReplicaAge: file.Confirm,
+			MaxReplicaAge: file.MaxReplicaAge,
 			Settle:        file.Settle,
 			// A write may take a lease's duration, and the lease that it names has a duration and the clock drift left when the write
 			// is abandoned.
-			WriteLead: 2*fleetSettings.Term + fleetSettings.Drift,
+			WriteLead: 2*fleetSettings.Term + fleetSettings.MaxClockDrift,
 		},
 	}
 	for _, o := range file.Orders {
--- a/cmd/threadsail-fleet/quota.go
+++ b/cmd/threadsail-fleet/quota.go
@@ -20,7 +20,7 @@
 	return quota.New(quota.Options{
 		Instance:  fmt.Sprintf("%s/%d-%d", fleetSettings.Name, os.Getpid(), time.Now().UnixNano()),
 		Term:      fleetSettings.Term,
-		Drift:     fleetSettings.Drift,
+		Drift:     fleetSettings.MaxClockDrift,
 		FleetSize: max(settings.Settings.Poolers, 1),
 		Limits:    fleetSettings.Limits,
 	})
--- a/cmd/threadsail-fleet/shardmap.go
+++ b/cmd/threadsail-fleet/shardmap.go
@@ -21,7 +21,7 @@
 	if len(fleetSettings.Shards.Ranges) == 0 {
 		return nil
 	}
-	return &shardComponent{shardmap.New(shardOptions(fleetSettings)), fleetSettings.Shards.Copier != ""}
+	return &shardComponent{shardmap.New(shardOptions(fleetSettings)), fleetSettings.Shards.CopierURL != ""}
 }
 
 // Run implements fleet.Component.
@@ -50,15 +50,15 @@
 	options := shardmap.Options{
 		Name:          fleetSettings.Name,
 		Term:          fleetSettings.Term,
-		MaxClockDrift: fleetSettings.Drift,
-		MaxPrepared:   file.PreparedMost,
-		MaxFenced:     file.FencedMost,
+		MaxClockDrift: fleetSettings.MaxClockDrift,
+		MaxPrepared:   file.MaxPrepared,
+		MaxFenced:     file.MaxFenced,
 		Ranges:        file.Ranges,
 		Epoch:         file.Epoch,
-		Retired:       file.Retired,
+		Retired:       file.RetiredProcesses,
 	}
-	if file.Copier != "" {
-		options.Copier = shardmap.HTTPCopier{URL: file.Copier}
+	if file.CopierURL != "" {
+		options.Copier = shardmap.HTTPCopier{URL: file.CopierURL}
 	}
 	for _, m := range file.Moves {
 		options.Orders = append(options.Orders, shardmap.Order{
--- a/cmd/threadsail-lab/fleet.go
+++ b/cmd/threadsail-lab/fleet.go
@@ -50,13 +50,13 @@
 	}
 	if c.Binary == "" {
 		c.Binary = "bin/threadsail"
-		if s.Fleet.Stewards > 0 {
+		if s.Fleet.Voters > 0 {
 			c.Binary = "bin/threadsail-fleet"
 		}
 	}
 	command := func() *exec.Cmd { return exec.Command(c.Binary, "serve") }
 	if _, err := os.Stat(c.Binary); err != nil {
-		if s.Fleet.Stewards > 0 {
+		if s.Fleet.Voters > 0 {
 			return fmt.Errorf("%w: poolers that know each other are built by go build -o bin/ ./cmd/threadsail-fleet", err)
 		}
 		self, err := os.Executable()
--- a/cmd/threadsail/fleet_test.go
+++ b/cmd/threadsail/fleet_test.go
@@ -145,7 +145,7 @@
 		t.Errorf("%d servers drained, %d requests served", len(rep.Drained), rep.Served)
 	}
 	for _, d := range rep.Drained {
-		if d.Last > s.Grace+3*time.Second {
+		if d.Last > s.DrainGracePeriod+3*time.Second {
 			t.Errorf("a statement came to %s %v after the news", d.Server, d.Last)
 		}
 	}
--- a/cmd/threadsail/main.go
+++ b/cmd/threadsail/main.go
@@ -124,10 +124,10 @@
 	}
 	fleet := "off"
 	if part != nil {
-		fleet = fmt.Sprintf("as %s, %d stewards", part.Name, len(part.Stewards))
+		fleet = fmt.Sprintf("as %s, %d stewards", part.Name, len(part.Voters))
 	}
 	fmt.Fprintf(s.out, "configuration is fine: %d classes, %d members known, MySQL front %s, fleet %s\n",
-		len(cfg.Settings.Classes), len(cfg.Known.Members), front, fleet)
+		len(cfg.Settings.Classes), len(cfg.KnownServers.Members), front, fleet)
 	return nil
 }
 
--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -18,8 +18,8 @@
 			fmt.Sprintf("list: up to %s databases (`serverlist.MaxServers`); documents: up to %s (`replication.MaxTotalSize`); the whole view of %s members goes to and from one other each %s s (`gossip.pushPullInterval`, memberlist's scale), and to and from whoever asks",
 				digits(c("serverlist.MaxServers")), quantity(c("replication.MaxTotalSize"), "B"), digits(n), digits(pull)),
 			"`internal/pooler`, `internal/fleet/replication`, `internal/fleet/gossip`"},
-		{"steward", "leases and all documents, its log, a connection of each asker", fmt.Sprintf("%s askers at once (`consensus.maxConnections`), %s poolers with a connection or two each; at most %s stewards (`config.mostStewards`)",
-			digits(c("consensus.maxConnections")), digits(n), digits(c("config.MostStewards"))), "`internal/fleet/consensus`"},
+		{"steward", "leases and all documents, its log, a connection of each asker", fmt.Sprintf("%s askers at once (`consensus.maxConnections`), %s poolers with a connection or two each; at most %s stewards (`config.MaxVoters`)",
+			digits(c("consensus.maxConnections")), digits(n), digits(c("config.MaxVoters"))), "`internal/fleet/consensus`"},
 		{"leader", "the same, and a datagram a pooler for each word", fmt.Sprintf("%s datagrams a beat of %s, and as many at each change (one in %s)", digits(n-1), quantity(term/3, "s"), quantity(day/g.ConfigChanges.PerDay, "s")),
 			"`internal/fleet/replication` (`Replicator.announce`), `internal/fleet/gossip` (`Bus.Broadcast`)"},
 		{"holder of the list duty", "the list service's watch, the newest list", fmt.Sprintf("%s datagrams a third of a term; whole lists to %d askers at once (`fleet.maxListTransfers`); a pooler shows its list %s after it has it at the latest (`gossip.metaUpdateSpacing`), so nearly all ask the holder",
@@ -77,7 +77,7 @@
 			"`internal/fleet/purge`", "by sites, of which the operators tell none", "seventh: a document a site"},
 		{"shard maps: enrolment", fmt.Sprintf("%s documents (`replication.MaxDocuments`)", digits(c("replication.MaxDocuments"))), fmt.Sprintf("a document a pooler: %s; %s writes a day by restarts", digits(n), digits(2*g.Faults.RestartsPerDay)), "`internal/fleet/shardmap` (`shards/router/NAME`)", digits(c("replication.MaxDocuments")) + " poolers", "fourth: enrolment at distributors"},
 		{"shard maps: the map", quantity(c("replication.MaxDocumentSize"), "B") + " a document", fmt.Sprintf("one document: %s bytes a group if each has one range", digits(perRange)), "`internal/fleet/shardmap` (`shards/map`)", "by ranges", "fourth: a map in parts"},
-		{"the audit's journals", "disk", fmt.Sprintf("up to %s MB a pooler (`config.defaultJournalMB`, `config.defaultKeep`), %s for all; a record for each list or configuration taken: up to %s a day in the fleet; merging them: %s", digits(c("config.defaultJournalMB")*(1+c("config.defaultKeep"))), quantity(c("config.defaultJournalMB")*(1+c("config.defaultKeep"))*n*1e6, "B"), digits(g.ConfigChanges.PerDay*n), NotMeasured),
+		{"the audit's journals", "disk", fmt.Sprintf("up to %s MB a pooler (`config.defaultJournalMB`, `config.defaultMaxRotated`), %s for all; a record for each list or configuration taken: up to %s a day in the fleet; merging them: %s", digits(c("config.defaultJournalMB")*(1+c("config.defaultMaxRotated"))), quantity(c("config.defaultJournalMB")*(1+c("config.defaultMaxRotated"))*n*1e6, "B"), digits(g.ConfigChanges.PerDay*n), NotMeasured),
 			"`internal/fleet/audit`", NotMeasured, "eighth: journals merged by region"},
 	}}
 }
--- a/internal/capacity/constants.go
+++ b/internal/capacity/constants.go
@@ -4,9 +4,9 @@
 // numbers. They are written down here, as most are not exported; a test holds each to its source.
 var constants = map[string]float64{
 	"config.defaultJournalMB":             8,
-	"config.defaultKeep":                  4,
+	"config.defaultMaxRotated":            4,
 	"config.DefaultTerm":                  3,
-	"config.MostStewards":                 7,
+	"config.MaxVoters":                    7,
 	"discovery.maxText":                   1 << 20,
 	"discoveryleader.fetchSpacing":        0.005,
 	"fleet.maxListTransfers":              8,
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -12,7 +12,7 @@
 	"threadsail/internal/jsonfile"
 )
 
-const mostPort = 65535
+const maxPort = 65535
 
 // address checks a value that must be host:port.
 func address(key, value string) error {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %q is no host:port", key, value)
 	}
-	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > mostPort {
+	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > maxPort {
 		return fmt.Errorf("%s: %q names no port", key, value)
 	}
 	return nil
@@ -57,13 +57,13 @@
 }
 
 const (
-	mostOrderName   = 100 // bytes
+	maxOrderName    = 100 // bytes
 	orderCharacters = "abcdefghijklmnopqrstuvwxyz0123456789-"
 )
 
 // validOrderName tells whether an order of the operators may have a name that others in seen do not have.
 func validOrderName(name string, seen map[string]bool) bool {
-	return name != "" && len(name) <= mostOrderName && strings.Trim(name, orderCharacters) == "" && !seen[name]
+	return name != "" && len(name) <= maxOrderName && strings.Trim(name, orderCharacters) == "" && !seen[name]
 }
 
 // notNegative returns an error that names the key of the first number below 0 in a struct, array or number.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,33 +17,33 @@
 
 // Config is what PROXY_CONFIG's file and the environment tell a pooler.
 type Config struct {
-	Name      string
-	Listen    string // address at which PostgreSQL's clients are served, host:port
-	Admin     string // address of the operators' port; empty: there is none
-	Inherited int    // descriptor of a listening socket for clients that the platform holds; 0: there is none
-	Discovery string // address of the list service, host:port
-	Seed      uint64 // of the pooler's random choices
+	Name            string
+	Listen          string // address at which PostgreSQL's clients are served, host:port
+	Admin           string // address of the operators' port; empty: there is none
+	InheritedSocket int    // descriptor of a listening socket for clients that the platform holds; 0: there is none
+	DiscoveryAddr   string // address of the list service, host:port
+	Seed            uint64 // of the pooler's random choices
 	ProcessLimits
-	Known    discovery.List // servers that are known at the start
-	Digest   string         // of the settings but for the pooler's own number and zone: the same at all poolers of a fleet
-	Settings policy.Settings
-	Zones    []string // names of the zones, in the order of their numbers
-	Reports  bool     // servers report their health
+	KnownServers   discovery.List // servers that are known at the start
+	Digest         string         // of the settings but for the pooler's own number and zone: the same at all poolers of a fleet
+	Settings       policy.Settings
+	Zones          []string // names of the zones, in the order of their numbers
+	HealthReported bool     // servers report their health
 	ServerConnections
-	Lists *Lists
-	shape jsonfile.Shape // of the file
+	ServerLists *ServerLists
+	shape       jsonfile.Shape // of the file
 }
 
 // ProcessLimits bound what the process may take of its machine.
 type ProcessLimits struct {
 	MemoryBytes int64
-	Sockets     int // open at once
+	MaxSockets  int // open at once
 }
 
 // ServerConnections bound the connections to servers.
 type ServerConnections struct {
-	MaxOpen        int           // at all servers together
-	ConnIdle       time.Duration // after which an unused connection is closed
+	MaxConnections int           // at all servers together
+	IdleTimeout    time.Duration // after which an unused connection is closed
 	ConnectTimeout time.Duration
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, jsonfile.Locate(path, text, err)
 	}
-	c.Lists, err = loadLists(getenv)
+	c.ServerLists, err = loadServerLists(getenv)
 	return c, err
 }
 
@@ -98,5 +98,5 @@
 	return names
 }
 
-// or returns the first value that is set.
-func or[T comparable](values ...T) T { return cmp.Or(values...) }
+// firstSet returns the first value that is set.
+func firstSet[T comparable](values ...T) T { return cmp.Or(values...) }
--- a/internal/config/config_file.go
+++ b/internal/config/config_file.go
@@ -23,58 +23,58 @@
 
 // Bounds of the process limits: with less a pooler can't work.
 const (
-	leastSockets     = 32
-	leastMemoryBytes = 16 << 20
+	minSockets     = 32
+	minMemoryBytes = 16 << 20
 )
 
-// firstInherited is the first descriptor that a platform can hand down: standard input, output and error come before it.
-const firstInherited = 3
+// minInheritedSocket is the first descriptor that a platform can hand down: standard input, output and error come before it.
+const minInheritedSocket = 3
 
-// configFile is the form of the file that PROXY_CONFIG names. The platform adds keys to it, so unknown ones are skipped.
-type configFile struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Admin     string          `json:"admin"`
-	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // hexadecimal
-	Limits    limitsFile      `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  *Facts          `json:"settings"`
+// configForm is the form of the file that PROXY_CONFIG names. The platform adds keys to it, so unknown ones are skipped.
+type configForm struct {
+	Name      string            `json:"name"`
+	Listen    string            `json:"listen"`
+	Admin     string            `json:"admin"`
+	Discovery string            `json:"discovery"`
+	Seed      string            `json:"seed"` // hexadecimal
+	Limits    processLimitsForm `json:"limits"`
+	Known     json.RawMessage   `json:"known"`
+	Settings  *SettingsFile     `json:"settings"`
 }
 
-type limitsFile struct {
+type processLimitsForm struct {
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
 func parse(text []byte, getenv func(string) string) (*Config, error) {
-	var file configFile
+	var file configForm
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, jsonfile.DescribeAt(err)
 	}
 	c := &Config{
-		Name:      or(file.Name, getenv("PROXY_NAME")),
-		Listen:    or(file.Listen, getenv("PROXY_LISTEN")),
-		Discovery: or(file.Discovery, getenv("PROXY_DISCOVERY")),
+		Name:          firstSet(file.Name, getenv("PROXY_NAME")),
+		Listen:        firstSet(file.Listen, getenv("PROXY_LISTEN")),
+		DiscoveryAddr: firstSet(file.Discovery, getenv("PROXY_DISCOVERY")),
 		ProcessLimits: ProcessLimits{
-			MemoryBytes: int64(or(file.Limits.MemoryMB, defaultMemoryMB) * (1 << 20)),
-			Sockets:     or(file.Limits.Sockets, defaultSockets),
+			MemoryBytes: int64(firstSet(file.Limits.MemoryMB, defaultMemoryMB) * (1 << 20)),
+			MaxSockets:  firstSet(file.Limits.Sockets, defaultSockets),
 		},
 		shape: jsonfile.ShapeOf(text),
 	}
 	if err := c.setAddresses(&file, getenv); err != nil {
 		return nil, err
 	}
-	if c.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.Sockets, leastSockets)
+	if c.MaxSockets < minSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is under %d", c.MaxSockets, minSockets)
 	}
-	if c.MemoryBytes < leastMemoryBytes {
+	if c.MemoryBytes < minMemoryBytes {
 		return nil, fmt.Errorf("limits.memory_mb: %v is under 16", file.Limits.MemoryMB)
 	}
 	if err := c.setSeed(file.Seed); err != nil {
 		return nil, err
 	}
-	if err := c.setKnown(file.Known); err != nil {
+	if err := c.setKnownServers(file.Known); err != nil {
 		return nil, err
 	}
 	if file.Settings == nil {
@@ -84,21 +84,21 @@
 }
 
 // setAddresses checks the addresses, and takes over those that are not always there.
-func (c *Config) setAddresses(file *configFile, getenv func(string) string) error {
+func (c *Config) setAddresses(file *configForm, getenv func(string) string) error {
 	if err := address("listen", c.Listen); err != nil {
 		return err
 	}
 	if text := getenv("PROXY_FD"); text != "" {
 		descriptor, err := strconv.Atoi(text)
-		if err != nil || descriptor < firstInherited {
+		if err != nil || descriptor < minInheritedSocket {
 			return fmt.Errorf("PROXY_FD: %q names no inherited descriptor", text)
 		}
-		c.Inherited = descriptor
+		c.InheritedSocket = descriptor
 	}
-	if err := address("discovery", c.Discovery); err != nil {
+	if err := address("discovery", c.DiscoveryAddr); err != nil {
 		return err
 	}
-	c.Admin = or(file.Admin, getenv("PROXY_ADMIN"))
+	c.Admin = firstSet(file.Admin, getenv("PROXY_ADMIN"))
 	if c.Admin == "" {
 		return nil
 	}
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (c *Config) setKnown(text json.RawMessage) error {
+func (c *Config) setKnownServers(text json.RawMessage) error {
 	if len(text) == 0 {
 		return nil
 	}
@@ -125,13 +125,13 @@
 	if err != nil {
 		return fmt.Errorf("known.%w", err)
 	}
-	c.Known = known
+	c.KnownServers = known
 	return nil
 }
 
 // setSettings checks the settings object and takes it over.
-func (c *Config) setSettings(facts *Facts) (err error) {
-	if c.Settings, err = Settings(facts); err != nil {
+func (c *Config) setSettings(facts *SettingsFile) (err error) {
+	if c.Settings, err = PolicySettings(facts); err != nil {
 		return err
 	}
 	c.Digest = facts.digest()
@@ -152,11 +152,11 @@
 	}
 	c.Zones = facts.Zones
 	c.ServerConnections = ServerConnections{
-		MaxOpen:        or(facts.Caps.MaxOpen, defaultMaxOpen),
-		ConnIdle:       or(Milliseconds(facts.Caps.ConnIdleMs), defaultConnIdle),
-		ConnectTimeout: or(Milliseconds(facts.Caps.ConnectTimeoutMs), defaultConnectTimeout),
+		MaxConnections: firstSet(facts.Caps.MaxOpen, defaultMaxOpen),
+		IdleTimeout:    firstSet(Milliseconds(facts.Caps.ConnIdleMs), defaultConnIdle),
+		ConnectTimeout: firstSet(Milliseconds(facts.Caps.ConnectTimeoutMs), defaultConnectTimeout),
 	}
-	c.Reports = facts.Report.How != "none" && len(facts.Report.Fields) > 0
+	c.HealthReported = facts.Report.How != "none" && len(facts.Report.Fields) > 0
 	return nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,9 +28,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Config{Name: "n3", Listen: "127.0.0.4:6432", Admin: "127.0.0.4:12000", Discovery: "127.2.0.1:8500", Seed: 0x8c1f30d27a5be964,
-		ProcessLimits: ProcessLimits{MemoryBytes: 64 << 20, Sockets: 512}, Known: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{}},
-		Zones: []string{"a"}, Reports: true, ServerConnections: ServerConnections{MaxOpen: 7, ConnIdle: 9 * time.Second, ConnectTimeout: defaultConnectTimeout},
+	want := &Config{Name: "n3", Listen: "127.0.0.4:6432", Admin: "127.0.0.4:12000", DiscoveryAddr: "127.2.0.1:8500", Seed: 0x8c1f30d27a5be964,
+		ProcessLimits: ProcessLimits{MemoryBytes: 64 << 20, MaxSockets: 512}, KnownServers: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{}},
+		Zones: []string{"a"}, HealthReported: true, ServerConnections: ServerConnections{MaxConnections: 7, IdleTimeout: 9 * time.Second, ConnectTimeout: defaultConnectTimeout},
 		Settings: policy.Settings{Classes: []policy.Class{{Name: "w", Access: policy.Write, Idempotency: policy.IdempotentByKey,
 			DedupScope: policy.DedupInGroup, TotalTimeout: 3 * time.Second}}}}
 	if d := cmp.Diff(want, got, cmpopts.IgnoreFields(Config{}, "shape", "Digest")); d != "" {
@@ -203,8 +203,8 @@
 "defaults":{"read":{"class":"r"},"write":{"class":"w","cluster":2}}}`
 	classes := []string{"r", "w"}
 	got, err := parseMySQL([]byte(text), classes, false)
-	want := &MySQL{Listen: "127.0.0.1:3306", Inventory: "i.csv", User: "u", Read: Default{"r", 0}, Write: Default{"w", 2},
-		Reload: 50 * time.Millisecond, ProbeTimeout: defaultProbeTimeout, Postgres: Postgres{User: "u", Database: "core"}}
+	want := &MySQL{Listen: "127.0.0.1:3306", Inventory: "i.csv", User: "u", ReadDefault: StatementDefault{"r", 0}, WriteDefault: StatementDefault{"w", 2},
+		ReloadInterval: 50 * time.Millisecond, ProbeTimeout: defaultProbeTimeout, Postgres: Postgres{User: "u", Database: "core"}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
 		t.Error(err, d)
 	}
@@ -222,7 +222,7 @@
 		t.Error(off, err)
 	}
 	path := filepath.Join(t.TempDir(), "missing.json")
-	if _, err := LoadMySQL(func(string) string { return path }, &Config{Lists: defaultLists()}); err == nil {
+	if _, err := LoadMySQL(func(string) string { return path }, &Config{ServerLists: defaultServerLists()}); err == nil {
 		t.Error("a file that is named but missing passes")
 	}
 	if shipped, err := os.ReadFile("../../" + MySQLFile); err != nil {
@@ -235,9 +235,9 @@
 func TestLists(t *testing.T) {
 	text := `{"enabled":true,"postgres":{"file":"a.csv"},"mysql":{"discovery":"127.0.0.1:1"},"state":"s","seal":"required",
 "settle_ms":0,"settle_removal_ms":10,"hold_ms":0,"hold_share":0.5,"keep":2,"poll_ms":50}`
-	got, err := parseLists([]byte(text))
-	want := &Lists{Postgres: ListSource{File: "a.csv"}, MySQL: ListSource{Discovery: "127.0.0.1:1"}, State: "s",
-		Poll: 50 * time.Millisecond, Policy: serverlist.Policy{SettleRemoval: 10 * time.Millisecond, Share: 0.5, RequireSeal: true, Keep: 2}}
+	got, err := parseServerLists([]byte(text))
+	want := &ServerLists{Postgres: ListSource{File: "a.csv"}, MySQL: ListSource{DiscoveryAddr: "127.0.0.1:1"}, ArchiveDir: "s",
+		PollInterval: 50 * time.Millisecond, Policy: serverlist.Policy{SettleRemoval: 10 * time.Millisecond, Share: 0.5, RequireSeal: true, Keep: 2}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
 		t.Error(err, d)
 	}
@@ -246,13 +246,13 @@
 		"seal": {"required", "maybe"}, "settle_ms": {`"settle_ms":0`, `"settle_ms":-1`}, "hold_share": {"0.5", "1.5"}, "hold_shar": {"hold_share", "hold_shar"},
 		"keep": {`"keep":2`, `"keep":0`}, "poll_ms": {"50", "5"}, "follows": {`50}`, `50}{}`}, "state": {`"s"`, `7`},
 	} {
-		if _, err := parseLists([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil || !strings.Contains(strings.ToLower(err.Error()), key) {
+		if _, err := parseServerLists([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil || !strings.Contains(strings.ToLower(err.Error()), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	if shipped, err := os.ReadFile("../../" + ListsFile); err != nil {
+	if shipped, err := os.ReadFile("../../" + ServerListsFile); err != nil {
 		t.Error(err)
-	} else if off, err := parseLists(shipped); cmp.Diff(defaultLists(), off) != "" || err != nil {
+	} else if off, err := parseServerLists(shipped); cmp.Diff(defaultServerLists(), off) != "" || err != nil {
 		t.Error("the shipped file is not off, or wrong:", err)
 	}
 }
--- a/internal/config/facts.go
+++ b/internal/config/facts.go
@@ -9,19 +9,19 @@
 	"threadsail/internal/jsonfile"
 )
 
-// Facts is the form of the object "settings". Unknown keys are skipped. Files begin each key with a small letter, and are read without
+// SettingsFile is the form of the object "settings". Unknown keys are skipped. Files begin each key with a small letter, and are read without
 // regard to case; the tags begin with a capital because Digest is of the text that they give.
-type Facts struct {
-	Balancers  int        `json:"Balancers"`
-	Me         int        `json:"Me"`
-	Zone       int        `json:"Zone"`
-	Discovery  string     `json:"Discovery"`
-	TickMs     float64    `json:"TickMs"`
-	Caps       Caps       `json:"Caps"`
-	Contract   Contract   `json:"Contract"`
-	FamilyInfo FamilyInfo `json:"FamilyInfo"`
-	Lanes      []Lane     `json:"Lanes"`
-	Zones      []string   `json:"Zones"`
+type SettingsFile struct {
+	Balancers  int                 `json:"Balancers"`
+	Me         int                 `json:"Me"`
+	Zone       int                 `json:"Zone"`
+	Discovery  string              `json:"Discovery"`
+	TickMs     float64             `json:"TickMs"`
+	Caps       CapabilitySettings  `json:"Caps"`
+	Contract   PolicyFigures       `json:"Contract"`
+	FamilyInfo ReplicationSettings `json:"FamilyInfo"`
+	Lanes      []ClassSettings     `json:"Lanes"`
+	Zones      []string            `json:"Zones"`
 	Clients    struct {
 		MarksRetry bool `json:"MarksRetry"`
 	} `json:"Clients"`
@@ -31,8 +31,8 @@
 	} `json:"Report"`
 }
 
-// Caps is what the site allows.
-type Caps struct {
+// CapabilitySettings is what the site allows.
+type CapabilitySettings struct {
 	ConnIdleMs       float64 `json:"ConnIdleMs"`
 	ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
 	MaxOpen          int     `json:"MaxOpen"`
@@ -45,8 +45,8 @@
 	SecondCopies     bool    `json:"SecondCopies"`
 }
 
-// Contract has the figures of the rules.
-type Contract struct {
+// PolicyFigures has the figures of the rules.
+type PolicyFigures struct {
 	AnswerSlackMs     float64 `json:"AnswerSlackMs"`
 	MustAskInMs       float64 `json:"MustAskInMs"`
 	ColdFrom          float64 `json:"ColdFrom"`
@@ -57,8 +57,8 @@
 	OnlyDrainingBinds bool    `json:"OnlyDrainingBinds"`
 }
 
-// FamilyInfo describes replicated groups.
-type FamilyInfo struct {
+// ReplicationSettings describes replicated groups.
+type ReplicationSettings struct {
 	BaseTimeMs   float64   `json:"BaseTimeMs"`
 	Behind       string    `json:"Behind"`
 	ClassRead    []string  `json:"ClassRead"`
@@ -68,8 +68,8 @@
 	WaitMs       float64   `json:"WaitMs"`
 }
 
-// Lane is a class of requests.
-type Lane struct {
+// ClassSettings is a class of requests.
+type ClassSettings struct {
 	Name        string  `json:"Name"`
 	Semantics   string  `json:"Semantics"`
 	Group       string  `json:"Group"`
@@ -80,9 +80,9 @@
 	WindowMs    float64 `json:"WindowMs"`
 }
 
-// ParseFacts reads the text of a settings object.
-func ParseFacts(text []byte) (*Facts, error) {
-	f := &Facts{}
+// ParseSettings reads the text of a settings object.
+func ParseSettings(text []byte) (*SettingsFile, error) {
+	f := &SettingsFile{}
 	if err := json.Unmarshal(text, f); err != nil {
 		return nil, fmt.Errorf("unreadable settings: %w", jsonfile.Describe(err))
 	}
@@ -90,7 +90,7 @@
 }
 
 // digest is the same at all poolers of a fleet that have the same settings: it leaves out the pooler's own number and zone.
-func (f Facts) digest() string {
+func (f SettingsFile) digest() string {
 	f.Me, f.Zone = 0, 0
 	text, err := json.Marshal(f)
 	if err != nil {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -19,54 +19,54 @@
 // Fleet is how this pooler takes part in the fleet of poolers.
 type Fleet struct {
 	Name string // among the fleet's poolers; PROXY_CONFIG's name unless the file gives one
-	GossipPart
-	Stewards []Peer // all voters of the consensus, the same set at every pooler
-	Steward  StewardPart
-	LeasePart
+	GossipConfig
+	Voters []Peer // all voters of the consensus, the same set at every pooler
+	Voter  VoterConfig
+	LeaseConfig
 	// SharedAddresses tells that servers have the same host and port at all poolers: the new servers of a list that the fleet hands
 	// on can be used without a call of this pooler's own.
-	SharedAddresses bool
-	Journal         JournalPart
-	Bound           time.Duration // as duty.Lists.Bound
-	Verdicts        VerdictsPart
-	Purges          PurgesPart
-	Shards          ShardsPart
-	Limits          Limits
-	RevisionPart
-	Shared       SharedPart
-	Distribution DistributionPart
+	SharedAddresses  bool
+	Journal          JournalConfig
+	StragglerTimeout time.Duration // as duty.Lists.Bound
+	Outliers         OutlierConfig
+	Purges           PurgeConfig
+	Shards           ShardConfig
+	Limits           Limits
+	RevisionConfig
+	Replica      ReplicaConfig
+	Distribution DistributionConfig
 }
 
-// GossipPart is how this pooler and others reach each other.
-type GossipPart struct {
+// GossipConfig is how this pooler and others reach each other.
+type GossipConfig struct {
 	Listen    string // for other poolers, TCP and UDP; an IP address and a port
 	Advertise string // where others reach it; empty: as Listen
 	Peers     []Peer // some others, for a start
 }
 
-// LeasePart is the times of leases.
-type LeasePart struct {
-	Term     time.Duration // of a lease
-	Drift    time.Duration // the most by which two monotonic clocks differ over a term
-	Election time.Duration // timeout after which a voter stands for election
+// LeaseConfig is the times of leases.
+type LeaseConfig struct {
+	Term            time.Duration // of a lease
+	MaxClockDrift   time.Duration // the most by which two monotonic clocks differ over a term
+	ElectionTimeout time.Duration // timeout after which a voter stands for election
 }
 
-// RevisionPart is what this pooler runs, and what it tells the fleet to require.
-type RevisionPart struct {
-	ConfigRevision uint64 // of this pooler's files, as the operators count it; 0: they don't
-	LeastConfig    uint64 // the least revision that may take writes
-	LeastBuild     string // the least version that may take writes, such as v1.4.0; empty: any
+// RevisionConfig is what this pooler runs, and what it tells the fleet to require.
+type RevisionConfig struct {
+	ConfigRevision    uint64 // of this pooler's files, as the operators count it; 0: they don't
+	MinConfigRevision uint64 // the least revision that may take writes
+	MinBuild          string // the least version that may take writes, such as v1.4.0; empty: any
 }
 
-// JournalPart is the pooler's journal of acts; File empty: it keeps none.
-type JournalPart struct {
-	File  string
-	Bytes int64 // of one file, before it is rotated
-	Keep  int   // rotated files
+// JournalConfig is the pooler's journal of acts; File empty: it keeps none.
+type JournalConfig struct {
+	File       string
+	MaxBytes   int64 // of one file, before it is rotated
+	MaxRotated int   // rotated files
 }
 
-// SharedPart is the pooler's copy of the fleet's documents; Dir empty: it is kept in memory alone.
-type SharedPart struct {
+// ReplicaConfig is the pooler's copy of the fleet's documents; Dir empty: it is kept in memory alone.
+type ReplicaConfig struct {
 	Dir string `json:"dir"`
 }
 
@@ -76,8 +76,8 @@
 	Addr string `json:"addr"`
 }
 
-// StewardPart is what a voter of the consensus needs; Listen empty: this pooler is none.
-type StewardPart struct {
+// VoterConfig is what a voter of the consensus needs; Listen empty: this pooler is none.
+type VoterConfig struct {
 	Listen string `json:"listen"`
 	Dir    string `json:"dir"`
 	Join   bool   `json:"join"` // it joins voters that there are already
@@ -101,7 +101,7 @@
 
 // readFleetFile reads the file of the fleet; nil without an error: there is none.
 func readFleetFile(getenv func(string) string) (path string, text []byte, err error) {
-	path = or(getenv("PROXY_FLEET"), FleetFile)
+	path = firstSet(getenv("PROXY_FLEET"), FleetFile)
 	text, err = os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && getenv("PROXY_FLEET") == "" {
 		return path, nil, nil
@@ -131,10 +131,10 @@
 
 // knownClusters tells the clusters of the list that the pooler starts with; nil: it starts with none.
 func knownClusters(cfg *Config) func(cluster int) bool {
-	if !cfg.Known.Complete || len(cfg.Known.Members) == 0 {
+	if !cfg.KnownServers.Complete || len(cfg.KnownServers.Members) == 0 {
 		return nil
 	}
 	return func(cluster int) bool {
-		return slices.ContainsFunc(cfg.Known.Members, func(m discovery.Member) bool { return m.Group == cluster })
+		return slices.ContainsFunc(cfg.KnownServers.Members, func(m discovery.Member) bool { return m.Group == cluster })
 	}
 }
--- a/internal/config/fleet_check.go
+++ b/internal/config/fleet_check.go
@@ -11,19 +11,19 @@
 
 // Bounds of the fleet's times, and of the number of its voters.
 const (
-	LeastTerm     = 300 * time.Millisecond
-	mostTerm      = time.Minute
-	leastDrift    = time.Millisecond
-	leastElection = 50 * time.Millisecond
-	MostStewards  = 7
-	mostStraggler = time.Hour
+	MinTerm             = 300 * time.Millisecond
+	maxTerm             = time.Minute
+	minClockDrift       = time.Millisecond
+	minElectionTimeout  = 50 * time.Millisecond
+	MaxVoters           = 7
+	maxStragglerTimeout = time.Hour
 )
 
 // Bounds of the journal.
 const (
-	leastJournalBytes = 64 << 10
-	mostJournalBytes  = 1 << 30
-	mostJournalFiles  = 100
+	minJournalBytes = 64 << 10
+	maxJournalBytes = 1 << 30
+	maxRotated      = 100
 )
 
 // checks returns what is wrong with the keys that stand by themselves in the file, in the order in which they are told.
@@ -33,15 +33,15 @@
 		{"listen", f.checkListen()},
 		{"advertise", f.checkAdvertise()},
 		{"peers", checkPeers("peers", f.Peers)},
-		{"stewards", checkPeers("stewards", f.Stewards)},
-		{"stewards", f.checkStewards()},
+		{"stewards", checkPeers("stewards", f.Voters)},
+		{"stewards", f.checkVoters()},
 		{"journal", f.Journal.check()},
-		{"least_build", f.checkLeastBuild()},
-		{"least_config", f.checkLeastConfig()},
-		{"straggler_ms", within("straggler_ms", f.Bound, 4*f.Term, mostStraggler)}, // three terms may pass until it calls by itself
-		{"term_ms", within("term_ms", f.Term, LeastTerm, mostTerm)},
-		{"drift_ms", within("drift_ms", f.Drift, leastDrift, f.Term/4)}, // a holder acts for two thirds of its term at the least
-		{"election_ms", within("election_ms", f.Election, leastElection, f.Term)},
+		{"least_build", f.checkMinBuild()},
+		{"least_config", f.checkMinConfigRevision()},
+		{"straggler_ms", within("straggler_ms", f.StragglerTimeout, 4*f.Term, maxStragglerTimeout)}, // three terms may pass until it calls by itself
+		{"term_ms", within("term_ms", f.Term, MinTerm, maxTerm)},
+		{"drift_ms", within("drift_ms", f.MaxClockDrift, minClockDrift, f.Term/4)}, // a holder acts for two thirds of its term at the least
+		{"election_ms", within("election_ms", f.ElectionTimeout, minElectionTimeout, f.Term)},
 	}
 }
 
@@ -54,7 +54,7 @@
 
 // checkListen checks the address for other poolers, which only poolers that gossip need.
 func (f *Fleet) checkListen() error {
-	if !f.Gossips() {
+	if !f.UsesGossip() {
 		return nil
 	}
 	return ipAddress("listen", f.Listen)
@@ -82,42 +82,42 @@
 	return nil
 }
 
-// checkStewards checks the number of the consensus's voters, and what this pooler needs if it is one.
-func (f *Fleet) checkStewards() error {
-	n := len(f.Stewards)
+// checkVoters checks the number of the consensus's voters, and what this pooler needs if it is one.
+func (f *Fleet) checkVoters() error {
+	n := len(f.Voters)
 	switch {
-	case n == 0 || n%2 == 0 || n > MostStewards:
-		return fmt.Errorf("stewards: %d are named, not an odd number up to %d: an even one bears no more losses", n, MostStewards)
-	case f.Steward.Listen == "":
+	case n == 0 || n%2 == 0 || n > MaxVoters:
+		return fmt.Errorf("stewards: %d are named, not an odd number up to %d: an even one bears no more losses", n, MaxVoters)
+	case f.Voter.Listen == "":
 		return nil
-	case f.Steward.Dir == "":
+	case f.Voter.Dir == "":
 		return errors.New("steward.dir: missing")
-	case !slices.ContainsFunc(f.Stewards, func(p Peer) bool { return p.Name == f.Name }):
+	case !slices.ContainsFunc(f.Voters, func(p Peer) bool { return p.Name == f.Name }):
 		return fmt.Errorf("stewards: this pooler, %q, is a steward and not among them", f.Name)
 	}
-	return ipAddress("steward.listen", f.Steward.Listen)
+	return ipAddress("steward.listen", f.Voter.Listen)
 }
 
-func (f *Fleet) checkLeastConfig() error {
-	if f.LeastConfig > f.ConfigRevision {
-		return fmt.Errorf("least_config: %d is above this file's own config_revision, %d", f.LeastConfig, f.ConfigRevision)
+func (f *Fleet) checkMinConfigRevision() error {
+	if f.MinConfigRevision > f.ConfigRevision {
+		return fmt.Errorf("least_config: %d is above this file's own config_revision, %d", f.MinConfigRevision, f.ConfigRevision)
 	}
 	return nil
 }
 
-func (f *Fleet) checkLeastBuild() error {
-	if f.LeastBuild != "" && !semver.IsValid(f.LeastBuild) {
-		return fmt.Errorf("least_build: %q is no version such as v1.4.0", f.LeastBuild)
+func (f *Fleet) checkMinBuild() error {
+	if f.MinBuild != "" && !semver.IsValid(f.MinBuild) {
+		return fmt.Errorf("least_build: %q is no version such as v1.4.0", f.MinBuild)
 	}
 	return nil
 }
 
-func (j JournalPart) check() error {
+func (j JournalConfig) check() error {
 	switch {
-	case j.Bytes < leastJournalBytes || j.Bytes > mostJournalBytes:
-		return fmt.Errorf("journal.max_mb: %d bytes are not from 64 KiB to 1 GiB", j.Bytes)
-	case j.Keep < 0 || j.Keep > mostJournalFiles:
-		return fmt.Errorf("journal.keep: %d is not from 0 to %d", j.Keep, mostJournalFiles)
+	case j.MaxBytes < minJournalBytes || j.MaxBytes > maxJournalBytes:
+		return fmt.Errorf("journal.max_mb: %d bytes are not from 64 KiB to 1 GiB", j.MaxBytes)
+	case j.MaxRotated < 0 || j.MaxRotated > maxRotated:
+		return fmt.Errorf("journal.keep: %d is not from 0 to %d", j.MaxRotated, maxRotated)
 	}
 	return nil
 }
--- a/internal/config/fleet_distribution.go
+++ b/internal/config/fleet_distribution.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	MostDistributors = 64  // each has a link to each other one
-	mostRegion       = 128 // bytes of a region's name
+	MaxDistributors = 64  // each has a link to each other one
+	maxRegion       = 128 // bytes of a region's name
 )
 
-// DistributionPart is how the fleet's documents and words reach this pooler. Without Distributors each pooler knows each other one,
+// DistributionConfig is how the fleet's documents and words reach this pooler. Without Distributors each pooler knows each other one,
 // by gossip.
-type DistributionPart struct {
+type DistributionConfig struct {
 	Listen       string        `json:"listen"` // of this pooler's streams, if it is a distributor; empty: it is none
 	Region       string        `json:"region"`
 	Distributors []Distributor `json:"distributors"`
@@ -26,11 +26,11 @@
 	Region string `json:"region"`
 }
 
-// Distributes tells whether distributors bring what all share.
-func (f *Fleet) Distributes() bool { return len(f.Distribution.Distributors) > 0 }
+// UsesDistributors tells whether distributors bring what all share.
+func (f *Fleet) UsesDistributors() bool { return len(f.Distribution.Distributors) > 0 }
 
-// Gossips tells whether this pooler is known to others by gossip: all of a fleet without distributors, and the distributors.
-func (f *Fleet) Gossips() bool { return !f.Distributes() || f.Distribution.Listen != "" }
+// UsesGossip tells whether this pooler is known to others by gossip: all of a fleet without distributors, and the distributors.
+func (f *Fleet) UsesGossip() bool { return !f.UsesDistributors() || f.Distribution.Listen != "" }
 
 // checkDistribution checks the part, and what of the rest of the file does not go with it. Errors have the path of their key.
 func (f *Fleet) checkDistribution() error {
@@ -39,13 +39,13 @@
 	}
 	p := f.Distribution
 	switch {
-	case len(p.Region) > mostRegion:
-		return atPath(fmt.Errorf("distribution.region: over %d bytes", mostRegion), "distribution", "region")
-	case !f.Distributes() && p.Listen != "":
+	case len(p.Region) > maxRegion:
+		return atPath(fmt.Errorf("distribution.region: over %d bytes", maxRegion), "distribution", "region")
+	case !f.UsesDistributors() && p.Listen != "":
 		return atPath(errors.New("distribution.listen: no distributors are named"), "distribution", "listen")
-	case !f.Distributes():
+	case !f.UsesDistributors():
 		return nil
-	case p.Listen == "" && f.Steward.Listen != "":
+	case p.Listen == "" && f.Voter.Listen != "":
 		return atPath(errors.New("distribution.listen: missing, and a steward is a distributor"), "distribution", "listen")
 	case p.Listen != "" && !p.names(f.Name):
 		err := fmt.Errorf("distribution.distributors: this pooler, %q, is one and not among them", f.Name)
@@ -59,21 +59,21 @@
 // checkDistributors checks the list of distributors, which must have each voter of the consensus among them.
 func (f *Fleet) checkDistributors() error {
 	list := f.Distribution.Distributors
-	if len(list) > MostDistributors {
-		return fmt.Errorf("distribution.distributors: %d are named, at most %d may be", len(list), MostDistributors)
+	if len(list) > MaxDistributors {
+		return fmt.Errorf("distribution.distributors: %d are named, at most %d may be", len(list), MaxDistributors)
 	}
 	var peers []Peer
 	for i, d := range list {
-		if len(d.Region) > mostRegion {
-			return fmt.Errorf("distribution.distributors[%d].region: over %d bytes", i, mostRegion)
+		if len(d.Region) > maxRegion {
+			return fmt.Errorf("distribution.distributors[%d].region: over %d bytes", i, maxRegion)
 		}
 		peers = append(peers, Peer{d.Name, d.Addr})
 	}
 	if err := checkPeers("distribution.distributors", peers); err != nil {
 		return err
 	}
-	for _, s := range f.Stewards {
-		if f.Distributes() && !f.Distribution.names(s.Name) {
+	for _, s := range f.Voters {
+		if f.UsesDistributors() && !f.Distribution.names(s.Name) {
 			return fmt.Errorf("distribution.distributors: %q is a steward and not among them", s.Name)
 		}
 	}
@@ -81,6 +81,6 @@
 }
 
 // names tells whether a pooler is among the distributors.
-func (p DistributionPart) names(pooler string) bool {
+func (p DistributionConfig) names(pooler string) bool {
 	return slices.ContainsFunc(p.Distributors, func(d Distributor) bool { return d.Name == pooler })
 }
--- a/internal/config/fleet_file.go
+++ b/internal/config/fleet_file.go
@@ -11,23 +11,23 @@
 
 // Defaults of the fleet's file.
 const (
-	DefaultTerm      = 3 * time.Second
-	defaultDrift     = 100 * time.Millisecond // 3% of the term: far more than two monotonic clocks differ by
-	defaultJournalMB = 8                      // some 40,000 acts
-	defaultKeep      = 4
-	stragglerTerms   = 10 // the default of straggler_ms, in terms
-	electionsOfTerm  = 3  // the default of election_ms is a term's part of so many
+	DefaultTerm       = 3 * time.Second
+	defaultClockDrift = 100 * time.Millisecond // 3% of the term: far more than two monotonic clocks differ by
+	defaultJournalMB  = 8                      // some 40,000 acts
+	defaultMaxRotated = 4
+	stragglerTerms    = 10 // the default of straggler_ms, in terms
+	electionsOfTerm   = 3  // the default of election_ms is a term's part of so many
 )
 
-// fleetFile is the form of the file of the fleet.
-type fleetFile struct {
+// fleetForm is the form of the file of the fleet.
+type fleetForm struct {
 	Enabled         bool                         `json:"enabled"`
 	Name            string                       `json:"name"`
 	Listen          string                       `json:"listen"`
 	Advertise       string                       `json:"advertise"`
 	Peers           []Peer                       `json:"peers"`
 	Stewards        []Peer                       `json:"stewards"`
-	Steward         StewardPart                  `json:"steward"`
+	Steward         VoterConfig                  `json:"steward"`
 	TermMs          float64                      `json:"term_ms"`
 	DriftMs         float64                      `json:"drift_ms"`
 	ElectionMs      float64                      `json:"election_ms"`
@@ -36,19 +36,19 @@
 	LeastBuild      string                       `json:"least_build"`
 	ConfigRevision  uint64                       `json:"config_revision"`
 	LeastConfig     uint64                       `json:"least_config"`
-	Verdicts        verdictsFile                 `json:"verdicts"`
-	Purges          purgesFile                   `json:"purges"`
-	Shards          shardsFile                   `json:"shards"`
+	Verdicts        outlierForm                  `json:"verdicts"`
+	Purges          purgeForm                    `json:"purges"`
+	Shards          shardForm                    `json:"shards"`
 	Limits          json.RawMessage              `json:"limits"`
 	Calendars       map[string]calendar.Calendar `json:"calendars"`
 	Sites           map[string]calendar.Site     `json:"sites"`
-	Shared          SharedPart                   `json:"shared"`
-	Distribution    DistributionPart             `json:"distribution"`
-	Journal         journalFile                  `json:"journal"`
+	Shared          ReplicaConfig                `json:"shared"`
+	Distribution    DistributionConfig           `json:"distribution"`
+	Journal         journalForm                  `json:"journal"`
 }
 
-// journalFile is the form of the journal's object in the file of the fleet.
-type journalFile struct {
+// journalForm is the form of the journal's object in the file of the fleet.
+type journalForm struct {
 	File  string  `json:"file"`
 	MaxMB float64 `json:"max_mb"`
 	Keep  *int    `json:"keep"`
@@ -57,7 +57,7 @@
 // parseFleet returns the fleet's part; nil without an error: it is off. Errors are *jsonfile.Mistake. name is the pooler's own, for a
 // file that gives none; clusters tells which clusters there are, and nil that nobody knows yet.
 func parseFleet(text []byte, name string, clusters func(cluster int) bool) (*Fleet, error) {
-	var file fleetFile
+	var file fleetForm
 	if err := jsonfile.Decode(text, &file); err != nil {
 		return nil, jsonfile.FindUnknownKey(text, err)
 	}
@@ -66,14 +66,14 @@
 	}
 	f := file.fleet(name)
 	var err error
-	if f.Verdicts, err = file.Verdicts.part(); err != nil {
+	if f.Outliers, err = file.Verdicts.outliers(); err != nil {
 		return nil, placeWithin(text, err)
 	}
 	if f.Limits, err = parseLimits(file.Limits); err != nil {
 		return nil, placeInside(text, file.Limits, err)
 	}
 	book := calendar.Book{Calendars: file.Calendars, Sites: file.Sites}
-	if f.Purges, err = file.Purges.part(book, f.Journal.File, f.Term); err != nil {
+	if f.Purges, err = file.Purges.purges(book, f.Journal.File, f.Term); err != nil {
 		return nil, place(text, err)
 	}
 	if failed, ok := firstFailed(f.checks()); ok {
@@ -82,36 +82,36 @@
 	if err := f.checkDistribution(); err != nil {
 		return nil, placeWithin(text, err)
 	}
-	if f.Shards, err = file.Shards.part(f.Term, f.Drift, clusters); err != nil {
+	if f.Shards, err = file.Shards.shards(f.Term, f.MaxClockDrift, clusters); err != nil {
 		return nil, place(text, err)
 	}
 	return f, nil
 }
 
 // fleet takes over what the file says of the fleet itself, and fills in defaults.
-func (file *fleetFile) fleet(name string) *Fleet {
+func (file *fleetForm) fleet(name string) *Fleet {
 	f := &Fleet{
-		Name:            or(file.Name, name),
-		GossipPart:      GossipPart{Listen: file.Listen, Advertise: file.Advertise, Peers: file.Peers},
-		Stewards:        file.Stewards,
-		Steward:         file.Steward,
+		Name:            firstSet(file.Name, name),
+		GossipConfig:    GossipConfig{Listen: file.Listen, Advertise: file.Advertise, Peers: file.Peers},
+		Voters:          file.Stewards,
+		Voter:           file.Steward,
 		SharedAddresses: file.SharedAddresses,
-		Journal:         file.Journal.part(),
-		RevisionPart:    RevisionPart{ConfigRevision: file.ConfigRevision, LeastConfig: file.LeastConfig, LeastBuild: file.LeastBuild},
-		Shared:          file.Shared,
+		Journal:         file.Journal.journal(),
+		RevisionConfig:  RevisionConfig{ConfigRevision: file.ConfigRevision, MinConfigRevision: file.LeastConfig, MinBuild: file.LeastBuild},
+		Replica:         file.Shared,
 		Distribution:    file.Distribution,
 	}
-	f.Term = or(Milliseconds(file.TermMs), DefaultTerm)
-	f.Drift = or(Milliseconds(file.DriftMs), defaultDrift)
-	f.Election = or(Milliseconds(file.ElectionMs), f.Term/electionsOfTerm)
-	f.Bound = or(Milliseconds(file.StragglerMs), stragglerTerms*f.Term)
+	f.Term = firstSet(Milliseconds(file.TermMs), DefaultTerm)
+	f.MaxClockDrift = firstSet(Milliseconds(file.DriftMs), defaultClockDrift)
+	f.ElectionTimeout = firstSet(Milliseconds(file.ElectionMs), f.Term/electionsOfTerm)
+	f.StragglerTimeout = firstSet(Milliseconds(file.StragglerMs), stragglerTerms*f.Term)
 	return f
 }
 
-func (file *journalFile) part() JournalPart {
-	p := JournalPart{File: file.File, Bytes: int64(or(file.MaxMB, defaultJournalMB) * (1 << 20)), Keep: defaultKeep}
+func (file *journalForm) journal() JournalConfig {
+	p := JournalConfig{File: file.File, MaxBytes: int64(firstSet(file.MaxMB, defaultJournalMB) * (1 << 20)), MaxRotated: defaultMaxRotated}
 	if file.Keep != nil {
-		p.Keep = *file.Keep
+		p.MaxRotated = *file.Keep
 	}
 	return p
 }
--- a/internal/config/fleet_limits.go
+++ b/internal/config/fleet_limits.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	mostLimits     = 64
+	maxLimits      = 64
 	defaultReserve = 0.25
 )
 
 // Limit holds for all poolers of a fleet together.
 type Limit struct {
-	Name string `json:"name"`
-	On   string `json:"on"`
+	Name   string `json:"name"`
+	Target string `json:"on"`
 	// Class is, of requests, the one class that it is on; empty: all, together.
 	Class string `json:"class,omitempty"`
 	// Tenants: of requests, each tenant has the limit to itself; else all have it together.
@@ -46,9 +46,9 @@
 	List     []Limit `json:"list"`
 }
 
-// On is the set's first limit on something.
-func (l Limits) On(what string) (Limit, bool) {
-	i := slices.IndexFunc(l.List, func(l Limit) bool { return l.On == what })
+// OnTarget is the set's first limit on something.
+func (l Limits) OnTarget(what string) (Limit, bool) {
+	i := slices.IndexFunc(l.List, func(l Limit) bool { return l.Target == what })
 	if i < 0 {
 		return Limit{}, false
 	}
@@ -58,8 +58,8 @@
 // ParseLimits reads a set as the fleet passes it on: checked as the operators' file is.
 func ParseLimits(text []byte) (Limits, error) { return parseLimits(text) }
 
-// limitsForm is the form of a set; each limit is decoded by itself, so that an error can name it.
-type limitsForm struct {
+// limitSetForm is the form of a set; each limit is decoded by itself, so that an error can name it.
+type limitSetForm struct {
 	Revision uint64            `json:"revision"`
 	List     []json.RawMessage `json:"list"`
 }
@@ -69,9 +69,9 @@
 	if len(text) == 0 {
 		return Limits{}, nil
 	}
-	var file limitsForm
+	var file limitSetForm
 	if err := jsonfile.DecodeValue(text, &file); err != nil {
-		return Limits{}, rewrap(err, 0, "limits")
+		return Limits{}, withKey(err, 0, "limits")
 	}
 	out := Limits{Revision: file.Revision}
 	at := int64(0) // behind the limits that were read
@@ -79,7 +79,7 @@
 		at += int64(max(bytes.Index(text[at:], raw), 0))
 		limit, err := parseLimit(raw)
 		if err != nil {
-			return Limits{}, rewrap(err, at, fmt.Sprintf("limits.list[%d]", i))
+			return Limits{}, withKey(err, at, fmt.Sprintf("limits.list[%d]", i))
 		}
 		out.List = append(out.List, limit)
 		if key, err := checkLimit(out.List, i); err != nil {
@@ -88,8 +88,8 @@
 		at += int64(len(raw))
 	}
 	switch {
-	case len(out.List) > mostLimits:
-		return Limits{}, jsonfile.At(at, fmt.Errorf("limits.list: %d are more than %d", len(out.List), mostLimits))
+	case len(out.List) > maxLimits:
+		return Limits{}, jsonfile.At(at, fmt.Errorf("limits.list: %d are more than %d", len(out.List), maxLimits))
 	case len(out.List) > 0 && out.Revision == 0:
 		return Limits{}, jsonfile.At(0, errNoLimitsRevision)
 	}
@@ -103,8 +103,8 @@
 	return l, jsonfile.DecodeValue(text, &l)
 }
 
-// rewrap puts a key before a mistake's text, and moves it by the offset of the value that it is in.
-func rewrap(err error, offset int64, key string) error {
+// withKey puts a key before a mistake's text, and moves it by the offset of the value that it is in.
+func withKey(err error, offset int64, key string) error {
 	var mistake *jsonfile.Mistake
 	if errors.As(err, &mistake) {
 		offset += mistake.Offset
@@ -130,12 +130,12 @@
 		return "name", fmt.Errorf("%q is empty, longer than 64 bytes, or has a slash or space", l.Name)
 	case slices.ContainsFunc(list[:i], func(o Limit) bool { return o.Name == l.Name }):
 		return "name", fmt.Errorf("%q names another too", l.Name)
-	case !slices.Contains([]string{LimitRequests, LimitConnections, LimitCold, LimitProbes}, l.On):
-		return "on", fmt.Errorf("%q is none of requests, connections, cold, probes", l.On)
-	case l.On != LimitRequests && cmp.Or(l.Class, fmt.Sprint(l.Tenants)) != "false":
-		return "on", fmt.Errorf("%s has no class or tenants: it is on each server", l.On)
-	case l.On != LimitRequests && slices.ContainsFunc(list[:i], func(o Limit) bool { return o.On == l.On }):
-		return "on", fmt.Errorf("%s has a limit already", l.On)
+	case !slices.Contains([]string{LimitRequests, LimitConnections, LimitCold, LimitProbes}, l.Target):
+		return "on", fmt.Errorf("%q is none of requests, connections, cold, probes", l.Target)
+	case l.Target != LimitRequests && cmp.Or(l.Class, fmt.Sprint(l.Tenants)) != "false":
+		return "on", fmt.Errorf("%s has no class or tenants: it is on each server", l.Target)
+	case l.Target != LimitRequests && slices.ContainsFunc(list[:i], func(o Limit) bool { return o.Target == l.Target }):
+		return "on", fmt.Errorf("%s has a limit already", l.Target)
 	case !(l.Rate >= 0.01 && l.Rate <= 1e7):
 		return "rate", fmt.Errorf("%v is not from 0.01 to 1e7 a second", l.Rate)
 	case !(l.Burst >= 0 && l.Burst <= 1e7) || math.IsNaN(l.Burst):
--- a/internal/config/fleet_purges.go
+++ b/internal/config/fleet_purges.go
@@ -11,28 +11,28 @@
 
 // Defaults of the purges.
 const (
-	DefaultPurgeGuard   = 500 * time.Millisecond // machines that keep their time by NTP are within a tenth of it
-	DefaultPurgeConfirm = 10 * time.Second
-	defaultSettle       = time.Second // lag of replicas
-	defaultAnswersMB    = 4
+	DefaultPurgeGuard    = 500 * time.Millisecond // machines that keep their time by NTP are within a tenth of it
+	DefaultMaxReplicaAge = 10 * time.Second
+	defaultSettle        = time.Second // lag of replicas
+	defaultCacheMB       = 4
 
-	// answersShare is the most of limits.memory_mb that answers may take, an eighth: the heap grows to three times what lives.
-	answersShare = 8
+	// cacheShare is the most of limits.memory_mb that answers may take, an eighth: the heap grows to three times what lives.
+	cacheShare = 8
 
-	mostCluster = 1 << 16
+	maxCluster = 1 << 16
 )
 
-// PurgesPart is what empties this pooler's cache of answers, and what the cache is; Site empty: there is none of it.
-type PurgesPart struct {
-	Site    string // this pooler's
-	Answers int64  // bytes
-	Classes []string
+// PurgeConfig is what empties this pooler's cache of answers, and what the cache is; Site empty: there is none of it.
+type PurgeConfig struct {
+	Site       string // this pooler's
+	CacheBytes int64  // bytes
+	Classes    []string
 
 	// What this file proposes to the fleet: a plan of a Revision above 0, and orders by hand.
-	Revision               uint64
-	Guard, Confirm, Settle time.Duration // as purge.Bounds
-	Book                   calendar.Book
-	Orders                 []PurgeOrder
+	Revision                     uint64
+	Guard, MaxReplicaAge, Settle time.Duration // as purge.Bounds
+	Calendars                    calendar.Book
+	Orders                       []PurgeOrder
 }
 
 // PurgeOrder is a purge that the operators order by hand.
@@ -43,8 +43,8 @@
 	Cluster *int      `json:"cluster"` // nil: all
 }
 
-// purgesFile is the form of the purges' object in the file of the fleet.
-type purgesFile struct {
+// purgeForm is the form of the purges' object in the file of the fleet.
+type purgeForm struct {
 	Site      string       `json:"site"`
 	Revision  uint64       `json:"revision"`
 	ClockMs   float64      `json:"clock_ms"`
@@ -55,18 +55,18 @@
 	Orders    []PurgeOrder `json:"orders"`
 }
 
-// part fills in defaults and checks the part. Errors have the path of their key.
-func (f purgesFile) part(book calendar.Book, journal string, term time.Duration) (PurgesPart, error) {
-	p := PurgesPart{
-		Site:     f.Site,
-		Answers:  int64(or(f.AnswersMB, defaultAnswersMB) * (1 << 20)),
-		Classes:  f.Classes,
-		Revision: f.Revision,
-		Guard:    or(Milliseconds(f.ClockMs), DefaultPurgeGuard),
-		Confirm:  or(Milliseconds(f.ConfirmMs), max(DefaultPurgeConfirm, 3*term)),
-		Settle:   defaultSettle,
-		Book:     book,
-		Orders:   f.Orders,
+// purges fills in defaults and checks the part. Errors have the path of their key.
+func (f purgeForm) purges(book calendar.Book, journal string, term time.Duration) (PurgeConfig, error) {
+	p := PurgeConfig{
+		Site:          f.Site,
+		CacheBytes:    int64(firstSet(f.AnswersMB, defaultCacheMB) * (1 << 20)),
+		Classes:       f.Classes,
+		Revision:      f.Revision,
+		Guard:         firstSet(Milliseconds(f.ClockMs), DefaultPurgeGuard),
+		MaxReplicaAge: firstSet(Milliseconds(f.ConfirmMs), max(DefaultMaxReplicaAge, 3*term)),
+		Settle:        defaultSettle,
+		Calendars:     book,
+		Orders:        f.Orders,
 	}
 	if f.SettleMs != nil {
 		p.Settle = Milliseconds(*f.SettleMs)
@@ -92,34 +92,34 @@
 
 // Bounds of the purges.
 const (
-	leastGuard   = 10 * time.Millisecond
-	mostGuard    = 10 * time.Second
-	mostConfirm  = time.Hour
-	mostSettle   = time.Minute
-	leastAnswers = 64 << 10
-	mostAnswers  = 256 << 20
+	minGuard         = 10 * time.Millisecond
+	maxGuard         = 10 * time.Second
+	maxMaxReplicaAge = time.Hour
+	maxSettle        = time.Minute
+	minCacheBytes    = 64 << 10
+	maxCacheBytes    = 256 << 20
 )
 
 // hasSite tells whether the plan has a site; without a plan of this file's own any may be meant.
-func (p *PurgesPart) hasSite(site string) bool {
-	_, ok := p.Book.Sites[site]
+func (p *PurgeConfig) hasSite(site string) bool {
+	_, ok := p.Calendars.Sites[site]
 	return ok || p.Revision == 0
 }
 
-func (p *PurgesPart) checks(journal string, term time.Duration) []keyCheck {
+func (p *PurgeConfig) checks(journal string, term time.Duration) []keyCheck {
 	return []keyCheck{
 		{"site", unless(p.Site == "" || p.hasSite(p.Site), "%q is not among the sites", p.Site)},
 		{"site", unless(p.Site == "" || journal != "", "it needs journal.file: a purge that is not noted would be noted again after a restart")},
-		{"revision", unless(p.Revision == 0 || len(p.Book.Sites) > 0, "a plan without sites")},
-		{"clock_ms", within("clock_ms", p.Guard, leastGuard, mostGuard)},
-		{"confirm_ms", within("confirm_ms", p.Confirm, term, mostConfirm)}, // copies are confirmed three times a term
-		{"settle_ms", within("settle_ms", p.Settle, 0, mostSettle)},
-		{"answers_mb", unless(p.Answers >= leastAnswers && p.Answers <= mostAnswers, "%d bytes are not from 64 KiB to 256 MiB", p.Answers)},
+		{"revision", unless(p.Revision == 0 || len(p.Calendars.Sites) > 0, "a plan without sites")},
+		{"clock_ms", within("clock_ms", p.Guard, minGuard, maxGuard)},
+		{"confirm_ms", within("confirm_ms", p.MaxReplicaAge, term, maxMaxReplicaAge)}, // copies are confirmed three times a term
+		{"settle_ms", within("settle_ms", p.Settle, 0, maxSettle)},
+		{"answers_mb", unless(p.CacheBytes >= minCacheBytes && p.CacheBytes <= maxCacheBytes, "%d bytes are not from 64 KiB to 256 MiB", p.CacheBytes)},
 	}
 }
 
 // checkOrders checks the orders by hand.
-func (p *PurgesPart) checkOrders() error {
+func (p *PurgeConfig) checkOrders() error {
 	seen := map[string]bool{}
 	for i, o := range p.Orders {
 		for _, check := range []struct {
@@ -129,7 +129,7 @@
 			{"name", !validOrderName(o.Name, seen)},
 			{"issued", o.Issued.IsZero()},
 			{"site", o.Site != "" && !p.hasSite(o.Site)},
-			{"cluster", o.Cluster != nil && (*o.Cluster < 0 || *o.Cluster > mostCluster)},
+			{"cluster", o.Cluster != nil && (*o.Cluster < 0 || *o.Cluster > maxCluster)},
 		} {
 			if check.bad {
 				err := fmt.Errorf("purges.orders[%d].%s: it takes a name of its own (a-z, 0-9, -), when it was issued, and a site and cluster that there are, or none", i, check.key)
@@ -142,8 +142,8 @@
 }
 
 // checkMemory checks that the answers leave the pooler the memory that it needs for its work.
-func (p *PurgesPart) checkMemory(memoryBytes int64) error {
-	if p.Site == "" || p.Answers <= memoryBytes/answersShare {
+func (p *PurgeConfig) checkMemory(memoryBytes int64) error {
+	if p.Site == "" || p.CacheBytes <= memoryBytes/cacheShare {
 		return nil
 	}
 	return atPath(errors.New("purges.answers_mb: more than an eighth of limits.memory_mb"), "purges", "answers_mb")
--- a/internal/config/fleet_shards.go
+++ b/internal/config/fleet_shards.go
@@ -11,21 +11,21 @@
 
 // Defaults of the shard map.
 const (
-	defaultPreparedMost = 10 * time.Minute // operators look after a move that hangs; until then it only needs its leases
-	fencedTerms         = 3                // a fence lasts one term and the drift with a router lost, and one more with the holder lost
-	mostPrepared        = 24 * time.Hour
-	mostFenced          = time.Hour
-	mostRanges          = 500 // of one document with its moves
+	defaultMaxPrepared = 10 * time.Minute // operators look after a move that hangs; until then it only needs its leases
+	fencedTerms        = 3                // a fence lasts one term and the drift with a router lost, and one more with the holder lost
+	maxMaxPrepared     = 24 * time.Hour
+	maxMaxFenced       = time.Hour
+	maxRanges          = 500 // of one document with its moves
 )
 
-// ShardsPart is the map of keys to clusters that this file proposes to the fleet; Ranges empty: there is none of it.
-type ShardsPart struct {
-	Ranges                   []keyrange.Range // the first map, until the stewards have one
-	Epoch                    uint64           // of that map
-	Copier                   string           // URL that acts of copying are posted to; empty: this pooler takes no moves on
-	PreparedMost, FencedMost time.Duration    // as shardmap.Holder
-	Moves                    []ShardMove
-	Retired                  []string // processes that have stopped for good, as the log names them
+// ShardConfig is the map of keys to clusters that this file proposes to the fleet; Ranges empty: there is none of it.
+type ShardConfig struct {
+	Ranges                 []keyrange.Range // the first map, until the stewards have one
+	Epoch                  uint64           // of that map
+	CopierURL              string           // URL that acts of copying are posted to; empty: this pooler takes no moves on
+	MaxPrepared, MaxFenced time.Duration    // as shardmap.Holder
+	Moves                  []ShardMove
+	RetiredProcesses       []string // processes that have stopped for good, as the log names them
 }
 
 // ShardMove is a move that the operators order.
@@ -38,8 +38,8 @@
 	Undo   bool   `json:"undo"`
 }
 
-// shardsFile is the form of the shard map's object in the file of the fleet.
-type shardsFile struct {
+// shardForm is the form of the shard map's object in the file of the fleet.
+type shardForm struct {
 	Ranges     []keyrange.Range `json:"ranges"`
 	Epoch      uint64           `json:"epoch"`
 	Copier     string           `json:"copier"`
@@ -49,17 +49,17 @@
 	Retired    []string         `json:"retired"`
 }
 
-// part fills in defaults and checks the part. Errors have the path of their key. known tells the clusters that there are; nil: nobody
+// shards fills in defaults and checks the part. Errors have the path of their key. known tells the clusters that there are; nil: nobody
 // knows yet.
-func (f shardsFile) part(term, drift time.Duration, known func(cluster int) bool) (ShardsPart, error) {
-	p := ShardsPart{
-		Ranges:       f.Ranges,
-		Epoch:        f.Epoch,
-		Copier:       f.Copier,
-		PreparedMost: or(Milliseconds(f.PreparedMs), defaultPreparedMost),
-		FencedMost:   or(Milliseconds(f.FencedMs), fencedTerms*term),
-		Moves:        f.Moves,
-		Retired:      f.Retired,
+func (f shardForm) shards(term, drift time.Duration, known func(cluster int) bool) (ShardConfig, error) {
+	p := ShardConfig{
+		Ranges:           f.Ranges,
+		Epoch:            f.Epoch,
+		CopierURL:        f.Copier,
+		MaxPrepared:      firstSet(Milliseconds(f.PreparedMs), defaultMaxPrepared),
+		MaxFenced:        firstSet(Milliseconds(f.FencedMs), fencedTerms*term),
+		Moves:            f.Moves,
+		RetiredProcesses: f.Retired,
 	}
 	if known == nil {
 		known = func(cluster int) bool { return cluster >= 0 }
@@ -75,18 +75,18 @@
 	return p, p.checkMoves(known)
 }
 
-func (p *ShardsPart) checks(term, drift time.Duration) []keyCheck {
+func (p *ShardConfig) checks(term, drift time.Duration) []keyCheck {
 	return []keyCheck{
-		{"ranges", unless(len(p.Ranges) <= mostRanges, "%d are more than %d", len(p.Ranges), mostRanges)},
-		{"copier", unless(p.Copier == "" || httpURL(p.Copier), "%q is no http URL", p.Copier)},
-		{"prepared_ms", within("prepared_ms", p.PreparedMost, 2*term, mostPrepared)},
-		{"fenced_ms", within("fenced_ms", p.FencedMost, 2*(term+drift), mostFenced)}, // less, and a lost router undoes every move
+		{"ranges", unless(len(p.Ranges) <= maxRanges, "%d are more than %d", len(p.Ranges), maxRanges)},
+		{"copier", unless(p.CopierURL == "" || httpURL(p.CopierURL), "%q is no http URL", p.CopierURL)},
+		{"prepared_ms", within("prepared_ms", p.MaxPrepared, 2*term, maxMaxPrepared)},
+		{"fenced_ms", within("fenced_ms", p.MaxFenced, 2*(term+drift), maxMaxFenced)}, // less, and a lost router undoes every move
 		{"moves", unless(len(p.Moves) == 0 || len(p.Ranges) > 0, "they need shards.ranges")},
 	}
 }
 
 // checkMoves checks the moves that the operators order.
-func (p *ShardsPart) checkMoves(known func(cluster int) bool) error {
+func (p *ShardConfig) checkMoves(known func(cluster int) bool) error {
 	seen := map[string]bool{}
 	for i, m := range p.Moves {
 		for _, check := range []struct {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -112,11 +112,11 @@
 		}
 	}
 	got, err := parseFleet([]byte(`{`+peers+`, `+stewards+`, "shared": {"dir": "d"}, "config_revision": 4, "least_config": 3}`), "n1", nil)
-	want := &Fleet{Name: "n1", GossipPart: GossipPart{Listen: "127.0.0.1:7946", Peers: []Peer{{"n2", "127.0.0.2:7946"}}}, Stewards: []Peer{{"n1", "127.0.0.1:7950"}},
-		Shared: SharedPart{Dir: "d"}, RevisionPart: RevisionPart{ConfigRevision: 4, LeastConfig: 3},
-		LeasePart: LeasePart{Term: 3 * time.Second, Drift: 100 * time.Millisecond, Election: time.Second}, Journal: JournalPart{Bytes: 8 << 20, Keep: 4}, Bound: 30 * time.Second, Shards: ShardsPart{PreparedMost: 10 * time.Minute, FencedMost: 9 * time.Second},
-		Verdicts: VerdictsPart{Observers: 3, Rooms: 2, Share: 0.5, Term: 5 * time.Second},
-		Purges:   PurgesPart{Answers: 4 << 20, Guard: 500 * time.Millisecond, Confirm: 10 * time.Second, Settle: time.Second}}
+	want := &Fleet{Name: "n1", GossipConfig: GossipConfig{Listen: "127.0.0.1:7946", Peers: []Peer{{"n2", "127.0.0.2:7946"}}}, Voters: []Peer{{"n1", "127.0.0.1:7950"}},
+		Replica: ReplicaConfig{Dir: "d"}, RevisionConfig: RevisionConfig{ConfigRevision: 4, MinConfigRevision: 3},
+		LeaseConfig: LeaseConfig{Term: 3 * time.Second, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: time.Second}, Journal: JournalConfig{MaxBytes: 8 << 20, MaxRotated: 4}, StragglerTimeout: 30 * time.Second, Shards: ShardConfig{MaxPrepared: 10 * time.Minute, MaxFenced: 9 * time.Second},
+		Outliers: OutlierConfig{MinObservers: 3, MinZones: 2, MaxEjectedShare: 0.5, EjectionTime: 5 * time.Second},
+		Purges:   PurgeConfig{CacheBytes: 4 << 20, Guard: 500 * time.Millisecond, MaxReplicaAge: 10 * time.Second, Settle: time.Second}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
 		t.Error(d, err)
 	}
--- a/internal/config/fleet_verdicts.go
+++ b/internal/config/fleet_verdicts.go
@@ -7,23 +7,23 @@
 
 // Defaults of the fleet's verdicts.
 const (
-	defaultObservers   = 3 // one that lies and one with a bad link convict nobody
-	defaultRooms       = 2
-	defaultShare       = 0.5 // Envoy's panic threshold, from the other side
-	defaultVerdictTerm = 5 * time.Second
+	defaultMinObservers    = 3 // one that lies and one with a bad link convict nobody
+	defaultMinZones        = 2
+	defaultMaxEjectedShare = 0.5 // Envoy's panic threshold, from the other side
+	defaultEjectionTime    = 5 * time.Second
 )
 
-// VerdictsPart is how the fleet finds bad servers out together; Enabled false: each pooler goes by its own evidence.
-type VerdictsPart struct {
-	Enabled   bool
-	Observers int           // poolers that must complain of a server
-	Rooms     int           // zones that these must be in
-	Share     float64       // of a group's members that may be left at once
-	Term      time.Duration // of a first verdict
+// OutlierConfig is how the fleet finds bad servers out together; Enabled false: each pooler goes by its own evidence.
+type OutlierConfig struct {
+	Enabled         bool
+	MinObservers    int           // poolers that must complain of a server
+	MinZones        int           // zones that these must be in
+	MaxEjectedShare float64       // of a group's members that may be left at once
+	EjectionTime    time.Duration // of a first verdict
 }
 
-// verdictsFile is the form of the verdicts' object in the file of the fleet.
-type verdictsFile struct {
+// outlierForm is the form of the verdicts' object in the file of the fleet.
+type outlierForm struct {
 	Enabled   bool     `json:"enabled"`
 	Observers *int     `json:"observers"`
 	Rooms     *int     `json:"rooms"`
@@ -33,38 +33,38 @@
 
 // Bounds of the fleet's verdicts.
 const (
-	leastObservers   = 2
-	mostObservers    = 100
-	mostShare        = 0.9
-	leastVerdictTerm = time.Second
-	mostVerdictTerm  = 5 * time.Minute
+	minObservers    = 2
+	maxObservers    = 100
+	maxEjectedShare = 0.9
+	minEjectionTime = time.Second
+	maxEjectionTime = 5 * time.Minute
 )
 
-// part fills in defaults and checks the part. Errors have the path of their key.
-func (f verdictsFile) part() (VerdictsPart, error) {
-	p := VerdictsPart{
-		Enabled:   f.Enabled,
-		Observers: defaultObservers,
-		Rooms:     defaultRooms,
-		Share:     defaultShare,
-		Term:      or(Milliseconds(f.TermMs), defaultVerdictTerm),
+// outliers fills in defaults and checks the part. Errors have the path of their key.
+func (f outlierForm) outliers() (OutlierConfig, error) {
+	p := OutlierConfig{
+		Enabled:         f.Enabled,
+		MinObservers:    defaultMinObservers,
+		MinZones:        defaultMinZones,
+		MaxEjectedShare: defaultMaxEjectedShare,
+		EjectionTime:    firstSet(Milliseconds(f.TermMs), defaultEjectionTime),
 	}
 	if f.Observers != nil {
-		p.Observers = *f.Observers
+		p.MinObservers = *f.Observers
 	}
 	if f.Rooms != nil {
-		p.Rooms = *f.Rooms
+		p.MinZones = *f.Rooms
 	}
 	if f.Share != nil {
-		p.Share = *f.Share
+		p.MaxEjectedShare = *f.Share
 	}
 	switch {
-	case p.Observers < leastObservers || p.Observers > mostObservers:
+	case p.MinObservers < minObservers || p.MinObservers > maxObservers:
 		return p, atPath(errors.New("verdicts.observers: not from 2 to 100: one alone convicts nobody"), "verdicts", "observers")
-	case p.Rooms < 1 || p.Rooms > p.Observers:
+	case p.MinZones < 1 || p.MinZones > p.MinObservers:
 		return p, atPath(errors.New("verdicts.rooms: not from 1 to verdicts.observers"), "verdicts", "rooms")
-	case !(p.Share > 0 && p.Share <= mostShare):
+	case !(p.MaxEjectedShare > 0 && p.MaxEjectedShare <= maxEjectedShare):
 		return p, atPath(errors.New("verdicts.share: not above 0 and up to 0.9"), "verdicts", "share")
 	}
-	return p, atPath(within("verdicts.term_ms", p.Term, leastVerdictTerm, mostVerdictTerm), "verdicts", "term_ms")
+	return p, atPath(within("verdicts.term_ms", p.EjectionTime, minEjectionTime, maxEjectionTime), "verdicts", "term_ms")
 }
--- a/internal/config/lists.go
+++ b/internal/config/lists.go
@@ -12,14 +12,14 @@
 	"threadsail/internal/translate"
 )
 
-// ListsFile is where the file of the server lists lies unless PROXY_MEMBERSHIP names another.
-const ListsFile = "deploy/membership.json"
+// ServerListsFile is where the file of the server lists lies unless PROXY_MEMBERSHIP names another.
+const ServerListsFile = "deploy/membership.json"
 
-// Lists says where the fronts have their servers from, and how careful they are with files.
-type Lists struct {
+// ServerLists says where the fronts have their servers from, and how careful they are with files.
+type ServerLists struct {
 	Postgres, MySQL ListSource
-	State           string        // the folder where good generations are kept; empty: none
-	Poll            time.Duration // how often a file is looked at without being told
+	ArchiveDir      string        // the folder where good generations are kept; empty: none
+	PollInterval    time.Duration // how often a file is looked at without being told
 	Policy          serverlist.Policy
 	MySQLServers    MySQLServers
 }
@@ -36,35 +36,35 @@
 // ListSource is where a front has its list of servers from: a file, or a list service. With neither, PostgreSQL's is that of
 // PROXY_CONFIG's discovery, and MySQL's the inventory that the MySQL front's own file names.
 type ListSource struct {
-	File      string `json:"file"`
-	Discovery string `json:"discovery"` // address, host:port
+	File          string `json:"file"`
+	DiscoveryAddr string `json:"discovery"` // address, host:port
 }
 
-// defaultLists is what holds without a file.
-func defaultLists() *Lists {
-	return &Lists{Poll: 5 * time.Second, Policy: serverlist.Policy{Settle: time.Second, SettleRemoval: 2 * time.Second,
+// defaultServerLists is what holds without a file.
+func defaultServerLists() *ServerLists {
+	return &ServerLists{PollInterval: 5 * time.Second, Policy: serverlist.Policy{Settle: time.Second, SettleRemoval: 2 * time.Second,
 		Hold: time.Minute, Share: 0.34, Keep: 8}}
 }
 
-// loadLists reads the file of the server lists. Without it, or with "enabled" false, the defaults hold.
-func loadLists(getenv func(string) string) (*Lists, error) {
-	path := or(getenv("PROXY_MEMBERSHIP"), ListsFile)
+// loadServerLists reads the file of the server lists. Without it, or with "enabled" false, the defaults hold.
+func loadServerLists(getenv func(string) string) (*ServerLists, error) {
+	path := firstSet(getenv("PROXY_MEMBERSHIP"), ServerListsFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && getenv("PROXY_MEMBERSHIP") == "" {
-		return defaultLists(), nil
+		return defaultServerLists(), nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_MEMBERSHIP: %w", err)
 	}
-	l, err := parseLists(text)
+	l, err := parseServerLists(text)
 	if err != nil {
 		return nil, jsonfile.Locate(path, text, err)
 	}
 	return l, nil
 }
 
-// listsFile is the form of the file of the server lists.
-type listsFile struct {
+// serverListsForm is the form of the file of the server lists.
+type serverListsForm struct {
 	Enabled         bool         `json:"enabled"`
 	Postgres        ListSource   `json:"postgres"`
 	MySQL           ListSource   `json:"mySQL"`
@@ -81,21 +81,21 @@
 
 // Bounds of the file of the server lists.
 const (
-	leastPollMs     = 10
-	mostListMs      = 1e9
-	mostGenerations = 1000
+	minPollMs      = 10
+	maxListMs      = 1e9
+	maxGenerations = 1000
 )
 
-func parseLists(text []byte) (*Lists, error) {
-	var file listsFile
+func parseServerLists(text []byte) (*ServerLists, error) {
+	var file serverListsForm
 	if err := jsonfile.Decode(text, &file); err != nil {
 		return nil, err
 	}
-	l := defaultLists()
+	l := defaultServerLists()
 	if !file.Enabled {
 		return l, nil
 	}
-	l.Postgres, l.MySQL, l.State, l.MySQLServers = file.Postgres, file.MySQL, file.State, file.MySQLServers
+	l.Postgres, l.MySQL, l.ArchiveDir, l.MySQLServers = file.Postgres, file.MySQL, file.State, file.MySQLServers
 	if err := l.Postgres.check("postgres"); err != nil {
 		return nil, err
 	}
@@ -113,16 +113,16 @@
 
 // check checks the source of the front whose key is given.
 func (s ListSource) check(key string) error {
-	if s.File != "" && s.Discovery != "" {
+	if s.File != "" && s.DiscoveryAddr != "" {
 		return fmt.Errorf("%s: file and discovery are both set", key)
 	}
-	if s.Discovery == "" {
+	if s.DiscoveryAddr == "" {
 		return nil
 	}
-	return address(key+".discovery", s.Discovery)
+	return address(key+".discovery", s.DiscoveryAddr)
 }
 
-func (l *Lists) setSeal(word string) error {
+func (l *ServerLists) setSeal(word string) error {
 	switch word {
 	case "", "optional":
 	case "required":
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (l *Lists) setTimes(file *listsFile) error {
+func (l *ServerLists) setTimes(file *serverListsForm) error {
 	for _, k := range []struct {
 		key   string
 		value *float64
@@ -143,12 +143,12 @@
 		{"settle_ms", file.SettleMs, 0, &l.Policy.Settle},
 		{"settle_removal_ms", file.SettleRemovalMs, 0, &l.Policy.SettleRemoval},
 		{"hold_ms", file.HoldMs, 0, &l.Policy.Hold},
-		{"poll_ms", file.PollMs, leastPollMs, &l.Poll},
+		{"poll_ms", file.PollMs, minPollMs, &l.PollInterval},
 	} {
 		if k.value == nil {
 			continue
 		}
-		if *k.value < k.least || *k.value > mostListMs {
+		if *k.value < k.least || *k.value > maxListMs {
 			return fmt.Errorf("%s: %v is not from %v to 1e9", k.key, *k.value, k.least)
 		}
 		*k.to = Milliseconds(*k.value)
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (l *Lists) setShareAndKeep(file *listsFile) error {
+func (l *ServerLists) setShareAndKeep(file *serverListsForm) error {
 	if share := file.HoldShare; share != nil {
 		if *share < 0 || *share > 1 {
 			return fmt.Errorf("hold_share: %v is not from 0 to 1", *share)
@@ -164,8 +164,8 @@
 		l.Policy.Share = *share
 	}
 	if keep := file.Keep; keep != nil {
-		if *keep < 1 || *keep > mostGenerations {
-			return fmt.Errorf("keep: %d is not from 1 to %d", *keep, mostGenerations)
+		if *keep < 1 || *keep > maxGenerations {
+			return fmt.Errorf("keep: %d is not from 1 to %d", *keep, maxGenerations)
 		}
 		l.Policy.Keep = *keep
 	}
--- a/internal/config/mysql.go
+++ b/internal/config/mysql.go
@@ -20,27 +20,27 @@
 	defaultProbeTimeout = 250 * time.Millisecond
 )
 
-// Default is what a statement without a comment counts as.
-type Default struct {
+// StatementDefault is what a statement without a comment counts as.
+type StatementDefault struct {
 	Class   string `json:"class"`
 	Cluster int    `json:"cluster"`
 }
 
 // MySQL configures the MySQL front.
 type MySQL struct {
-	File           string // that names all this
-	Listen         string
-	Inventory      string
-	User, Password string // at the servers
-	Database       string // at the servers, where the client names none
-	ClientUser     string // what clients must log in with; empty: anybody may
-	ClientPassword string
-	Heartbeat      string // a query for a replica's position, Unix time in milliseconds; empty: positions are unknown
-	Read, Write    Default
-	Reload         time.Duration // how often the inventory is looked at without being told
-	ProbeTimeout   time.Duration
-	Postgres       Postgres
-	Translate      translate.Options
+	Path                      string // that names all this
+	Listen                    string
+	Inventory                 string
+	User, Password            string // at the servers
+	Database                  string // at the servers, where the client names none
+	ClientUser                string // what clients must log in with; empty: anybody may
+	ClientPassword            string
+	Heartbeat                 string // a query for a replica's position, Unix time in milliseconds; empty: positions are unknown
+	ReadDefault, WriteDefault StatementDefault
+	ReloadInterval            time.Duration // how often the inventory is looked at without being told
+	ProbeTimeout              time.Duration
+	Postgres                  Postgres
+	Translate                 translate.Options
 }
 
 // Postgres is how PostgreSQL servers behind the MySQL front are reached. User, password and database are as at MySQL's servers where
@@ -54,7 +54,7 @@
 
 // LoadMySQL reads the file of the MySQL front. Without the file, or with "enabled" false, the front is off: nil.
 func LoadMySQL(getenv func(string) string, cfg *Config) (*MySQL, error) {
-	path := or(getenv("PROXY_MYSQL"), MySQLFile)
+	path := firstSet(getenv("PROXY_MYSQL"), MySQLFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && getenv("PROXY_MYSQL") == "" {
 		return nil, nil
@@ -62,22 +62,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_MYSQL: %w", err)
 	}
-	m, err := parseMySQL(text, cfg.ClassNames(), cfg.Lists.MySQL != ListSource{})
+	m, err := parseMySQL(text, cfg.ClassNames(), cfg.ServerLists.MySQL != ListSource{})
 	if err != nil {
 		return nil, jsonfile.Locate(path, text, err)
 	}
 	if m != nil {
-		m.File = path
+		m.Path = path
 	}
 	return m, nil
 }
 
-// Fits tells what the front would lack if the settings named these classes.
-func (m *MySQL) Fits(classes []string) error {
+// CheckClasses tells what the front would lack if the settings named these classes.
+func (m *MySQL) CheckClasses(classes []string) error {
 	for _, d := range []struct {
 		key string
-		Default
-	}{{"defaults.read", m.Read}, {"defaults.write", m.Write}} {
+		StatementDefault
+	}{{"defaults.read", m.ReadDefault}, {"defaults.write", m.WriteDefault}} {
 		if !slices.Contains(classes, d.Class) {
 			return fmt.Errorf("%s.class: %q is no class of the settings", d.key, d.Class)
 		}
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// mysqlFile is the form of the file of the MySQL front.
-type mysqlFile struct {
+// mysqlForm is the form of the file of the MySQL front.
+type mysqlForm struct {
 	Enabled        bool              `json:"enabled"`
 	Listen         string            `json:"listen"`
 	Inventory      string            `json:"inventory"`
@@ -97,28 +97,28 @@
 	User           string            `json:"user"`
 	Password       string            `json:"password"`
 	Database       string            `json:"database"`
-	Client         mysqlClientFile   `json:"client"`
-	Defaults       mysqlDefaultsFile `json:"defaults"`
+	Client         mysqlClientForm   `json:"client"`
+	Defaults       mysqlDefaultsForm `json:"defaults"`
 	ReloadMs       float64           `json:"reload_ms"`
 	ProbeTimeoutMs float64           `json:"probe_timeout_ms"`
 	Postgres       Postgres          `json:"postgres"`
 	Translate      translate.Options `json:"translate"`
 }
 
-type mysqlClientFile struct {
+type mysqlClientForm struct {
 	User     string `json:"user"`
 	Password string `json:"password"`
 }
 
-type mysqlDefaultsFile struct {
-	Read  Default `json:"read"`
-	Write Default `json:"write"`
+type mysqlDefaultsForm struct {
+	Read  StatementDefault `json:"read"`
+	Write StatementDefault `json:"write"`
 }
 
 // parseMySQL reads the text; nil without an error: the front is off. listed tells that the servers are named elsewhere, so that no
 // inventory is needed.
 func parseMySQL(text []byte, classes []string, listed bool) (*MySQL, error) {
-	var file mysqlFile
+	var file mysqlForm
 	if err := jsonfile.Decode(text, &file); err != nil {
 		return nil, err
 	}
@@ -134,17 +134,17 @@
 		return nil, errors.New("inventory: missing")
 	case m.User == "":
 		return nil, errors.New("user: missing")
-	case m.Reload < 0 || m.ProbeTimeout < 0:
+	case m.ReloadInterval < 0 || m.ProbeTimeout < 0:
 		return nil, errors.New("reload_ms or probe_timeout_ms: below 0")
 	}
-	return m, m.Fits(classes)
+	return m, m.CheckClasses(classes)
 }
 
 // defaultPostgresDatabase is the database at PostgreSQL's servers where the file names none.
 const defaultPostgresDatabase = "core"
 
 // front fills in defaults.
-func (f *mysqlFile) front() *MySQL {
+func (f *mysqlForm) front() *MySQL {
 	m := &MySQL{
 		Listen:         f.Listen,
 		Inventory:      f.Inventory,
@@ -154,15 +154,15 @@
 		ClientUser:     f.Client.User,
 		ClientPassword: f.Client.Password,
 		Heartbeat:      f.Heartbeat,
-		Read:           f.Defaults.Read,
-		Write:          f.Defaults.Write,
-		Reload:         or(Milliseconds(f.ReloadMs), defaultReload),
-		ProbeTimeout:   or(Milliseconds(f.ProbeTimeoutMs), defaultProbeTimeout),
+		ReadDefault:    f.Defaults.Read,
+		WriteDefault:   f.Defaults.Write,
+		ReloadInterval: firstSet(Milliseconds(f.ReloadMs), defaultReload),
+		ProbeTimeout:   firstSet(Milliseconds(f.ProbeTimeoutMs), defaultProbeTimeout),
 		Postgres:       f.Postgres,
 		Translate:      f.Translate,
 	}
-	m.Postgres.User = or(m.Postgres.User, m.User)
-	m.Postgres.Password = or(m.Postgres.Password, m.Password)
-	m.Postgres.Database = or(m.Postgres.Database, m.Database, defaultPostgresDatabase)
+	m.Postgres.User = firstSet(m.Postgres.User, m.User)
+	m.Postgres.Password = firstSet(m.Postgres.Password, m.Password)
+	m.Postgres.Database = firstSet(m.Postgres.Database, m.Database, defaultPostgresDatabase)
 	return m
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,8 +38,8 @@
 	}
 )
 
-// Settings puts the facts into the module's words, for the pooler and for the simulator's adapter.
-func Settings(f *Facts) (policy.Settings, error) {
+// PolicySettings puts the facts into the module's words, for the pooler and for the simulator's adapter.
+func PolicySettings(f *SettingsFile) (policy.Settings, error) {
 	s := policy.Settings{
 		Poolers: f.Balancers, PoolerIndex: f.Me, Zone: f.Zone, PollList: f.Discovery == "ask", EventInterval: Milliseconds(f.TickMs),
 		StaleReadWait: Milliseconds(f.FamilyInfo.WaitMs), PositionEpoch: Milliseconds(f.FamilyInfo.BaseTimeMs),
@@ -66,7 +66,7 @@
 		}
 	}
 	for i, l := range f.Lanes {
-		c, err := class(f, i, l)
+		c, err := policyClass(f, i, l)
 		if err != nil {
 			return s, fmt.Errorf("settings.%w", err)
 		}
@@ -76,7 +76,7 @@
 }
 
 // checkWords checks the words whose meaning is a boolean: one that is not known must not be taken for the other.
-func (f *Facts) checkWords() error {
+func (f *SettingsFile) checkWords() error {
 	for _, w := range []struct {
 		key, word string
 		known     []string
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// class returns the policy's class for the lane of an index.
-func class(f *Facts, i int, l Lane) (c policy.Class, err error) {
+// policyClass returns the policy's class for the lane of an index.
+func policyClass(f *SettingsFile, i int, l ClassSettings) (c policy.Class, err error) {
 	c = policy.Class{Name: l.Name, LatencyObjective: Milliseconds(l.AimMs), TotalTimeout: Milliseconds(l.HardLimitMs), PriorityWeight: l.Worth,
 		LateWeightFraction: l.LateWorth, DedupWindow: Milliseconds(l.WindowMs)}
 	lane := fmt.Sprintf("lanes[%d]", i)
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -47,15 +47,15 @@
 	case "PROXY_MYSQL":
 		var m *MySQL
 		if m, err = LoadMySQL(getenv, cfg); m != nil {
-			m.File = filepath.Base(m.File)
+			m.Path = filepath.Base(m.Path)
 		}
 		loaded = m
 	case "PROXY_MEMBERSHIP":
-		loaded = cfg.Lists
+		loaded = cfg.ServerLists
 	case "PROXY_FLEET":
 		loaded, err = LoadFleet(getenv, cfg)
 	default:
-		cfg.Lists = nil
+		cfg.ServerLists = nil
 		loaded = cfg
 	}
 	return loaded, withoutFolder(err, dir)
--- a/internal/fleet/component_host.go
+++ b/internal/fleet/component_host.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	h.replica = replication.NewReplica(loaded)
-	if o.Config.Distributes() {
+	if o.Config.UsesDistributors() {
 		h.serverList = newServerListReplica()
 	}
 	voters := voterPeers(o.Config)
@@ -76,7 +76,7 @@
 
 // loadReplica reads the replica on the disk; the zero Snapshot: there is none, or none that can be used.
 func (h *componentHost) loadReplica() (replication.Snapshot, error) {
-	dir := h.options.Config.Shared.Dir
+	dir := h.options.Config.Replica.Dir
 	if dir == "" {
 		return replication.Snapshot{}, nil
 	}
@@ -106,7 +106,7 @@
 func (h *componentHost) start(w componentWiring) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	if dir := h.options.Config.Shared.Dir; dir != "" {
+	if dir := h.options.Config.Replica.Dir; dir != "" {
 		h.persister = replication.StartPersister(ctx, dir, h.replica, h.persistenceChanged)
 	}
 	if w.replicationBus != nil {
@@ -168,7 +168,7 @@
 func (h *componentHost) campaign(ctx context.Context, name lease.Name) replication.Leadership {
 	candidate := replication.Campaign(ctx, h.leaseClient, name, replication.CandidateOptions{
 		LeaseTerm:      h.options.Config.Term,
-		MaxClockDrift:  h.options.Config.Drift,
+		MaxClockDrift:  h.options.Config.MaxClockDrift,
 		JitterFraction: h.options.JitterFraction,
 	})
 	h.goroutines.Go(func() { <-candidate.Done() })
@@ -187,7 +187,7 @@
 // persistenceChanged reports that the replica can't be written to the disk, or can again. The pooler goes on from memory.
 func (h *componentHost) persistenceChanged(err error) {
 	if err != nil {
-		h.log.Error().Err(err).Str("dir", h.options.Config.Shared.Dir).Msg("replication: replica can't be written, kept in memory alone")
+		h.log.Error().Err(err).Str("dir", h.options.Config.Replica.Dir).Msg("replication: replica can't be written, kept in memory alone")
 		h.events.Audit(audit.Record{Act: audit.ReplicaNotSaved})
 		return
 	}
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -134,7 +134,7 @@
 // Reload takes over what can change in the operators' file while the pooler runs: the least version that is allowed, and who
 // the voters are.
 func (c *Coordinator) Reload(file *config.Fleet) {
-	c.minimumVersion.Store(&discoveryleader.MinimumVersion{Build: file.LeastBuild, ConfigRevision: file.LeastConfig})
+	c.minimumVersion.Store(&discoveryleader.MinimumVersion{Build: file.MinBuild, ConfigRevision: file.MinConfigRevision})
 	if c.voter != nil {
 		c.voter.SetVoters(file.ConfigRevision, voterPeers(file))
 	}
@@ -154,7 +154,7 @@
 
 // voterPeers are the voters that the operators' file names.
 func voterPeers(file *config.Fleet) (voters []consensus.Peer) {
-	for _, p := range file.Stewards {
+	for _, p := range file.Voters {
 		voters = append(voters, consensus.Peer(p))
 	}
 	return voters
--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -20,8 +20,8 @@
 
 // Requests before Close are answered, and calls after it do no harm: where a start fails, the event loop still runs.
 func TestCallsAfterClose(t *testing.T) {
-	coordinator, err := Start(Options{Config: &config.Fleet{Name: "a", GossipPart: config.GossipPart{Listen: "127.0.0.1:0"},
-		Stewards: []config.Peer{{Name: "s", Addr: "127.0.0.1:1"}}, LeasePart: config.LeasePart{Term: 400 * time.Millisecond}},
+	coordinator, err := Start(Options{Config: &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: "127.0.0.1:0"},
+		Voters: []config.Peer{{Name: "s", Addr: "127.0.0.1:1"}}, LeaseConfig: config.LeaseConfig{Term: 400 * time.Millisecond}},
 		Log: zerolog.Nop()}, coordination.Events{})
 	if err != nil {
 		t.Fatal(err)
@@ -63,9 +63,9 @@
 	records := make(chan audit.Record, 9)
 	runtimes := make(chan Runtime, 1)
 	dir := t.TempDir()
-	c := &config.Fleet{Name: "a", GossipPart: config.GossipPart{Listen: "127.0.0.1:0"}, Stewards: []config.Peer{{Name: "a", Addr: addr}},
-		LeasePart: config.LeasePart{Term: 900 * time.Millisecond, Drift: 30 * time.Millisecond, Election: 300 * time.Millisecond},
-		Steward:   config.StewardPart{Listen: addr, Dir: t.TempDir()}, Shared: config.SharedPart{Dir: dir}}
+	c := &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: "127.0.0.1:0"}, Voters: []config.Peer{{Name: "a", Addr: addr}},
+		LeaseConfig: config.LeaseConfig{Term: 900 * time.Millisecond, MaxClockDrift: 30 * time.Millisecond, ElectionTimeout: 300 * time.Millisecond},
+		Voter:       config.VoterConfig{Listen: addr, Dir: t.TempDir()}, Replica: config.ReplicaConfig{Dir: dir}}
 	coordinator, err := Start(Options{Config: c, Components: []Component{failingComponent{}, runningComponent(runtimes)}, Log: zerolog.Nop()},
 		coordination.Events{Failed: func(err error) { failed <- err }, Audit: func(r audit.Record) { records <- r }})
 	if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,7 +53,7 @@
 	c.components.start(componentWiring{
 		bus:            c.network.Bus(),
 		replicationBus: c.network.replicationBus(),
-		candidate:      o.Config.Gossips(),
+		candidate:      o.Config.UsesGossip(),
 		confirmVersion: c.confirmVersion(),
 	})
 	return c, nil
@@ -75,7 +75,7 @@
 
 // startVoter starts this pooler's voter, if the operators' file has one.
 func (c *Coordinator) startVoter() (err error) {
-	settings := c.config.Steward
+	settings := c.config.Voter
 	if settings.Listen == "" {
 		return nil
 	}
@@ -89,8 +89,8 @@
 		Voters:             voterPeers(c.config),
 		VotersRevision:     c.config.ConfigRevision,
 		Join:               settings.Join,
-		MaxClockDrift:      c.config.Drift,
-		ElectionTimeout:    c.config.Election,
+		MaxClockDrift:      c.config.MaxClockDrift,
+		ElectionTimeout:    c.config.ElectionTimeout,
 		Log:                c.log,
 		OnDocumentsChanged: func(s replication.Snapshot) { c.components.replica.Install(s) },
 		Traffic:            &c.traffic,
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if !c.config.Distributes() {
+	if !c.config.UsesDistributors() {
 		c.network = gossipNetwork{node}
 		return nil
 	}
--- a/internal/fleet/gossip_network.go
+++ b/internal/fleet/gossip_network.go
@@ -11,7 +11,7 @@
 
 // startGossip starts this pooler's gossip; nil: it takes no part in one.
 func (c *Coordinator) startGossip() (*gossip.Node, error) {
-	if !c.config.Gossips() {
+	if !c.config.UsesGossip() {
 		return nil, nil
 	}
 	var peers []gossip.Peer
--- a/internal/fleet/quota/bucket.go
+++ b/internal/fleet/quota/bucket.go
@@ -42,7 +42,7 @@
 	b := &bucket{limit: l, levelAt: now}
 	b.setFleetSize(fleetSize)
 	b.level = b.capacity(b.safeRate)
-	if isPaced(l.On) {
+	if isPaced(l.Target) {
 		b.level *= rand.Float64()
 	}
 	return b
@@ -105,7 +105,7 @@
 	b.refill(now)
 	b.demand += tokens
 	rate := b.rate(now)
-	if isPaced(b.limit.On) && !b.waiting && b.level >= 1 && b.capacity(rate) == 1 {
+	if isPaced(b.limit.Target) && !b.waiting && b.level >= 1 && b.capacity(rate) == 1 {
 		b.level = rand.Float64()
 	}
 	if b.level < 1 {
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -21,7 +21,7 @@
 
 // The set of limits is a document that any build of the fleet may have written.
 func TestStoredLimits(t *testing.T) {
-	set := config.Limits{Revision: 3, List: []config.Limit{{Name: "writes", On: config.LimitRequests, Class: "write", Tenants: true, Rate: 250.5,
+	set := config.Limits{Revision: 3, List: []config.Limit{{Name: "writes", Target: config.LimitRequests, Class: "write", Tenants: true, Rate: 250.5,
 		Burst: 20, Reserve: 0.5}}}
 	goldentest.JSON(t, "limits.json", set)
 	text, err := json.Marshal(set)
--- a/internal/fleet/quota/guard.go
+++ b/internal/fleet/quota/guard.go
@@ -41,7 +41,7 @@
 	class := g.classOf(r.Class)
 	var taken []takenToken
 	for _, l := range g.client.Limits().List {
-		if l.On != config.LimitRequests || l.Class != "" && l.Class != class.Name {
+		if l.Target != config.LimitRequests || l.Class != "" && l.Class != class.Name {
 			continue
 		}
 		token := takenToken{limit: l}
@@ -93,7 +93,7 @@
 		return dispatch.Send
 	}
 	weight, cold := g.slowStartWeight(now, server)
-	l, limited := g.client.Limits().On(config.LimitCold)
+	l, limited := g.client.Limits().OnTarget(config.LimitCold)
 	if !cold || !limited {
 		return dispatch.Send
 	}
@@ -131,7 +131,7 @@
 
 // MayDial implements dispatch.ConnectionGate.
 func (g *Guard) MayDial(_ time.Duration, server string) (time.Duration, bool) {
-	l, limited := g.client.Limits().On(config.LimitConnections)
+	l, limited := g.client.Limits().OnTarget(config.LimitConnections)
 	if !limited {
 		return 0, true
 	}
@@ -140,7 +140,7 @@
 
 // MayProbe implements dispatch.ConnectionGate.
 func (g *Guard) MayProbe(_ time.Duration, server string) bool {
-	l, limited := g.client.Limits().On(config.LimitProbes)
+	l, limited := g.client.Limits().OnTarget(config.LimitProbes)
 	if !limited {
 		return true
 	}
--- a/internal/fleet/quota/guard_test.go
+++ b/internal/fleet/quota/guard_test.go
@@ -14,11 +14,11 @@
 func TestGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient("a/1", term, 10, config.Limits{Revision: 1, List: []config.Limit{
-			{Name: "all", On: config.LimitRequests, Rate: 100, Burst: 80, Reserve: 0.5},
-			{Name: "tenant", On: config.LimitRequests, Tenants: true, Rate: 10, Reserve: 0.5},
-			{Name: "cold", On: config.LimitCold, Rate: 100, Burst: 40, Reserve: 0.5},
-			{Name: "dials", On: config.LimitConnections, Rate: 10, Reserve: 0.5},
-			{Name: "probes", On: config.LimitProbes, Rate: 10, Reserve: 0.5},
+			{Name: "all", Target: config.LimitRequests, Rate: 100, Burst: 80, Reserve: 0.5},
+			{Name: "tenant", Target: config.LimitRequests, Tenants: true, Rate: 10, Reserve: 0.5},
+			{Name: "cold", Target: config.LimitCold, Rate: 100, Burst: 40, Reserve: 0.5},
+			{Name: "dials", Target: config.LimitConnections, Rate: 10, Reserve: 0.5},
+			{Name: "probes", Target: config.LimitProbes, Rate: 10, Reserve: 0.5},
 		}})
 		classes := []policy.Class{{Name: "any"}, {Name: "own", Access: policy.ReadSession}}
 		settings := policy.Settings{RetryAfterSupported: true, MaxRetryAfter: 300 * time.Millisecond, SlowStartCapacity: 0.5, SlowStartDuration: 10 * time.Second}
--- a/internal/fleet/quota/load_test.go
+++ b/internal/fleet/quota/load_test.go
@@ -13,7 +13,7 @@
 )
 
 // tenantLimit has a second's burst: wants come unevenly, and of a small burst nothing is left at one of thirty poolers.
-var tenantLimit = config.Limit{Name: "tenant", On: config.LimitRequests, Tenants: true, Rate: 200, Burst: 200, Reserve: 0.25}
+var tenantLimit = config.Limit{Name: "tenant", Target: config.LimitRequests, Tenants: true, Rate: 200, Burst: 200, Reserve: 0.25}
 
 // load makes a fleet take tokens for a time, step by step: wants returns how often each pooler tries each tenant in a step, in
 // thousandths. It returns what was tried and taken after the warm-up, by tenant.
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -45,8 +45,8 @@
 }
 
 var limits = config.Limits{Revision: 1, List: []config.Limit{
-	{Name: "hot", On: config.LimitRequests, Tenants: true, Rate: 200, Burst: 40, Reserve: 0.25},
-	{Name: "new", On: config.LimitConnections, Rate: 100, Burst: 5, Reserve: 0.4},
+	{Name: "hot", Target: config.LimitRequests, Tenants: true, Rate: 200, Burst: 40, Reserve: 0.25},
+	{Name: "new", Target: config.LimitConnections, Rate: 100, Burst: 5, Reserve: 0.4},
 	tenantLimit,
 }}
 
--- a/internal/lab/act.go
+++ b/internal/lab/act.go
@@ -28,7 +28,7 @@
 	fresh := r.servers.Server(fmt.Sprintf("db%d-%d", j+1, r.replaced), false)
 	fresh.Cell = old.Cell
 	r.work(fresh)
-	if _, ok := r.Scenario.Fleet.Limits.On(config.LimitCold); ok {
+	if _, ok := r.Scenario.Fleet.Limits.OnTarget(config.LimitCold); ok {
 		fresh.Started = time.Now()
 	}
 	r.servers.Servers[j] = fresh
--- a/internal/lab/drains.go
+++ b/internal/lab/drains.go
@@ -26,41 +26,41 @@
 // settle puts what a scenario says of the deployment into the poolers' settings.
 func settle(s scenario.Scenario, settings map[string]any) {
 	settings["balancers"] = s.Poolers
-	if s.Push {
+	if s.PushLists {
 		settings["discovery"] = "push"
 	}
-	if s.Grace > 0 {
-		settings["contract"].(map[string]any)["drainGraceMs"] = s.Grace.Milliseconds()
+	if s.DrainGracePeriod > 0 {
+		settings["contract"].(map[string]any)["drainGraceMs"] = s.DrainGracePeriod.Milliseconds()
 	}
-	if s.Log.Wait > 0 {
+	if s.ReplicationLog.MaxWait > 0 {
 		info := settings["familyInfo"].(map[string]any)
-		info["behind"], info["waitMs"], info["lagAllowedMs"] = "await", s.Log.Wait.Milliseconds(), []float64{float64(s.Log.Bound.Milliseconds()), 0, 0}
+		info["behind"], info["waitMs"], info["lagAllowedMs"] = "await", s.ReplicationLog.MaxWait.Milliseconds(), []float64{float64(s.ReplicationLog.MaxStaleness.Milliseconds()), 0, 0}
 	}
 }
 
 // follow has a server's replicas follow the log as the scenario says.
 func (r *fleetRun) follow(server *standin.Server) {
-	if l := r.Scenario.Log; l.Wait > 0 {
-		server.Follow(standin.Lag{Wait: l.Wait, Bounds: map[string]time.Duration{"view": l.Bound}, Stops: "any"})
+	if l := r.Scenario.ReplicationLog; l.MaxWait > 0 {
+		server.Follow(standin.Lag{Wait: l.MaxWait, Bounds: map[string]time.Duration{"view": l.MaxStaleness}, Stops: "any"})
 	}
 }
 
 // read is a client's next read.
 func (r *fleetRun) read(rng *rand.Rand) string {
 	s := r.Scenario
-	if s.Log.Wait == 0 {
-		return r.purges.read(rng, s.Patience)
+	if s.ReplicationLog.MaxWait == 0 {
+		return r.purges.read(rng, s.Timeout)
 	}
-	if rng.Float64() < s.Log.Reports {
-		return standin.Read("any", s.Patience)
+	if rng.Float64() < s.ReplicationLog.ReportShare {
+		return standin.Read("any", s.Timeout)
 	}
-	return standin.Read("view", s.Patience)
+	return standin.Read("view", s.Timeout)
 }
 
 // takes is how long a statement takes on the mean.
 func (r *fleetRun) takes(seen standin.Seen, usual time.Duration) time.Duration {
-	if l := r.Scenario.Log; l.Report > 0 && strings.Contains(seen.Text, "c=any,") {
-		return l.Report
+	if l := r.Scenario.ReplicationLog; l.ReportTime > 0 && strings.Contains(seen.Text, "c=any,") {
+		return l.ReportTime
 	}
 	return usual
 }
@@ -102,7 +102,7 @@
 					continue
 				}
 				d.Last = max(d.Last, after)
-				if after > r.Scenario.Grace+drainSlack {
+				if after > r.Scenario.DrainGracePeriod+drainSlack {
 					d.Late++
 				}
 			}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -76,7 +76,7 @@
 		names[i] = fmt.Sprintf("db%d", i+1)
 	}
 	r.servers = standin.NewFleet(h, false, func(settings map[string]any) { settle(s, settings) }, names...)
-	r.servers.Roles = s.Roles
+	r.servers.Roles = s.RolesListed
 	for j, server := range r.servers.Servers {
 		var first bool
 		server.Cell, first = s.GroupOf(j)
@@ -218,7 +218,7 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(s.Rest/2 + time.Duration(rng.Int64N(int64(s.Rest)))):
+		case <-time.After(s.ThinkTime/2 + time.Duration(rng.Int64N(int64(s.ThinkTime)))):
 		}
 		addr := p.up()
 		if addr == "" {
@@ -228,10 +228,10 @@
 			}
 			continue
 		}
-		q := judge.Request{Pooler: p.i, Began: time.Now(), Write: rng.Float64() < s.Writes}
+		q := judge.Request{Pooler: p.i, Began: time.Now(), Write: rng.Float64() < s.WriteShare}
 		if c == nil {
 			var err error
-			if c, err = standin.DialPostgresWithin(addr, s.Patience+lateBy); err != nil { // a stalled pooler must not hold it
+			if c, err = standin.DialPostgresWithin(addr, s.Timeout+lateBy); err != nil { // a stalled pooler must not hold it
 				q.Ended, q.Outcome, q.Cause = time.Now(), judge.Broken, "connect: "+err.Error()
 				r.note(q, 0)
 				c = nil
@@ -240,16 +240,16 @@
 		}
 		text := r.read(rng)
 		if q.Keyed = q.Write && !s.Unkeyed; q.Keyed {
-			text = standin.Write(fmt.Sprintf("%016x", rng.Uint64()), s.Patience)
+			text = standin.Write(fmt.Sprintf("%016x", rng.Uint64()), s.Timeout)
 		} else if q.Write {
-			text = standin.Write("", s.Patience)
+			text = standin.Write("", s.Timeout)
 		}
 		text = standin.At(rng.IntN(s.Groups), text)
 		var row judge.RowOp
 		if s.Fleet.Shards.Keys > 0 {
-			text, row = r.shards.ask(rng, q.Write, fmt.Sprintf("%016x", rng.Uint64()), s.Groups, s.Patience)
+			text, row = r.shards.ask(rng, q.Write, fmt.Sprintf("%016x", rng.Uint64()), s.Groups, s.Timeout)
 		}
-		_ = c.SetDeadline(time.Now().Add(s.Patience + lateBy))
+		_ = c.SetDeadline(time.Now().Add(s.Timeout + lateBy))
 		began := time.Now()
 		res := c.Do(text)
 		q.Ended = time.Now()
@@ -259,7 +259,7 @@
 			if strings.Contains(q.Cause, "timeout") {
 				q.Outcome, q.Cause = judge.Silent, "no answer in time"
 			}
-		case q.Ended.Sub(began) > s.Patience+lateBy:
+		case q.Ended.Sub(began) > s.Timeout+lateBy:
 			q.Outcome, q.Cause = judge.Silent, "answered late"
 		case res.Refused:
 			q.Outcome = judge.Refused
--- a/internal/lab/limits.go
+++ b/internal/lab/limits.go
@@ -57,14 +57,14 @@
 		size := float64(rep.Poolers)
 		o := Over{Limit: l.Name, Bound: l.Burst + size + float64(rep.Starts-rep.Poolers)*max(1, l.Burst*l.Reserve/size)}
 		switch {
-		case l.On == config.LimitConnections:
+		case l.Target == config.LimitConnections:
 			o.Bound += l.Rate * connectWithin.Seconds()
 			for _, server := range r.servers.Servers {
 				at := server.CameAt()
 				o.Taken += len(at)
 				o.Most = max(o.Most, above(l.Rate, at, func(time.Time) float64 { return 1 }))
 			}
-		case l.On == config.LimitRequests && l.Class == "" && !l.Tenants:
+		case l.Target == config.LimitRequests && l.Class == "" && !l.Tenants:
 			var in []judge.Request
 			for _, q := range rep.Requests {
 				if q.Outcome == judge.Served || q.Outcome == judge.Failed {
@@ -72,7 +72,7 @@
 				}
 			}
 			o.Taken, o.Most = len(in), inside(l.Rate, in)
-		case l.On == config.LimitCold:
+		case l.Target == config.LimitCold:
 			// A token is 1/w of them at a warmth w, so a bucket may be short by as much once.
 			o.Bound += l.Rate*connectWithin.Seconds() + size*(1/coldFrom-1)
 			for _, server := range r.servers.Servers {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -64,7 +64,7 @@
 // join writes each member's file of the fleet, with a relay on each link to another if the scenario wants them.
 func (n *peerNet) join(h standin.Host, s scenario.Scenario, members []*standin.Member, p purges, sh *shards) {
 	fleet := s.Fleet
-	if fleet.Stewards == 0 {
+	if fleet.Voters == 0 {
 		return
 	}
 	n.block = ClaimBlock(h)
@@ -91,33 +91,33 @@
 	}
 	for i, m := range members {
 		var peers, stewards []config.Peer
-		var streams config.DistributionPart
+		var streams config.DistributionConfig
 		gossips := fleet.Distributors == 0 || i < fleet.Distributors
 		for j := range members {
 			if j < fleet.Distributors {
 				streams.Distributors = append(streams.Distributors, config.Distributor{Name: name(j), Addr: to(i, j, StreamPort), Region: region(j)})
 			}
-			if j < fleet.Stewards {
+			if j < fleet.Voters {
 				stewards = append(stewards, config.Peer{Name: name(j), Addr: to(i, j, StewardPort)})
 			}
-			if i != j && gossips && (fleet.Relays && (fleet.Distributors == 0 || j < fleet.Distributors) || j < fleet.Stewards) {
+			if i != j && gossips && (fleet.Relays && (fleet.Distributors == 0 || j < fleet.Distributors) || j < fleet.Voters) {
 				peers = append(peers, config.Peer{Name: name(j), Addr: to(i, j, GossipPort)})
 			}
 		}
 		file := map[string]any{"enabled": true, "name": name(i), "listen": n.block.Addr(i, GossipPort), "peers": peers, "stewards": stewards,
-			"term_ms": fleet.Term.Milliseconds(), "drift_ms": fleet.DriftOf().Milliseconds(), "election_ms": fleet.ElectionOf().Milliseconds(),
-			"shared_addresses": fleet.SharedAddresses, "least_build": fleet.LeastBuild, "journal": map[string]any{"file": n.journal(m)},
-			"shared": config.SharedPart{Dir: n.copyDir(m)}}
+			"term_ms": fleet.Term.Milliseconds(), "drift_ms": fleet.ClockDrift().Milliseconds(), "election_ms": fleet.ElectionTimeout().Milliseconds(),
+			"shared_addresses": fleet.SharedAddresses, "least_build": fleet.MinBuild, "journal": map[string]any{"file": n.journal(m)},
+			"shared": config.ReplicaConfig{Dir: n.copyDir(m)}}
 		if fleet.Distributors > 0 {
 			if streams.Region = region(i); gossips {
 				streams.Listen = n.block.Addr(i, StreamPort)
 			}
 			file["distribution"] = streams
 		}
-		if i < fleet.Stewards {
-			file["steward"] = config.StewardPart{Listen: n.block.Addr(i, StewardPort), Dir: filepath.Join(m.Dir(), "steward")}
+		if i < fleet.Voters {
+			file["steward"] = config.VoterConfig{Listen: n.block.Addr(i, StewardPort), Dir: filepath.Join(m.Dir(), "steward")}
 		}
-		if fleet.Verdicts {
+		if fleet.Outliers {
 			file["verdicts"] = map[string]any{"enabled": true}
 		}
 		if fleet.Limits.Revision > 0 {
--- a/internal/lab/purges.go
+++ b/internal/lab/purges.go
@@ -30,7 +30,7 @@
 func (p purges) into(file map[string]any, pooler int) {
 	if p.Sites > 0 {
 		file["purges"] = map[string]any{"site": fmt.Sprint("s", p.site(pooler)), "classes": []string{"any"}, "clock_ms": p.Guard.Milliseconds(),
-			"confirm_ms": p.Confirm.Milliseconds(), "settle_ms": p.Settle.Milliseconds(), "answers_mb": 1}
+			"confirm_ms": p.MaxReplicaAge.Milliseconds(), "settle_ms": p.Settle.Milliseconds(), "answers_mb": 1}
 	}
 }
 
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -207,10 +207,10 @@
 	dir := filepath.Join(p.dir, name(i))
 	file := map[string]any{"enabled": true, "name": name(i), "listen": p.block.Addr(i, lab.GossipPort), "peers": peers, "stewards": founders,
 		"term_ms": term.Milliseconds(), "shared_addresses": true, "journal": map[string]any{"file": filepath.Join(dir, "acts")},
-		"shared": config.SharedPart{Dir: filepath.Join(dir, "shared")}}
+		"shared": config.ReplicaConfig{Dir: filepath.Join(dir, "shared")}}
 	if p.Mechanism == Distribution {
 		region := func(i int) string { return fmt.Sprint("region", i%regions) }
-		d := config.DistributionPart{Region: region(i)}
+		d := config.DistributionConfig{Region: region(i)}
 		for j := range p.Distributors {
 			d.Distributors = append(d.Distributors, config.Distributor{Name: name(j), Addr: p.block.Addr(j, lab.StreamPort), Region: region(j)})
 		}
@@ -220,7 +220,7 @@
 		file["distribution"] = d
 	}
 	if i < stewards {
-		file["steward"] = config.StewardPart{Listen: p.block.Addr(i, lab.StewardPort), Dir: filepath.Join(dir, "steward")}
+		file["steward"] = config.VoterConfig{Listen: p.block.Addr(i, lab.StewardPort), Dir: filepath.Join(dir, "steward")}
 	}
 	return file
 }
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -16,8 +16,8 @@
 	defaultBoundMs    = 800
 )
 
-// file is the form of a scenario file.
-type file struct {
+// form is the form of a scenario file.
+type form struct {
 	Poolers    int               `json:"poolers"`
 	Servers    int               `json:"servers"`
 	Groups     int               `json:"groups"`
@@ -33,15 +33,15 @@
 	Writes     float64           `json:"writes"`
 	PatienceMs float64           `json:"patience_ms"`
 	WorkMs     float64           `json:"work_ms"`
-	Fleet      fleetFile         `json:"fleet"`
+	Fleet      fleetForm         `json:"fleet"`
 	Push       bool              `json:"push"`
 	Unkeyed    bool              `json:"unkeyed"`
 	GraceMs    float64           `json:"grace_ms"`
-	Log        logFile           `json:"log"`
+	Log        logForm           `json:"log"`
 	Steps      []json.RawMessage `json:"steps"`
 }
 
-type fleetFile struct {
+type fleetForm struct {
 	Stewards        int             `json:"stewards"`
 	Distributors    int             `json:"distributors"`
 	Regions         int             `json:"regions"`
@@ -52,11 +52,11 @@
 	Zones           int             `json:"zones"`
 	Verdicts        bool            `json:"verdicts"`
 	Limits          json.RawMessage `json:"limits"`
-	Purges          purgesFile      `json:"purges"`
-	Shards          shardsFile      `json:"shards"`
+	Purges          purgesForm      `json:"purges"`
+	Shards          shardsForm      `json:"shards"`
 }
 
-type purgesFile struct {
+type purgesForm struct {
 	Sites     int     `json:"sites"`
 	Rows      int     `json:"rows"`
 	ClockMs   float64 `json:"clock_ms"`
@@ -64,13 +64,13 @@
 	SettleMs  float64 `json:"settle_ms"`
 }
 
-type shardsFile struct {
+type shardsForm struct {
 	Keys    int             `json:"keys"`
 	Lenient bool            `json:"lenient"`
-	Faults  []moveFaultFile `json:"faults"`
+	Faults  []moveFaultForm `json:"faults"`
 }
 
-type moveFaultFile struct {
+type moveFaultForm struct {
 	Move    int     `json:"move"`
 	On      string  `json:"on"`
 	Act     string  `json:"act"`
@@ -78,7 +78,7 @@
 	ForMs   float64 `json:"for_ms"`
 }
 
-type logFile struct {
+type logForm struct {
 	WaitMs   float64 `json:"wait_ms"`
 	BoundMs  float64 `json:"bound_ms"`
 	Reports  float64 `json:"reports"`
@@ -105,7 +105,7 @@
 
 // parse reads a scenario's text. An error that has a place other than the first line is a *jsonfile.Mistake.
 func parse(text []byte) (Scenario, error) {
-	var form file
+	var form form
 	if err := jsonfile.DecodeValue(text, &form); err != nil {
 		return Scenario{}, err
 	}
@@ -133,24 +133,24 @@
 }
 
 // scenario takes over all but the fleet, the hot poolers and the steps, and fills in defaults.
-func (f *file) scenario() Scenario {
+func (f *form) scenario() Scenario {
 	s := Scenario{
-		Size:     Size{Poolers: f.Poolers, Servers: f.Servers, Groups: orDefault(f.Groups, 1)},
-		Roles:    f.Roles,
-		Direct:   f.Direct,
-		Length:   milliseconds(f.LengthMs),
-		Seed:     f.Seed,
-		Traffic:  Traffic{Clients: 1, Rest: milliseconds(orDefault(f.RestMs, defaultRestMs)), Writes: f.Writes, Patience: milliseconds(orDefault(f.PatienceMs, defaultPatienceMs))},
-		Work:     milliseconds(f.WorkMs),
-		Machines: f.Machines,
-		Push:     f.Push,
-		Grace:    milliseconds(f.GraceMs),
-		Unkeyed:  f.Unkeyed,
-		Log: Log{
-			Wait:    milliseconds(f.Log.WaitMs),
-			Bound:   milliseconds(orDefault(f.Log.BoundMs, defaultBoundMs)),
-			Reports: f.Log.Reports,
-			Report:  milliseconds(f.Log.ReportMs),
+		Size:             Size{Poolers: f.Poolers, Servers: f.Servers, Groups: orDefault(f.Groups, 1)},
+		RolesListed:      f.Roles,
+		Direct:           f.Direct,
+		Length:           milliseconds(f.LengthMs),
+		Seed:             f.Seed,
+		Traffic:          Traffic{Clients: 1, ThinkTime: milliseconds(orDefault(f.RestMs, defaultRestMs)), WriteShare: f.Writes, Timeout: milliseconds(orDefault(f.PatienceMs, defaultPatienceMs))},
+		ServiceTime:      milliseconds(f.WorkMs),
+		Machines:         f.Machines,
+		PushLists:        f.Push,
+		DrainGracePeriod: milliseconds(f.GraceMs),
+		Unkeyed:          f.Unkeyed,
+		ReplicationLog: ReplicationLog{
+			MaxWait:      milliseconds(f.Log.WaitMs),
+			MaxStaleness: milliseconds(orDefault(f.Log.BoundMs, defaultBoundMs)),
+			ReportShare:  f.Log.Reports,
+			ReportTime:   milliseconds(f.Log.ReportMs),
 		},
 	}
 	if f.Clients != nil {
@@ -160,23 +160,23 @@
 }
 
 // fleet takes over all of the fleet but its limits and shards, and fills in defaults.
-func (f *fleetFile) fleet() Fleet {
+func (f *fleetForm) fleet() Fleet {
 	return Fleet{
-		Stewards:        f.Stewards,
+		Voters:          f.Stewards,
 		Distributors:    f.Distributors,
 		Regions:         f.Regions,
 		Term:            orDefault(milliseconds(f.TermMs), config.DefaultTerm),
 		Relays:          f.Relays,
 		SharedAddresses: f.SharedAddresses,
-		LeastBuild:      f.LeastBuild,
+		MinBuild:        f.LeastBuild,
 		Zones:           f.Zones,
-		Verdicts:        f.Verdicts,
+		Outliers:        f.Verdicts,
 		Purges: Purges{
-			Sites:   f.Purges.Sites,
-			Rows:    orDefault(f.Purges.Rows, 1),
-			Guard:   orDefault(milliseconds(f.Purges.ClockMs), config.DefaultPurgeGuard),
-			Confirm: orDefault(milliseconds(f.Purges.ConfirmMs), config.DefaultPurgeConfirm),
-			Settle:  milliseconds(f.Purges.SettleMs),
+			Sites:         f.Purges.Sites,
+			Rows:          orDefault(f.Purges.Rows, 1),
+			Guard:         orDefault(milliseconds(f.Purges.ClockMs), config.DefaultPurgeGuard),
+			MaxReplicaAge: orDefault(milliseconds(f.Purges.ConfirmMs), config.DefaultMaxReplicaAge),
+			Settle:        milliseconds(f.Purges.SettleMs),
 		},
 	}
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -12,19 +12,19 @@
 // Scenario is an experiment of the fleet laboratory: its size, its load and its faults.
 type Scenario struct {
 	Size
-	Roles  bool          // the lists tell who is primary
-	Direct bool          // no relays between poolers and servers: for fleets that are too large for one a link
-	Length time.Duration // of the run
-	Seed   uint64        // draws shares of poolers and the clients' choices
+	RolesListed bool          // the lists tell who is primary
+	Direct      bool          // no relays between poolers and servers: for fleets that are too large for one a link
+	Length      time.Duration // of the run
+	Seed        uint64        // draws shares of poolers and the clients' choices
 	Traffic
-	Work     time.Duration // a server takes over a statement, half of it to one and a half
-	Machines int           // poolers are on so many machines, by turns; 0: each on its own
-	Plan     *faults.Plan
-	Fleet    Fleet
-	Push     bool          // lists are pushed to an agent on each pooler's machine
-	Grace    time.Duration // of a drain; 0: as the stand-ins' settings have it
-	Unkeyed  bool          // writes carry no key, and must never run twice
-	Log      Log
+	ServiceTime      time.Duration // a server takes over a statement, half of it to one and a half
+	Machines         int           // poolers are on so many machines, by turns; 0: each on its own
+	Plan             *faults.Plan
+	Fleet            Fleet
+	PushLists        bool          // lists are pushed to an agent on each pooler's machine
+	DrainGracePeriod time.Duration // of a drain; 0: as the stand-ins' settings have it
+	Unkeyed          bool          // writes carry no key, and must never run twice
+	ReplicationLog   ReplicationLog
 }
 
 // Size is how many of what there are.
@@ -39,30 +39,30 @@
 	Clients    int           // of each pooler, each with one request at a time
 	Hot        []int         // poolers that have HotClients instead: traffic is uneven
 	HotClients int           // of each of these
-	Rest       time.Duration // between a client's answer and its next request
-	Writes     float64       // share of the requests that are keyed writes
-	Patience   time.Duration // a request's deadline
+	ThinkTime  time.Duration // between a client's answer and its next request
+	WriteShare float64       // share of the requests that are keyed writes
+	Timeout    time.Duration // a request's deadline
 }
 
-// Log is how replicas follow their primary's log; Wait 0: they answer from what they have.
-type Log struct {
-	Wait    time.Duration // a bounded read waits so long for a replica that is too far behind
-	Bound   time.Duration // how old such a read's data may be
-	Reports float64       // share of the reads that any member answers and that stop a replica's log meanwhile
-	Report  time.Duration // how long those take
+// ReplicationLog is how replicas follow their primary's log; Wait 0: they answer from what they have.
+type ReplicationLog struct {
+	MaxWait      time.Duration // a bounded read waits so long for a replica that is too far behind
+	MaxStaleness time.Duration // how old such a read's data may be
+	ReportShare  float64       // share of the reads that any member answers and that stop a replica's log meanwhile
+	ReportTime   time.Duration // how long those take
 }
 
 // Fleet is how the poolers of a scenario know each other; Stewards 0: they don't.
 type Fleet struct {
-	Stewards        int           // the first so many poolers are the voters of the consensus
+	Voters          int           // the first so many poolers are the voters of the consensus
 	Distributors    int           // the first so many bring what all share, the voters among them; 0: by gossip
 	Regions         int           // poolers are in so many regions, by turns; 0: one
 	Term            time.Duration // as config.Fleet.Term; the drift is 3% of it, the election a third
 	Relays          bool          // a relay on each link between two poolers, for faults
 	SharedAddresses bool          // as config.Fleet.SharedAddresses
-	LeastBuild      string        // as config.Fleet.LeastBuild, at all poolers
+	MinBuild        string        // as config.Fleet.LeastBuild, at all poolers
 	Zones           int           // poolers are in so many zones, by turns; 0: one
-	Verdicts        bool          // they find bad servers out together
+	Outliers        bool          // they find bad servers out together
 	Limits          config.Limits // as config.Fleet.Limits, at all poolers
 	Purges          Purges
 	Shards          Shards
@@ -78,19 +78,19 @@
 
 // MoveFault is a fault that meets a move in a state.
 type MoveFault struct {
-	Move    int    // the first is 1
-	On      string // "prepared", or the act that servers are being told
-	Act     faults.Act
-	Mover   bool  // the fault meets whoever carries the move out,
-	Poolers []int // or these
-	For     time.Duration
+	Move        int    // the first is 1
+	On          string // "prepared", or the act that servers are being told
+	Act         faults.Act
+	Coordinator bool  // the fault meets whoever carries the move out,
+	Poolers     []int // or these
+	Duration    time.Duration
 }
 
 // Purges is how the poolers of a scenario keep answers, and purge them; Sites 0: they don't. Poolers are dealt to sites in turn. Reads
 // ask for a row of Rows, some more often than others.
 type Purges struct {
-	Sites, Rows            int
-	Guard, Confirm, Settle time.Duration // as config.PurgesPart
+	Sites, Rows                  int
+	Guard, MaxReplicaAge, Settle time.Duration // as config.PurgesPart
 }
 
 // Machine returns the poolers that are on the machines of a set of poolers.
@@ -121,8 +121,8 @@
 	electionsOfTerm = 3
 )
 
-// DriftOf returns the drift of clocks that a scenario's poolers reckon with over a term.
-func (f Fleet) DriftOf() time.Duration { return f.Term * driftPercent / 100 }
+// ClockDrift returns the drift of clocks that a scenario's poolers reckon with over a term.
+func (f Fleet) ClockDrift() time.Duration { return f.Term * driftPercent / 100 }
 
-// ElectionOf returns the timeout after which the voters of a scenario stand for election.
-func (f Fleet) ElectionOf() time.Duration { return f.Term / electionsOfTerm }
+// ElectionTimeout returns the timeout after which the voters of a scenario stand for election.
+func (f Fleet) ElectionTimeout() time.Duration { return f.Term / electionsOfTerm }
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -16,7 +16,7 @@
 	dealerWord = "dealer" // who allocates the fleet's limits
 )
 
-type stepFile struct {
+type stepForm struct {
 	AtMs     float64 `json:"at_ms"`
 	Act      string  `json:"act"`
 	Poolers  string  `json:"poolers"`
@@ -56,7 +56,7 @@
 
 // step reads the step at a key such as "steps[0]", with which an error's text begins.
 func (s *Scenario) step(key string, raw json.RawMessage, picks *picker) (faults.Step, error) {
-	var form stepFile
+	var form stepForm
 	if err := jsonfile.DecodeValue(raw, &form); err != nil {
 		return faults.Step{}, fmt.Errorf("%s: %w", key, err)
 	}
@@ -90,14 +90,14 @@
 
 // checkStep checks that the scenario has what the step at a key acts on.
 func (s *Scenario) checkStep(key string, step faults.Step) error {
-	isVoter := func(pooler int) bool { return pooler < s.Fleet.Stewards }
+	isVoter := func(pooler int) bool { return pooler < s.Fleet.Voters }
 	switch act := step.Act; {
-	case step.Holder && s.Fleet.Stewards == 0:
+	case step.Holder && s.Fleet.Voters == 0:
 		return fmt.Errorf("%s.poolers: holder: the poolers have no stewards", key)
-	case step.Dealer && (s.Fleet.Stewards == 0 || len(s.Fleet.Limits.List) == 0):
+	case step.Dealer && (s.Fleet.Voters == 0 || len(s.Fleet.Limits.List) == 0):
 		return fmt.Errorf("%s.poolers: dealer: the poolers have no limits", key)
 	case act == faults.Wipe && slices.ContainsFunc(step.Poolers, isVoter):
-		return fmt.Errorf("%s.poolers: wipe: the first %d are stewards, which must not forget what they have said", key, s.Fleet.Stewards)
+		return fmt.Errorf("%s.poolers: wipe: the first %d are stewards, which must not forget what they have said", key, s.Fleet.Voters)
 	case act.OnPurges() && s.Fleet.Purges.Sites == 0:
 		return fmt.Errorf("%s.act: %s needs fleet.purges", key, act)
 	case act == faults.Reshard && s.Fleet.Shards.Keys == 0:
--- a/internal/lab/shards.go
+++ b/internal/lab/shards.go
@@ -107,8 +107,8 @@
 		if f.Move != number || f.On != act {
 			continue
 		}
-		step := faults.Step{Act: f.Act, Poolers: f.Poolers, For: f.For}
-		if f.Mover {
+		step := faults.Step{Act: f.Act, Poolers: f.Poolers, For: f.Duration}
+		if f.Coordinator {
 			step.Poolers = []int{mover - 1}
 		}
 		l := later{at: time.Now(), step: step, done: make(chan struct{})}
--- a/internal/lab/start.go
+++ b/internal/lab/start.go
@@ -74,7 +74,7 @@
 		server.Stamp()
 	}
 	r.follow(server)
-	if w := r.Scenario.Work; w > 0 {
+	if w := r.Scenario.ServiceTime; w > 0 {
 		server.Do(func(seen standin.Seen) standin.Act {
 			w := r.takes(seen, w)
 			time.Sleep(w/2 + time.Duration(rand.Int64N(int64(w))))
--- a/internal/pooler/answers_test.go
+++ b/internal/pooler/answers_test.go
@@ -78,7 +78,7 @@
 			if wire == "mysql" {
 				guard.keep = mysql.Cacheable
 			}
-			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeasePart: config.LeasePart{Term: time.Second, Drift: 10 * time.Millisecond}, Bound: time.Minute},
+			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
 				Open: func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
 				Attach: func(front pooler.Frontend) {
 					if front.Name == wire {
--- a/internal/pooler/disconnected_clients_test.go
+++ b/internal/pooler/disconnected_clients_test.go
@@ -90,7 +90,7 @@
 	var none sync.Once
 	lost := make(chan struct{})
 	a, terminate, ended, err := launchWith(f.Getenv, f.Hup, &pooler.FleetOptions{
-		Config:     &config.Fleet{Name: "n1", LeasePart: config.LeasePart{Term: time.Second, Drift: 10 * time.Millisecond}, Bound: time.Minute},
+		Config:     &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
 		Open:       func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
 		NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return w },
 		Attach: func(x pooler.Frontend) {
--- a/internal/pooler/discovery_watcher.go
+++ b/internal/pooler/discovery_watcher.go
@@ -106,9 +106,9 @@
 		w.knownUntil = w.loop.Now() // polled lists bind a process some time after its start
 	}
 	var known []dispatch.Member
-	if w.addr == cfg.Discovery { // another service's servers are not those that the configuration knows
-		known = listedMembers(cfg.Known, w.zoneIndexes)
-		w.revision = cfg.Known.Revision
+	if w.addr == cfg.DiscoveryAddr { // another service's servers are not those that the configuration knows
+		known = listedMembers(cfg.KnownServers, w.zoneIndexes)
+		w.revision = cfg.KnownServers.Revision
 	}
 	dispatcher.ApplyList(policy.ListCached, known)
 	if w.pushed {
--- a/internal/pooler/file_watcher.go
+++ b/internal/pooler/file_watcher.go
@@ -55,7 +55,7 @@
 
 // start reads the file, or takes the generation kept last where the file is of no use, and hands the dispatcher its first list.
 // With neither it fails.
-func (k *fileWatcher) start(lists *config.Lists, dispatcher *dispatch.Dispatcher) error {
+func (k *fileWatcher) start(lists *config.ServerLists, dispatcher *dispatch.Dispatcher) error {
 	k.dispatcher = dispatcher
 	history, err := k.openArchive(lists)
 	if err != nil {
@@ -80,11 +80,11 @@
 }
 
 // openArchive opens the folder of kept generations, if there is one, and returns those that can be used.
-func (k *fileWatcher) openArchive(lists *config.Lists) ([]*serverlist.Generation, error) {
-	if lists.State == "" {
+func (k *fileWatcher) openArchive(lists *config.ServerLists) ([]*serverlist.Generation, error) {
+	if lists.ArchiveDir == "" {
 		return nil, nil
 	}
-	kept, err := archive.Open(filepath.Join(lists.State, k.format.name), lists.Policy.Keep)
+	kept, err := archive.Open(filepath.Join(lists.ArchiveDir, k.format.name), lists.Policy.Keep)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
@@ -97,7 +97,7 @@
 }
 
 // startWatching has each new state of the file offered on the watcher's goroutine. known is the state that was offered last.
-func (k *fileWatcher) startWatching(lists *config.Lists, known watchfile.State) {
+func (k *fileWatcher) startWatching(lists *config.ServerLists, known watchfile.State) {
 	path := k.path
 	onState := func(state watchfile.State) {
 		select {
@@ -105,7 +105,7 @@
 		case <-k.quit:
 		}
 	}
-	options := watchfile.Options{Path: path, Poll: lists.Poll, Max: inventory.MaxBytes, Log: messageLogger(k.log)}
+	options := watchfile.Options{Path: path, Poll: lists.PollInterval, Max: inventory.MaxBytes, Log: messageLogger(k.log)}
 	k.watcher = watchfile.Watch(options, known, onState)
 }
 
@@ -139,7 +139,7 @@
 }
 
 // applyConfig puts another policy, path or polling interval in force. It is called on the loop, and waits for nothing.
-func (k *fileWatcher) applyConfig(lists *config.Lists, path string) {
+func (k *fileWatcher) applyConfig(lists *config.ServerLists, path string) {
 	command := func() {
 		k.carryOut(k.gate.Retune(k.loop.Now(), lists.Policy))
 		// The old watcher may be about to deliver a state: it must not wait for this goroutine while this one waits for its end.
--- a/internal/pooler/fleet_member.go
+++ b/internal/pooler/fleet_member.go
@@ -112,7 +112,7 @@
 func (m *fleetMember) applyFleetConfig(cfg *config.Fleet) {
 	m.fleet.Reload(cfg)
 	if m.leadership != nil {
-		m.leadership.applyFleetConfig(cfg.ConfigRevision, discoveryleader.MinimumVersion{Build: cfg.LeastBuild, ConfigRevision: cfg.LeastConfig})
+		m.leadership.applyFleetConfig(cfg.ConfigRevision, discoveryleader.MinimumVersion{Build: cfg.MinBuild, ConfigRevision: cfg.MinConfigRevision})
 	}
 }
 
--- a/internal/pooler/fleet_test.go
+++ b/internal/pooler/fleet_test.go
@@ -33,7 +33,7 @@
 	}
 	cfg.Admin = "127.0.0.1:0"
 	ready, events, ended := make(chan pooler.Addresses, 1), make(chan pooler.FleetEvents, 1), make(chan error, 1)
-	part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeasePart: config.LeasePart{Term: time.Second, Drift: 10 * time.Millisecond}, Bound: time.Minute},
+	part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
 		Open: func(e pooler.FleetEvents) (pooler.Fleet, error) {
 			events <- e
 			return fullFleet{}, nil
--- a/internal/pooler/journal.go
+++ b/internal/pooler/journal.go
@@ -27,11 +27,11 @@
 }
 
 // openJournal opens the audit file and starts the writer's goroutine; without a file it returns nil.
-func openJournal(c config.JournalPart, log zerolog.Logger) (*journal, error) {
+func openJournal(c config.JournalConfig, log zerolog.Logger) (*journal, error) {
 	if c.File == "" {
 		return nil, nil
 	}
-	file, truncated, err := audit.Open(c.File, c.Bytes, c.Keep)
+	file, truncated, err := audit.Open(c.File, c.MaxBytes, c.MaxRotated)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/pooler/journal_test.go
+++ b/internal/pooler/journal_test.go
@@ -19,7 +19,7 @@
 	if err := os.MkdirAll(inTheWay, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	j, err := openJournal(config.JournalPart{File: path, Bytes: 1, Keep: 1}, zerolog.Nop())
+	j, err := openJournal(config.JournalConfig{File: path, MaxBytes: 1, MaxRotated: 1}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pooler/list_leadership.go
+++ b/internal/pooler/list_leadership.go
@@ -43,13 +43,13 @@
 		sharedAddresses: fleetConfig.SharedAddresses,
 		setAdmitted:     setAdmitted,
 		configRevision:  fleetConfig.ConfigRevision,
-		list:            discovery.List{Complete: true, Revision: cfg.Known.Revision, Members: cfg.Known.Members},
+		list:            discovery.List{Complete: true, Revision: cfg.KnownServers.Revision, Members: cfg.KnownServers.Members},
 		election: discoveryleader.Participant{Options: discoveryleader.Options{
 			Name:           fleetConfig.Name,
 			LeaseDuration:  fleetConfig.Term,
-			MaxClockDrift:  fleetConfig.Drift,
-			FollowOnly:     !fleetConfig.Gossips(),
-			MaxListLag:     fleetConfig.Bound,
+			MaxClockDrift:  fleetConfig.MaxClockDrift,
+			FollowOnly:     !fleetConfig.UsesGossip(),
+			MaxListLag:     fleetConfig.StragglerTimeout,
 			JitterFraction: Spread(cfg),
 			PoolerCount:    max(cfg.Settings.Poolers, 1),
 		}},
@@ -59,7 +59,7 @@
 		w.loop.After(0, d.requestWatch)
 	}
 	dispatcher.OnPrimary(d.primaryChanged)
-	minimum := discoveryleader.MinimumVersion{Build: fleetConfig.LeastBuild, ConfigRevision: fleetConfig.LeastConfig}
+	minimum := discoveryleader.MinimumVersion{Build: fleetConfig.MinBuild, ConfigRevision: fleetConfig.MinConfigRevision}
 	m.loop.After(0, func() { d.applyMinimum(minimum) })
 	return d
 }
--- a/internal/pooler/mysql/front.go
+++ b/internal/pooler/mysql/front.go
@@ -643,9 +643,9 @@
 
 // submit hands a statement to the core, by its comment or by the defaults of its kind.
 func (s *session) submit(at time.Duration, kind mysql.Kind, cmd *Command, st *statement) {
-	d := s.frontend.cfg.Read
+	d := s.frontend.cfg.ReadDefault
 	if kind == mysql.Write {
-		d = s.frontend.cfg.Write
+		d = s.frontend.cfg.WriteDefault
 	}
 	c := comment.Comment{Group: -1}
 	if cmd.Comment != nil {
--- a/internal/pooler/reload.go
+++ b/internal/pooler/reload.go
@@ -30,15 +30,15 @@
 	if p.mysqlConfig == nil {
 		return next, nil
 	}
-	if err := p.mysqlConfig.Fits(next.ClassNames()); err != nil {
-		return nil, fmt.Errorf("%s: %w", p.mysqlConfig.File, err)
+	if err := p.mysqlConfig.CheckClasses(next.ClassNames()); err != nil {
+		return nil, fmt.Errorf("%s: %w", p.mysqlConfig.Path, err)
 	}
 	return next, nil
 }
 
 // applyConfig puts a new configuration in force on every worker.
 func (p *instance) applyConfig(next *config.Config) {
-	p.log.Info().Str("discovery", next.Discovery).Str("classes", strings.Join(next.ClassNames(), ", ")).Msg("reload: taken")
+	p.log.Info().Str("discovery", next.DiscoveryAddr).Str("classes", strings.Join(next.ClassNames(), ", ")).Msg("reload: taken")
 	p.keepStartupSettings(next)
 	for _, w := range p.workers {
 		w.loop.Post(func() { w.applyConfig(next) })
@@ -50,7 +50,7 @@
 // the numbers of their zones.
 func (p *instance) keepStartupSettings(next *config.Config) {
 	inForce := p.config
-	if next.Listen != inForce.Listen || next.Admin != inForce.Admin || next.Sockets != inForce.Sockets ||
+	if next.Listen != inForce.Listen || next.Admin != inForce.Admin || next.MaxSockets != inForce.MaxSockets ||
 		next.MemoryBytes != inForce.MemoryBytes {
 		p.log.Warn().Msg("reload: listen, admin and limits hold from the next start on")
 	}
--- a/internal/pooler/server_source.go
+++ b/internal/pooler/server_source.go
@@ -23,7 +23,7 @@
 		return &serverSource{watcher: &watcher{
 			loop:        loop,
 			dial:        newWatchDialer(loop),
-			addr:        src.Discovery,
+			addr:        src.DiscoveryAddr,
 			log:         messageLogger(log),
 			zoneIndexes: zoneIndexes(cfg),
 			pushed:      !cfg.Settings.PollList,
@@ -64,7 +64,7 @@
 // start hands the dispatcher its first list. It must be called before the loop runs.
 func (s *serverSource) start(cfg *config.Config, dispatcher *dispatch.Dispatcher) error {
 	if s.fileWatcher != nil {
-		return s.fileWatcher.start(cfg.Lists, dispatcher)
+		return s.fileWatcher.start(cfg.ServerLists, dispatcher)
 	}
 	s.watcher.start(cfg, dispatcher)
 	return nil
@@ -74,10 +74,10 @@
 func (s *serverSource) applyConfig(cfg *config.Config, src config.ListSource) {
 	switch {
 	case s.watcher != nil && src.File == "":
-		s.watcher.setAddress(src.Discovery)
+		s.watcher.setAddress(src.DiscoveryAddr)
 		s.watcher.setPushed(!cfg.Settings.PollList)
 	case s.fileWatcher != nil && src.File != "":
-		s.fileWatcher.applyConfig(cfg.Lists, src.File)
+		s.fileWatcher.applyConfig(cfg.ServerLists, src.File)
 	case s.fileWatcher != nil:
 		s.fileWatcher.log.Warn().Msg("reload: a list service in place of a file holds from the next start on")
 	default:
@@ -102,15 +102,15 @@
 
 // postgresSource returns where the PostgreSQL worker has its list from.
 func postgresSource(cfg *config.Config) config.ListSource {
-	if src := cfg.Lists.Postgres; src != (config.ListSource{}) {
+	if src := cfg.ServerLists.Postgres; src != (config.ListSource{}) {
 		return src
 	}
-	return config.ListSource{Discovery: cfg.Discovery}
+	return config.ListSource{DiscoveryAddr: cfg.DiscoveryAddr}
 }
 
 // mysqlSource returns where the MySQL worker has its list from.
 func mysqlSource(cfg *config.Config, mysqlConfig *config.MySQL) config.ListSource {
-	if src := cfg.Lists.MySQL; src != (config.ListSource{}) {
+	if src := cfg.ServerLists.MySQL; src != (config.ListSource{}) {
 		return src
 	}
 	return config.ListSource{File: mysqlConfig.Inventory}
--- a/internal/pooler/start.go
+++ b/internal/pooler/start.go
@@ -69,9 +69,9 @@
 // workerDescriptors returns how many descriptors each worker may use for its clients and servers together. Each worker has its own
 // share: neither can take the other's.
 func (p *instance) workerDescriptors() int {
-	descriptors := p.config.Sockets - reservedDescriptors
+	descriptors := p.config.MaxSockets - reservedDescriptors
 	if p.config.Admin != "" {
-		descriptors -= admin.Descriptors(p.config.Sockets)
+		descriptors -= admin.Descriptors(p.config.MaxSockets)
 	}
 	descriptors -= sourceDescriptors(postgresSource(p.config))
 	if p.control.Fleet != nil {
@@ -116,7 +116,7 @@
 	if p.config.Admin == "" {
 		return nil
 	}
-	server, err := admin.Listen(p.config.Admin, admin.Descriptors(p.config.Sockets), p.metrics)
+	server, err := admin.Listen(p.config.Admin, admin.Descriptors(p.config.MaxSockets), p.metrics)
 	if err != nil {
 		return err
 	}
--- a/internal/pooler/worker.go
+++ b/internal/pooler/worker.go
@@ -81,7 +81,7 @@
 // startDispatcher sets up the dispatcher over a backend and hands it the first list of servers.
 func (w *worker) startDispatcher(cfg *config.Config, backend dispatch.Backend, options dispatch.Options, fleet *FleetOptions) error {
 	options.Settings = w.source.adjustSettings(options.Settings)
-	options.MaxOpen = cfg.MaxOpen
+	options.MaxOpen = cfg.MaxConnections
 	options.Watch = w.source.openWatch
 	options.Log = messageLogger(w.log)
 	dispatcher, err := dispatch.New(w.loop, backend, options)
@@ -103,7 +103,7 @@
 
 // idleTimeout is how long a connection to a server is kept idle for reuse.
 func idleTimeout(cfg *config.Config) time.Duration {
-	return time.Duration(idleTimeoutShare * float64(cfg.ConnIdle))
+	return time.Duration(idleTimeoutShare * float64(cfg.IdleTimeout))
 }
 
 // runEvery runs f on the loop at an interval, as long as the loop runs.
--- a/internal/pooler/worker_mysql.go
+++ b/internal/pooler/worker_mysql.go
@@ -61,7 +61,7 @@
 func (w *worker) applyMySQLConfig(cfg *config.Config, mysqlConfig *config.MySQL) {
 	w.updateConnectors(cfg, mysqlConfig.ProbeTimeout)
 	settings := w.source.adjustSettings(probedSettings(cfg.Settings))
-	if err := w.dispatcher.Retune(settings, cfg.MaxOpen, mysqlConfig.ProbeTimeout); err != nil {
+	if err := w.dispatcher.Retune(settings, cfg.MaxConnections, mysqlConfig.ProbeTimeout); err != nil {
 		w.log.Error().Err(err).Msg("reload")
 	}
 	w.source.applyConfig(withMySQLPollInterval(cfg, mysqlConfig), mysqlSource(cfg, mysqlConfig))
@@ -78,11 +78,11 @@
 // withMySQLPollInterval returns the configuration in which the inventory is read again as often as the MySQL frontend's own file
 // says, unless the main configuration names the source of its servers.
 func withMySQLPollInterval(cfg *config.Config, mysqlConfig *config.MySQL) *config.Config {
-	if cfg.Lists.MySQL != (config.ListSource{}) {
+	if cfg.ServerLists.MySQL != (config.ListSource{}) {
 		return cfg
 	}
-	next, lists := *cfg, *cfg.Lists
-	lists.Poll = mysqlConfig.Reload
-	next.Lists = &lists
+	next, lists := *cfg, *cfg.ServerLists
+	lists.PollInterval = mysqlConfig.ReloadInterval
+	next.ServerLists = &lists
 	return &next
 }
--- a/internal/pooler/worker_postgres.go
+++ b/internal/pooler/worker_postgres.go
@@ -18,10 +18,10 @@
 // newPostgresWorker sets up the frontend for PostgreSQL clients with all that is behind it.
 func newPostgresWorker(cfg *config.Config, fleet *FleetOptions, log zerolog.Logger, descriptors int) (*worker, error) {
 	w := newWorker("postgres", cfg, log, descriptors)
-	w.inheritedSocket = cfg.Inherited > 0
+	w.inheritedSocket = cfg.InheritedSocket > 0
 	table := routes.NewTable(routes.Postgres)
 	w.source = newServerSource(cfg, postgresSource(cfg), postgresFormat, table, w.loop, w.log)
-	own := &postgres.Backend{Reports: cfg.Reports, Connector: w.newConnector(cfg, cfg.ConnectTimeout)}
+	own := &postgres.Backend{Reports: cfg.HealthReported, Connector: w.newConnector(cfg, cfg.ConnectTimeout)}
 	w.connectors = append(w.connectors, &own.Connector)
 	var backend dispatch.Backend = own
 	translates := w.source.fileWatcher != nil // only a file can name servers of the other protocol
@@ -35,7 +35,7 @@
 	check := func(string, int) error { return nil }
 	if translates {
 		check = func(text string, group int) error {
-			return checkTranslatable(table, text, group, cfg.Lists.MySQLServers.Echo)
+			return checkTranslatable(table, text, group, cfg.ServerLists.MySQLServers.Echo)
 		}
 	}
 	frontend, err := postgres.Listen(w.loop, w.listenPostgres(cfg), w.dispatcher, w.limiter, check)
@@ -49,7 +49,7 @@
 
 // postgresBackends reaches each server over the protocol that the table names for it.
 func (w *worker) postgresBackends(cfg *config.Config, own *postgres.Backend, table *routes.Table) dispatch.Backend {
-	servers := cfg.Lists.MySQLServers
+	servers := cfg.ServerLists.MySQLServers
 	other := &mysql.Backend{
 		Connector: w.newConnector(cfg, cfg.ConnectTimeout),
 		User:      servers.User,
@@ -78,8 +78,8 @@
 // listenPostgres returns what opens the frontend's socket: the one that the process has inherited, or a new one.
 func (w *worker) listenPostgres(cfg *config.Config) postgres.ListenFunc {
 	return func(accept func(*transport.Conn)) (*transport.Listener, error) {
-		if cfg.Inherited > 0 {
-			return transport.Inherit(w.loop, w.clientBudget, cfg.Inherited, accept)
+		if cfg.InheritedSocket > 0 {
+			return transport.Inherit(w.loop, w.clientBudget, cfg.InheritedSocket, accept)
 		}
 		return transport.Listen(w.loop, w.clientBudget, cfg.Listen, accept)
 	}
@@ -87,9 +87,9 @@
 
 // applyPostgresConfig puts a new configuration in force.
 func (w *worker) applyPostgresConfig(cfg *config.Config, own *postgres.Backend) {
-	own.Reports = cfg.Reports
+	own.Reports = cfg.HealthReported
 	w.updateConnectors(cfg, cfg.ConnectTimeout)
-	if err := w.dispatcher.Retune(w.source.adjustSettings(cfg.Settings), cfg.MaxOpen, cfg.ConnectTimeout); err != nil {
+	if err := w.dispatcher.Retune(w.source.adjustSettings(cfg.Settings), cfg.MaxConnections, cfg.ConnectTimeout); err != nil {
 		w.log.Error().Err(err).Msg("reload")
 	}
 	w.source.applyConfig(cfg, postgresSource(cfg))
