--- a/cmd/threadsail/inventory.go
+++ b/cmd/threadsail/inventory.go
@@ -56,7 +56,7 @@
 
 func (x *inventoryCheck) Run(s streams, c *inventoryCmd) error {
 	l, err := c.read(x.File)
-	var wrong *serverlist.Problems
+	var wrong *serverlist.ListError
 	if errors.As(err, &wrong) { // a line each, as compilers do
 		for _, p := range wrong.List {
 			fmt.Fprintf(s.err, "%s: %s\n", x.File, p)
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -149,37 +149,63 @@
 	return s, nil
 }
 
+// compile returns the holiday as a rule of the calendar library, with its close.
 func (h Holiday) compile() (holiday, error) {
-	out := holiday{rule: cal.Holiday{Name: h.Name}}
-	weekday, named := weekdays[h.Weekday]
+	if h.Name == "" {
+		return holiday{}, wrapPath(errors.New("missing"), "name")
+	}
+	rule, err := h.rule()
+	if err != nil {
+		return holiday{}, err
+	}
+	rule.Name = h.Name
+	if h.MondayIfWeekend {
+		rule.Observed = []cal.AltDay{{Day: time.Saturday, Offset: 2}, {Day: time.Sunday, Offset: 1}}
+	}
+	closeAt, err := parseClose(h.Close, true)
+	if err != nil {
+		return holiday{}, wrapPath(err, "close")
+	}
+	return holiday{rule: rule, close: closeAt}, nil
+}
+
+// rule returns the rule for the day of the year.
+func (h Holiday) rule() (cal.Holiday, error) {
 	switch {
-	case h.Name == "":
-		return out, wrapPath(errors.New("missing"), "name")
 	case h.Easter != nil:
-		if h.Month != 0 || h.Day != 0 || h.Weekday != "" || *h.Easter < -100 || *h.Easter > 100 {
-			return out, wrapPath(errors.New("stands alone, within 100 days"), "easter")
-		}
-		out.rule.Offset, out.rule.Func = *h.Easter, cal.CalcEasterOffset
+		return h.easterRule()
 	case h.Month < 1 || h.Month > 12:
-		return out, wrapPath(fmt.Errorf("%d is no month", h.Month), "month")
+		return cal.Holiday{}, wrapPath(fmt.Errorf("%d is no month", h.Month), "month")
 	case h.Weekday != "":
-		if !named || h.Day != 0 || h.Nth == 0 || h.Nth < -5 || h.Nth > 5 {
-			return out, wrapPath(errors.New("it takes a weekday's name and nth from -5 to 5, not 0, and no day"), "weekday")
-		}
-		out.rule.Month, out.rule.Weekday, out.rule.Offset, out.rule.Func = time.Month(h.Month), weekday, h.Nth, cal.CalcWeekdayOffset
-	case h.Day < 1 || time.Date(2024, time.Month(h.Month), h.Day, 0, 0, 0, 0, time.UTC).Month() != time.Month(h.Month):
-		return out, wrapPath(fmt.Errorf("%d is no day of month %d", h.Day, h.Month), "day")
-	default:
-		out.rule.Month, out.rule.Day, out.rule.Func = time.Month(h.Month), h.Day, cal.CalcDayOfMonth
+		return h.weekdayRule()
+	case h.Day < 1 || time.Date(leapYear, time.Month(h.Month), h.Day, 0, 0, 0, 0, time.UTC).Month() != time.Month(h.Month):
+		return cal.Holiday{}, wrapPath(fmt.Errorf("%d is no day of month %d", h.Day, h.Month), "day")
 	}
-	if h.MondayIfWeekend {
-		out.rule.Observed = []cal.AltDay{{Day: time.Saturday, Offset: 2}, {Day: time.Sunday, Offset: 1}}
+	return cal.Holiday{Month: time.Month(h.Month), Day: h.Day, Func: cal.CalcDayOfMonth}, nil
+}
+
+// leapYear has every day that a holiday can be on.
+const leapYear = 2024
+
+// maxEasterOffset is how many days from Easter a holiday may be.
+const maxEasterOffset = 100
+
+func (h Holiday) easterRule() (cal.Holiday, error) {
+	if h.Month != 0 || h.Day != 0 || h.Weekday != "" || *h.Easter < -maxEasterOffset || *h.Easter > maxEasterOffset {
+		return cal.Holiday{}, wrapPath(fmt.Errorf("stands alone, within %d days", maxEasterOffset), "easter")
 	}
-	var err error
-	if out.close, err = parseClose(h.Close, true); err != nil {
-		return out, wrapPath(err, "close")
+	return cal.Holiday{Offset: *h.Easter, Func: cal.CalcEasterOffset}, nil
+}
+
+// maxNth is how often a weekday can be in a month.
+const maxNth = 5
+
+func (h Holiday) weekdayRule() (cal.Holiday, error) {
+	weekday, known := weekdays[h.Weekday]
+	if !known || h.Day != 0 || h.Nth == 0 || h.Nth < -maxNth || h.Nth > maxNth {
+		return cal.Holiday{}, wrapPath(errors.New("it takes a weekday's name and nth from -5 to 5, not 0, and no day"), "weekday")
 	}
-	return out, nil
+	return cal.Holiday{Month: time.Month(h.Month), Weekday: weekday, Offset: h.Nth, Func: cal.CalcWeekdayOffset}, nil
 }
 
 func (e Exception) compile() (out exception, err error) {
--- a/internal/config/fleet_distribution.go
+++ b/internal/config/fleet_distribution.go
@@ -6,6 +6,7 @@
 	"slices"
 )
 
+// Bounds of the distribution.
 const (
 	MaxDistributors = 64  // each has a link to each other one
 	maxRegion       = 128 // bytes of a region's name
--- a/internal/config/fleet_limits.go
+++ b/internal/config/fleet_limits.go
@@ -2,12 +2,11 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"slices"
+	"strings"
 
 	"threadsail/internal/jsonfile"
 )
@@ -22,7 +21,12 @@
 
 const (
 	maxLimits      = 64
+	maxLimitName   = 64 // bytes
+	minRate        = 0.01
+	maxRate        = 1e7
 	defaultReserve = 0.25
+	minReserve     = 0.05
+	maxReserve     = 0.95
 )
 
 // Limit holds for all poolers of a fleet together.
@@ -105,7 +109,7 @@
 
 // withKey puts a key before a mistake's text, and moves it by the offset of the value that it is in.
 func withKey(err error, offset int64, key string) error {
-	var mistake *jsonfile.Mistake
+	var mistake *jsonfile.OffsetError
 	if errors.As(err, &mistake) {
 		offset += mistake.Offset
 		err = mistake.Err
@@ -115,7 +119,7 @@
 
 // placeInside moves a mistake of a value by where the value stands in the file's text.
 func placeInside(text, value []byte, err error) error {
-	var mistake *jsonfile.Mistake
+	var mistake *jsonfile.OffsetError
 	if errors.As(err, &mistake) {
 		return jsonfile.At(int64(bytes.Index(text, value))+mistake.Offset, mistake.Err)
 	}
@@ -124,24 +128,44 @@
 
 // checkLimit tells which key of the list's i-th limit can't be used.
 func checkLimit(list []Limit, i int) (key string, err error) {
-	l := list[i]
+	limit, before := list[i], list[:i]
+	if err := limit.checkName(before); err != nil {
+		return "name", err
+	}
+	if err := limit.checkTarget(before); err != nil {
+		return "on", err
+	}
 	switch {
-	case l.Name == "" || bytes.ContainsAny([]byte(l.Name), "/ ") || len(l.Name) > 64:
-		return "name", fmt.Errorf("%q is empty, longer than 64 bytes, or has a slash or space", l.Name)
-	case slices.ContainsFunc(list[:i], func(o Limit) bool { return o.Name == l.Name }):
-		return "name", fmt.Errorf("%q names another too", l.Name)
-	case !slices.Contains([]string{LimitRequests, LimitConnections, LimitCold, LimitProbes}, l.Target):
-		return "on", fmt.Errorf("%q is none of requests, connections, cold, probes", l.Target)
-	case l.Target != LimitRequests && cmp.Or(l.Class, fmt.Sprint(l.Tenants)) != "false":
-		return "on", fmt.Errorf("%s has no class or tenants: it is on each server", l.Target)
-	case l.Target != LimitRequests && slices.ContainsFunc(list[:i], func(o Limit) bool { return o.Target == l.Target }):
-		return "on", fmt.Errorf("%s has a limit already", l.Target)
-	case !(l.Rate >= 0.01 && l.Rate <= 1e7):
-		return "rate", fmt.Errorf("%v is not from 0.01 to 1e7 a second", l.Rate)
-	case !(l.Burst >= 0 && l.Burst <= 1e7) || math.IsNaN(l.Burst):
-		return "burst", fmt.Errorf("%v is not from 0 to 1e7", l.Burst)
-	case !(l.Reserve >= 0.05 && l.Reserve <= 0.95):
-		return "reserve", fmt.Errorf("%v is not from 0.05 to 0.95: one that is cut off must have some, and so must one with demand", l.Reserve)
+	case !(limit.Rate >= minRate && limit.Rate <= maxRate):
+		return "rate", fmt.Errorf("%v is not from 0.01 to 1e7 a second", limit.Rate)
+	case !(limit.Burst >= 0 && limit.Burst <= maxRate):
+		return "burst", fmt.Errorf("%v is not from 0 to 1e7", limit.Burst)
+	case !(limit.Reserve >= minReserve && limit.Reserve <= maxReserve):
+		return "reserve", fmt.Errorf("%v is not from 0.05 to 0.95: one that is cut off must have some, and so must one with demand", limit.Reserve)
 	}
 	return "", nil
 }
+
+func (l Limit) checkName(before []Limit) error {
+	if l.Name == "" || strings.ContainsAny(l.Name, "/ ") || len(l.Name) > maxLimitName {
+		return fmt.Errorf("%q is empty, longer than %d bytes, or has a slash or space", l.Name, maxLimitName)
+	}
+	if slices.ContainsFunc(before, func(o Limit) bool { return o.Name == l.Name }) {
+		return fmt.Errorf("%q names another too", l.Name)
+	}
+	return nil
+}
+
+func (l Limit) checkTarget(before []Limit) error {
+	switch {
+	case !slices.Contains([]string{LimitRequests, LimitConnections, LimitCold, LimitProbes}, l.Target):
+		return fmt.Errorf("%q is none of requests, connections, cold, probes", l.Target)
+	case l.Target == LimitRequests:
+		return nil
+	case l.Class != "" || l.Tenants:
+		return fmt.Errorf("%s has no class or tenants: it is on each server", l.Target)
+	case slices.ContainsFunc(before, func(o Limit) bool { return o.Target == l.Target }):
+		return fmt.Errorf("%s has a limit already", l.Target)
+	}
+	return nil
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -52,7 +52,7 @@
 		SlowStartDuration: Milliseconds(f.Contract.ColdMs),
 		OverloadFactor:    f.Contract.OverloadFactor, OverloadInterval: Milliseconds(f.Contract.OverloadForMs),
 	}
-	staleReads, err := jsonfile.Word("settings.familyInfo.behind", f.FamilyInfo.Behind, staleReadWords)
+	staleReads, err := jsonfile.EnumValue("settings.familyInfo.behind", f.FamilyInfo.Behind, staleReadWords)
 	if err != nil {
 		return s, err
 	}
@@ -97,17 +97,17 @@
 	c = policy.Class{Name: l.Name, LatencyObjective: Milliseconds(l.AimMs), TotalTimeout: Milliseconds(l.HardLimitMs), PriorityWeight: l.Worth,
 		LateWeightFraction: l.LateWorth, DedupWindow: Milliseconds(l.WindowMs)}
 	lane := fmt.Sprintf("lanes[%d]", i)
-	if c.Idempotency, err = jsonfile.Word(lane+".semantics", l.Semantics, idempotencyWords); err != nil {
+	if c.Idempotency, err = jsonfile.EnumValue(lane+".semantics", l.Semantics, idempotencyWords); err != nil {
 		return c, err
 	}
-	if c.DedupScope, err = jsonfile.Word(lane+".group", l.Group, dedupScopeWords); err != nil {
+	if c.DedupScope, err = jsonfile.EnumValue(lane+".group", l.Group, dedupScopeWords); err != nil {
 		return c, err
 	}
 	if i < len(f.FamilyInfo.LagAllowedMs) {
 		c.MaxStaleness = Milliseconds(f.FamilyInfo.LagAllowedMs[i])
 	}
 	if i < len(f.FamilyInfo.ClassRead) {
-		c.Access, err = jsonfile.Word(fmt.Sprintf("familyInfo.classRead[%d]", i), f.FamilyInfo.ClassRead[i], accessWords)
+		c.Access, err = jsonfile.EnumValue(fmt.Sprintf("familyInfo.classRead[%d]", i), f.FamilyInfo.ClassRead[i], accessWords)
 	}
 	return c, err
 }
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -43,18 +43,18 @@
 func Describe(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
-		return typeMismatch{mismatch}
+		return typeMismatchError{mismatch}
 	}
 	return err
 }
 
 // DescribeAt is Describe for an error of json.Unmarshal, with the offset that the error tells.
-func DescribeAt(err error) *Mistake { return At(decodeOffset(err, 0), Describe(err)) }
+func DescribeAt(err error) *OffsetError { return At(decodeOffset(err, 0), Describe(err)) }
 
-// typeMismatch is a value of the wrong type.
-type typeMismatch struct{ *json.UnmarshalTypeError }
+// typeMismatchError is a value of the wrong type.
+type typeMismatchError struct{ *json.UnmarshalTypeError }
 
-func (m typeMismatch) Error() string {
+func (m typeMismatchError) Error() string {
 	keys := strings.Split(m.Field, ".")
 	for i, name := range keys {
 		keys[i] = KeyOf(name)
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%s: a %s does not fit", strings.Join(keys, "."), m.Value)
 }
 
-func (m typeMismatch) Unwrap() error { return m.UnmarshalTypeError }
+func (m typeMismatchError) Unwrap() error { return m.UnmarshalTypeError }
 
 // KeyOf is the key, as files have it, of a field that is named like it but for its first letter.
 func KeyOf(field string) string { return strings.ToLower(field[:1]) + field[1:] }
--- a/internal/jsonfile/jsonfile_test.go
+++ b/internal/jsonfile/jsonfile_test.go
@@ -48,12 +48,12 @@
 	}
 }
 
-func TestWord(t *testing.T) {
+func TestEnumValue(t *testing.T) {
 	words := map[string]int{"one": 1}
-	if got, err := Word("key", "one", words); got != 1 || err != nil {
+	if got, err := EnumValue("key", "one", words); got != 1 || err != nil {
 		t.Error(got, err)
 	}
-	if _, err := Word("key", "two", words); err == nil || err.Error() != `key: unknown word "two"` {
+	if _, err := EnumValue("key", "two", words); err == nil || err.Error() != `key: unknown word "two"` {
 		t.Error(err)
 	}
 }
--- a/internal/jsonfile/place.go
+++ b/internal/jsonfile/place.go
@@ -10,19 +10,19 @@
 	"strings"
 )
 
-// Mistake is an error in a text, with the offset in bytes at which it stands.
-type Mistake struct {
+// OffsetError is an error in a text, with the offset in bytes at which it stands.
+type OffsetError struct {
 	Offset int64
 	Err    error
 }
 
 // At returns a Mistake at an offset.
-func At(offset int64, err error) *Mistake { return &Mistake{Offset: offset, Err: err} }
+func At(offset int64, err error) *OffsetError { return &OffsetError{Offset: offset, Err: err} }
 
-func (m *Mistake) Error() string { return m.Err.Error() }
+func (m *OffsetError) Error() string { return m.Err.Error() }
 
 // Unwrap returns the error without its place.
-func (m *Mistake) Unwrap() error { return m.Err }
+func (m *OffsetError) Unwrap() error { return m.Err }
 
 // Error is an error in a file.
 type Error struct {
@@ -44,7 +44,7 @@
 // Locate names the file and line of an error in a file's text. The line of an error that is no *Mistake is that of the key with which
 // its own text begins, or of the last part of the key's path that the file has.
 func Locate(file string, text []byte, err error) error {
-	var mistake *Mistake
+	var mistake *OffsetError
 	if errors.As(err, &mistake) {
 		if mistake.Offset == 0 {
 			return &Error{File: file, Err: err}
@@ -62,7 +62,7 @@
 // LocateFrom is Locate for an error whose line is the first one where it has no other place.
 func LocateFrom(file string, text []byte, err error) error {
 	offset := int64(0)
-	var mistake *Mistake
+	var mistake *OffsetError
 	if errors.As(err, &mistake) {
 		offset = mistake.Offset
 	}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -112,7 +112,7 @@
 		return limits, nil
 	}
 	offset := int64(bytes.Index(text, f.Limits))
-	var mistake *jsonfile.Mistake
+	var mistake *jsonfile.OffsetError
 	if errors.As(err, &mistake) {
 		offset += mistake.Offset
 	}
@@ -131,8 +131,11 @@
 		if !fault.Coordinator {
 			fault.Poolers, err = picks.pickPoolers(one.Poolers)
 		}
-		if err != nil || fault.Act.Undo() == "" || fault.Duration <= 0 || fault.Act.OnPeers() && !s.Fleet.Relays {
-			return out, fmt.Errorf("fleet.shards.faults[%d]: no poolers, no fault that ends, or no relays for it: %v", i, err)
+		if err != nil {
+			return out, fmt.Errorf("fleet.shards.faults[%d]: no poolers, no fault that ends, or no relays for it: %w", i, err)
+		}
+		if fault.Act.Undo() == "" || fault.Duration <= 0 || fault.Act.OnPeers() && !s.Fleet.Relays {
+			return out, fmt.Errorf("fleet.shards.faults[%d]: no poolers, no fault that ends, or no relays for it: <nil>", i)
 		}
 		out.Faults = append(out.Faults, fault)
 	}
--- a/internal/protocol/discovery/discovery.go
+++ b/internal/protocol/discovery/discovery.go
@@ -76,7 +76,7 @@
 		e := Member{Name: m.ID, Addr: m.HostPort, Zone: m.Locality, Group: m.Cell, Primary: m.Recovery == "off",
 			Started: time.Duration(m.UpSinceMS * float64(time.Millisecond))}
 		var err error
-		if e.State, err = jsonfile.Word(fmt.Sprintf("members[%d].phase", i), m.Phase, phases); err != nil {
+		if e.State, err = jsonfile.EnumValue(fmt.Sprintf("members[%d].phase", i), m.Phase, phases); err != nil {
 			return List{}, err
 		}
 		if e.Name == "" || e.Addr == "" && e.State != policy.Removed {
--- a/internal/protocol/inventory/csv.go
+++ b/internal/protocol/inventory/csv.go
@@ -13,7 +13,7 @@
 // parseCSV reads rows below a header. Cells are separated as the header's are: by commas, semicolons (where the comma
 // marks decimals) or tabs. Lines that begin with # and rows without content are skipped; cells beyond the header may be
 // empty, as spreadsheets pad rows.
-func parseCSV(text string, p *serverlist.Problems) (rows []serverlist.Row) {
+func parseCSV(text string, p *serverlist.ListError) (rows []serverlist.Row) {
 	r := csv.NewReader(strings.NewReader(text))
 	r.Comma, r.Comment, r.FieldsPerRecord, r.ReuseRecord = separator(text), '#', -1, true
 	var head []serverlist.Field
@@ -67,7 +67,7 @@
 }
 
 // header finds out what the columns hold; Fields stands for one with neither title nor use.
-func header(cells []string, line int, seen map[serverlist.Field]bool, p *serverlist.Problems) []serverlist.Field {
+func header(cells []string, line int, seen map[serverlist.Field]bool, p *serverlist.ListError) []serverlist.Field {
 	for len(cells) > 1 && cells[len(cells)-1] == "" {
 		cells = cells[:len(cells)-1]
 	}
--- a/internal/protocol/inventory/inventory.go
+++ b/internal/protocol/inventory/inventory.go
@@ -44,7 +44,7 @@
 // Parse reads a file. portVariable is the variable that holds the server's port in Ansible's inventories, where hosts have
 // ports for several purposes; "port" means it too. The error lists all that is wrong, as *membership.Problems.
 func Parse(form Form, portVariable string, text []byte) (*File, error) {
-	var p serverlist.Problems
+	var p serverlist.ListError
 	if len(text) > MaxBytes {
 		p.Add(0, "", "the file holds more than %d bytes", MaxBytes)
 		return nil, p.Err()
@@ -70,7 +70,7 @@
 }
 
 // readable finds the line where a text is no UTF-8, as spreadsheets may write it in other character sets.
-func readable(text []byte, p *serverlist.Problems) {
+func readable(text []byte, p *serverlist.ListError) {
 	if bytes.HasPrefix(text, []byte("\xff\xfe")) || bytes.HasPrefix(text, []byte("\xfe\xff")) {
 		p.Add(1, "text", "UTF-16, expected UTF-8")
 		return
--- a/internal/protocol/inventory/seal.go
+++ b/internal/protocol/inventory/seal.go
@@ -35,7 +35,7 @@
 }
 
 // cutSeal parts a text from its seal. A line that is meant to be a seal and is none is a problem: the file may be cut.
-func cutSeal(text []byte, p *serverlist.Problems) ([]byte, *Seal) {
+func cutSeal(text []byte, p *serverlist.ListError) ([]byte, *Seal) {
 	at := -1
 	if bytes.HasPrefix(text, []byte(sealMark)) {
 		at = 0
@@ -93,6 +93,6 @@
 
 // Unsealed is a text without its seal line, whether that fits or not.
 func Unsealed(text []byte) []byte {
-	body, _ := cutSeal(text, &serverlist.Problems{})
+	body, _ := cutSeal(text, &serverlist.ListError{})
 	return body
 }
--- a/internal/protocol/inventory/yaml.go
+++ b/internal/protocol/inventory/yaml.go
@@ -23,7 +23,7 @@
 // parseYAML walks Ansible's layout: groups with hosts, vars and children. A host's own variables go before those of its
 // groups, an inner group's before an outer one's, and of two groups as deep the later one's. Variables of other tools are
 // skipped. Host patterns with ranges, as db[01:12] or rack[a:c], stand for each host in them.
-func parseYAML(text []byte, portVariable string, p *serverlist.Problems) []serverlist.Row {
+func parseYAML(text []byte, portVariable string, p *serverlist.ListError) []serverlist.Row {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	var doc yaml.Node
 	if err := dec.Decode(&doc); errors.Is(err, io.EOF) {
@@ -68,7 +68,7 @@
 }
 
 type walk struct {
-	p            *serverlist.Problems
+	p            *serverlist.ListError
 	portVariable string
 	byName       map[string]*host
 	order        []*host
--- a/internal/serverlist/check.go
+++ b/internal/serverlist/check.go
@@ -57,14 +57,14 @@
 // MaxProblems of a file are told; More counts the others.
 const MaxProblems = 20
 
-// Problems is the error that lists what is wrong with a file, in the order of its lines.
-type Problems struct {
+// ListError is the error that lists what is wrong with a file, in the order of its lines.
+type ListError struct {
 	List []Problem
 	More int
 }
 
 // Add notes one down.
-func (p *Problems) Add(line int, field, format string, args ...any) {
+func (p *ListError) Add(line int, field, format string, args ...any) {
 	if len(p.List) >= MaxProblems {
 		p.More++
 		return
@@ -73,7 +73,7 @@
 }
 
 // Err is nil where nothing is wrong.
-func (p *Problems) Err() error {
+func (p *ListError) Err() error {
 	if len(p.List) == 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 	return p
 }
 
-func (p *Problems) Error() string {
+func (p *ListError) Error() string {
 	var b strings.Builder
 	for i, x := range p.List {
 		if i > 0 {
@@ -137,7 +137,7 @@
 	names    map[string]int // the line where each stands first
 	addrs    map[string]int
 	rooms    map[string]bool
-	problems Problems
+	problems ListError
 }
 
 func (c *checker) fail(r *Row, f Field, format string, args ...any) {
