--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -14,8 +14,8 @@
 	minFailoverWaitFraction = 0.3
 	// rejectMargin is how long before its client gives up a queued request is rejected.
 	rejectMargin = 5 * time.Millisecond
-	// positionRefreshInterval is how often a queue is looked after, and replicas are asked for
-	// positions meanwhile.
+	// positionRefreshInterval is how often a queue is checked and replicas are asked for positions
+	// meanwhile. It is also the least span between two attempts of one request at one server.
 	positionRefreshInterval = 60 * time.Millisecond
 )
 
@@ -60,7 +60,7 @@
 }
 
 // rejectBeforeFailover ends a request that has waited for half of its time if it will hardly see
-// the next primary, so that its client can come again.
+// the next primary, so that its client can retry.
 func (r *Router) rejectBeforeFailover(req *request) {
 	if req.queued && !req.finished && !req.reachedServer && r.failoverTooLate(req) {
 		r.finishRequest(req)
@@ -113,8 +113,8 @@
 	g.queue.requests = append(staying, g.queue.requests...)
 }
 
-// superviseQueue asks replicas for their positions while reads wait for one, and comes back until
-// the queue is empty.
+// superviseQueue asks replicas for their positions while reads wait for one, and schedules itself
+// every positionRefreshInterval until the queue is empty.
 func (r *Router) superviseQueue(g *group) {
 	if g.queue.checkScheduled {
 		return
--- a/internal/policy/concurrency_window.go
+++ b/internal/policy/concurrency_window.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// hasCapacity reports whether a server may take one more attempt of this pooler.
+// hasCapacity reports whether a server may take one more attempt of this pooler. The slow start is
+// asked last, and only if all else allows the attempt: its answer may open a slot.
 func (r *Router) hasCapacity(s *server, classIndex int) bool {
 	if float64(r.countedAttempts(s)) >= s.window.limit() || r.now < s.pause.until {
 		return false
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -8,7 +8,7 @@
 // minAttemptTimeout is the least timeout of an attempt: 0 would stand for the client's own.
 const minAttemptTimeout = time.Millisecond
 
-// HandleRequest takes in a client's request: it is sent, queued, or given its final answer.
+// HandleRequest handles the arrival of a request: it is sent, queued, or given its final answer.
 func (r *Router) HandleRequest(now time.Duration, in Request) {
 	r.advanceClock(now)
 	if in.Class < 0 || in.Class >= len(r.settings.Classes) {
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -23,6 +23,31 @@
 // the same actions in the same order. All instants are durations since one epoch that the host
 // chooses, and that all poolers and servers share.
 //
+// # Life of a request
+//
+// HandleRequest sends a request at once if there is a server for it, else it waits in the queue of
+// its group. A queued request is tried again at each event that may have freed a server for it, and
+// every positionRefreshInterval. While an attempt is in flight the request is not queued. When the
+// attempt ends without an answer, the request is sent again, queued again, or finished. A request is
+// finished when it is answered, when its client has left, when its answer would earn nothing any
+// more, and shortly before its client gives up. It is forgotten once no attempt is in flight.
+//
+// # Terms
+//
+//   - A pooler is an instance of the program that hosts a Router; the poolers of a fleet share the
+//     servers. A fleet of more than maxSmallFleet poolers is large: its poolers avoid all that would
+//     add up, such as pings by each of them.
+//   - The recorded primary of a group is the server that this pooler holds to be its primary, by the
+//     latest evidence.
+//   - A probe round probes all members of a group that has no recorded primary. The round leader is
+//     the one pooler that repeats rounds for the whole fleet.
+//   - A position is how far a server has applied its group's log, as the commit time of the last
+//     write that it has applied.
+//   - A pooler's home in a group is the replica that it prefers in a large fleet.
+//   - An ejected server takes no reads by turns. From time to time one read is sent there as a trial.
+//   - A latency ratio is a latency in baselines, where the baseline is the latency of the request's
+//     class without queues. Over congestedLatencyRatio a server is congested.
+//
 // # What the host must do
 //
 //  1. Create the Router with New, and pass the endpoint list to HandleList before the first request.
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -18,7 +18,8 @@
 	removedServerRetention = time.Minute
 )
 
-// HandleList takes in the endpoint list, or that it could not be read.
+// HandleList applies an endpoint list. After ListFailed the old list stays in force and is polled
+// again.
 func (r *Router) HandleList(now time.Duration, kind ListKind, entries []Member) {
 	r.advanceClock(now)
 	if kind == ListFailed { // the old list stays in force
@@ -72,14 +73,14 @@
 	return s
 }
 
-// updateMember takes in a server's entry.
+// updateMember applies a server's entry.
 func (r *Router) updateMember(s *server, m Member) {
 	if m.State != Ready {
 		r.withdraw(s, m.State)
 		return
 	}
 	restarted := m.StartedAt > s.StartedAt && m.StartedAt > s.role.asOf
-	if restarted && s.role.role == RolePrimary {
+	if restarted && s.role.current == RolePrimary {
 		r.observeReplicaClaim(s, m.StartedAt) // a process that starts again comes back as a replica
 	}
 	r.addMember(s)
@@ -87,7 +88,7 @@
 	s.sendUntil = 0
 	g := r.groupFor(s.Group)
 	if g.primary == s {
-		g.outage.memberRemoved = false
+		g.outage.primaryRemoved = false
 	}
 	if r.takesListedPrimary(g, s) {
 		g.primary = s
@@ -102,10 +103,10 @@
 // evidence. That is so at the start of a large fleet, where probe rounds by all poolers would be a
 // storm: the entry, some seconds old, stands until there is an answer.
 func (r *Router) takesListedPrimary(g *group, s *server) bool {
-	if !r.pace.largeFleet || !s.Primary || s.role.role != RoleUnknown || g.outage.beganAt != 0 {
+	if !r.pace.largeFleet || !s.Primary || s.role.current != RoleUnknown || g.outage.beganAt != 0 {
 		return false
 	}
-	return g.primary == nil || g.primary.role.role == RoleUnknown
+	return g.primary == nil || g.primary.role.current == RoleUnknown
 }
 
 // withdrawUnlisted withdraws the servers that a complete list does not name.
@@ -117,8 +118,8 @@
 	}
 }
 
-// withdraw takes in that a server drains or has left the list. Reads stop at once; a primary takes
-// writes until its grace period is over, less a margin.
+// withdraw stops the use of a server that drains or has left the list: of reads at once, of writes
+// once its grace period is over, less a margin.
 func (r *Router) withdraw(s *server, state MemberState) {
 	if state == Draining {
 		s.wasDraining = true
@@ -131,7 +132,7 @@
 		g := r.groupFor(s.Group)
 		if g.primary == s {
 			// Another member may be about to be promoted, so that no write is tried at one of them.
-			g.outage.memberRemoved = true
+			g.outage.primaryRemoved = true
 		}
 		r.schedule(removedServerRetention, func() { r.forgetRemovedServer(s) })
 	}
@@ -151,7 +152,7 @@
 	}
 	r.removeMember(s)
 	if r.dropPrimary(s, "has left") {
-		r.groupFor(s.Group).outage.memberRemoved = true
+		r.groupFor(s.Group).outage.primaryRemoved = true
 	}
 }
 
@@ -162,8 +163,8 @@
 	return s.sendUntil > 0 && r.now >= s.sendUntil-max(r.reported.sendDuration-sendMargin, 0)
 }
 
-// SetSendDuration takes in the longest time that a send has lately taken, from its choice to its
-// last byte.
+// SetSendDuration sets the longest time that a send has lately taken, from its choice to its last
+// byte.
 func (r *Router) SetSendDuration(d time.Duration) { r.reported.sendDuration = d }
 
 // forgetRemovedServer drops a server that has left the list for good, once nothing of it is under
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -20,8 +20,8 @@
 	// minRestartOutage is how long a server is out of reach at the least when its process has been
 	// restarted.
 	minRestartOutage = time.Second
-	// initialPause is how long a server is left alone after it turned an attempt away unseen. The
-	// pause doubles each time.
+	// initialPause is how long a server is left alone after it was overloaded. The pause doubles
+	// each time.
 	initialPause = 50 * time.Millisecond
 	// maxPause bounds that pause.
 	maxPause = 800 * time.Millisecond
@@ -46,7 +46,8 @@
 	return now < h.lastAnswerAt+recentAnswerAge
 }
 
-// overloadPause is how long a server is left alone because it has no work or connections to spare.
+// overloadPause is how long a server is left alone because it has no capacity or connections to
+// spare.
 type overloadPause struct {
 	until              time.Duration
 	length             time.Duration // of the last pause; 0 once an attempt is served
@@ -63,7 +64,7 @@
 	return p.connectionScarceAt > 0 && now < p.connectionScarceAt+scarcityDuration
 }
 
-// observeHealth takes in what the end of an attempt says of its server.
+// observeHealth updates a server's health, latency and window by the end of an attempt.
 func (r *Router) observeHealth(a *attempt, result Result) {
 	s := a.server
 	switch result {
@@ -92,7 +93,7 @@
 	}
 }
 
-// observeAnswer takes in that a server has served an attempt or turned it away by its role or
+// observeAnswer records that a server has served an attempt or turned it away by its role or
 // position.
 func (r *Router) observeAnswer(a *attempt, result Result) {
 	s := a.server
@@ -114,7 +115,7 @@
 	r.endEjectionByAnswer(s)
 }
 
-// observeConnectFailure takes in that no connection came up: connections are scarce, or the server
+// observeConnectFailure records that no connection came up: connections are scarce, or the server
 // is gone. It is paused for the first, and a probe round finds out about the second if it is the
 // primary.
 func (r *Router) observeConnectFailure(s *server) {
@@ -130,7 +131,7 @@
 	}
 }
 
-// observeReachable takes in an answer to a request or a probe. A server that has been out of reach
+// observeReachable records an answer to a request or a probe. A server that has been out of reach
 // for longer than a connection takes to come back may have been restarted: it is in slow start
 // then.
 func (r *Router) observeReachable(s *server) {
--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -149,7 +149,7 @@
 	return 1 + (l.ratio-1)*math.Exp2(-float64(now-l.measuredAt)/float64(latencyRatioHalfLife))
 }
 
-// observe takes in how long an attempt took. An attempt that was not answered took that long at the
+// observe records how long an attempt took. An attempt that was not answered took that long at the
 // least, and counts where that is more than the ratio so far.
 func (l *serverLatency) observe(now, latency time.Duration, ratio float64, answered bool) {
 	decayed := l.decayedRatio(now)
@@ -170,8 +170,8 @@
 	h.latencyRatio += overallLatencyRatioGain * (ratio - h.latencyRatio)
 }
 
-// observeLatency takes in how long an attempt took, or at the least took if it was not answered,
-// and returns it.
+// observeLatency records how long an attempt took, or at the least took if it was not answered, and
+// returns it.
 func (r *Router) observeLatency(s *server, a *attempt, answered bool) time.Duration {
 	latency := r.now - a.sentAt
 	estimate := r.estimates.of(a.request)
--- a/internal/policy/outlier_detection.go
+++ b/internal/policy/outlier_detection.go
@@ -35,6 +35,7 @@
 	trialInterval time.Duration // from the next trial to the one after it
 }
 
+// begin ejects the server and schedules its first trial.
 func (e *ejection) begin(now time.Duration) {
 	e.ejected = true
 	e.ejectedAt = now
@@ -42,12 +43,13 @@
 	e.nextTrialAt = now + initialTrialInterval
 }
 
+// end makes the server usable again. Its failure rate stays.
 func (e *ejection) end() {
 	e.ejected = false
 	e.byFleet = false
 }
 
-// startTrial takes in that a request is sent as a trial, and schedules the next one.
+// startTrial records that a request is sent as a trial, and when the next trial may be.
 func (e *ejection) startTrial(now time.Duration) {
 	e.nextTrialAt = now + e.trialInterval
 	e.trialInterval = min(2*e.trialInterval, maxTrialInterval)
@@ -64,7 +66,8 @@
 	r.overall.failureRate += overallFailureRateGain * (1 - r.overall.failureRate)
 }
 
-// eject takes a server's turn from it, by this pooler's own evidence.
+// eject ejects a server on this pooler's own evidence. If the fleet had ejected it, the ejection is
+// from now on this pooler's too.
 func (r *Router) eject(s *server, reason string) {
 	s.ejection.byFleet = false
 	if s.ejection.ejected {
@@ -84,9 +87,9 @@
 	r.actions.Log(fmt.Sprintf("group %d: store %d has its turn back", s.Group, s.ID))
 }
 
-// ObserveFleetEjection takes in that the poolers together hold a server for an outlier, or no
-// longer do. It is ejected until a trial is served or they change their mind, unless it has just
-// answered here, or no other member of its group may be used.
+// ObserveFleetEjection records that the poolers together hold a server for an outlier, or no longer
+// do. The server is ejected until a trial is served or the fleet ends the ejection, unless it has
+// just answered here, or no other member of its group may be used.
 func (r *Router) ObserveFleetEjection(now time.Duration, id uint32, ejected bool) {
 	r.advanceClock(now)
 	s := r.servers.byID[id]
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -8,8 +8,8 @@
 const (
 	// primaryPingInterval is the steady interval between two pings of a recorded primary.
 	primaryPingInterval = 100 * time.Millisecond
-	// maxSmallFleet is the number of poolers whose pings at primaryPingInterval each take 1% of a
-	// primary's time at most.
+	// maxSmallFleet is the largest number of poolers that each ping every primaryPingInterval:
+	// their pings together take 1% of a primary's time at most.
 	maxSmallFleet = 5
 	// recentAnswerAge is how long an answer on the request path outweighs failed probes.
 	recentAnswerAge = time.Second
@@ -24,30 +24,29 @@
 // roleEvidence is what is known of a server's role. Evidence counts by the time that it is true as
 // of: the latest wins, in whatever order it arrives.
 type roleEvidence struct {
-	role      Role
-	asOf      time.Duration // the time of the evidence for role
+	current   Role
+	asOf      time.Duration // the time of the evidence for it
 	claimedAt time.Duration // the time of the latest evidence that the server is primary
 }
 
-// recordClaim takes in evidence that the server is primary and reports whether it is now held to
-// be.
+// recordClaim records evidence that the server is primary and reports whether it is now held to be.
 func (e *roleEvidence) recordClaim(asOf time.Duration) bool {
 	e.claimedAt = max(e.claimedAt, asOf)
-	if asOf < e.asOf && e.role != RolePrimary {
+	if asOf < e.asOf && e.current != RolePrimary {
 		return false
 	}
-	e.role = RolePrimary
+	e.current = RolePrimary
 	e.asOf = max(e.asOf, asOf)
 	return true
 }
 
-// recordDenial takes in evidence that the server is a replica and reports whether it is now held to
+// recordDenial records evidence that the server is a replica and reports whether it is now held to
 // be.
 func (e *roleEvidence) recordDenial(asOf time.Duration) bool {
 	if asOf < e.asOf || asOf < e.claimedAt {
 		return false
 	}
-	e.role = RoleReplica
+	e.current = RoleReplica
 	e.asOf = asOf
 	return true
 }
@@ -55,7 +54,7 @@
 // primaryOutage is what is known of a span in which a group has no recorded primary.
 type primaryOutage struct {
 	confirmed      bool          // a probe round has found no primary
-	memberRemoved  bool          // the recorded primary has left the list, and no other has shown itself
+	primaryRemoved bool          // the recorded primary has left the list, and no other has shown itself
 	beganAt        time.Duration // when the last primary was dropped; 0 for never
 	expectedLength time.Duration // how long the group is without a primary then, more or less
 }
@@ -92,7 +91,7 @@
 	})
 }
 
-// observePrimaryClaim takes in evidence that a server is primary. The server becomes the record
+// observePrimaryClaim records evidence that a server is primary. The server becomes the record
 // unless the recorded primary has as late a claim, or the server has left the list or is silent.
 func (r *Router) observePrimaryClaim(s *server, asOf time.Duration) {
 	if !s.role.recordClaim(asOf) {
@@ -107,7 +106,7 @@
 	}
 	g.primary = s
 	g.outage.confirmed = false
-	g.outage.memberRemoved = false
+	g.outage.primaryRemoved = false
 	g.round.leaderUntil = 0
 	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryFound, Group: g.id, Server: s.ID, AsOf: asOf})
 	if !g.ping.scheduled {
@@ -116,7 +115,7 @@
 	r.dispatchQueued(g)
 }
 
-// observeReplicaClaim takes in evidence that a server is a replica. A recorded primary that says so
+// observeReplicaClaim records evidence that a server is a replica. A recorded primary that says so
 // has been demoted.
 func (r *Router) observeReplicaClaim(s *server, asOf time.Duration) {
 	if !s.role.recordDenial(asOf) {
@@ -142,7 +141,7 @@
 	return true
 }
 
-// observeStatus takes in a server's report of itself.
+// observeStatus records a server's report of itself.
 func (r *Router) observeStatus(s *server, status ServerStatus) {
 	asOf := r.now - primaryPingInterval // where the report does not tell its age
 	if status.HasPosition {
@@ -162,7 +161,7 @@
 	}
 }
 
-// ObservePrimary takes in what the pooler that repeats probe rounds for all found of a group: its
+// ObservePrimary records what the pooler that repeats probe rounds for all found of a group: its
 // primary, as of a time, or none yet. It is evidence like an answer's, and newer evidence of this
 // pooler outweighs it.
 func (r *Router) ObservePrimary(now time.Duration, group int, id uint32, found bool, asOf time.Duration) {
@@ -176,7 +175,7 @@
 	}
 }
 
-// ReportPrimaryDown takes in that another pooler has found a group's primary down. The pooler that
+// ReportPrimaryDown records that another pooler has found a group's primary down. The pooler that
 // repeats rounds for all starts one at once, but not before a round would be repeated anyway: its
 // own pings may notice seconds later only.
 func (r *Router) ReportPrimaryDown(now time.Duration, group int) {
--- a/internal/policy/probe_rounds.go
+++ b/internal/policy/probe_rounds.go
@@ -121,7 +121,8 @@
 	r.scheduleRound(g, g.round.nextInterval())
 }
 
-// HandleProbeResult takes in the end of a probe.
+// HandleProbeResult handles the end of a probe: it updates the server's health and role, and ends
+// the round that waited for it.
 func (r *Router) HandleProbeResult(now time.Duration, p ProbeResult) {
 	r.advanceClock(now)
 	s := r.servers.byID[p.Server]
@@ -135,8 +136,8 @@
 		r.observeReachable(s)
 		r.observeStatus(s, p.Status)
 	case p.Result == ConnectFailed || !reached && !s.health.answeredRecently(r.now):
-		// An error, or silence where requests have just been answered, says nothing: probes fail by
-		// themselves.
+		// Probes fail by themselves: an error, or a timeout soon after an answer on the request
+		// path, is no evidence.
 		s.health.unreachable = true
 		r.dropPrimary(s, "does not answer its ping")
 	}
--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -36,10 +36,10 @@
 	stale      *server // a replica that is to be asked for its position
 }
 
-// chooseReplica gives a read to the replica whose turn it is: of those that are fresh enough and
-// healthy the one that holds least for its speed, ties by turn. A pooler of a large fleet, which
-// sees few requests, keeps to its home while that is not busy: so it has fewer connections, and
-// better estimates.
+// chooseReplica returns the replica whose turn it is for a read, nil if no server may take it now.
+// Of the replicas that are fresh enough and healthy it is the one with the least load, ties by
+// turn. A pooler of a large fleet, which sees few requests, keeps to its home while that is not
+// busy: so it has fewer connections, and better estimates.
 func (r *Router) chooseReplica(req *request) *server {
 	g := req.group
 	search := replicaSearch{
@@ -159,7 +159,9 @@
 	return float64(max(s.ReadWeight, 1)) * r.slowStartWeight(s) / congestion
 }
 
-// loadCost returns what a replica holds for its speed.
+// loadCost returns the load that a replica would have with one more attempt of this pooler: the
+// attempts by its latency ratio, more where it reports that its cores are in use, is in slow start
+// or in another zone.
 func (r *Router) loadCost(s *server) float64 {
 	cost := (float64(s.outstanding.count()) + 1) * s.latency.decayedRatio(r.now)
 	if s.utilization.reportedAt > 0 && r.now-s.utilization.reportedAt < utilizationMaxAge {
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -125,7 +125,7 @@
 	return a
 }
 
-// observePosition takes in what an outcome tells of positions: the position of a write that was
+// observePosition records what an outcome tells of positions: the position of a write that was
 // executed belongs to its session, that of any other answer is the server's. A read may have been
 // turned away for its position.
 func (r *Router) observePosition(a *attempt, o Outcome) {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -64,7 +64,9 @@
 	return s == req.group.primary || req.class.needsPrimary() || r.freshEnough(req, s)
 }
 
-// HandleOutcome takes in the end of an attempt.
+// HandleOutcome handles the end of an attempt: it updates what is known of the server, and the
+// request is finished, sent again or queued. An outcome of an attempt that is unknown or has ended
+// is ignored.
 func (r *Router) HandleOutcome(now time.Duration, o Outcome) {
 	r.advanceClock(now)
 	a := r.finishAttempt(o)
@@ -158,7 +160,7 @@
 	return 0
 }
 
-// HandleDisconnect takes in that a client has left or cancelled its request. Its attempts are
+// HandleDisconnect ends a request whose client has left or cancelled it. Its attempts are
 // cancelled: they must not stand in a server's queue when nobody waits for them.
 func (r *Router) HandleDisconnect(now time.Duration, id uint32) {
 	r.advanceClock(now)
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -47,7 +47,7 @@
 	w.budgetAt = now
 }
 
-// inSlowStart reports whether a server has not had its time yet since its last start.
+// inSlowStart reports whether SlowStartDuration is not over since a server's last start.
 func (r *Router) inSlowStart(s *server) bool {
 	return s.slowStart.since > 0 && r.now < s.slowStart.since+r.settings.SlowStartDuration
 }
@@ -78,7 +78,8 @@
 	interval := float64(r.settings.OverloadInterval)
 	poolers := float64(r.settings.Poolers)
 	weight := r.slowStartWeight(s)
-	// full is the work, in nanoseconds of a core a nanosecond, that a server bears after its slow start.
+	// full is the work, in nanoseconds of a core a nanosecond, that a server bears after its slow
+	// start.
 	full := minServerCores * r.settings.OverloadFactor
 	share := evenShareFraction/poolers + (1-evenShareFraction)*busyCores/minServerCores
 	return slowStartPlan{
@@ -117,7 +118,7 @@
 
 // slowStartAllows reports whether this pooler may send a server in slow start one more request. Of
 // N requests that the server bears in an overload interval N and chanceMargin times the root of N
-// may be sent; the rest is chance.
+// may be sent; the rest is chance. The call brings the saved budget up to date or opens a slot.
 func (r *Router) slowStartAllows(s *server, classIndex int) bool {
 	plan := r.planSlowStart(s, classIndex)
 	work := float64(r.estimates.classes[classIndex].meanLatency)
--- a/internal/policy/timers.go
+++ b/internal/policy/timers.go
@@ -12,6 +12,7 @@
 	startedAt time.Duration // a second before the first event, so that no rate is taken over an empty span
 }
 
+// advanceClock moves the clock forward, or leaves it where it is if the time is earlier.
 func (c *clock) advanceClock(now time.Duration) {
 	if c.now == 0 {
 		c.startedAt = now - time.Second
--- a/internal/policy/write_routing.go
+++ b/internal/policy/write_routing.go
@@ -22,7 +22,7 @@
 	if !r.settings.ProbesAllowed || !r.settings.RolesReported {
 		return true
 	}
-	return g.outage.confirmed && !g.outage.memberRemoved
+	return g.outage.confirmed && !g.outage.primaryRemoved
 }
 
 // guessPrimary returns the member that is most likely the primary: the last one, then the listed
@@ -50,7 +50,7 @@
 // other.
 func primaryLikelihood(s *server) int {
 	switch {
-	case s.role.role == RolePrimary:
+	case s.role.current == RolePrimary:
 		return 2
 	case s.Primary:
 		return 1
@@ -66,5 +66,5 @@
 
 // deniedRecently reports whether a member has said within a round's interval that it is a replica.
 func (r *Router) deniedRecently(s *server) bool {
-	return s.role.role == RoleReplica && r.now < s.role.asOf+roundInterval
+	return s.role.current == RoleReplica && r.now < s.role.asOf+roundInterval
 }
