--- a/internal/policy/decisions_events_test.go
+++ b/internal/policy/decisions_events_test.go
@@ -8,7 +8,7 @@
 
 // Disturbances of the list, the traffic, the fleet and the settings.
 
-// stray tells the router of things that it does not know.
+// stray reports things to the router that it does not know.
 func (s *simulation) stray() {
 	const unknown = 1 << 30
 	s.router.HandleProbeResult(s.now(), policy.ProbeResult{Server: unknown})
@@ -27,7 +27,7 @@
 		kind = policy.ListCached
 	}
 	members := s.listed()
-	if s.chance(0.5) { // one has left without a word, and is back in the next full list
+	if s.chance(0.5) { // one has left without an entry, and is back in the next full list
 		missing := s.random.IntN(len(members))
 		members = append(members[:missing], members[missing+1:]...)
 		s.schedule(s.between(millisecond, 20*time.Second), func() { s.router.HandleList(s.now(), policy.ListFull, s.listed()) })
@@ -51,7 +51,7 @@
 	s.schedule(s.between(3*time.Second, 15*time.Second), func() { s.rate = 1 })
 }
 
-// observePrimary tells what another pooler found of a group, sometimes late, sometimes wrong.
+// observePrimary reports what another pooler found of a group, sometimes late, sometimes wrong.
 func (s *simulation) observePrimary() {
 	group := s.anyGroup()
 	server := s.primaryOf(group)
@@ -72,7 +72,7 @@
 	s.router.SetRoundLeader(s.leader)
 }
 
-func (s *simulation) verdict() {
+func (s *simulation) fleetEjection() {
 	server := s.anyServer()
 	s.router.ObserveFleetEjection(s.now(), server.member.ID, true)
 	s.schedule(s.between(200*millisecond, 6*time.Second), func() {
--- a/internal/policy/decisions_faults_test.go
+++ b/internal/policy/decisions_faults_test.go
@@ -35,7 +35,7 @@
 	{5, (*simulation).observePrimary},
 	{3, (*simulation).suspect},
 	{3, (*simulation).changeLeader},
-	{5, (*simulation).verdict},
+	{5, (*simulation).fleetEjection},
 	{5, (*simulation).retune},
 	{3, (*simulation).sendSlowly},
 	{3, (*simulation).replace},
--- a/internal/policy/decisions_servers_test.go
+++ b/internal/policy/decisions_servers_test.go
@@ -12,7 +12,7 @@
 	classKeyedZone: 14 * millisecond, classKeyedGroup: 14 * millisecond, classReport: 90 * millisecond,
 	classBoundedStrict: 9 * millisecond, classWithoutAim: 12 * millisecond, classAdded: 9 * millisecond}
 
-// modelServer is a database server of the simulation: what is true of it, whatever the router has been told.
+// modelServer is a database server of the simulation: what is true of it, whatever has been reported to the router.
 type modelServer struct {
 	member policy.Member // as the list names it
 
--- a/internal/policy/decisions_simulation_test.go
+++ b/internal/policy/decisions_simulation_test.go
@@ -83,7 +83,7 @@
 	return least + time.Duration(s.random.Int64N(int64(most-least)+1))
 }
 
-// now is the time told to the router: now and then a little earlier than before, which it must read as the latest.
+// now is the time reported to the router: now and then a little earlier than before, which it must read as the latest.
 func (s *simulation) now() time.Duration {
 	if s.chance(0.002) {
 		return s.clock - millisecond
@@ -240,7 +240,7 @@
 	attempt.server.remove(attempt)
 	outcome := s.outcome(attempt, result)
 	s.router.HandleOutcome(s.now(), outcome)
-	if s.chance(0.002) { // told twice: the second one must be ignored
+	if s.chance(0.002) { // reported twice: the second one must be ignored
 		s.router.HandleOutcome(s.now(), outcome)
 	}
 }
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -54,7 +54,7 @@
 }
 
 // serverFor returns the server of an entry and creates it if need be; nil if it was removed before
-// it was known. Its slow start counts from the latest start that an entry has told.
+// it was known. Its slow start counts from the latest start that an entry has reported.
 func (r *Router) serverFor(m Member) *server {
 	s := r.servers.byID[m.ID]
 	if s == nil && m.State == Removed {
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -95,7 +95,7 @@
 	Server      uint32
 	Result      Result
 	Answered    bool // the client has its final answer
-	Role        Role // the server's role, as the answer tells it
+	Role        Role // the server's role, as the answer reports it
 	HasPosition bool
 	Position    time.Duration // of a write that was executed its commit time; else as ServerStatus.Position
 	Status      ServerStatus
--- a/internal/policy/probe_rounds_test.go
+++ b/internal/policy/probe_rounds_test.go
@@ -7,7 +7,7 @@
 )
 
 // A hundred poolers that start at once probe nobody where the list names a primary: their first writes go there, and only
-// those that are told otherwise start a round.
+// those that learn otherwise start a round.
 func TestStartWithoutRounds(t *testing.T) {
 	for name, c := range map[string]struct {
 		poolers, probes int
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -145,7 +145,7 @@
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupEverywhere
 }
 
-// retryAfter returns how long the client of a rejected request is told to stay away, 0 for no
+// retryAfter returns how long the client of a rejected request is advised to stay away, 0 for no
 // advice: as long as possible for a late read, and until its timeout would have ended for a request
 // that would not have seen the next primary.
 func (r *Router) retryAfter(req *request) time.Duration {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -32,7 +32,7 @@
 	reported          hostReports
 }
 
-// hostReports is what the host has told of itself.
+// hostReports is what the host has reported of itself.
 type hostReports struct {
 	roundLeader  bool          // this pooler repeats probe rounds for all poolers
 	sendDuration time.Duration // the longest time that a send has lately taken, from its choice to its last byte
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -78,7 +78,7 @@
 	ProbesAllowed       bool          // Actions.Probe may be used
 	CancelAllowed       bool          // Actions.CancelAttempt may be used
 	HedgingAllowed      bool          // one request may have two attempts in flight
-	RetryAfterSupported bool          // a rejected client can be told how long to stay away
+	RetryAfterSupported bool          // a rejected client can be advised how long to stay away
 	MaxAttempts         int           // attempts for one request; 0 for no limit
 	MaxRetryAfter       time.Duration // the longest such time
 
@@ -119,29 +119,19 @@
 	return nil
 }
 
+// validateCounts returns an error that names the first count below 0.
 func (s *Settings) validateCounts() error {
-	counts := []struct {
-		field string
-		value int
-	}{
+	return validateNotNegative([]namedSetting[int]{
 		{"Poolers", s.Poolers},
 		{"PoolerIndex", s.PoolerIndex},
 		{"Zone", s.Zone},
 		{"MaxAttempts", s.MaxAttempts},
-	}
-	for _, c := range counts {
-		if c.value < 0 {
-			return fmt.Errorf("policy: settings: %s is %d, below 0", c.field, c.value)
-		}
-	}
-	return nil
+	})
 }
 
+// validateDurations returns an error that names the first duration below 0.
 func (s *Settings) validateDurations() error {
-	durations := []struct {
-		field string
-		value time.Duration
-	}{
+	return validateNotNegative([]namedSetting[time.Duration]{
 		{"StaleReadWait", s.StaleReadWait},
 		{"MaxRetryAfter", s.MaxRetryAfter},
 		{"MaxPollInterval", s.MaxPollInterval},
@@ -149,10 +139,19 @@
 		{"DrainGracePeriod", s.DrainGracePeriod},
 		{"SlowStartDuration", s.SlowStartDuration},
 		{"OverloadInterval", s.OverloadInterval},
-	}
-	for _, d := range durations {
-		if d.value < 0 {
-			return fmt.Errorf("policy: settings: %s is %v, below 0", d.field, d.value)
+	})
+}
+
+// namedSetting is a setting and the name of its field.
+type namedSetting[T int | time.Duration] struct {
+	name  string
+	value T
+}
+
+func validateNotNegative[T int | time.Duration](settings []namedSetting[T]) error {
+	for _, setting := range settings {
+		if setting.value < 0 {
+			return fmt.Errorf("policy: settings: %s is %v, below 0", setting.name, setting.value)
 		}
 	}
 	return nil
