--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts fronts on the simulator's wire: frames of events on
-// standard input, frames of actions on standard output.
+// Command simulator-adapter hosts poolers for the simulator: it reads frames of events from standard input and writes
+// frames of actions to standard output, one for each. Each pooler is a policy.Router alone.
 package main
 
 import (
@@ -12,6 +12,9 @@
 	"threadsail/internal/simulator"
 )
 
+// inputBuffer is as large as most frames.
+const inputBuffer = 1 << 20
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "simulator-adapter: %v\n", err)
@@ -20,29 +23,37 @@
 }
 
 // serve answers batches until the input ends between two frames.
-func serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	h := newHost()
-	var buf []byte
+func serve(input io.Reader, output io.Writer) error {
+	reader := bufio.NewReaderSize(input, inputBuffer)
+	a := newAdapter()
+	var frame []byte
 	for {
-		frame, err := simulator.Read(r, buf)
-		if errors.Is(err, io.EOF) && frame == nil && err == io.EOF {
+		var err error
+		frame, err = simulator.ReadFrame(reader, frame)
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		buf = frame
-		b, err := simulator.Decode(frame)
-		if err != nil {
+		if err := a.answer(frame, output); err != nil {
 			return err
 		}
-		reply, err := h.batch(b)
-		if err != nil {
-			return fmt.Errorf("batch %d: %w", b.Number, err)
-		}
-		if _, err := out.Write(reply); err != nil {
-			return fmt.Errorf("writing the reply to batch %d: %w", b.Number, err)
-		}
 	}
 }
+
+// answer decodes a batch and writes its reply.
+func (a *adapter) answer(frame []byte, output io.Writer) error {
+	batch, err := simulator.Decode(frame)
+	if err != nil {
+		return err
+	}
+	reply, err := a.handleBatch(batch)
+	if err != nil {
+		return fmt.Errorf("batch %d: %w", batch.Number, err)
+	}
+	if _, err := output.Write(reply); err != nil {
+		return fmt.Errorf("writing the reply to batch %d: %w", batch.Number, err)
+	}
+	return nil
+}
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -30,24 +30,24 @@
 }
 
 func spawn(w *builder, text string) *builder {
-	w.u8(simulator.EvSpawn).u16(4).u64(1).u32(uint32(len(text)))
+	w.u8(simulator.CodeStart).u16(4).u64(1).u32(uint32(len(text)))
 	w.b = append(w.b, text...)
 	return w
 }
 
 func targets(w *builder) *builder {
-	w.u8(simulator.EvList).u16(0).u32(1).u32(77).u16(0).u16(0).u16(2).u8(1).f32(0).f32(1).f64(0)
-	return w.u8(simulator.EvTargets).u16(4).u8(2).u32(1).u16(0)
+	w.u8(simulator.CodeServerList).u16(0).u32(1).u32(77).u16(0).u16(0).u16(2).u8(1).f32(0).f32(1).f64(0)
+	return w.u8(simulator.CodeListUpdate).u16(4).u8(2).u32(1).u16(0)
 }
 
 func call(w *builder) *builder {
-	w.u8(simulator.EvCall).u16(4).u32(9).u16(0).u32(0).u64(0).f64(2000).f64(0).f32(2).f32(0)
+	w.u8(simulator.CodeRequest).u16(4).u32(9).u16(0).u32(0).u64(0).f64(2000).f64(0).f32(2).f32(0)
 	return w.u8(4)
 }
 
 func TestServe(t *testing.T) {
 	in := batch(1, 4, 5000, call(targets(spawn(&builder{}, facts))))
-	echo := (&builder{}).u8(simulator.EvEcho).u16(4).u32(77).u16(100).f64(1).u8(2).f32(5).f32(1)
+	echo := (&builder{}).u8(simulator.CodeProbeResult).u16(4).u32(77).u16(100).f64(1).u8(2).f32(5).f32(1)
 	in = append(in, batch(2, 1, 5005, echo)...)
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
@@ -71,7 +71,7 @@
 
 func TestServeRestartWithinABatch(t *testing.T) {
 	w := targets(spawn(&builder{}, facts))
-	w.u8(simulator.EvDown).u16(4)
+	w.u8(simulator.CodeStop).u16(4)
 	targets(spawn(w, facts))
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(batch(1, 7, 5000, w)), &out); err != nil || out.Len() == 0 {
@@ -81,7 +81,7 @@
 
 func TestServeBadInput(t *testing.T) {
 	good := batch(1, 3, 5000, targets(spawn(&builder{}, facts)))
-	noList := (&builder{}).u8(simulator.EvTargets).u16(4).u8(1).u32(1).u16(3)
+	noList := (&builder{}).u8(simulator.CodeListUpdate).u16(4).u8(1).u32(1).u16(3)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -106,9 +106,9 @@
 }
 
 func TestPanicIsReported(t *testing.T) {
-	h := newHost()
-	h.fronts[4] = &front{who: 4, reply: &h.reply} // no router: any event panics
-	out, err := h.batch(&simulator.Batch{Events: []simulator.Event{{Code: simulator.EvGone, Who: 4}}})
+	a := newAdapter()
+	a.instances[4] = &instance{number: 4, reply: &a.reply} // no router: any event panics
+	out, err := a.handleBatch(&simulator.Batch{Events: []simulator.Event{{Instance: 4, Message: simulator.Disconnect{}}}})
 	if err != nil || out[simulator.ReplyHeader] != 10 {
 		t.Fatalf("reply %x, %v; want the wire's panic", out, err)
 	}
--- a/internal/simulator/frame_test.go
+++ b/internal/simulator/frame_test.go
@@ -47,17 +47,19 @@
 		t.Fatal(err)
 	}
 	want := []Event{
-		{Code: EvSpawn, Who: 1, Seed: 42, Bytes: []byte("{}")},
-		{Code: EvList, Slot: 3, Entries: []Entry{{Store: 99, Zone: 1, Cell: 3, Availability: 2, Head: 1, Power: 1, BootMs: 2000}}},
-		{Code: EvTargets, Who: 1, How: 1, Version: 9, Slot: 3},
-		{Code: EvCall, Who: 1, Handle: 10, Lane: 2, Session: 7, Ms: 1000, Cluster: 3, WroteMs: 50, Bits: 4},
-		{Code: EvOutcome, Who: 1, Handle: 10, Note: 145, Round: 1, Ms: 20, RC: 101, Store: 99, Report: []float32{1.5, 1}},
-		{Code: EvEcho, Who: 1, Store: 99, RC: 304, Ms: 1},
-		{Code: EvElapsed, Who: 1, Mark: 8},
-		{Code: EvGone, Who: 1, Handle: 10},
-		{Code: EvInbox, Who: 1, Peer: 2, Bytes: []byte("ABC")},
-		{Code: EvStarted, Who: 1, Handle: 10, Ms: 1, Store: 99},
-		{Code: EvDown, Who: 1},
+		{Instance: 1, Message: Start{Seed: 42, Settings: []byte("{}")}},
+		{Message: ServerList{Slot: 3, Entries: []ServerEntry{
+			{Server: 99, Zone: 1, Group: 3, Availability: Draining, Head: 1, Power: 1, StartedMs: 2000}}}},
+		{Instance: 1, Message: ListUpdate{Kind: ListFull, Version: 9, Slot: 3}},
+		{Instance: 1, Message: Request{ID: 10, Class: 2, Session: 7, TimeoutMs: 1000, Group: 3, SinceLastWriteMs: 50, State: 4}},
+		{Instance: 1, Message: Outcome{RequestID: 10, RolePosition: 145, Attempt: 1, ElapsedMs: 20,
+			Result: ResultMisdirected, Server: 99, Report: []float32{1.5, 1}}},
+		{Instance: 1, Message: ProbeResult{Server: 99, Result: ResultConnectFailed, ElapsedMs: 1}},
+		{Instance: 1, Message: Timer{Mark: 8}},
+		{Instance: 1, Message: Disconnect{RequestID: 10}},
+		{Instance: 1, Message: PeerMessage{Sender: 2, Content: []byte("ABC")}},
+		{Instance: 1, Message: StreamStarted{RequestID: 10, ElapsedMs: 1, Server: 99}},
+		{Instance: 1, Message: Stop{}},
 	}
 	if b.Number != 5 || b.ClockMs != 1234.5 || !reflect.DeepEqual(b.Events, want) {
 		t.Fatalf("got %+v\nwant %+v", b.Events, want)
@@ -68,17 +70,17 @@
 	var w Reply
 	w.Reset(5)
 	w.Attempt(1, 10, 99, 80)
-	w.TurnAway(1, 10, 0)
-	w.GiveUp(1, 10)
-	w.Abandon(1, 10, 2)
-	w.WakeMe(1, 1, 8)
-	w.Sample(1, 99)
-	w.ShutIdle(1, 99)
-	w.Post(1, 2, []byte("A"))
-	w.Emit(1, "B")
-	w.Panic(1, "C")
-	w.Observe(1, true)
-	w.Resolve(1)
+	w.Reject(1, 10, 0)
+	w.Fail(1, 10)
+	w.CancelAttempt(1, 10, 2)
+	w.SetTimer(1, 1, 8)
+	w.Probe(1, 99)
+	w.CloseIdleConnections(1, 99)
+	w.SendMessage(1, 2, []byte("A"))
+	w.Log(1, "B")
+	w.ReportPanic(1, "C")
+	w.WatchList(1, true)
+	w.FetchList(1)
 	want := strings.ReplaceAll("05000000 84000000"+
 		"01 0100 0a000000 63000000 0000000000005440"+
 		"02 0100 0a000000 0000000000000000"+
@@ -130,23 +132,23 @@
 	}
 }
 
-func TestRead(t *testing.T) {
+func TestReadFrame(t *testing.T) {
 	good := frame(t, 1, recCall)
-	if _, err := Read(bytes.NewReader(nil), nil); err != io.EOF {
+	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("empty input: %v, want io.EOF", err)
 	}
-	if got, err := Read(bytes.NewReader(good), nil); err != nil || !bytes.Equal(got, good) {
+	if got, err := ReadFrame(bytes.NewReader(good), nil); err != nil || !bytes.Equal(got, good) {
 		t.Errorf("whole frame: %x, %v", got, err)
 	}
 	for _, n := range []int{1, BatchHeader - 1, BatchHeader, len(good) - 1} {
-		if _, err := Read(bytes.NewReader(good[:n]), nil); err == nil || err == io.EOF || !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := ReadFrame(bytes.NewReader(good[:n]), nil); errors.Is(err, io.EOF) || !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("input of %d bytes: %v, want a truncated frame", n, err)
 		}
 	}
 	for _, size := range []uint32{0, BatchHeader - 1, math.MaxUint32} {
 		b := append([]byte(nil), good...)
 		binary.LittleEndian.PutUint32(b[8:], size)
-		if _, err := Read(bytes.NewReader(b), nil); err == nil || !strings.Contains(err.Error(), "impossible") {
+		if _, err := ReadFrame(bytes.NewReader(b), nil); err == nil || !strings.Contains(err.Error(), "impossible") {
 			t.Errorf("length %d: %v", size, err)
 		}
 	}
