--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,9 +1,9 @@
-// Package balance deals the servers of a group out to the poolers of a fleet, each of which sees little of the whole. It does
+// Package rendezvous assigns the servers of a group to the poolers of a fleet, each of which sees little of the whole. It does
 // no I/O, holds no state and reads no clock: what it returns follows from its arguments alone, so that poolers that have
-// never spoken to each other agree.
+// never spoken to each other agree. Its functions may be called from any goroutine.
 //
-// The deal is rendezvous hashing (each pooler ranks the servers by a hash of both) with bounded loads (Mirrokni, Thorup and
-// Zadimoghaddam, 2018): a server that has its bound of poolers is passed over. Hashing alone gives 75 poolers a server a
+// The assignment is rendezvous hashing (each pooler ranks the servers by a hash of both) with bounded loads (Mirrokni, Thorup
+// and Zadimoghaddam, 2018): a server that has its bound of poolers is passed over. Hashing alone gives 75 poolers a server a
 // spread of 23% (two standard deviations); a ring by the pooler's number gives none, but moves nearly all poolers when one
 // server comes or goes. With bounds, at most the poolers of the server that left, and those that its leaving pushes on, move.
 package rendezvous
@@ -17,63 +17,70 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BalanceSlack is how far a server's poolers may be off the mean of its group: of the bound it allows 1+Slack/(n-1) for n servers,
-// so that n-1 full ones still leave the last one 1-Slack of the mean.
+// BalanceSlack is how far a server's poolers may be off the mean of its group: n servers allow the bound
+// 1+BalanceSlack/(n-1), so that n-1 full ones still leave the last one 1-BalanceSlack of the mean.
 const BalanceSlack = 0.15
 
-// assignedPlaces are dealt: a home, and a second choice, which are as many poolers' in a jam.
-const assignedPlaces = 2
-
-// maxAssignedFleet poolers are dealt one by one; the deal of a larger fleet costs more than it evens out, as hashing's own spread falls
-// with the root of the poolers a server.
-const maxAssignedFleet = 4096
+const (
+	// assignedPlaces are bounded: the home, and a second choice, which takes what the home has no time for.
+	assignedPlaces = 2
+	// maxAssignedFleet is the largest fleet whose poolers are assigned one by one. For a larger one that costs more than it
+	// evens out, as hashing's own spread falls with the root of the poolers a server.
+	maxAssignedFleet = 4096
+)
 
-// Order is how pooler me, of a fleet of that many (numbered from 0), prefers the servers of a group, as indices into servers:
-// its home and the one that takes what its home has no time for first, which it has by the deal, then the others by its own
-// ranking. Servers are named by ids that all poolers
-// have alike, in any order; me outside of the fleet is dealt as a number within it.
+// Order returns in which order pooler me, of a fleet of that many (numbered from 0), prefers the servers of a group, as
+// indices into servers: by the assignment its home and its second choice, then the others by its own ranking. Servers are
+// named by ids that all poolers have alike, in any order. A number outside of the fleet counts as one within it.
 func Order(me, fleet int, servers []uint32) []int {
-	n := len(servers)
 	fleet = max(fleet, 1)
 	me = ((me % fleet) + fleet) % fleet
-	rank := rankServers(me, servers)
-	if n < 2 || fleet > maxAssignedFleet {
-		return rank
+	order := rankServers(me, servers)
+	if len(servers) < 2 || fleet > maxAssignedFleet {
+		return order
 	}
+	assigned := assignUpTo(me, fleet, servers)
+	for place := assignedPlaces - 1; place >= 0; place-- {
+		at := slices.Index(order, assigned[place])
+		order = slices.Insert(slices.Delete(order, at, at+1), 0, assigned[place])
+	}
+	return order
+}
+
+// assignUpTo assigns two servers or more to all poolers up to one, each after those before it, and returns that one's.
+func assignUpTo(me, fleet int, servers []uint32) [assignedPlaces]int {
+	n := len(servers)
 	bound := Bound(fleet, n)
 	loads := make([]int, assignedPlaces*n)
-	dealt := [assignedPlaces]int{}
-	for i := 0; i <= me; i++ {
-		for place := range min(assignedPlaces, n) {
-			dealt[place] = assign(i, servers, dealt[:place], loads[place*n:(place+1)*n], bound)
+	var assigned [assignedPlaces]int
+	for pooler := 0; pooler <= me; pooler++ {
+		for place := range assignedPlaces {
+			assigned[place] = assign(pooler, servers, assigned[:place], loads[place*n:(place+1)*n], bound)
 		}
 	}
-	for place := min(assignedPlaces, n) - 1; place >= 0; place-- {
-		at := slices.Index(rank, dealt[place])
-		rank = slices.Insert(slices.Delete(rank, at, at+1), 0, dealt[place])
-	}
-	return rank
+	return assigned
 }
 
-// assign gives a pooler the server that it ranks first among those with room that it does not have yet, or among all of these
-// if none has room, and counts it.
+// assign gives a pooler the server that it ranks first among those below their bound that it does not have yet, or among all
+// of these if all are full, and counts it.
 func assign(pooler int, servers []uint32, has, loads []int, bound int) int {
-	best, full := -1, true
-	var top uint64
-	for j, s := range servers {
-		if slices.Contains(has, j) {
+	best, bestIsFull := -1, true
+	var bestWeight uint64
+	for i, server := range servers {
+		if slices.Contains(has, i) {
 			continue
 		}
-		w, over := weight(pooler, s), loads[j] >= bound
-		if better := w > top || w == top && best >= 0 && s < servers[best]; best < 0 || full && !over || full == over && better {
-			best, top, full = j, w, over
+		serverWeight, isFull := weight(pooler, server), loads[i] >= bound
+		isHigher := serverWeight > bestWeight || serverWeight == bestWeight && best >= 0 && server < servers[best]
+		if best < 0 || bestIsFull && !isFull || bestIsFull == isFull && isHigher {
+			best, bestWeight, bestIsFull = i, serverWeight, isFull
 		}
 	}
 	loads[best]++
 	return best
 }
 
-// Bound is the most poolers of a fleet that have one of n servers as their home.
+// Bound returns the most poolers of a fleet that have one of n servers as their home.
 func Bound(fleet, n int) int {
 	if n < 2 {
 		return fleet
@@ -83,46 +90,50 @@
 	return max(least, int(mean*(1+BalanceSlack/float64(n-1))))
 }
 
-func rankServers(me int, servers []uint32) []int {
-	out := make([]int, len(servers))
-	for i := range out {
-		out[i] = i
+// rankServers returns the servers' indices by a pooler's hash, the highest first.
+func rankServers(pooler int, servers []uint32) []int {
+	ranked := make([]int, len(servers))
+	for i := range ranked {
+		ranked[i] = i
 	}
-	slices.SortFunc(out, func(a, b int) int {
-		return cmp.Or(cmp.Compare(weight(me, servers[b]), weight(me, servers[a])), cmp.Compare(servers[a], servers[b]))
+	slices.SortFunc(ranked, func(a, b int) int {
+		return cmp.Or(cmp.Compare(weight(pooler, servers[b]), weight(pooler, servers[a])), cmp.Compare(servers[a], servers[b]))
 	})
-	return out
+	return ranked
 }
 
 // weight is the hash by which a pooler ranks a server.
 func weight(pooler int, server uint32) uint64 {
-	var b [12]byte
-	binary.LittleEndian.PutUint64(b[:8], uint64(pooler))
-	binary.LittleEndian.PutUint32(b[8:], server)
-	return xxhash.Sum64(b[:])
+	var key [12]byte
+	binary.LittleEndian.PutUint64(key[:8], uint64(pooler))
+	binary.LittleEndian.PutUint32(key[8:], server)
+	return xxhash.Sum64(key[:])
 }
 
-// NextTurn finds when the first turn at a server begins, after from and up to to, that a pooler takes, or 0. Turns begin every so
-// often by the clock, at the same moments for all poolers; share is the part of them that this one takes.
+// NextTurn returns when the first turn at a server begins, after from and up to to, that a pooler takes; 0: none. Turns begin
+// every so often by the clock, at the same moments for all poolers; share is the part of them that this one takes.
 func NextTurn(me, fleet int, server uint32, every, from, to time.Duration, share float64) time.Duration {
-	for n := from/every + 1; n <= to/every; n++ {
-		if turnPlace(me, fleet, server, int64(n)) < share*float64(fleet) {
-			return n * every
+	for turn := from/every + 1; turn <= to/every; turn++ {
+		if turnPlace(me, fleet, server, int64(turn)) < share*float64(fleet) {
+			return turn * every
 		}
 	}
 	return 0
 }
 
-// turnPlace is how a pooler stands among its fleet for a turn at a server: one pooler, in the order of their numbers another one each
-// turn, has a place in [0, 1), and each other one a place in [1, fleet). So those that take a turn by places below p are p of the
-// fleet, evenly spread over turns as over poolers: the multiples of the golden section and of the root of two fill a circle more
-// evenly than chance does. A pooler that has a turn by some share has it by all larger ones.
+// turnPlace is a pooler's place in its fleet for a turn at a server: one pooler, in the order of their numbers another one
+// each turn, has a place in [0, 1), and each other one a place in [1, fleet). So those that take a turn by places below p are
+// p of the fleet, evenly spread over turns as over poolers: the multiples of the golden section and of the root of two fill a
+// circle more evenly than chance does. A pooler that has a turn by some share has it by all larger ones.
 func turnPlace(me, fleet int, server uint32, turn int64) float64 {
 	const golden, root = 0x9e3779b97f4a7c15, 0x6a09e667f3bcc909 // their fractions, of 2^64
-	circle := func(x uint64) float64 { return float64(x>>11) / (1 << 53) }
-	n, x := int64(fleet), turn+int64(server)*(golden>>40)-int64(me)
+	n := int64(fleet)
+	x := turn + int64(server)*(golden>>40) - int64(me)
 	if x%n == 0 {
-		return circle(uint64(x/n)*golden + uint64(me)*root)
+		return onCircle(uint64(x/n)*golden + uint64(me)*root)
 	}
-	return 1 + float64(n-1)*circle(uint64(x)*golden)
+	return 1 + float64(n-1)*onCircle(uint64(x)*golden)
 }
+
+// onCircle maps the numbers of 64 bits to [0, 1).
+func onCircle(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -25,8 +25,8 @@
 }
 
 // Every pooler has an order of all servers, the same wherever it is worked out; no server has more than its bound of
-// homes, and none of a fleet with many poolers a server fewer than 1-Slack of the mean, to a whole pooler.
-func TestDeal(t *testing.T) {
+// homes, and none of a fleet with many poolers a server fewer than 1-BalanceSlack of the mean, to a whole pooler.
+func TestAssignment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, servers := rapid.IntRange(1, 300).Draw(t, "fleet"), ids(t, 8)
 		loads, seconds := map[uint32]int{}, map[uint32]int{}
@@ -54,14 +54,14 @@
 		turned := slices.Clone(servers)
 		slices.Reverse(turned)
 		if d := cmp.Diff(homes(fleet, servers), homes(fleet, turned)); d != "" {
-			t.Fatal("the deal follows the order of the list: ", d)
+			t.Fatal("the assignment follows the order of the list: ", d)
 		}
 	})
 }
 
 // When a server leaves, its own poolers move, and few others: those that had been passed on for want of room. One that
 // comes is the same backwards.
-func TestFewMove(t *testing.T) {
+func TestFewPoolersMove(t *testing.T) {
 	var table string
 	for _, n := range []int{3, 4, 5, 8} {
 		const fleet = 300
@@ -114,7 +114,7 @@
 
 // In any stretch all poolers together have as many turns at a server as their shares come to, give or take less than chance
 // would: by even shares, however small, in fleets of any size, and also where one has a large share.
-func TestTurns(t *testing.T) {
+func TestNextTurnSpreadsEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, server := rapid.IntRange(1, 300).Draw(t, "fleet"), rapid.Uint32().Draw(t, "server")
 		all := rapid.Float64Range(0.05, 1).Draw(t, "all") // turns taken of each one, by the sum of the shares
