--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -26,7 +26,7 @@
 
 // AttemptCallbacks is the Dispatcher's side of an attempt. A Backend calls all of it on the loop.
 type AttemptCallbacks struct {
-	StillAllowed func() bool         // asked before a request that had to wait for its connection is written
+	StillAllowed func() bool         // called before a request that had to wait for its connection is written
 	Sent         func()              // its last byte has gone out
 	Done         func(AttemptResult) // its end, once
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -140,7 +140,7 @@
 	return longest
 }
 
-// retryAfter is the time that a client whose request is rejected here is told to stay away; 0: none is told.
+// retryAfter is the time that is sent to a client whose request is rejected here; 0: none.
 func (d *Dispatcher) retryAfter() time.Duration {
 	if !d.settings.RetryAfterSupported {
 		return 0
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -8,102 +8,110 @@
 	"threadsail/internal/policy"
 )
 
-// backend is a stand-in whose attempts never get their connection unless a test ends them.
-type backend struct {
-	calls  chan *waiting
-	primed policy.ServerStatus
+// fakeBackend is a Backend whose attempts end only when a test ends them. Its probes succeed at once with the status.
+type fakeBackend struct {
+	calls  chan *fakeCall
+	status policy.ServerStatus
 	loop   *EventLoop
 }
 
-type waiting struct {
+type fakeCall struct {
 	addr string
 	AttemptCallbacks
 	aborted chan struct{}
 }
 
-func (w *waiting) Abort() { close(w.aborted) }
+func (w *fakeCall) Abort() { close(w.aborted) }
 
-func (b *backend) Send(addr string, _ any, _ time.Duration, a AttemptCallbacks) Call {
-	w := &waiting{addr, a, make(chan struct{})}
+func (b *fakeBackend) Send(addr string, _ any, _ time.Duration, a AttemptCallbacks) Call {
+	w := &fakeCall{addr, a, make(chan struct{})}
 	b.calls <- w
 	return w
 }
 
-func (b *backend) Probe(_ string, done func(AttemptResult)) Call {
-	b.loop.Post(func() { done(AttemptResult{Result: policy.OK, Report: b.primed}) })
-	return &waiting{aborted: make(chan struct{})}
+func (b *fakeBackend) Probe(_ string, done func(AttemptResult)) Call {
+	b.loop.Post(func() { done(AttemptResult{Result: policy.OK, Report: b.status}) })
+	return &fakeCall{aborted: make(chan struct{})}
 }
 
-func (b *backend) CloseIdle(string) {}
+func (b *fakeBackend) CloseIdle(string) {}
 
-type reply struct{ ended chan string }
+type fakeReplier struct{ ended chan string }
 
-func (r reply) ClientDisconnected() bool { return false }
-func (r reply) Serve(any)                { r.ended <- "served" }
-func (r reply) Refuse(time.Duration)     { r.ended <- "refused" }
-func (r reply) Fail()                    { r.ended <- "failed" }
+func (r fakeReplier) ClientDisconnected() bool { return false }
+func (r fakeReplier) Serve(any)                { r.ended <- "served" }
+func (r fakeReplier) Refuse(time.Duration)     { r.ended <- "refused" }
+func (r fakeReplier) Fail()                    { r.ended <- "failed" }
 
-func start(t *testing.T) (*Dispatcher, *backend) {
+func startDispatcher(t *testing.T) (*Dispatcher, *fakeBackend) {
 	loop := NewEventLoop()
-	b := &backend{calls: make(chan *waiting, 16), loop: loop, primed: policy.ServerStatus{HasRole: true, IsPrimary: true}}
-	c, err := New(loop, b, Options{MaxOpen: 9, ProbeTimeout: time.Second, Watch: func() {}, Log: func(string) {},
+	b := &fakeBackend{calls: make(chan *fakeCall, 16), loop: loop, status: policy.ServerStatus{HasRole: true, IsPrimary: true}}
+	write := policy.Class{Name: "w", Access: policy.Write, Idempotency: policy.IdempotentByKey,
+		DedupScope: policy.DedupInGroup, DedupWindow: 2 * time.Second, LatencyObjective: time.Second,
+		TotalTimeout: 3 * time.Second, PriorityWeight: 1}
+	d, err := New(loop, b, Options{MaxOpen: 9, ProbeTimeout: time.Second, Watch: func() {}, Log: func(string) {},
 		Settings: policy.Settings{ProbesAllowed: true, RolesReported: true, CancelAllowed: true, MaxAttempts: 6,
-			DrainGracePeriod: 150 * time.Millisecond, Classes: []policy.Class{{Name: "w", Access: policy.Write,
-				Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupInGroup, DedupWindow: 2 * time.Second, LatencyObjective: time.Second,
-				TotalTimeout: 3 * time.Second, PriorityWeight: 1}}}})
+			DrainGracePeriod: 150 * time.Millisecond, Classes: []policy.Class{write}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.ApplyList(policy.ListFull, []Member{{Name: "s", Addr: "s", State: policy.Ready}})
+	d.ApplyList(policy.ListFull, []Member{{Name: "s", Addr: "s", State: policy.Ready}})
 	ended := make(chan struct{})
 	go func() { loop.Run(); close(ended) }()
 	t.Cleanup(func() { loop.Stop(); <-ended })
-	return c, b
+	return d, b
+}
+
+// onLoop runs a function on the dispatcher's loop and waits for it.
+func onLoop(d *Dispatcher, f func()) {
+	done := make(chan struct{})
+	d.loop.Post(func() { f(); close(done) })
+	<-done
 }
 
 // submit hands in a write and returns its first attempt.
-func submit(c *Dispatcher, b *backend, patience time.Duration) (reply, *waiting) {
-	r := reply{make(chan string, 2)}
-	c.loop.Post(func() {
-		c.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: c.loop.Now(), Timeout: patience, Reply: r})
+func submit(d *Dispatcher, b *fakeBackend, timeout time.Duration) (fakeReplier, *fakeCall) {
+	r := fakeReplier{make(chan string, 2)}
+	d.loop.Post(func() {
+		d.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: timeout, Reply: r})
 	})
 	return r, <-b.calls
 }
 
-// The module stops sending before a drain's grace ends; an attempt that still waits for its connection then would be
+// The policy stops sending before a drain's grace period ends; an attempt that still waits for its connection then would be
 // written too late, and must not be.
-func TestAttemptDoesNotFitAfterTheGrace(t *testing.T) {
-	c, b := start(t)
-	r, w := submit(c, b, 400*time.Millisecond)
+func TestAttemptNotAllowedAfterGracePeriod(t *testing.T) {
+	d, b := startDispatcher(t)
+	r, w := submit(d, b, 400*time.Millisecond)
 	fits := make(chan bool)
 	ask := func() bool {
-		c.loop.Post(func() { fits <- w.StillAllowed() })
+		d.loop.Post(func() { fits <- w.StillAllowed() })
 		return <-fits
 	}
 	if !ask() {
-		t.Error("a new attempt does not fit")
+		t.Error("a new attempt is not allowed")
 	}
-	c.loop.Post(func() { c.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}) })
+	d.loop.Post(func() { d.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}) })
 	for ask() {
 		if len(r.ended) > 0 {
-			t.Fatal("the attempt fits for all its time")
+			t.Fatal("the attempt is allowed for all its time")
 		}
 	}
-	c.loop.Post(func() { w.Done(AttemptResult{Result: policy.Misdirected}) })
+	d.loop.Post(func() { w.Done(AttemptResult{Result: policy.Misdirected}) })
 	if end := <-r.ended; end != "refused" {
 		t.Errorf("a write that was never sent was %s", end)
 	}
 }
 
 // An outcome after the time-out must not count twice, nor an answer reach a client that has had its own.
-func TestOneOutcomeAndOneAnswer(t *testing.T) {
-	c, b := start(t)
-	r, w := submit(c, b, 100*time.Millisecond)
+func TestLateOutcomeIsIgnored(t *testing.T) {
+	d, b := startDispatcher(t)
+	r, w := submit(d, b, 100*time.Millisecond)
 	first := <-r.ended
 	<-w.aborted
-	c.loop.Post(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "late"}) })
+	d.loop.Post(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "late"}) })
 	open := make(chan int)
-	c.loop.Post(func() { open <- c.OpenRequests() })
+	d.loop.Post(func() { open <- d.OpenRequests() })
 	if n := <-open; n != 0 || first != "failed" || len(r.ended) != 0 {
 		t.Errorf("%d requests open, first %s, %d more answers", n, first, len(r.ended))
 	}
@@ -111,62 +119,62 @@
 
 // A server that has left the list, or that a whole list omits, must be forgotten in the end, or a long life fills the
 // table of names; but not while an attempt is out there, nor when it has come back.
-func TestGoneServerIsForgotten(t *testing.T) {
-	c, b := start(t)
-	r, w := submit(c, b, 20*time.Second)
+func TestRemovedServerIsForgotten(t *testing.T) {
+	d, b := startDispatcher(t)
+	r, w := submit(d, b, 20*time.Second)
 	known := func(change func()) (n int) {
 		done := make(chan int)
-		c.loop.Post(func() { change(); done <- len(c.servers.ids) + len(c.servers.addresses) })
+		d.loop.Post(func() { change(); done <- len(d.servers.ids) + len(d.servers.addresses) })
 		return <-done
 	}
 	due := func() {
-		for name, id := range c.servers.ids {
-			if since, ok := c.servers.removedAt[id]; ok {
-				c.forgetServer(name, id, since)
+		for name, id := range d.servers.ids {
+			if since, ok := d.servers.removedAt[id]; ok {
+				d.forgetServer(name, id, since)
 			}
 		}
 	}
 	member := func(name string) []Member { return []Member{{Name: name, Addr: name, State: policy.Ready}} }
-	if n := known(func() { c.ApplyList(policy.ListFull, member("a")); due() }); n != 4 {
+	if n := known(func() { d.ApplyList(policy.ListFull, member("a")); due() }); n != 4 {
 		t.Errorf("%d names and addresses while an attempt is out", n)
 	}
-	c.loop.Post(func() { w.Done(AttemptResult{Result: policy.OK}) })
+	d.loop.Post(func() { w.Done(AttemptResult{Result: policy.OK}) })
 	<-r.ended
 	if n := known(due); n != 2 {
 		t.Errorf("%d names and addresses after the attempt", n)
 	}
 	if n := known(func() {
-		c.ApplyList(policy.ListDelta, []Member{{Name: "a", State: policy.Removed}})
-		c.ApplyList(policy.ListDelta, member("a"))
+		d.ApplyList(policy.ListDelta, []Member{{Name: "a", State: policy.Removed}})
+		d.ApplyList(policy.ListDelta, member("a"))
 		due()
 	}); n != 2 {
 		t.Errorf("%d names and addresses for a server that has come back", n)
 	}
 }
 
-// Settings that can't be used change nothing. Where leaving the list binds from now on, what has left it is used no more.
+// Invalid settings change nothing. Where removal is no longer ignored, servers that have left the list are used no more.
 func TestRetune(t *testing.T) {
-	c, _ := start(t)
-	class := c.ClassInfo(0)
+	d, _ := startDispatcher(t)
+	class := d.ClassInfo(0)
 	set := func(name string, attempts int, drainOnly bool) policy.Settings {
 		class.Name = name
 		return policy.Settings{MaxAttempts: attempts, IgnoreRemoval: drainOnly, Classes: []policy.Class{class}}
 	}
 	done := make(chan struct{})
-	c.loop.Post(func() {
+	d.loop.Post(func() {
 		defer close(done)
-		if err := c.Retune(set("x", -1, false), 1, 0); err == nil || c.classes.numbers["w"] != 0 || len(c.classes.numbers) != 1 ||
-			c.admission.maxOpen != 9 {
-			t.Errorf("%v: classes %v, %d open at most", err, c.classes.numbers, c.admission.maxOpen)
+		if err := d.Retune(set("x", -1, false), 1, 0); err == nil || d.classes.numbers["w"] != 0 || len(d.classes.numbers) != 1 ||
+			d.admission.maxOpen != 9 {
+			t.Errorf("%v: classes %v, %d open at most", err, d.classes.numbers, d.admission.maxOpen)
 		}
 		for _, drainOnly := range []bool{true, false} {
-			if err := c.Retune(set("w", 6, drainOnly), 1, 0); err != nil {
+			if err := d.Retune(set("w", 6, drainOnly), 1, 0); err != nil {
 				t.Error(err)
 			}
 			if drainOnly {
-				c.ApplyList(policy.ListFull, nil)
+				d.ApplyList(policy.ListFull, nil)
 			}
-			if avoids := c.router.Avoids(c.servers.ids["s"]); avoids == drainOnly {
+			if avoids := d.router.Avoids(d.servers.ids["s"]); avoids == drainOnly {
 				t.Errorf("only drains bind: %v; what has left the list is avoided: %v", drainOnly, avoids)
 			}
 		}
@@ -174,11 +182,12 @@
 	<-done
 }
 
-// BenchmarkList hands a core of 10,000 servers in 1,000 clusters one that has changed, and the whole list for comparison.
+// BenchmarkList hands a dispatcher of 10,000 servers in 1,000 clusters one that has changed, and the whole list for comparison.
 func BenchmarkList(b *testing.B) {
 	loop := NewEventLoop()
-	c, err := New(loop, &backend{calls: make(chan *waiting, 1), loop: loop}, Options{Settings: policy.Settings{Classes: []policy.Class{{Name: "r"}}},
-		MaxOpen: 1, Watch: func() {}, Log: func(string) {}})
+	backend := &fakeBackend{calls: make(chan *fakeCall, 1), loop: loop}
+	d, err := New(loop, backend, Options{MaxOpen: 1, Watch: func() {}, Log: func(string) {},
+		Settings: policy.Settings{Classes: []policy.Class{{Name: "r"}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -186,17 +195,17 @@
 	for i := range list {
 		list[i] = Member{Name: fmt.Sprint("db", i), Addr: fmt.Sprint("10.0.0.1:", i), Group: i / 10, State: policy.Ready, Weight: 1}
 	}
-	c.ApplyList(policy.ListFull, list)
+	d.ApplyList(policy.ListFull, list)
 	b.Run("one", func(b *testing.B) {
 		for n := 0; b.Loop(); n++ {
 			one := list[5000]
 			one.Weight = 1 + n%2
-			c.ApplyList(policy.ListDelta, []Member{one})
+			d.ApplyList(policy.ListDelta, []Member{one})
 		}
 	})
 	b.Run("all", func(b *testing.B) {
 		for b.Loop() {
-			c.ApplyList(policy.ListFull, list)
+			d.ApplyList(policy.ListFull, list)
 		}
 	})
 }
--- a/internal/dispatch/drain_reserve_test.go
+++ b/internal/dispatch/drain_reserve_test.go
@@ -7,8 +7,8 @@
 	"threadsail/internal/policy"
 )
 
-// The longest send of the last seconds counts, and of the list that was heard latest for the length of a grace.
-func TestSpare(t *testing.T) {
+// The longest send of the last seconds counts, and for the length of a grace period the longest delay of a list.
+func TestDrainReserve(t *testing.T) {
 	const ms, grace = time.Millisecond, 250 * time.Millisecond
 	now := 1000 * time.Second
 	var s drainReserve
@@ -39,46 +39,47 @@
 	}
 }
 
-// drained tells whether an attempt that waits for its connection still fits right after its server was listed as draining.
-func drained(c *Dispatcher, w *waiting, late time.Duration) bool {
+// allowedAfterDrain reports whether an attempt that waits for its connection is still allowed right after its server was
+// listed as draining.
+func allowedAfterDrain(d *Dispatcher, w *fakeCall, late time.Duration) bool {
 	fits := make(chan bool)
-	c.loop.Post(func() {
-		c.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}, c.loop.Now()-late)
+	d.loop.Post(func() {
+		d.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}, d.loop.Now()-late)
 		fits <- w.StillAllowed()
 	})
 	return <-fits
 }
 
-// A drain that may have counted as told for as long as its grace leaves none of it, and sends that take as long as the
-// grace lasts don't begin in it.
-func TestGraceIsSpared(t *testing.T) {
+// A drain that may have been announced a grace period ago leaves none of it, and sends that take as long as the grace
+// period do not begin in it.
+func TestGracePeriodIsReserved(t *testing.T) {
 	for name, c := range map[string]struct {
 		late, send time.Duration
 		want       bool
 	}{
-		"told now":        {want: true},
-		"told long ago":   {late: 150 * time.Millisecond},
-		"sends take long": {send: 150 * time.Millisecond},
+		"announced now":      {want: true},
+		"announced long ago": {late: 150 * time.Millisecond},
+		"sends take long":    {send: 150 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			core, b := start(t)
+			d, b := startDispatcher(t)
 			if c.want { // however late this machine is
-				set := core.Settings()
+				set := d.Settings()
 				set.DrainGracePeriod = time.Minute
 				retuned := make(chan error)
-				core.loop.Post(func() { retuned <- core.Retune(set, core.admission.maxOpen, core.probeTimeout) })
+				d.loop.Post(func() { retuned <- d.Retune(set, d.admission.maxOpen, d.probeTimeout) })
 				if err := <-retuned; err != nil {
 					t.Fatal(err)
 				}
 			}
-			_, first := submit(core, b, 2*time.Second)
+			_, first := submit(d, b, 2*time.Second)
 			if c.send > 0 {
 				time.Sleep(c.send) // between the choice and the last byte
-				core.loop.Post(first.Sent)
+				d.loop.Post(first.Sent)
 			}
-			_, w := submit(core, b, 2*time.Second)
-			if got := drained(core, w, c.late); got != c.want {
-				t.Errorf("the attempt fits: %v", got)
+			_, w := submit(d, b, 2*time.Second)
+			if got := allowedAfterDrain(d, w, c.late); got != c.want {
+				t.Errorf("the attempt is allowed: %v", got)
 			}
 		})
 	}
--- a/internal/dispatch/final_answer.go
+++ b/internal/dispatch/final_answer.go
@@ -19,7 +19,7 @@
 type answerClient struct {
 	reply      Replier
 	answer     FinalAnswer
-	retryAfter time.Duration // with a rejection; 0: none is told
+	retryAfter time.Duration // with a rejection; 0: none
 }
 
 func (a answerClient) carryOut(*Dispatcher) {
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -5,9 +5,9 @@
 // Guard stands between the frontends, the policy and the servers: what the poolers of a fleet share admits requests, answers
 // them or stops them through it. All calls are on the loop; none may wait, and none may call the Dispatcher back.
 type Guard interface {
-	// Admit is asked for each request before the policy hears of it, all guards in their order until one does not pass it.
+	// Admit is called for each request before the policy, on all guards in their order until one does not pass it.
 	Admit(now time.Duration, request *Request) Admission
-	// MaySend is asked right before an attempt is written to a server, also behind a wait for its connection.
+	// MaySend is called right before an attempt is written to a server, also behind a wait for its connection.
 	MaySend(now time.Duration, request *Request, server string) SendDecision
 	// RequestEnded reports the final answer of a request that Admit has passed, once; not of one whose client had
 	// disconnected before.
@@ -16,7 +16,7 @@
 
 // AnswerVerifier is a Guard that may hold a server's answer to be too late to be true.
 type AnswerVerifier interface {
-	// AcceptAnswer is asked once an attempt has been answered, before the client has the answer. false: the request has
+	// AcceptAnswer is called once an attempt has been answered, before the client has the answer. false: the request has
 	// failed, as it may have run and nobody can say what became of it.
 	AcceptAnswer(now time.Duration, request *Request) bool
 }
@@ -28,7 +28,7 @@
 type Admission struct {
 	Answer     any           // served with this, the backend's kind of answer; nil: not
 	Reject     bool          // rejected untouched
-	RetryAfter time.Duration // with Reject: the client may retry after so long; 0: no time is told
+	RetryAfter time.Duration // with Reject: the client may retry after so long; 0: none
 	Group      int           // with Reroute: the group that it goes to
 	Reroute    bool
 }
@@ -52,7 +52,7 @@
 // Guarded reports whether there is a guard: frontends fill in what only guards read.
 func (d *Dispatcher) Guarded() bool { return len(d.guards) > 0 }
 
-// checkSend asks the guards about an attempt, in their order until one does not let it go.
+// checkSend has the guards decide on an attempt, in their order until one does not let it go.
 func (o *OpenRequest) checkSend(server uint32) SendDecision {
 	d := o.dispatcher
 	if !d.Guarded() {
@@ -67,7 +67,7 @@
 	return Send
 }
 
-// answerAccepted asks the guards about a server's answer.
+// answerAccepted reports whether all guards accept a server's answer.
 func (o *OpenRequest) answerAccepted() bool {
 	for _, guard := range o.dispatcher.guards {
 		verifier, ok := guard.(AnswerVerifier)
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -7,59 +7,57 @@
 	"threadsail/internal/policy"
 )
 
-// script is a guard that says what a test has set, and notes what it is told.
-type script struct {
+// fakeGuard decides as a test has set, and keeps the final answers.
+type fakeGuard struct {
 	admission Admission
 	sending   SendDecision
 	ended     []FinalAnswer
 }
 
-func (s *script) Admit(time.Duration, *Request) Admission              { return s.admission }
-func (s *script) MaySend(time.Duration, *Request, string) SendDecision { return s.sending }
-func (s *script) RequestEnded(_ time.Duration, _ *Request, e FinalAnswer) {
+func (s *fakeGuard) Admit(time.Duration, *Request) Admission              { return s.admission }
+func (s *fakeGuard) MaySend(time.Duration, *Request, string) SendDecision { return s.sending }
+func (s *fakeGuard) RequestEnded(_ time.Duration, _ *Request, e FinalAnswer) {
 	s.ended = append(s.ended, e)
 }
-func guarded(t *testing.T, s *script) (*Dispatcher, *backend, reply, func(func())) {
-	c, b := start(t)
-	on := func(f func()) {
-		done := make(chan struct{})
-		c.loop.Post(func() { f(); close(done) })
-		<-done
-	}
-	on(func() { c.AddGuard(s) })
-	return c, b, reply{make(chan string, 2)}, on
+
+// startGuarded starts a dispatcher with a guard. on runs a function on its loop.
+func startGuarded(t *testing.T, s *fakeGuard) (d *Dispatcher, b *fakeBackend, r fakeReplier, on func(func())) {
+	d, b = startDispatcher(t)
+	on = func(f func()) { onLoop(d, f) }
+	on(func() { d.AddGuard(s) })
+	return d, b, fakeReplier{make(chan string, 2)}, on
 }
 
-func (r reply) submit(c *Dispatcher) func() {
+func (r fakeReplier) submit(d *Dispatcher) func() {
 	return func() {
-		c.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: c.loop.Now(), Timeout: 400 * time.Millisecond, Reply: r})
+		d.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: 400 * time.Millisecond, Reply: r})
 	}
 }
 
-// What a guard answers or refuses must not reach the module, nor a server.
-func TestGuardAdmits(t *testing.T) {
+// What a guard answers or rejects must reach neither the policy nor a server.
+func TestGuardAnswersOrRejects(t *testing.T) {
 	for want, a := range map[string]Admission{"served": {Answer: "kept"}, "refused": {Reject: true, RetryAfter: time.Second}} {
-		c, b, r, on := guarded(t, &script{admission: a})
-		on(r.submit(c))
+		d, b, r, on := startGuarded(t, &fakeGuard{admission: a})
+		on(r.submit(d))
 		end := <-r.ended
 		on(func() {
-			if end != want || c.OpenRequests() != 0 || len(b.calls) != 0 {
-				t.Errorf("%+v: %s, %d open, %d attempts", a, end, c.OpenRequests(), len(b.calls))
+			if end != want || d.OpenRequests() != 0 || len(b.calls) != 0 {
+				t.Errorf("%+v: %s, %d open, %d attempts", a, end, d.OpenRequests(), len(b.calls))
 			}
 		})
 	}
 }
 
-// A request that a guard stops before it is sent is refused; one that may have run by then is failed; each once.
-func TestGuardStops(t *testing.T) {
-	s := &script{sending: RejectRequest}
-	c, b, r, on := guarded(t, s)
-	on(r.submit(c))
+// A request that a guard stops before it is sent is rejected; one that may have run by then fails; each once.
+func TestGuardRejectsAttempt(t *testing.T) {
+	s := &fakeGuard{sending: RejectRequest}
+	d, b, r, on := startGuarded(t, s)
+	on(r.submit(d))
 	if end := <-r.ended; end != "refused" || len(b.calls) != 0 {
 		t.Errorf("before any attempt: %s, %d attempts", end, len(b.calls))
 	}
 	on(func() { s.sending = Send })
-	on(r.submit(c))
+	on(r.submit(d))
 	w := <-b.calls
 	on(func() {
 		s.sending = RejectRequest
@@ -69,8 +67,8 @@
 		t.Errorf("behind an attempt that may have run: %s", end)
 	}
 	on(func() {
-		if len(s.ended) != 2 || !s.ended[0].Rejected || s.ended[1].Rejected || s.ended[1].Served || c.OpenRequests() != 0 {
-			t.Errorf("the guard heard of %+v; %d open", s.ended, c.OpenRequests())
+		if len(s.ended) != 2 || !s.ended[0].Rejected || s.ended[1].Rejected || s.ended[1].Served || d.OpenRequests() != 0 {
+			t.Errorf("the guard heard of %+v; %d open", s.ended, d.OpenRequests())
 		}
 	})
 	if len(r.ended) > 0 {
@@ -78,11 +76,11 @@
 	}
 }
 
-// An attempt that waited for its connection is asked about once more right before it is written.
-func TestGuardStopsBehindAWait(t *testing.T) {
-	s := &script{}
-	c, b, r, on := guarded(t, s)
-	on(r.submit(c))
+// Guards decide on an attempt that waited for its connection once more, right before it is written.
+func TestGuardRejectsAfterConnectionWait(t *testing.T) {
+	s := &fakeGuard{}
+	d, b, r, on := startGuarded(t, s)
+	on(r.submit(d))
 	w := <-b.calls
 	on(func() {
 		s.sending = RejectRequest
@@ -93,29 +91,29 @@
 	})
 	end := <-r.ended
 	on(func() {
-		if end != "refused" || c.OpenRequests() != 0 {
-			t.Errorf("%s, %d open", end, c.OpenRequests())
+		if end != "refused" || d.OpenRequests() != 0 {
+			t.Errorf("%s, %d open", end, d.OpenRequests())
 		}
 	})
 }
 
-// doubter is a guard that believes no answer.
-type doubter struct{ script }
+// decliningVerifier is a guard that accepts no answer.
+type decliningVerifier struct{ fakeGuard }
 
-func (*doubter) AcceptAnswer(time.Duration, *Request) bool { return false }
+func (*decliningVerifier) AcceptAnswer(time.Duration, *Request) bool { return false }
 
-// An answer that a guard holds to be too late is not served: the request has failed, once, and is not sent again.
-func TestGuardDoubtsAnAnswer(t *testing.T) {
-	c, b, r, on := guarded(t, &script{})
-	d := &doubter{}
-	on(func() { c.AddGuard(d) })
-	on(r.submit(c))
+// An answer that a guard does not accept is not served: the request has failed, once, and is not sent again.
+func TestGuardDeclinesAnswer(t *testing.T) {
+	d, b, r, on := startGuarded(t, &fakeGuard{})
+	verifier := &decliningVerifier{}
+	on(func() { d.AddGuard(verifier) })
+	on(r.submit(d))
 	w := <-b.calls
 	on(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "too late"}) })
 	end := <-r.ended
 	on(func() {
-		if end != "failed" || c.OpenRequests() != 0 || len(b.calls) != 0 || len(d.ended) != 1 || d.ended[0].Served {
-			t.Errorf("%s, %d open, %d further attempts; the guard heard of %+v", end, c.OpenRequests(), len(b.calls), d.ended)
+		if end != "failed" || d.OpenRequests() != 0 || len(b.calls) != 0 || len(verifier.ended) != 1 || verifier.ended[0].Served {
+			t.Errorf("%s, %d open, %d further attempts; the guard heard of %+v", end, d.OpenRequests(), len(b.calls), verifier.ended)
 		}
 	})
 	if len(r.ended) > 0 {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,8 +11,8 @@
 
 // Replier gives a client its one final answer. All calls are on the loop.
 type Replier interface {
-	// ClientDisconnected reports whether the client has disconnected, as far as its socket shows. It is asked right before
-	// each attempt is written.
+	// ClientDisconnected reports whether the client has disconnected, as far as its socket shows. It is called right
+	// before each attempt is written.
 	ClientDisconnected() bool
 	// Serve passes on an answer of the backend or of a guard.
 	Serve(answer any)
@@ -38,7 +38,7 @@
 	// "": none may. Frontends set these only where Guarded reports true.
 	Statement, Key string
 	CacheVariant   string
-	// WaitedForConnection is set while a guard is asked about an attempt once more, behind the wait for its connection.
+	// WaitedForConnection is set while guards decide on an attempt once more, behind the wait for its connection.
 	WaitedForConnection bool
 }
 
@@ -94,7 +94,7 @@
 	return request
 }
 
-// ClientDisconnected tells the policy that the client has disconnected. No final answer is given any more.
+// ClientDisconnected reports to the policy that the client has disconnected. No final answer is given any more.
 func (o *OpenRequest) ClientDisconnected() {
 	if o.ended {
 		return
@@ -104,8 +104,8 @@
 	o.removeIfSettled()
 }
 
-// isUnwanted reports whether nobody waits for the answer any more. It asks for the state of the client's connection, whose
-// close may not have been reported yet.
+// isUnwanted reports whether nobody waits for the answer any more. It checks the client's connection itself, as
+// its close may not have been reported yet.
 func (o *OpenRequest) isUnwanted() bool {
 	if !o.ended && o.request.Reply.ClientDisconnected() {
 		o.ClientDisconnected()
