--- a/internal/fleet/distribution/network_test.go
+++ b/internal/fleet/distribution/network_test.go
@@ -10,30 +10,34 @@
 )
 
 // network is one within the process: connections that buffer some bytes, and links that are cut, one way or both, on which what is
-// under way waits, as on TCP, until they are healed. Time is read plainly, so that testing/synctest gives it a clock.
+// under way waits, as on TCP, until they are healed. It reads the plain clock, which testing/synctest replaces.
 type network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	gates     map[[2]string]chan struct{} // by from, to: closed when the link is healed
-	delay     time.Duration
-	slow      map[[2]string]time.Duration // by from, to: beyond delay
+	mu         sync.Mutex // guards the fields below
+	listeners  map[string]*listener
+	cuts       map[link]chan struct{} // closed when the link is healed
+	delay      time.Duration          // of every link
+	linkDelays map[link]time.Duration // beyond delay
 }
 
+// link is one direction between two names.
+type link struct{ from, to string }
+
 func newNetwork() *network {
-	return &network{listeners: map[string]*listener{}, gates: map[[2]string]chan struct{}{}}
+	return &network{listeners: map[string]*listener{}, cuts: map[link]chan struct{}{}, linkDelays: map[link]time.Duration{}}
 }
 
+// listener accepts the connections to a name.
 type listener struct {
-	n     *network
-	name  string
-	calls chan net.Conn
-	ended chan struct{}
-	once  sync.Once
+	network *network
+	name    string
+	pending chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
-// listen takes the calls to a name.
+// listen accepts connections to a name.
 func (n *network) listen(name string) net.Listener {
-	l := &listener{n: n, name: name, calls: make(chan net.Conn, 4096), ended: make(chan struct{})}
+	l := &listener{network: n, name: name, pending: make(chan net.Conn, 4096), closed: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listeners[name] = l
@@ -42,32 +46,32 @@
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.calls:
-		return c, nil
-	case <-l.ended:
+	case conn := <-l.pending:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		close(l.ended)
-		l.n.mu.Lock()
-		defer l.n.mu.Unlock()
-		if l.n.listeners[l.name] == l {
-			delete(l.n.listeners, l.name)
+		close(l.closed)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.listeners[l.name] == l {
+			delete(l.network.listeners, l.name)
 		}
 	})
-	l.reset()
+	l.resetPending()
 	return nil
 }
 
-// reset ends the calls that an ended listener leaves behind.
-func (l *listener) reset() {
+// resetPending ends the connections that a closed listener has not accepted.
+func (l *listener) resetPending() {
 	for {
 		select {
-		case c := <-l.calls:
-			_ = c.Close()
+		case conn := <-l.pending:
+			_ = conn.Close()
 		default:
 			return
 		}
@@ -78,10 +82,10 @@
 
 var errNoListener = errors.New("nobody listens")
 
-// dialer calls from a name.
+// dialer dials from a name.
 func (n *network) dialer(from string) Dialer {
 	return func(ctx context.Context, to string) (net.Conn, error) {
-		if !n.pass(ctx, from, to) || !n.pass(ctx, to, from) {
+		if !n.wait(ctx, link{from, to}) || !n.wait(ctx, link{to, from}) {
 			return nil, ctx.Err()
 		}
 		n.mu.Lock()
@@ -90,95 +94,135 @@
 		if l == nil {
 			return nil, errNoListener
 		}
-		mine, here := net.Pipe()
-		there, theirs := net.Pipe()
-		go n.pump(from, to, here, there)
-		go n.pump(to, from, there, here)
+		dialed, dialedEnd := net.Pipe()
+		acceptedEnd, accepted := net.Pipe()
+		go n.pump(link{from, to}, dialedEnd, acceptedEnd) // ends with either connection
+		go n.pump(link{to, from}, acceptedEnd, dialedEnd) // ends with either connection
 		select {
-		case l.calls <- theirs:
+		case l.pending <- accepted:
 			select {
-			case <-l.ended:
-				l.reset()
+			case <-l.closed:
+				l.resetPending()
 			default:
 			}
-			return mine, nil
-		case <-l.ended:
-			_ = mine.Close()
-			_ = theirs.Close()
+			return dialed, nil
+		case <-l.closed:
+			_ = dialed.Close()
+			_ = accepted.Close()
 			return nil, errNoListener
 		}
 	}
 }
 
-// pass waits until a link carries, or ctx ends.
-func (n *network) pass(ctx context.Context, from, to string) bool {
+// wait waits until a link carries, or ctx ends (ok false).
+func (n *network) wait(ctx context.Context, l link) (ok bool) {
 	for {
 		n.mu.Lock()
-		gate := n.gates[[2]string{from, to}]
+		healed := n.cuts[l]
 		n.mu.Unlock()
-		if gate == nil {
+		if healed == nil {
 			return true
 		}
 		select {
-		case <-gate:
+		case <-healed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
+// delayOf is how long a link takes.
+func (n *network) delayOf(l link) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.delay + n.linkDelays[l]
+}
+
 // pump carries one direction of a connection; its end, too, comes only over a link that carries.
-func (n *network) pump(from, to string, in, out net.Conn) {
+func (n *network) pump(l link, in, out net.Conn) {
 	chunks := make(chan []byte, 16) // of 4 KB: the buffers of both sides
-	go func() {
-		defer close(chunks)
-		b := make([]byte, 4<<10)
-		for {
-			k, err := in.Read(b)
-			if err != nil {
-				return
-			}
-			chunks <- bytes.Clone(b[:k])
-		}
-	}()
+	go readChunks(in, chunks)
 	broken := false
-	for b := range chunks {
-		n.mu.Lock()
-		delay := n.delay + n.slow[[2]string{from, to}]
-		n.mu.Unlock()
-		if delay > 0 {
+	for chunk := range chunks {
+		if delay := n.delayOf(l); delay > 0 {
 			time.Sleep(delay)
 		}
-		n.pass(context.Background(), from, to)
-		if _, err := out.Write(b); err != nil {
+		n.wait(context.Background(), l)
+		if _, err := out.Write(chunk); err != nil {
 			broken = true
 			_ = in.Close()
 		}
 	}
 	if !broken {
-		n.pass(context.Background(), from, to)
+		n.wait(context.Background(), l)
 	}
 	_ = out.Close()
 	_ = in.Close()
 }
 
-// cut cuts what goes from one name to another, or heals it.
+// readChunks reads until the connection ends.
+func readChunks(in net.Conn, chunks chan<- []byte) {
+	defer close(chunks)
+	buffer := make([]byte, 4<<10)
+	for {
+		k, err := in.Read(buffer)
+		if err != nil {
+			return
+		}
+		chunks <- bytes.Clone(buffer[:k])
+	}
+}
+
+// setDelay sets how long every link takes.
+func (n *network) setDelay(delay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.delay = delay
+}
+
+// setLinkDelay sets how long a link takes beyond all others.
+func (n *network) setLinkDelay(from, to string, delay time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.linkDelays[link{from, to}] = delay
+}
+
+// cut cuts or heals what goes from one name to another.
 func (n *network) cut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	link := [2]string{from, to}
-	gate, was := n.gates[link]
+	l := link{from, to}
+	healed, isCut := n.cuts[l]
 	switch {
-	case cut && !was:
-		n.gates[link] = make(chan struct{})
-	case !cut && was:
-		close(gate)
-		delete(n.gates, link)
+	case cut && !isCut:
+		n.cuts[l] = make(chan struct{})
+	case !cut && isCut:
+		close(healed)
+		delete(n.cuts, l)
 	}
 }
 
-// part cuts each link between two sets of names, both ways, or heals it.
-func (n *network) part(a, b []string, cut bool) {
+// cutFrom cuts or heals what goes from a name to others, cutTo what comes to it, and cutAround both.
+func (n *network) cutFrom(name string, others []string, cut bool) {
+	for _, other := range others {
+		n.cut(name, other, cut)
+	}
+}
+
+// cutTo is documented with cutFrom.
+func (n *network) cutTo(name string, others []string, cut bool) {
+	for _, other := range others {
+		n.cut(other, name, cut)
+	}
+}
+
+// cutAround is documented with cutFrom.
+func (n *network) cutAround(name string, others []string, cut bool) {
+	n.partition([]string{name}, others, cut)
+}
+
+// partition cuts or heals all that goes between two sets of names.
+func (n *network) partition(a, b []string, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
 			if x != y {
@@ -193,8 +237,8 @@
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for link, gate := range n.gates {
-		close(gate)
-		delete(n.gates, link)
+	for l, healed := range n.cuts {
+		close(healed)
+		delete(n.cuts, l)
 	}
 }
--- /dev/null
+++ b/internal/fleet/distribution/wire_test.go
@@ -0,0 +1,251 @@
+package distribution
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"threadsail/internal/fleet/bus"
+	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/fleet/replication"
+)
+
+// scriptHeartbeat is a heartbeat interval of which none passes within a test.
+const scriptHeartbeat = time.Minute
+
+func scriptSnapshot(version uint64) replication.Snapshot {
+	return replication.Snapshot{Version: version, Documents: map[string]replication.Document{"purge/plan": {Key: "purge/plan", Version: version, Value: fmt.Append(nil, "plan ", version)}}}
+}
+
+// script plays the other end of a connection by golden frames, each a file as it stands on the connection.
+type script struct {
+	t    *testing.T
+	conn net.Conn
+	in   *bufio.Reader
+}
+
+func newScript(t *testing.T, conn net.Conn) *script {
+	t.Cleanup(func() { _ = conn.Close() })
+	return &script{t, conn, bufio.NewReader(conn)}
+}
+
+// heartbeatKind is the kind of the frames that a subscriber sends at times of its own.
+const heartbeatKind = 4
+
+// receive compares the next frame with a golden file; heartbeats are skipped.
+func (s *script) receive(name string) {
+	s.t.Helper()
+	_ = s.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	for {
+		length, err := binary.ReadUvarint(s.in)
+		if err != nil {
+			s.t.Fatalf("%s: %v", name, err)
+		}
+		body := make([]byte, length)
+		if _, err := io.ReadFull(s.in, body); err != nil {
+			s.t.Fatalf("%s: %v", name, err)
+		}
+		if length > 0 && body[0] == heartbeatKind {
+			continue
+		}
+		goldentest.Bytes(s.t, "frames/"+name, append(binary.AppendUvarint(nil, length), body...))
+		return
+	}
+}
+
+// send writes a golden file's frame.
+func (s *script) send(name string, frame []byte) {
+	s.t.Helper()
+	if _, err := s.conn.Write(goldentest.Bytes(s.t, "frames/"+name, frame)); err != nil {
+		s.t.Fatalf("%s: %v", name, err)
+	}
+}
+
+// frameOf is a frame as docs/distribution.md has it, made without the package's own code.
+func frameOf(kind byte, body ...string) []byte {
+	text := strings.Join(body, "")
+	return append(append(binary.AppendUvarint(nil, uint64(len(text)+1)), kind), text...)
+}
+
+// nameOf is a name with its length before it.
+func nameOf(name string) string { return string(binary.AppendUvarint(nil, uint64(len(name)))) + name }
+
+// receiveOn sends the messages on some topics of a bus to a channel.
+func receiveOn(b bus.Bus, topics ...string) <-chan string {
+	messages := make(chan string, len(topics))
+	for _, topic := range topics {
+		b.Handle(topic, func(from string, body []byte) { messages <- topic + " " + from + " " + string(body) })
+	}
+	return messages
+}
+
+// requireMessages fails unless the next messages are these.
+func requireMessages(t *testing.T, messages <-chan string, want ...string) {
+	t.Helper()
+	for _, text := range want {
+		if got := <-messages; got != text {
+			t.Errorf("got the message %q, want %q", got, text)
+		}
+	}
+}
+
+// A subscriber sends and understands the frames of every kind as they were recorded.
+func TestSubscriberFrames(t *testing.T) {
+	dialed := make(chan net.Conn, 1)
+	dial := func(context.Context, string) (net.Conn, error) {
+		pooler, distributor := net.Pipe()
+		dialed <- distributor
+		return pooler, nil
+	}
+	documents := replication.NewReplica(replication.Snapshot{})
+	changed := documents.Changed()
+	s := Subscribe(SubscriberOptions{Name: "pooler-1", Region: "north", Distributors: []Endpoint{{"distributor-1", "unused", "north"}},
+		Resources: []Resource{{Name: "shared", Replica: documents}}, HeartbeatInterval: scriptHeartbeat, Dial: dial})
+	defer s.Close()
+	messages := receiveOn(s, "quota/grant", "verdict")
+
+	distributor := newScript(t, <-dialed)
+	distributor.receive("subscriber_hello")
+	distributor.send("welcome", frameOf(2))
+	distributor.send("whole", frameOf(7, nameOf("shared"), `{"version":9,"docs":[{"key":"purge/plan","version":9,"value":"cGxhbiA5"}]}`))
+	<-changed
+	changed = documents.Changed()
+	distributor.send("delta", frameOf(6, nameOf("shared"), `{"since":9,"version":10,"docs":[{"key":"limits/set","version":10,"value":"c2V0"}],"gone":["purge/plan"]}`))
+	<-changed
+	if got := documents.Snapshot(); got.Version != 10 || len(got.Documents) != 1 || string(got.Documents["limits/set"].Value) != "set" {
+		t.Errorf("got the documents %+v", got)
+	}
+	confirmedAt := time.Now().Add(-time.Hour).UnixNano()
+	_, _ = distributor.conn.Write(frameOf(5, fmt.Sprintf(`{"n":42,"f":[{"f":"shared","v":10,"t":%d,"a":5}]}`, confirmedAt)))
+	distributor.send("message_down", frameOf(8, nameOf("pooler-1"), nameOf("pooler-2"), nameOf("quota/grant"), "body 1"))
+	distributor.send("cast_down", frameOf(9, nameOf("pooler-2"), nameOf("verdict"), "body 2"))
+	requireMessages(t, messages, "quota/grant pooler-2 body 1", "verdict pooler-2 body 2")
+	if got := s.Size(); got != 42 {
+		t.Errorf("got %d poolers, want 42", got)
+	}
+	if at := documents.ConfirmedAt(); at.UnixNano() != confirmedAt {
+		t.Errorf("got documents confirmed at %v, want %v", at, time.Unix(0, confirmedAt))
+	}
+
+	if err := s.Send(t.Context(), "pooler-2", "quota/ask", []byte("body 3")); err != nil {
+		t.Fatal(err)
+	}
+	distributor.receive("message_up")
+	s.Broadcast("verdict", []byte("body 4"))
+	distributor.receive("cast_up")
+}
+
+// scriptedDistributor is a distributor of the resource "shared", version 9, whose callers and whose link to distributor-2 are scripts.
+type scriptedDistributor struct {
+	*Distributor
+	t         *testing.T
+	documents *replication.Replica
+	link      *script // its link, as distributor-2 sees it
+}
+
+func newScriptedDistributor(t *testing.T) *scriptedDistributor {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dialed := make(chan net.Conn, 1)
+	dial := func(context.Context, string) (net.Conn, error) {
+		own, other := net.Pipe()
+		dialed <- other
+		return own, nil
+	}
+	documents := replication.NewReplica(scriptSnapshot(9))
+	d := NewDistributor(listener, DistributorOptions{Name: "distributor-1", Region: "north", Distributors: []Endpoint{{"distributor-2", "unused", "south"}},
+		Resources: []Resource{{Name: "shared", Replica: documents}}, HeartbeatInterval: scriptHeartbeat, Dial: dial})
+	t.Cleanup(d.Close)
+	return &scriptedDistributor{d, t, documents, newScript(t, <-dialed)}
+}
+
+// connect calls the distributor.
+func (d *scriptedDistributor) connect() *script {
+	conn, err := net.Dial("tcp", d.listener.Addr().String())
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return newScript(d.t, conn)
+}
+
+// welcomeLink plays the beginning of the link.
+func (d *scriptedDistributor) welcomeLink() {
+	d.link.receive("link_hello")
+	_, _ = d.link.conn.Write(frameOf(2))
+	d.link.receive("link_holds_all")
+}
+
+// welcomePooler plays the beginning of the stream of pooler-1.
+func (d *scriptedDistributor) welcomePooler() *script {
+	pooler := d.connect()
+	pooler.send("hello", frameOf(1, `{"protocol":1,"name":"pooler-1","region":"north","has":{"shared":0},"status":{"build":"1.4","config":"c0ffee","token":7,"seq":3}}`))
+	pooler.receive("distributor_welcome")
+	pooler.receive("distributor_whole")
+	pooler.receive("distributor_word")
+	return pooler
+}
+
+// A distributor sends a pooler the frames of every kind as they were recorded, and refuses another protocol as it was recorded.
+func TestDistributorFrames(t *testing.T) {
+	d := newScriptedDistributor(t)
+	d.welcomeLink()
+	newer := d.connect()
+	newer.send("hello_of_another_protocol", frameOf(1, `{"protocol":2,"name":"pooler-9","status":{}}`))
+	newer.receive("refusal")
+	pooler := d.welcomePooler()
+	d.link.receive("link_holds_came")
+	d.documents.Install(scriptSnapshot(10))
+	pooler.receive("distributor_delta")
+	pooler.receive("distributor_newer_word")
+	if err := d.Send(t.Context(), "pooler-1", "quota/grant", []byte("body 3")); err != nil {
+		t.Fatal(err)
+	}
+	pooler.receive("distributor_message")
+}
+
+// A distributor understands a pooler's frames of every kind as they were recorded, and forwards a broadcast as it was recorded.
+func TestDistributorTakesPoolerFrames(t *testing.T) {
+	d := newScriptedDistributor(t)
+	d.welcomeLink()
+	messages := receiveOn(d, "quota/ask", "verdict")
+	pooler := d.welcomePooler()
+	d.link.receive("link_holds_came")
+	pooler.send("live", frameOf(4, `{"has":{"shared":10},"status":{"build":"1.5","config":"c0ffee","token":7,"seq":4}}`))
+	pooler.send("message_to_distributor", frameOf(8, nameOf("distributor-1"), nameOf("pooler-1"), nameOf("quota/ask"), "body 1"))
+	pooler.send("cast_to_distributor", frameOf(9, nameOf("pooler-1"), nameOf("verdict"), "body 2"))
+	requireMessages(t, messages, "quota/ask pooler-1 body 1", "verdict pooler-1 body 2")
+	d.link.receive("link_cast")
+	own, _ := d.Summary()
+	want := Summary{Poolers: 1, OldestVersion: 10, Builds: map[string]int{"1.5": 1}, Configs: map[string]int{"c0ffee": 1}}
+	if fmt.Sprint(own) != fmt.Sprint(want) {
+		t.Errorf("got the summary %v, want %v", own, want)
+	}
+}
+
+// A distributor understands another distributor's frames of every kind as they were recorded.
+func TestDistributorTakesLinkFrames(t *testing.T) {
+	d := newScriptedDistributor(t)
+	other := d.connect()
+	other.send("hello_of_a_distributor", frameOf(1, `{"protocol":1,"name":"distributor-2","region":"south","distributor":true,"status":{}}`))
+	other.receive("distributor_welcome")
+	other.send("holds", frameOf(10, `{"all":true,"came":["pooler-2","pooler-3"]}`))
+	other.send("holds_went", frameOf(10, `{"went":["pooler-3"]}`))
+	other.send("live_of_a_distributor", frameOf(4, `{"poolers":1,"behind":1,"oldest":8,"builds":{"1.4":1},"configs":{"c0ffee":1}}`))
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+		_, all := d.Summary()
+		if all.Poolers == 1 && all.Lagging == 1 && all.OldestVersion == 8 && d.Size() == 3 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("got %d poolers and the summary %+v", d.Size(), all)
+		}
+	}
+}
