--- a/internal/calendar/golden_test.go
+++ b/internal/calendar/golden_test.go
@@ -4,13 +4,13 @@
 	"testing"
 	"time"
 
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 // Calendars are part of the operators' files and of the purge plan that the stewards keep.
 func TestStoredForms(t *testing.T) {
-	goldentest.JSON(t, "book.json", goldentest.Filled[Book](t))
-	goldentest.JSON(t, "plan.json", goldentest.Filled[Plan](t))
+	goldentest.CheckJSONOf(t, "book.json", goldentest.Filled[Book](t))
+	goldentest.CheckJSONOf(t, "plan.json", goldentest.Filled[Plan](t))
 }
 
 // A zone's digest is compared with the one that another pooler wrote into the plan.
--- a/internal/fleet/audit/golden_test.go
+++ b/internal/fleet/audit/golden_test.go
@@ -5,13 +5,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 // A journal is read by later builds, and by those who compare the journals of a whole fleet: its frames, tags and acts stay.
 func TestStoredRecord(t *testing.T) {
 	full := goldentest.Filled[Record](t)
-	goldentest.JSON(t, "record.json", full)
+	goldentest.CheckJSONOf(t, "record.json", full)
 	records := []Record{full, {At: 5, Instance: "pooler-1/1-2", Build: "1.4", Config: "c0ffee", Revision: 3, Act: Started}}
 	var journal []byte
 	for _, r := range records {
@@ -20,7 +20,7 @@
 			t.Fatal(err)
 		}
 	}
-	read, problems := Parse("journal", goldentest.Bytes(t, "journal", journal))
+	read, problems := Parse("journal", goldentest.Check(t, "journal", journal))
 	if d := cmp.Diff(records, read); d != "" || len(problems) > 0 {
 		t.Errorf("%s %v", d, problems)
 	}
@@ -34,5 +34,5 @@
 		"purged": Purged, "unkept": ReplicaNotSaved, "kept": ReplicaSaved, "dropped": RecordsDropped, "limits-dealt": QuotasAllocated} {
 		names[want] = string(act)
 	}
-	goldentest.Names(t, names)
+	goldentest.CheckNames(t, names)
 }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"threadsail/internal/fleet/goldentest"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
+	"threadsail/internal/goldentest"
 )
 
 func goldenState() replication.Snapshot {
@@ -25,16 +25,16 @@
 }
 
 func TestMessageForms(t *testing.T) {
-	goldentest.JSON(t, "ask.json", goldentest.Filled[request](t))
+	goldentest.CheckJSONOf(t, "ask.json", goldentest.Filled[request](t))
 	full := goldentest.Filled[response](t)
 	state := goldenState()
 	full.State = &state
-	goldentest.JSON(t, "answer.json", full)
-	goldentest.JSON(t, "set.json", goldentest.Filled[voterSet](t))
+	goldentest.CheckJSONOf(t, "answer.json", full)
+	goldentest.CheckJSONOf(t, "set.json", goldentest.Filled[voterSet](t))
 }
 
 func TestNames(t *testing.T) {
-	goldentest.Names(t, map[string]string{
+	goldentest.CheckNames(t, map[string]string{
 		"R": string(connectionRaft), "L": string(connectionClient), "stewards/set": voterSetKey, "CurrentTerm": string(currentTermKey), "raft": trafficKindRaft,
 		"lease": request{}.trafficKind(), "documents/put": request{Put: &replication.Write{}}.trafficKind(), "documents/read": request{Read: "a"}.trafficKind(),
 		"documents/fetch": request{Since: new(uint64)}.trafficKind(),
@@ -49,7 +49,7 @@
 // Log entries and the snapshot that they lead to are as they always were: the stored entries are applied, the table's snapshot is
 // the stored one, and a table that is restored from it writes the same again.
 func TestStoredLogAndSnapshot(t *testing.T) {
-	goldentest.JSON(t, "command.json", goldentest.Filled[command](t))
+	goldentest.CheckJSONOf(t, "command.json", goldentest.Filled[command](t))
 	commands := []command{
 		{Command: lease.Command{Name: "lists", Holder: "pooler-1", Duration: 300, Now: 20, RaftTerm: 2}},
 		{Command: lease.Command{Now: 21, RaftTerm: 2}, Put: &replication.Write{Key: "limits/set", Value: []byte("limits"), Fence: replication.Fence{Lease: "lists", Token: 1}}},
@@ -66,13 +66,13 @@
 		log = append(append(log, text...), '\n')
 	}
 	applied := &stateMachine{onDocumentsChanged: func(replication.Snapshot) {}}
-	for i, line := range bytes.Split(bytes.TrimSpace(goldentest.Bytes(t, "log.jsonl", log)), []byte("\n")) {
+	for i, line := range bytes.Split(bytes.TrimSpace(goldentest.Check(t, "log.jsonl", log)), []byte("\n")) {
 		a, ok := applied.Apply(&raft.Log{Index: uint64(i + 1), Term: 2, Data: line}).(response)
 		if released := i == 3; !ok || a.OK == released || a.Error != "" {
 			t.Errorf("entry %d: got the answer %+v", i+1, a)
 		}
 	}
-	stored := goldentest.Bytes(t, "snapshot.json", append(snapshotOf(t, applied), '\n'))
+	stored := goldentest.Check(t, "snapshot.json", append(snapshotOf(t, applied), '\n'))
 	restored := &stateMachine{onDocumentsChanged: func(replication.Snapshot) {}}
 	if err := restored.Restore(io.NopCloser(bytes.NewReader(stored))); err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 // A voter starts on the log that an earlier build left on the disk, and knows all that is in it.
 func TestStoredLogIsServed(t *testing.T) {
 	dir := t.TempDir()
-	if os.Getenv("THREADSAIL_RECORD_GOLDEN") == "1" {
+	if goldentest.Recording() {
 		recordDB(t)
 	}
 	packed, err := os.Open(storedDB)
--- a/internal/fleet/distribution/golden_test.go
+++ b/internal/fleet/distribution/golden_test.go
@@ -5,16 +5,16 @@
 	"fmt"
 	"testing"
 
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 func TestMessageForms(t *testing.T) {
-	goldentest.JSON(t, "hello.json", goldentest.Filled[hello](t))
-	goldentest.JSON(t, "refusal.json", goldentest.Filled[refusal](t))
-	goldentest.JSON(t, "live.json", goldentest.Filled[heartbeat](t))
-	goldentest.JSON(t, "word.json", goldentest.Filled[announcement](t))
-	goldentest.JSON(t, "holds.json", goldentest.Filled[holdings](t))
-	goldentest.JSON(t, "summary.json", goldentest.Filled[Summary](t))
+	goldentest.CheckJSONOf(t, "hello.json", goldentest.Filled[hello](t))
+	goldentest.CheckJSONOf(t, "refusal.json", goldentest.Filled[refusal](t))
+	goldentest.CheckJSONOf(t, "live.json", goldentest.Filled[heartbeat](t))
+	goldentest.CheckJSONOf(t, "word.json", goldentest.Filled[announcement](t))
+	goldentest.CheckJSONOf(t, "holds.json", goldentest.Filled[holdings](t))
+	goldentest.CheckJSONOf(t, "summary.json", goldentest.Filled[Summary](t))
 }
 
 // What frames are counted as is part of the metrics' names.
@@ -37,5 +37,5 @@
 		}
 		fmt.Fprintln(&out)
 	}
-	goldentest.Bytes(t, "rank.txt", out.Bytes())
+	goldentest.Check(t, "rank.txt", out.Bytes())
 }
--- a/internal/fleet/distribution/wire_test.go
+++ b/internal/fleet/distribution/wire_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"threadsail/internal/fleet/bus"
-	"threadsail/internal/fleet/goldentest"
 	"threadsail/internal/fleet/replication"
+	"threadsail/internal/goldentest"
 )
 
 // scriptHeartbeat is a heartbeat interval of which none passes within a test.
@@ -54,7 +54,7 @@
 		if length > 0 && body[0] == heartbeatKind {
 			continue
 		}
-		goldentest.Bytes(s.t, "frames/"+name, append(binary.AppendUvarint(nil, length), body...))
+		goldentest.Check(s.t, "frames/"+name, append(binary.AppendUvarint(nil, length), body...))
 		return
 	}
 }
@@ -62,7 +62,7 @@
 // send writes a golden file's frame.
 func (s *script) send(name string, frame []byte) {
 	s.t.Helper()
-	if _, err := s.conn.Write(goldentest.Bytes(s.t, "frames/"+name, frame)); err != nil {
+	if _, err := s.conn.Write(goldentest.Check(s.t, "frames/"+name, frame)); err != nil {
 		s.t.Fatalf("%s: %v", name, err)
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -16,8 +16,8 @@
 	"threadsail/internal/fleet/bus"
 	"threadsail/internal/fleet/coordination"
 	"threadsail/internal/fleet/discoveryleader"
-	"threadsail/internal/fleet/goldentest"
 	"threadsail/internal/fleet/replication"
+	"threadsail/internal/goldentest"
 )
 
 // sent is one message as it was handed to the network.
@@ -46,7 +46,7 @@
 
 // Each kind of message that poolers say to each other goes out as it always did, and is understood as it always was.
 func TestMessageForms(t *testing.T) {
-	goldentest.JSON(t, "message.json", goldentest.Filled[message](t))
+	goldentest.CheckJSONOf(t, "message.json", goldentest.Filled[message](t))
 
 	network := make(recorder, 1)
 	f := &Coordinator{
@@ -93,7 +93,7 @@
 		},
 	}
 	f.events = events
-	for _, line := range bytes.Split(bytes.TrimSpace(goldentest.Bytes(t, "messages.txt", []byte(log.String()))), []byte("\n")) {
+	for _, line := range bytes.Split(bytes.TrimSpace(goldentest.Check(t, "messages.txt", []byte(log.String()))), []byte("\n")) {
 		f.dispatch(bytes.SplitN(line, []byte(" "), 3)[2])
 	}
 	want := []any{"word", w, discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6}, "found", uint64(7), 4, "db-2", 8 * time.Second, "lost", 4, "wanted", "pooler-1", "list", w, string(list)}
@@ -103,13 +103,13 @@
 }
 
 func TestNames(t *testing.T) {
-	goldentest.Names(t, map[string]string{"shared": documentsFeed, "lists": serverListFeed, "duty/": leaderTopicPrefix, "duty/one": directTopic, "head": headerKey, "server/": serverKeyPrefix})
+	goldentest.CheckNames(t, map[string]string{"shared": documentsFeed, "lists": serverListFeed, "duty/": leaderTopicPrefix, "duty/one": directTopic, "head": headerKey, "server/": serverKeyPrefix})
 }
 
 // A list goes over the streams as documents, which poolers of other builds put together again.
 func TestListDocuments(t *testing.T) {
-	goldentest.JSON(t, "head.json", goldentest.Filled[listHeader](t))
-	goldentest.JSON(t, "list.json", goldentest.Filled[encodedList](t))
+	goldentest.CheckJSONOf(t, "head.json", goldentest.Filled[listHeader](t))
+	goldentest.CheckJSONOf(t, "list.json", goldentest.Filled[encodedList](t))
 
 	w := discoveryleader.Announcement{Token: 7, Sequence: 3, Holder: "pooler-1/1-2", Source: "pooler-1"}
 	list := `{"revision":5,"complete":true,"members":[{"id":"db-1","zone":"a"},{"id":"db-2","zone":"b"}]}`
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	var stored replication.Snapshot
-	if err := json.Unmarshal(goldentest.Bytes(t, "list_documents.json", append(state, '\n')), &stored); err != nil {
+	if err := json.Unmarshal(goldentest.Check(t, "list_documents.json", append(state, '\n')), &stored); err != nil {
 		t.Fatal(err)
 	}
 	if word, text, err := decodeList(stored); err != nil || word != w || string(text) != list {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -3,20 +3,20 @@
 import (
 	"testing"
 
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 func TestMessageForms(t *testing.T) {
 	full := goldentest.Filled[Meta](t)
-	goldentest.JSON(t, "meta.json", full)
+	goldentest.CheckJSONOf(t, "meta.json", full)
 	member := &Node{meta: full}
-	goldentest.Bytes(t, "meta.json", append((*delegate)(member).NodeMeta(512), '\n'))
+	goldentest.Check(t, "meta.json", append((*delegate)(member).NodeMeta(512), '\n'))
 
 	text, err := encodeMessage("pooler-1", "quota/ask", []byte(`{"number":3}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	from, topic, body, err := decodeMessage(goldentest.Bytes(t, "bus_message", text))
+	from, topic, body, err := decodeMessage(goldentest.Check(t, "bus_message", text))
 	if err != nil || from != "pooler-1" || topic != "quota/ask" || string(body) != `{"number":3}` {
 		t.Errorf("got %q, %q, %q, %v", from, topic, body, err)
 	}
@@ -24,6 +24,6 @@
 
 // The kind by which a leader's message is counted depends on the first bytes of its JSON.
 func TestMessageKinds(t *testing.T) {
-	goldentest.Names(t, map[string]string{"duty/word": leaderMessageKinds[`{"kind":"word"`], "duty/want": leaderMessageKinds[`{"kind":"want"`],
+	goldentest.CheckNames(t, map[string]string{"duty/word": leaderMessageKinds[`{"kind":"word"`], "duty/want": leaderMessageKinds[`{"kind":"want"`],
 		"duty/list": leaderMessageKinds[`{"kind":"list"`], "duty/lost": leaderMessageKinds[`{"kind":"lost"`], "duty/found": leaderMessageKinds[`{"kind":"found"`]})
 }
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -4,15 +4,15 @@
 	"encoding/json"
 	"testing"
 
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 // The table is part of every snapshot, and a command of every log entry; grants are answers on the wire.
 func TestStoredForms(t *testing.T) {
-	goldentest.JSON(t, "entry.json", goldentest.Filled[entry](t))
-	goldentest.JSON(t, "saved_table.json", goldentest.Filled[lessorSnapshot](t))
-	goldentest.JSON(t, "command.json", goldentest.Filled[Command](t))
-	goldentest.JSON(t, "grant.json", goldentest.Filled[Lease](t))
+	goldentest.CheckJSONOf(t, "entry.json", goldentest.Filled[entry](t))
+	goldentest.CheckJSONOf(t, "saved_table.json", goldentest.Filled[lessorSnapshot](t))
+	goldentest.CheckJSONOf(t, "command.json", goldentest.Filled[Command](t))
+	goldentest.CheckJSONOf(t, "grant.json", goldentest.Filled[Lease](t))
 }
 
 // A table that commands have made is written as it always was, and a stored one is read to the same holders.
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := goldentest.Bytes(t, "table.json", append(text, '\n'))
+	stored := goldentest.Check(t, "table.json", append(text, '\n'))
 	read := Lessor{MaxClockDrift: 5}
 	if err := json.Unmarshal(stored, &read); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/outlier/golden_test.go
+++ b/internal/fleet/outlier/golden_test.go
@@ -5,17 +5,17 @@
 	"reflect"
 	"testing"
 
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 func TestReportForm(t *testing.T) {
 	full := Report{StartedAt: 1, Sequence: 2, SentAt: 3, Zone: "zone-a", ServersSeen: 5, Complaints: 4, FailedAttempts: 6, Attempts: 70,
 		Lines:   []Line{{Server: "db-1", Good: 8, Failed: 9, Slow: 10, LostPrimary: true}},
 		Tenants: []Line{{Server: "tenant-1", Good: 11, Failed: 12, Slow: 13, LostPrimary: true}}}
-	goldentest.JSON(t, "report.json", full)
-	stored := bytes.TrimSpace(goldentest.Bytes(t, "report.json", append(full.encode(), '\n')))
+	goldentest.CheckJSONOf(t, "report.json", full)
+	stored := bytes.TrimSpace(goldentest.Check(t, "report.json", append(full.encode(), '\n')))
 	if read, err := decode(stored); err != nil || !reflect.DeepEqual(read, full) {
 		t.Errorf("got %+v, %v, want %+v", read, err, full)
 	}
-	goldentest.Names(t, map[string]string{"verdict": topicReport})
+	goldentest.CheckNames(t, map[string]string{"verdict": topicReport})
 }
--- a/internal/fleet/purge/golden_test.go
+++ b/internal/fleet/purge/golden_test.go
@@ -6,22 +6,22 @@
 	"time"
 
 	"threadsail/internal/calendar"
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 func TestStoredForms(t *testing.T) {
 	plan, was := goldentest.Filled[Plan](t), goldentest.Filled[Plan](t)
 	plan.Previous = &was
-	goldentest.JSON(t, "plan.json", plan)
-	goldentest.JSON(t, "order.json", goldentest.Filled[Order](t))
+	goldentest.CheckJSONOf(t, "plan.json", plan)
+	goldentest.CheckJSONOf(t, "order.json", goldentest.Filled[Order](t))
 }
 
 func TestMessageForms(t *testing.T) {
-	goldentest.JSON(t, "reading.json", goldentest.Filled[clockReading](t))
+	goldentest.CheckJSONOf(t, "reading.json", goldentest.Filled[clockReading](t))
 }
 
 func TestNames(t *testing.T) {
-	goldentest.Names(t, map[string]string{"purge/": keyPrefix, "purge/plan": planKey, "purge/order/": orderPrefix, "purges": string(writerLease), "purge/time": topicTime})
+	goldentest.CheckNames(t, map[string]string{"purge/": keyPrefix, "purge/plan": planKey, "purge/order/": orderPrefix, "purges": string(writerLease), "purge/time": topicTime})
 }
 
 // A purge's name is what tells, in the journals and over restarts, that it has been carried out already.
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -5,16 +5,16 @@
 	"testing"
 
 	"threadsail/internal/config"
-	"threadsail/internal/fleet/goldentest"
+	"threadsail/internal/goldentest"
 )
 
 func TestMessageForms(t *testing.T) {
-	goldentest.JSON(t, "ask.json", goldentest.Filled[Request](t))
-	goldentest.JSON(t, "grant.json", goldentest.Filled[Grant](t))
+	goldentest.CheckJSONOf(t, "ask.json", goldentest.Filled[Request](t))
+	goldentest.CheckJSONOf(t, "grant.json", goldentest.Filled[Grant](t))
 }
 
 func TestNames(t *testing.T) {
-	goldentest.Names(t, map[string]string{"quota": string(LeaseName), "limits/set": Document, "quota/holder": topicLeader, "quota/ask": topicRequest,
+	goldentest.CheckNames(t, map[string]string{"quota": string(LeaseName), "limits/set": Document, "quota/holder": topicLeader, "quota/ask": topicRequest,
 		"quota/grant": topicGrant, "requests": config.LimitRequests, "connections": config.LimitConnections, "cold": config.LimitCold,
 		"probes": config.LimitProbes})
 }
@@ -23,12 +23,12 @@
 func TestStoredLimits(t *testing.T) {
 	set := config.Limits{Revision: 3, List: []config.Limit{{Name: "writes", Target: config.LimitRequests, Class: "write", Tenants: true, Rate: 250.5,
 		Burst: 20, Reserve: 0.5}}}
-	goldentest.JSON(t, "limits.json", set)
+	goldentest.CheckJSONOf(t, "limits.json", set)
 	text, err := json.Marshal(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := config.ParseLimits(goldentest.Bytes(t, "limits.json", append(text, '\n')))
+	read, err := config.ParseLimits(goldentest.Check(t, "limits.json", append(text, '\n')))
 	if err != nil || read.Revision != 3 || len(read.List) != 1 || read.List[0] != set.List[0] {
 		t.Errorf("got %+v, %v, want %+v", read, err, set)
 	}
--- a/internal/fleet/replication/golden_test.go
+++ b/internal/fleet/replication/golden_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"threadsail/internal/fleet/goldentest"
 	"threadsail/internal/fleet/lease"
+	"threadsail/internal/goldentest"
 )
 
 func goldenState() Snapshot {
@@ -17,12 +17,12 @@
 }
 
 func TestStoredForms(t *testing.T) {
-	goldentest.JSON(t, "doc.json", goldentest.Filled[Document](t))
-	goldentest.JSON(t, "write.json", goldentest.Filled[Write](t))
-	goldentest.JSON(t, "saved.json", goldentest.Filled[encodedSnapshot](t))
-	goldentest.JSON(t, "state.json", goldenState())
-	goldentest.JSON(t, "delta.json", goldentest.Filled[Delta](t))
-	goldentest.JSON(t, "word.json", goldentest.Filled[announcement](t))
+	goldentest.CheckJSONOf(t, "doc.json", goldentest.Filled[Document](t))
+	goldentest.CheckJSONOf(t, "write.json", goldentest.Filled[Write](t))
+	goldentest.CheckJSONOf(t, "saved.json", goldentest.Filled[encodedSnapshot](t))
+	goldentest.CheckJSONOf(t, "state.json", goldenState())
+	goldentest.CheckJSONOf(t, "delta.json", goldentest.Filled[Delta](t))
+	goldentest.CheckJSONOf(t, "word.json", goldentest.Filled[announcement](t))
 }
 
 // Documents that the log has made are kept in a snapshot as they always were.
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := goldentest.Bytes(t, "docs.json", append(text, '\n'))
+	stored := goldentest.Check(t, "docs.json", append(text, '\n'))
 	if err := json.Unmarshal(stored, &read); err != nil {
 		t.Fatal(err)
 	}
@@ -53,14 +53,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Bytes(t, "documents", text)
+	goldentest.Check(t, "documents", text)
 	state, at, err := LoadSnapshot("testdata")
 	if err != nil || state.Version != 9 || string(state.Documents["purge/plan"].Value) != "plan" || !at.Equal(asOf) {
 		t.Errorf("got %+v as of %v, %v", state, at, err)
 	}
-	goldentest.Names(t, map[string]string{"documents": snapshotFileName, "tsdocs1\n": snapshotFileMagic})
+	goldentest.CheckNames(t, map[string]string{"documents": snapshotFileName, "tsdocs1\n": snapshotFileMagic})
 }
 
 func TestTopics(t *testing.T) {
-	goldentest.Names(t, map[string]string{"/word": string(topicAnnouncement), "/want": string(topicFetch), "/state": string(topicSnapshot)})
+	goldentest.CheckNames(t, map[string]string{"/word": string(topicAnnouncement), "/want": string(topicFetch), "/state": string(topicSnapshot)})
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,9 @@
-// Package goldentest holds tests to files under testdata: what a program stores, reads and prints must stay as it was recorded.
-// With THREADSAIL_RECORD=1 in the environment a test writes its files anew; otherwise it only compares.
+// Package goldentest compares what programs store, send, read and print with golden files, which earlier builds wrote: a running fleet
+// holds several builds at once, and a new build starts on the disk of an old one, so no such form may change unnoticed.
+//
+// The files stand in the calling package's testdata directory. A test only compares; with THREADSAIL_RECORD=1 in the environment it
+// writes its files anew, which is right only for a form that is meant to change. The functions are for tests alone, on the test's own
+// goroutine.
 package goldentest
 
 import (
@@ -13,14 +17,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// recordVariable is the environment variable that, set to 1, lets tests write their files.
+// recordVariable is the environment variable that, set to 1, makes tests write their files instead of comparing with them.
 const recordVariable = "THREADSAIL_RECORD"
 
-// Recording tells that files are to be written anew.
+// Recording reports whether files are to be written anew.
 func Recording() bool { return os.Getenv(recordVariable) == "1" }
 
-// Check compares got with the file testdata/name, byte for byte.
-func Check(t testing.TB, name string, got []byte) {
+// Check compares got with the golden file of a name, byte for byte, and returns the file's content.
+func Check(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if Recording() {
@@ -38,9 +42,20 @@
 	if !bytes.Equal(want, got) {
 		t.Errorf("%s is not as recorded (-recorded +got):\n%s", path, cmp.Diff(string(want), string(got)))
 	}
+	return want
 }
 
-// Lines is a sorted list, one entry a line.
+// CheckNames compares constants with the names that they have on the wire or the disk, which are the keys.
+func CheckNames(t testing.TB, constants map[string]string) {
+	t.Helper()
+	for want, got := range constants {
+		if got != want {
+			t.Errorf("got the name %q, want %q", got, want)
+		}
+	}
+}
+
+// Lines returns a sorted list, one entry a line.
 func Lines(entries []string) []byte {
 	return []byte(strings.Join(slices.Sorted(slices.Values(entries)), "\n") + "\n")
 }
