--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -55,10 +55,8 @@
 		if v.raft.State() != raft.Leader || v.raft.CurrentTerm() != raftTerm {
 			return false
 		}
-		select {
-		case <-v.shutdown:
+		if !waitUnlessClosed(v.shutdown, v.options.ElectionTimeout/10) {
 			return false
-		case <-time.After(v.options.ElectionTimeout / 10):
 		}
 	}
 	return true
--- a/internal/fleet/consensus/raft.go
+++ b/internal/fleet/consensus/raft.go
@@ -13,12 +13,12 @@
 
 const (
 	logFileName       = "raft.db"
-	snapshotsKept     = 2
+	retainedSnapshots = 2
 	trailingLogs      = 256              // entries kept behind a snapshot, for voters that lag
 	snapshotThreshold = 1024             // entries: a renewal is one, and the state is small
 	snapshotInterval  = 30 * time.Second // how often the number of entries is compared with snapshotThreshold
 	dialTimeout       = time.Second
-	connectionsKept   = 2 // to each other voter
+	pooledConnections = 2 // to each other voter
 )
 
 // startRaft opens the log and starts the raft engine, which bootstraps the set of voters at its first start.
@@ -26,7 +26,7 @@
 	if err := v.openLog(); err != nil {
 		return err
 	}
-	snapshots, err := raft.NewFileSnapshotStore(v.options.Dir, snapshotsKept, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(v.options.Dir, retainedSnapshots, io.Discard)
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	voters := v.initialVoters()
 	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:  v.streams,
-		MaxPool: connectionsKept,
+		MaxPool: pooledConnections,
 		Timeout: dialTimeout,
 		Logger:  config.Logger,
 	})
--- a/internal/fleet/consensus/retrying_store.go
+++ b/internal/fleet/consensus/retrying_store.go
@@ -90,10 +90,8 @@
 // vote was given in a term that is not on the disk.
 func (s *retryingStore) setTerm(term uint64) error {
 	for s.writeTerm(term) != nil {
-		select {
-		case <-s.shutdown:
+		if !waitUnlessClosed(s.shutdown, termRetryInterval) {
 			return nil
-		case <-time.After(termRetryInterval):
 		}
 	}
 	return nil
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -117,5 +117,17 @@
 	_ = v.boltStore.Close()
 }
 
+// waitUnlessClosed waits for a duration, and reports false at once when shutdown is closed.
+func waitUnlessClosed(shutdown <-chan struct{}, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-shutdown:
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
 // monotonicNow is the time since the voter started.
 func (v *Voter) monotonicNow() time.Duration { return time.Since(v.startedAt) }
--- a/internal/fleet/consensus/voter_set.go
+++ b/internal/fleet/consensus/voter_set.go
@@ -41,14 +41,7 @@
 // reconcileVoters brings the set to what is wanted while this voter is the leader, a change in each ElectionTimeout, until
 // Close.
 func (v *Voter) reconcileVoters() {
-	timer := time.NewTimer(v.options.ElectionTimeout)
-	defer timer.Stop()
-	for ; ; timer.Reset(v.options.ElectionTimeout) {
-		select {
-		case <-v.shutdown:
-			return
-		case <-timer.C:
-		}
+	for waitUnlessClosed(v.shutdown, v.options.ElectionTimeout) {
 		if _, err := v.leaderClock(); err != nil {
 			continue
 		}
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -86,8 +86,8 @@
 // FetchList asks a pooler that has it for the list of an announcement. It comes as coordination.Events.ListReceived, or not at
 // all. The goroutine that sends the request ends some seconds later at the latest.
 func (c *Coordinator) FetchList(a discoveryleader.Announcement) {
-	source, ask := c.network.ListSource(a)
-	if !ask {
+	source, needed := c.network.ListSource(a)
+	if !needed {
 		go c.components.serverList.redeliver(a, c.events.ListReceived)
 		return
 	}
--- a/internal/fleet/gossip_network.go
+++ b/internal/fleet/gossip_network.go
@@ -46,7 +46,7 @@
 
 // ListSource implements network: it picks one of the poolers that show the announcement's list at random, or the
 // announcement's own source while none does.
-func (g gossipNetwork) ListSource(a discoveryleader.Announcement) (name string, ask bool) {
+func (g gossipNetwork) ListSource(a discoveryleader.Announcement) (name string, needed bool) {
 	var sources []string
 	for _, m := range g.Members() {
 		hasList := m.Meta.Token == a.Token && m.Meta.Sequence == a.Sequence
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -21,8 +21,8 @@
 	SendBestEffort(name string, text []byte)
 	// SetStatus changes what the others see of this pooler.
 	SetStatus(a discoveryleader.Announcement, build, configDigest string)
-	// ListSource is the pooler to ask for the list of an announcement; ask false: the list comes by itself.
-	ListSource(a discoveryleader.Announcement) (name string, ask bool)
+	// ListSource is the pooler to ask for the list of an announcement; needed false: the list comes by itself.
+	ListSource(a discoveryleader.Announcement) (name string, needed bool)
 	// Close leaves the network.
 	Close()
 
--- a/internal/fleet/stream_network.go
+++ b/internal/fleet/stream_network.go
@@ -136,7 +136,7 @@
 }
 
 // ListSource implements network: the lists are a resource, and come by themselves.
-func (*streamNetwork) ListSource(discoveryleader.Announcement) (name string, ask bool) {
+func (*streamNetwork) ListSource(discoveryleader.Announcement) (name string, needed bool) {
 	return "", false
 }
 
