--- a/internal/fleet/shardmap/coordination.go
+++ b/internal/fleet/shardmap/coordination.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"strings"
@@ -11,225 +10,167 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// checksPerTerm is the part of a term after which a holder looks again at moves under way; words and changes have it look at once.
+// checksPerTerm is how often the coordinator looks at unfinished moves in a term. Requests and changes of documents wake it at once.
 const checksPerTerm = 20
 
-// maxLoggedReasons bounds what is remembered to have been said.
-const maxLoggedReasons = 1 << 10
-
-// coordinate does the holder's work whenever the duty is here.
-func (p *Component) coordinate(ctx context.Context, g Runtime) {
-	if g.Leadership == nil {
+// coordinate coordinates the moves whenever this pooler leads.
+func (s *session) coordinate(ctx context.Context) {
+	if s.runtime.Leadership == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		changed := g.Leadership.Changed()
-		if token, _, ok := g.Leadership.Token(); ok {
-			office, cancel := context.WithCancel(ctx)
-			p.serveTerm(office, g, token)
-			cancel()
-			p.coordinator.EndTerm()
+		changed := s.runtime.Leadership.Changed()
+		if token, _, leads := s.runtime.Leadership.Token(); leads {
+			s.runTerm(ctx, token)
 		}
+		timer := time.NewTimer(s.options.Term / requestsPerTerm) // a term that ended for want of an answer may go on
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(p.options.Term / requestsPerTerm): // it was left for want of an answer, and may be here still
+		case <-timer.C:
 		}
+		timer.Stop()
 	}
 }
 
-// serveTerm takes moves on by a token, until the token is lost or the stewards do not answer.
-func (p *Component) serveTerm(ctx context.Context, g Runtime, token uint64) {
-	if !p.beginTerm(ctx, g, token) {
+// runTerm serves one term of leadership. Its acts are given up at its end.
+func (s *session) runTerm(ctx context.Context, token uint64) {
+	ctx, cancel := context.WithCancel(ctx)
+	s.serveTerm(ctx, token)
+	cancel()
+	s.coordinator.EndTerm()
+}
+
+// serveTerm takes moves on by a token, until the token is lost or the voters do not answer.
+func (s *session) serveTerm(ctx context.Context, token uint64) {
+	if !s.beginTerm(ctx, token) {
 		return
 	}
-	g.Log.Info().Uint64("token", token).Msg("shards: takes moves on")
+	s.runtime.Log.Info().Uint64("token", token).Msg("shardmap: this pooler coordinates moves")
 	for ctx.Err() == nil {
-		changed, lost := g.View.Changed(), g.Leadership.Changed()
-		if now, _, ok := g.Leadership.Token(); !ok || now != token {
+		changed := s.runtime.View.Changed()
+		leadershipChanged := s.runtime.Leadership.Changed()
+		if current, _, leads := s.runtime.Leadership.Token(); !leads || current != token {
 			return
 		}
-		stepped, err := p.advanceMoves(ctx, g, token)
+		stepped, err := s.advanceMoves(ctx, token)
 		if err != nil {
-			g.Log.Warn().Err(err).Uint64("token", token).Msg("shards: a step was not written")
-			if errors.Is(err, replication.ErrFenced) || !p.beginTerm(ctx, g, token) {
+			s.runtime.Log.Warn().Err(err).Uint64("token", token).Msg("shardmap: step is not written")
+			if errors.Is(err, replication.ErrFenced) || !s.beginTerm(ctx, token) {
 				return
 			}
 		}
-		if stepped || err != nil {
-			continue
-		}
-		var look <-chan time.Time
-		if d, _ := p.coordinator.Document(); d.hasUnfinishedMove() {
-			look = time.After(p.options.Term / checksPerTerm)
-		}
-		select {
-		case <-ctx.Done():
-		case <-changed:
-		case <-lost:
-		case <-p.coordinatorWake:
-		case <-look:
+		if !stepped && err == nil {
+			s.waitForWork(ctx, changed, leadershipChanged)
 		}
 	}
 }
 
-// hasUnfinishedMove tells whether a move is under way, before or behind its switch.
-func (d Document) hasUnfinishedMove() bool {
-	for _, m := range d.Moves {
-		if m.State != Done && m.State != Undone {
-			return true
-		}
+// waitForWork waits until there may be a step to take.
+func (s *session) waitForWork(ctx context.Context, changed, leadershipChanged <-chan struct{}) {
+	var check <-chan time.Time
+	if document, _ := s.coordinator.Document(); document.hasUnfinishedMove() {
+		timer := time.NewTimer(s.options.Term / checksPerTerm)
+		defer timer.Stop()
+		check = timer.C
+	}
+	select {
+	case <-ctx.Done():
+	case <-changed:
+	case <-leadershipChanged:
+	case <-s.coordinatorWake:
+	case <-check:
 	}
-	return false
 }
 
-// beginTerm reads the document as the stewards have it, and puts the first map, or this holder's name, into it where that is wanted.
-// What a write has come to whose answer was lost is learned the same way.
-func (p *Component) beginTerm(ctx context.Context, g Runtime, token uint64) bool {
-	call, cancel := context.WithTimeout(ctx, p.options.Term)
-	doc, err := g.Store.Read(call, MapKey)
-	cancel()
-	var d Document
+// beginTerm reads the document from the voters, and writes the first map, or this coordinator's name, into it where that is wanted. What
+// has become of a write whose answer was lost is learned in the same way.
+func (s *session) beginTerm(ctx context.Context, token uint64) bool {
+	stored, err := s.read(ctx, MapKey)
+	var document Document
 	if err == nil {
-		d, err = parseDocument(doc.Value)
+		document, err = parseDocument(stored.Value)
 	}
 	if err != nil {
-		g.Log.Warn().Err(err).Msg("shards: the map can't be read from the stewards")
+		s.runtime.Log.Warn().Err(err).Msg("shardmap: map can't be read from the voters")
 		return false
 	}
-	p.coordinator.BeginTerm(token, d, doc.Version)
+	s.coordinator.BeginTerm(token, document, stored.Version)
 	switch {
-	case d.Epoch == 0 && len(p.options.Ranges) > 0:
-		err = p.writeDocument(ctx, g, token, Document{Epoch: max(p.options.Epoch, 1), Ranges: p.options.Ranges})
-	case d.hasUnfinishedMove() && d.Holder != p.options.Name:
-		err = p.writeDocument(ctx, g, token, d)
+	case document.Epoch == 0 && len(s.options.Ranges) > 0:
+		err = s.writeDocument(ctx, token, Document{Epoch: max(s.options.Epoch, 1), Ranges: s.options.Ranges})
+	case document.hasUnfinishedMove() && document.Holder != s.options.Name:
+		err = s.writeDocument(ctx, token, document)
 	}
 	return err == nil
 }
 
-// writeDocument writes a step: it holds only while this holder's token is in the table and nothing else has been written since it read.
-func (p *Component) writeDocument(ctx context.Context, g Runtime, token uint64, d Document) error {
-	_, version := p.coordinator.Document()
-	d.Holder = p.options.Name
-	call, cancel := context.WithTimeout(ctx, p.options.Term)
-	defer cancel()
-	version, err := g.Store.Put(call, MapKey, version, d.encode(), replication.Fence{Lease: LeaseName, Token: token})
+// writeDocument writes a step. The write is accepted only while this coordinator's token is valid and nothing else has been written since
+// the document was read.
+func (s *session) writeDocument(ctx context.Context, token uint64, d Document) error {
+	_, version := s.coordinator.Document()
+	d.Holder = s.options.Name
+	version, err := s.put(ctx, MapKey, version, d.encode(), replication.Fence{Lease: LeaseName, Token: token})
 	if err == nil {
-		p.coordinator.DocumentWritten(d, version)
+		s.coordinator.DocumentWritten(d, version)
 	}
 	return err
 }
 
-// advanceMoves takes each move as far as it goes now. It tells whether a step was written: then there may be more.
-func (p *Component) advanceMoves(ctx context.Context, g Runtime, token uint64) (stepped bool, err error) {
-	if stepped, err = p.carryOutOrders(ctx, g, token); stepped || err != nil {
+// advanceMoves takes each move as far as it goes now. It reports whether a step was written: there may be more then.
+func (s *session) advanceMoves(ctx context.Context, token uint64) (stepped bool, err error) {
+	if stepped, err = s.carryOutOrders(ctx, token); stepped || err != nil {
 		return stepped, err
 	}
-	enrolled := Enrollment{Version: g.View.Version(), Instances: map[string]string{}}
-	for _, doc := range g.View.List(RouterPrefix) {
-		enrolled.Instances[strings.TrimPrefix(doc.Key, RouterPrefix)] = string(doc.Value)
-	}
-	d, _ := p.coordinator.Document()
-	for _, m := range d.Moves {
-		s, ok := p.coordinator.NextStep(m.Name, enrolled, p.progressOf(m).lastAct)
+	enrollment := s.enrollment()
+	document, _ := s.coordinator.Document()
+	for _, m := range document.Moves {
+		step, ok := s.coordinator.NextStep(m.Name, enrollment, s.progressOf(m).lastAct)
 		switch {
-		case !ok && (m.State == Prepared || m.State == Fenced):
-			if lacks := p.coordinator.WaitingFor(m.Name, enrolled); len(lacks) > 0 {
-				p.logOnce(fmt.Sprint(m.SinceEpoch, lacks), func() {
-					g.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Strs("waits for", lacks).Msg("shards: a move waits for poolers")
-				})
-			}
 		case !ok:
-		case s.Next == nil:
-			p.startAct(ctx, g, s)
+			s.logWaiting(m, enrollment)
+		case step.Next == nil:
+			s.startAct(ctx, step)
 		default:
-			if err := p.writeDocument(ctx, g, token, *s.Next); err != nil {
+			if err := s.writeDocument(ctx, token, *step.Next); err != nil {
 				return false, err
 			}
-			now, _ := s.Next.Move(m.Name)
-			line := g.Log.Info().Str("move", m.Name).Str("state", string(now.State)).Uint64("epoch", now.SinceEpoch).Str("why", now.Reason)
-			if now.State == Switched {
-				line = line.Interface("ranges", s.Next.Ranges) // what the operators' file must say should the stewards' folders be lost
-			}
-			line.Msg("shards: a move has come further")
+			s.logStep(m.Name, *step.Next)
 			return true, nil
 		}
 	}
 	return false, nil
 }
 
-// carryOutOrders begins the moves that the operators have ordered, and undoes those that they want no more. What is turned down is said once.
-func (p *Component) carryOutOrders(ctx context.Context, g Runtime, token uint64) (stepped bool, err error) {
-	d, _ := p.coordinator.Document()
-	for _, doc := range g.View.List(OrderPrefix) {
-		var o Order
-		if json.Unmarshal(doc.Value, &o) != nil || o.Name == "" {
-			continue
-		}
-		next := d
-		why := error(nil)
-		if _, known := d.Move(o.Name); known && o.Undo {
-			next = d.Undo(o.Name, "ordered")
-		} else if !known && !o.Undo {
-			next, why = d.Begin(o)
-		}
-		if why != nil {
-			p.logOnce(string(doc.Value)+why.Error(), func() { g.Log.Warn().Err(why).Str("move", o.Name).Msg("shards: an order is not carried out") })
-		}
-		if next.Epoch != d.Epoch {
-			g.Log.Info().Str("move", o.Name).Bool("undo", o.Undo).Uint64("epoch", next.Epoch).Msg("shards: an order is carried out")
-			return true, p.writeDocument(ctx, g, token, next)
-		}
+// enrollment returns which processes may write, by the replica.
+func (s *session) enrollment() Enrollment {
+	e := Enrollment{Version: s.runtime.View.Version(), Instances: map[string]string{}}
+	for _, stored := range s.runtime.View.List(RouterPrefix) {
+		e.Instances[strings.TrimPrefix(stored.Key, RouterPrefix)] = string(stored.Value)
 	}
-	return false, nil
+	return e
 }
 
-func (p *Component) logOnce(what string, say func()) {
-	p.mu.Lock()
-	before := p.logged[what]
-	if len(p.logged) >= maxLoggedReasons { // then some are said again
-		clear(p.logged)
+// logWaiting logs, once, which processes a move waits for.
+func (s *session) logWaiting(m Move, e Enrollment) {
+	if m.State != Prepared && m.State != Fenced {
+		return
 	}
-	p.logged[what] = true
-	p.mu.Unlock()
-	if !before {
-		say()
+	waitsFor := s.coordinator.WaitingFor(m.Name, e)
+	if len(waitsFor) == 0 {
+		return
 	}
+	s.logOnce(fmt.Sprint(m.SinceEpoch, waitsFor), func() {
+		s.runtime.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Strs("waits_for", waitsFor).Msg("shardmap: move waits for poolers")
+	})
 }
 
-// progressOf is how far the acts of a move's present state are.
-func (p *Component) progressOf(m Move) progress {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if a := p.actProgress[m.Name]; a.stateEpoch == m.SinceEpoch {
-		return a
-	}
-	return progress{stateEpoch: m.SinceEpoch}
-}
-
-// startAct has an act done on a goroutine of its own, as it may take long: one at a time for each move, again after a failure.
-func (p *Component) startAct(ctx context.Context, g Runtime, s Step) {
-	name := s.Move.Name
-	before := p.progressOf(s.Move)
-	if before.running || time.Now().Before(before.retryAt) {
-		return
-	}
-	note := func(d progress) {
-		p.mu.Lock()
-		p.actProgress[name] = d
-		p.mu.Unlock()
-		notify(p.coordinatorWake)
-	}
-	before.running = true
-	note(before)
-	i := p.coordinator.Instruct(s)
-	go func() {
-		err := p.options.Copier.Do(ctx, i)
-		after := progress{stateEpoch: s.Move.SinceEpoch, lastAct: s.Act}
-		if err != nil {
-			g.Log.Warn().Err(err).Str("move", name).Str("act", string(s.Act)).Msg("shards: an act has failed")
-			after.lastAct, after.retryAt = before.lastAct, time.Now().Add(p.options.Term/requestsPerTerm)
-		}
-		note(after)
-	}()
+// logStep logs a move's new state; at the switch with the map, which the operators' file must have should the voters' directories be lost.
+func (s *session) logStep(name string, d Document) {
+	m, _ := d.Move(name)
+	line := s.runtime.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Uint64("epoch", m.SinceEpoch).Str("why", m.Reason)
+	if m.State == Switched {
+		line = line.Interface("ranges", d.Ranges)
+	}
+	line.Msg("shardmap: move has advanced")
 }
--- a/internal/fleet/shardmap/coordinator.go
+++ b/internal/fleet/shardmap/coordinator.go
@@ -7,212 +7,212 @@
 	"time"
 )
 
-// Coordinator is what the process that holds Duty decides about the moves. It owns its mutex; its methods may be called from any
-// goroutine and none waits. The zero Holder is out of office.
+// Coordinator decides about the moves for the pooler that holds LeaseName. It is safe for concurrent use, and no method blocks. A
+// Coordinator does not lead until BeginTerm.
 type Coordinator struct {
-	Name          string
+	Name          string        // of the pooler
 	Term          time.Duration // of a router's right
-	MaxClockDrift time.Duration
-	// MaxPrepared and FencedMost bound how long this holder lets a move stand prepared, and fenced, before it undoes it.
+	MaxClockDrift time.Duration // the most by which two monotonic clocks differ over a term
+	// MaxPrepared and MaxFenced bound how long a move may stay prepared, and fenced, before the coordinator undoes it.
 	MaxPrepared, MaxFenced time.Duration
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	disabled     disabledRules
-	token        uint64 // 0: out of office
+	token        uint64 // 0: the pooler does not lead
 	document     Document
-	version      uint64
-	sequence     uint64               // of the last act told
-	stateSince   map[string]time.Time // when this holder learned of a move's state
-	lastRequests map[string]Request   // the last word of each router, by its name
+	version      uint64               // of the document
+	sequence     uint64               // of the last instruction
+	stateSince   map[string]time.Time // by move: when this coordinator learned of its state
+	lastRequests map[string]Request   // by router; nil: no term has begun
 }
 
-// Enrollment is the poolers whose processes may write, as a copy of the shared documents has them.
+// Enrollment is which processes may write, as a replica of the shared documents has them.
 type Enrollment struct {
-	Version   uint64
-	Instances map[string]string // processes by their poolers' names
+	Version   uint64            // of the replica
+	Instances map[string]string // by pooler
 }
 
-// BeginTerm begins a time in office by a token, with the document as the stewards have it then. Rights that earlier holders gave were
-// asked for before, so a wait that begins now is over after all of them.
-func (h *Coordinator) BeginTerm(token uint64, d Document, version uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if token != h.token {
-		h.lastRequests = map[string]Request{}
+// BeginTerm begins a term of leadership by a token, with the document as the voters have it then. Rights that earlier coordinators granted
+// were requested before, so a wait that begins now ends after all of them.
+func (c *Coordinator) BeginTerm(token uint64, d Document, version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if token != c.token {
+		c.lastRequests = map[string]Request{}
 	}
-	h.token, h.document, h.version, h.stateSince = token, d, version, map[string]time.Time{}
-	from := time.Now()
-	if !h.disabled.inForce(ruleFreshWait) {
-		from = from.Add(-h.Term - h.MaxClockDrift)
+	c.token = token
+	c.document = d
+	c.version = version
+	c.stateSince = map[string]time.Time{}
+	since := time.Now()
+	if !c.disabled.inForce(ruleFreshWait) {
+		since = since.Add(-c.maxRight())
 	}
 	for _, m := range d.Moves {
-		h.stateSince[m.Name] = from
+		c.stateSince[m.Name] = since
 	}
 }
 
-// EndTerm ends the time in office.
-func (h *Coordinator) EndTerm() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.token = 0
+// EndTerm ends the term of leadership.
+func (c *Coordinator) EndTerm() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.token = 0
 }
 
-// DocumentWritten takes in that a document has been written, and has the clocks of the moves that it takes on begin now.
-func (h *Coordinator) DocumentWritten(d Document, version uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// DocumentWritten records that a document has been written. The time of the states that it begins counts from now.
+func (c *Coordinator) DocumentWritten(d Document, version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, m := range d.Moves {
-		if old, ok := h.document.Move(m.Name); !ok || old.SinceEpoch != m.SinceEpoch {
-			h.stateSince[m.Name] = time.Now()
+		if old, ok := c.document.Move(m.Name); !ok || old.SinceEpoch != m.SinceEpoch {
+			c.stateSince[m.Name] = time.Now()
 		}
 	}
-	h.document, h.version = d, version
+	c.document = d
+	c.version = version
 }
 
-// Document is what this holder has read or written last.
-func (h *Coordinator) Document() (d Document, version uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.document, h.version
+// Document returns the document that was read or written last, and its version.
+func (c *Coordinator) Document() (d Document, version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.document, c.version
 }
 
-// HandleRequest takes a router's word in, and gives it its right. until is the end of the tenure: rights are given only in office, so that
-// the next holder's wait covers them.
-func (h *Coordinator) HandleRequest(a Request, until time.Time) (g Grant, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.disabled.inForce(ruleLeaderOnly) && (h.token == 0 || !time.Now().Before(until)) || h.lastRequests == nil {
-		return g, false
+// maxRight is how long a right may last on any clock after it was requested.
+func (c *Coordinator) maxRight() time.Duration { return c.Term + c.MaxClockDrift }
+
+// HandleRequest records a router's request, and grants its right. until is the end of the leadership: rights are granted only before it,
+// so that the wait of the next coordinator covers them.
+func (c *Coordinator) HandleRequest(r Request, until time.Time) (g Grant, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	leads := c.token != 0 && time.Now().Before(until)
+	if c.lastRequests == nil || c.disabled.inForce(ruleLeaderOnly) && !leads {
+		return Grant{}, false
 	}
-	if last := h.lastRequests[a.Name]; last.Instance != a.Instance || last.ID < a.ID {
-		h.lastRequests[a.Name] = a
+	if last := c.lastRequests[r.Name]; last.Instance != r.Instance || last.ID < r.ID {
+		c.lastRequests[r.Name] = r
 	}
-	return Grant{ID: a.ID, Instance: a.Instance, Epoch: h.document.Epoch}, true
+	return Grant{ID: r.ID, Instance: r.Instance, Epoch: c.document.Epoch}, true
 }
 
-// allAcknowledged is the rule of who counts: every process that has enrolled, as of a copy that is not older than the move's state, has
-// said that it keeps to that state's epoch. Who enrols later begins with it; so does a process that came after one that has said
-// so under the same name, as it has enrolled behind that. The caller holds the mutex.
-func (h *Coordinator) allAcknowledged(m Move, e Enrollment) bool {
-	if e.Version < h.version {
-		return false
-	}
-	return len(h.unacknowledged(m, e)) == 0
+// allAcknowledged is the rule of who counts: every process that has enrolled, as of a replica that is not older than the move's state,
+// has acknowledged that state's epoch. A process that enrolls later begins with the epoch; so does one that follows, under the same name,
+// a process that has acknowledged, as it has enrolled after that. The caller holds the mutex.
+func (c *Coordinator) allAcknowledged(m Move, e Enrollment) bool {
+	return e.Version >= c.version && len(c.unacknowledged(m, e)) == 0
 }
 
-// isDrained is the rule of the switch: no router writes to a fenced range any more, as all have said so, or as all rights from before
-// the fence have ended: they were asked for before this holder learned of it, and last a term less the drift on their routers'
-// clocks, a term and the drift on this one. The caller holds the mutex.
-func (h *Coordinator) isDrained(m Move, e Enrollment) bool {
-	if !h.disabled.inForce(ruleDrain) || h.allAcknowledged(m, e) {
-		return true
+// unacknowledged returns the enrolled processes that have not acknowledged a move's state, sorted. The caller holds the mutex.
+func (c *Coordinator) unacknowledged(m Move, e Enrollment) []string {
+	var instances []string
+	for pooler, instance := range e.Instances {
+		if c.lastRequests[pooler].AcknowledgedEpoch < m.SinceEpoch {
+			instances = append(instances, instance)
+		}
 	}
-	return !time.Now().Before(h.stateSince[m.Name].Add(h.Term + h.MaxClockDrift))
-}
-
-// Act is what the range's data needs before a move's next step.
-type Act string
-
-// The acts, by the state that they are done in. Each may come again, from another holder, at any time.
-const (
-	ActNone   Act = ""
-	ActCopy   Act = "copy"   // copying: bring the target up to the source, nearly
-	ActFence  Act = "fence"  // fenced: the source refuses writes of older epochs (the second line)
-	ActFinish Act = "finish" // fenced, and quiet: bring the target up to the source, wholly
-	ActClose  Act = "close"  // switched: the source refuses all writes for good, the target takes those of this epoch or newer
-)
-
-// Instruction is an act as whoever copies is told it. Token and Seq put all that any holder ever tells in an order: an act behind
-// which a newer one has been carried out is refused, for it may have been on its way since before the switch.
-type Instruction struct {
-	Act      Act    `json:"act"`
-	Move     Move   `json:"move"`
-	Holder   string `json:"holder"`
-	Epoch    uint64 `json:"epoch"` // of the document when it was told
-	Token    uint64 `json:"token"`
-	Sequence uint64 `json:"seq"`
+	slices.Sort(instances)
+	return instances
 }
 
-// Newer tells whether an instruction may be carried out behind another, or behind none.
-func (i Instruction) Newer(last Instruction) bool {
-	return i.Token > last.Token || i.Token == last.Token && i.Sequence > last.Sequence
+// isDrained is the rule of the switch: no router writes to a fenced range any more, as all have acknowledged the fence, or as all rights
+// from before the fence have ended. Those were requested before this coordinator learned of the fence, and last a term less the drift on
+// their routers' clocks, which is a term and the drift on this one at most. The caller holds the mutex.
+func (c *Coordinator) isDrained(m Move, e Enrollment) bool {
+	if !c.disabled.inForce(ruleDrain) || c.allAcknowledged(m, e) {
+		return true
+	}
+	return time.Since(c.stateSince[m.Name]) >= c.maxRight()
 }
 
-// Instruct is the act of a step as it is told now, each time anew.
-func (h *Coordinator) Instruct(s Step) Instruction {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.sequence++
-	return Instruction{Act: s.Act, Move: s.Move, Holder: h.Name, Epoch: h.document.Epoch, Token: h.token, Sequence: h.sequence}
+// WaitingFor returns the processes whose acknowledgement a move waits for, once it has waited for a term. Before that most
+// acknowledgements are on their way.
+func (c *Coordinator) WaitingFor(name string, e Enrollment) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m, ok := c.document.Move(name)
+	if !ok || time.Since(c.stateSince[name]) < c.Term {
+		return nil
+	}
+	return c.unacknowledged(m, e)
 }
 
-// Step is what is to be done next about a move: the act, then, if it has succeeded, the write of Next. Without Next the act alone.
-type Step struct {
-	Move Move
-	Act  Act
-	Next *Document
+// Instruct returns the instruction of a step's act. Each call returns a newer one.
+func (c *Coordinator) Instruct(s Step) Instruction {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sequence++
+	return Instruction{Act: s.Act, Move: s.Move, Holder: c.Name, Epoch: c.document.Epoch, Token: c.token, Sequence: c.sequence}
 }
 
-// NextStep is the step that a move can take now; ok: it can take one. acted: the acts that have succeeded since its state began.
-func (h *Coordinator) NextStep(name string, e Enrollment, acted Act) (s Step, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	m, found := h.document.Move(name)
-	if !found || h.token == 0 {
-		return s, false
+// NextStep decides the step that a move can take now; ok is false if it can take none. done is the last act that has succeeded since the
+// move's state began.
+func (c *Coordinator) NextStep(name string, e Enrollment, done Act) (s Step, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m, found := c.document.Move(name)
+	if !found || c.token == 0 {
+		return Step{}, false
 	}
-	waited := time.Since(h.stateSince[name])
-	to := func(d Document) (Step, bool) { return Step{Move: m, Next: &d}, true }
 	switch m.State {
 	case Prepared:
-		switch {
-		case !h.disabled.inForce(ruleAllAcknowledge) || h.allAcknowledged(m, e):
-			return to(h.document.Advance(name))
-		case waited >= h.MaxPrepared:
-			return to(h.document.Undo(name, fmt.Sprintf("not all routers knew of it after %v: %v", h.MaxPrepared, h.unacknowledged(m, e))))
-		}
+		return c.nextOfPrepared(m, e)
 	case Copying:
-		if acted == ActCopy {
-			return to(h.document.Advance(name))
-		}
-		return Step{Move: m, Act: ActCopy}, true
+		return c.nextOfAct(m, ActCopy, done), true
 	case Fenced:
-		switch {
-		case acted == ActFinish:
-			return to(h.document.Advance(name))
-		case waited >= h.MaxFenced:
-			return to(h.document.Undo(name, fmt.Sprintf("fenced for %v", h.MaxFenced)))
-		case acted != ActFence:
-			return Step{Move: m, Act: ActFence}, true
-		case h.isDrained(m, e):
-			return Step{Move: m, Act: ActFinish}, true
-		}
+		return c.nextOfFenced(m, e, done)
 	case Switched:
-		if acted == ActClose {
-			return to(h.document.Advance(name))
-		}
-		return Step{Move: m, Act: ActClose}, true
+		return c.nextOfAct(m, ActClose, done), true
 	}
-	return s, false
+	return Step{}, false
 }
 
-// WaitingFor is the processes whose word a move still waits for, once it has waited for a term: until then most are on their way.
-func (h *Coordinator) WaitingFor(name string, e Enrollment) []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	m, ok := h.document.Move(name)
-	if !ok || time.Since(h.stateSince[name]) < h.Term {
-		return nil
+// nextOfPrepared advances a move that all processes have acknowledged, and undoes one that has waited too long. The caller holds the
+// mutex.
+func (c *Coordinator) nextOfPrepared(m Move, e Enrollment) (s Step, ok bool) {
+	switch {
+	case !c.disabled.inForce(ruleAllAcknowledge) || c.allAcknowledged(m, e):
+		return c.advance(m), true
+	case time.Since(c.stateSince[m.Name]) >= c.MaxPrepared:
+		return c.undo(m, fmt.Sprintf("not all routers knew of it after %v: %v", c.MaxPrepared, c.unacknowledged(m, e))), true
 	}
-	return h.unacknowledged(m, e)
+	return Step{}, false
+}
+
+// nextOfFenced fences the source, waits for the routers, finishes the copy and advances; it undoes a move that takes too long. The caller
+// holds the mutex.
+func (c *Coordinator) nextOfFenced(m Move, e Enrollment, done Act) (s Step, ok bool) {
+	switch {
+	case done == ActFinish:
+		return c.advance(m), true
+	case time.Since(c.stateSince[m.Name]) >= c.MaxFenced:
+		return c.undo(m, fmt.Sprintf("fenced for %v", c.MaxFenced)), true
+	case done != ActFence:
+		return Step{Move: m, Act: ActFence}, true
+	case c.isDrained(m, e):
+		return Step{Move: m, Act: ActFinish}, true
+	}
+	return Step{}, false
 }
 
-func (h *Coordinator) unacknowledged(m Move, e Enrollment) (names []string) {
-	for name, instance := range e.Instances {
-		if h.lastRequests[name].AcknowledgedEpoch < m.SinceEpoch {
-			names = append(names, instance)
-		}
+// nextOfAct advances a move whose act is done, and has it done otherwise. The caller holds the mutex.
+func (c *Coordinator) nextOfAct(m Move, needed, done Act) Step {
+	if done == needed {
+		return c.advance(m)
 	}
-	slices.Sort(names)
-	return names
+	return Step{Move: m, Act: needed}
+}
+
+// advance is the step that takes a move to its next state. The caller holds the mutex.
+func (c *Coordinator) advance(m Move) Step {
+	next := c.document.Advance(m.Name)
+	return Step{Move: m, Next: &next}
+}
+
+// undo is the step that undoes a move. The caller holds the mutex.
+func (c *Coordinator) undo(m Move, reason string) Step {
+	next := c.document.Undo(m.Name, reason)
+	return Step{Move: m, Next: &next}
 }
--- a/internal/fleet/shardmap/document_test.go
+++ b/internal/fleet/shardmap/document_test.go
@@ -8,9 +8,9 @@
 	"threadsail/internal/keyrange"
 )
 
-// Whatever moves are begun, taken on and undone, the map stays whole, each key's home changes by switches alone, no two moves of
-// one key are under way, and each step has an epoch of its own.
-func TestDocumentStaysWhole(t *testing.T) {
+// Whatever moves are begun, advanced and undone, the map holds every key once, a key's home changes by switches alone, no key is in two
+// active moves, and each step has an epoch of its own.
+func TestDocumentInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := []string{"", "a", "b", "c", "d", "e"}
 		d := Document{Epoch: 1, Ranges: []Range{{To: "c"}, {From: "c", Cluster: 1}}}
@@ -30,7 +30,7 @@
 					}
 				}
 			case n == 1:
-				d = d.Undo(rapid.SampledFrom(d.Moves).Draw(t, "move").Name, "tired of it")
+				d = d.Undo(rapid.SampledFrom(d.Moves).Draw(t, "move").Name, "not wanted")
 			default:
 				m := rapid.SampledFrom(d.Moves).Draw(t, "move")
 				if m.State == Fenced {
@@ -47,13 +47,13 @@
 				if switched.Holds(k) && is != switched.Cluster || !switched.Holds(k) && is != was {
 					t.Fatalf("%q went from %d to %d by %v", k, was, is, switched)
 				}
-				under := 0
+				active := 0
 				for _, m := range d.Moves {
 					if m.State.beforeSwitch() && m.Range.Holds(k) {
-						under++
+						active++
 					}
 				}
-				if under > 1 {
+				if active > 1 {
 					t.Fatalf("%q is in two moves: %v", k, d.Moves)
 				}
 			}
--- a/internal/fleet/shardmap/guard.go
+++ b/internal/fleet/shardmap/guard.go
@@ -6,49 +6,61 @@
 	"threadsail/internal/dispatch"
 )
 
-// Guard puts the map's rules between a core and its servers. It implements routing.Guard and routing.Witness, all on the core's
-// loop. Requests without a key pass it, and go where they went without a map; so do all while there is no map.
+// minSweepSize is the least number of writes at which those whose clients have gone are looked for.
+const minSweepSize = 1 << 10
+
+// Guard applies the map's rules to the requests of one front. All of its methods are called on the front's event loop. Requests without a
+// key pass, and go where they would go without a map; so do all requests while there is no map.
 type Guard struct {
 	router         *Router
-	writes         func(class int) bool
-	onFenceDrained func() // the last write to a fenced range has ended
+	isWrite        func(class int) bool
+	onFenceDrained func() // called when the last write to a fenced range has ended
 	openWrites     map[*dispatch.Request]*Write
-	sweepAt        int // size of open at which those whose clients have gone are looked for
+	sweepAt        int // size of openWrites at which those whose clients have gone are looked for
 }
 
-const minSweepSize = 1 << 10
+var (
+	_ dispatch.Guard          = (*Guard)(nil)
+	_ dispatch.AnswerVerifier = (*Guard)(nil)
+)
 
-// newGuard is a new one for a core; writes tells whether a class is of writes.
-func (r *Router) newGuard(writes func(class int) bool, news func()) *Guard {
-	return &Guard{router: r, writes: writes, onFenceDrained: news, openWrites: map[*dispatch.Request]*Write{}, sweepAt: minSweepSize}
+// newGuard returns the guard of a front. isWrite reports whether a class is of writes.
+func (r *Router) newGuard(isWrite func(class int) bool, onFenceDrained func()) *Guard {
+	return &Guard{router: r, isWrite: isWrite, onFenceDrained: onFenceDrained, openWrites: map[*dispatch.Request]*Write{}, sweepAt: minSweepSize}
 }
 
-// Admit is documented with routing.Guard: a request goes to its key's home; a write only if it may be sent now.
+// Admit implements dispatch.Guard: a request goes to its key's home; a write is rejected if it may not be sent now.
 func (g *Guard) Admit(now time.Duration, r *dispatch.Request) dispatch.Admission {
-	home, _, ok := g.router.Home(r.Key)
+	home, _, mapped := g.router.Home(r.Key)
 	switch {
-	case !ok || r.Key == "":
+	case !mapped || r.Key == "":
 		return dispatch.Admission{}
-	case !g.writes(r.Class):
+	case !g.isWrite(r.Class):
 		return dispatch.Admission{Reroute: true, Group: home}
 	}
-	w, after := g.router.BeginWrite(r.Key, time.Now().Add(r.ArrivedAt+r.Timeout-now))
+	left := r.ArrivedAt + r.Timeout - now
+	w, retryAfter := g.router.BeginWrite(r.Key, time.Now().Add(left))
 	if w == nil {
-		return dispatch.Admission{Reject: true, RetryAfter: after}
+		return dispatch.Admission{Reject: true, RetryAfter: retryAfter}
 	}
 	if len(g.openWrites) >= g.sweepAt {
-		for q, w := range g.openWrites {
-			if time.Now().After(w.deadline) { // its client has gone: the core answers the others in their time
-				g.endWrite(q)
-			}
-		}
-		g.sweepAt = max(2*len(g.openWrites), minSweepSize)
+		g.sweep()
 	}
 	g.openWrites[r] = w
 	return dispatch.Admission{Reroute: true, Group: w.Home}
 }
 
-// MaySend is documented with routing.Guard.
+// sweep ends the writes whose deadline has passed: their clients have gone, as the dispatcher answers all others in time.
+func (g *Guard) sweep() {
+	for r, w := range g.openWrites {
+		if time.Now().After(w.deadline) {
+			g.endWrite(r)
+		}
+	}
+	g.sweepAt = max(2*len(g.openWrites), minSweepSize)
+}
+
+// MaySend implements dispatch.Guard.
 func (g *Guard) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.SendDecision {
 	w := g.openWrites[r]
 	if w == nil {
@@ -58,28 +70,31 @@
 	if !ok {
 		return dispatch.RejectRequest
 	}
-	if s, ok := r.Payload.(dispatch.Stamped); ok {
-		s.Stamp(epoch)
+	if stamped, ok := r.Payload.(dispatch.Stamped); ok {
+		stamped.Stamp(epoch)
 	}
 	return dispatch.Send
 }
 
-// AcceptAnswer is documented with routing.Witness.
+// AcceptAnswer implements dispatch.AnswerVerifier.
 func (g *Guard) AcceptAnswer(_ time.Duration, r *dispatch.Request) bool {
 	w := g.openWrites[r]
 	return w == nil || g.router.AnswerCounts(w)
 }
 
-// RequestEnded is documented with routing.Guard.
+// RequestEnded implements dispatch.Guard.
 func (g *Guard) RequestEnded(_ time.Duration, r *dispatch.Request, _ dispatch.FinalAnswer) {
 	g.endWrite(r)
 }
 
+// endWrite ends a request's write, if it has one.
 func (g *Guard) endWrite(r *dispatch.Request) {
-	if w := g.openWrites[r]; w != nil {
-		delete(g.openWrites, r)
-		if g.router.EndWrite(w) {
-			g.onFenceDrained()
-		}
+	w := g.openWrites[r]
+	if w == nil {
+		return
+	}
+	delete(g.openWrites, r)
+	if g.router.EndWrite(w) {
+		g.onFenceDrained()
 	}
 }
--- a/internal/fleet/shardmap/model_test.go
+++ b/internal/fleet/shardmap/model_test.go
@@ -13,64 +13,64 @@
 )
 
 const (
-	term   = 900 * time.Millisecond
-	drift  = 100 * time.Millisecond
-	office = 1500 * time.Millisecond // a tenure from its last renewal
+	term           = 900 * time.Millisecond
+	drift          = 100 * time.Millisecond
+	leadershipTerm = 1500 * time.Millisecond // from its last renewal
 )
 
-// copied is the shared documents as of a version.
-type copied struct {
+// documents is the shared documents as of a version.
+type documents struct {
 	version uint64
 	doc     Document
 	routers map[string]string
 }
 
-// client is a write on its way: taken in, sent, run or not, answered or not.
-type client struct {
+// clientWrite is a write and what has become of it.
+type clientWrite struct {
 	id, router int
-	life       string
-	w          *Write
-	ran        []int // clusters
-	out        bool  // at a server, or on the way there
-	answer     bool
+	instance   string
+	write      *Write
+	ranAt      []int // clusters
+	inFlight   bool  // at a server, or on the way there
+	answered   bool  // by the server; the router has not received it
 	ended      bool
 	served     bool
 	resent     bool
 }
 
-// candidate is a process that stands for the duty.
+// candidate is a process that campaigns for the leadership.
 type candidate struct {
-	h     Coordinator
-	until time.Time // its own view of its tenure
-	acted map[string]Act
-	since map[string]uint64
-	step  *Step // decided, and not written or done yet
-	token uint64
+	coordinator Coordinator
+	until       time.Time         // of its leadership, as it takes it
+	done        map[string]Act    // by move: the last act that has succeeded
+	stateEpoch  map[string]uint64 // by move: the state that done is of
+	step        *Step             // decided, and not written or done yet
+	token       uint64
 }
 
-// world is two clusters, some routers and candidates, and the stewards' log between them.
+// world is two clusters, some routers and candidates, and the voters' log between them.
 type world struct {
-	out     disabledRules
-	pick    func(n int) int // one of n
-	log     []copied
-	held    int // the candidate that the stewards hold to be in office
-	free    time.Time
-	token   uint64
-	routers []*Router
-	seen    []int // what each router's copy is as of, an index in log
-	lives   int
-	cands   []*candidate
-	asks    []Request
-	grants  []Grant
-	writes  []*client
-	data    [2]map[int]bool // the writes that a cluster has of the range
-	acts    []Instruction
-	last    Instruction // the newest act carried out
-	trace   []string
-	broken  string // a fault found on the way
+	disabled     disabledRules
+	pick         func(n int) int // one of n
+	log          []documents
+	leader       int       // the candidate that the voters take to lead; -1: none
+	freeAt       time.Time // when the voters may give the lease to another
+	token        uint64
+	routers      []*Router
+	seen         []int // by router: the index in log that its replica is as of
+	instances    int
+	candidates   []*candidate
+	requests     []Request
+	grants       []Grant
+	writes       []*clientWrite
+	data         [2]map[int]bool // by cluster: the writes of the range that it has
+	instructions []Instruction   // on their way
+	last         Instruction     // the newest that was carried out
+	trace        []string
+	violation    string // of an invariant, found on the way
 }
 
-func (w *world) say(f string, args ...any) {
+func (w *world) logf(f string, args ...any) {
 	w.trace = append(w.trace, time.Now().Format("05.000 ")+fmt.Sprintf(f, args...))
 }
 
@@ -78,13 +78,13 @@
 
 func oneOf[T any](w *world, from []T) T { return from[w.pick(len(from))] }
 
-func (w *world) now() copied { return w.log[len(w.log)-1] }
+func (w *world) newest() documents { return w.log[len(w.log)-1] }
 
-func (w *world) commit(change func(c *copied)) uint64 {
-	c := w.now()
+func (w *world) commit(change func(c *documents)) uint64 {
+	c := w.newest()
 	c.version++
 	c.routers = map[string]string{}
-	for k, v := range w.now().routers {
+	for k, v := range w.newest().routers {
 		c.routers[k] = v
 	}
 	change(&c)
@@ -92,15 +92,15 @@
 	return c.version
 }
 
-// off is a clock's fault: to leave the drift out is to have a clock that is off by all of it.
-func (w *world) off() time.Duration {
+// assumedDrift is the drift that a process allows for: one that allows for none has a clock that is off by all of it.
+func (w *world) assumedDrift() time.Duration {
 	return oneOf(w, []time.Duration{0, drift})
 }
 
-// start is a new life of a router, from a copy that may be old.
+// start starts a router's next process, from a replica that may be old.
 func (w *world) start(i int, from int) {
-	w.lives++
-	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("life", w.lives), Term: term, MaxClockDrift: w.off(), disabled: w.out}
+	w.instances++
+	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("process", w.instances), Term: term, MaxClockDrift: w.assumedDrift(), disabled: w.disabled}
 	w.seen[i] = from
 	w.apply(i)
 }
@@ -111,9 +111,9 @@
 	r.Apply(c.doc, c.version, c.routers[r.Name] == r.Instance)
 }
 
-func (w *world) enrol(i int) {
+func (w *world) enroll(i int) {
 	r := w.routers[i]
-	v := w.commit(func(c *copied) { c.routers[r.Name] = r.Instance })
+	v := w.commit(func(c *documents) { c.routers[r.Name] = r.Instance })
 	r.SetEnrolled(v)
 }
 
@@ -121,53 +121,53 @@
 	return Enrollment{Version: w.log[at].version, Instances: w.log[at].routers}
 }
 
-// take has a candidate win the duty, if the stewards may give it.
-func (w *world) take(k int) {
-	c := w.cands[k]
-	if k != w.held {
-		if time.Now().Before(w.free) {
+// win makes a candidate win the leadership, or renew it, if the voters may give it.
+func (w *world) win(k int) {
+	c := w.candidates[k]
+	if k != w.leader {
+		if time.Now().Before(w.freeAt) {
 			return
 		}
 		w.token++
-		w.held = k
+		w.leader = k
 		c.token = w.token
-		c.step, c.acted, c.since = nil, map[string]Act{}, map[string]uint64{}
-		n := w.now()
-		c.h.BeginTerm(c.token, n.doc, n.version)
-		w.say("holder %d takes office, token %d", k, c.token)
+		c.step, c.done, c.stateEpoch = nil, map[string]Act{}, map[string]uint64{}
+		n := w.newest()
+		c.coordinator.BeginTerm(c.token, n.doc, n.version)
+		w.logf("candidate %d leads, token %d", k, c.token)
 	}
-	c.until = time.Now().Add(office - drift)
-	w.free = time.Now().Add(office + drift)
+	c.until = time.Now().Add(leadershipTerm - drift)
+	w.freeAt = time.Now().Add(leadershipTerm + drift)
 }
 
-// release has whoever is in office leave it early, as at its end.
+// release ends the leadership early.
 func (w *world) release() {
-	if w.held >= 0 {
-		w.cands[w.held].until, w.free, w.held = time.Now(), time.Now(), -1
+	if w.leader >= 0 {
+		w.candidates[w.leader].until, w.freeAt, w.leader = time.Now(), time.Now(), -1
 	}
 }
 
-// exchange is an ask of a router, heard and answered at once.
+// exchange sends a router's request, and delivers the grant at once.
 func (w *world) exchange(i, k int) {
 	if a, _, ok := w.routers[i].NextRequest(); ok {
-		if g, ok := w.cands[k].h.HandleRequest(a, w.cands[k].until); ok {
+		if g, ok := w.candidates[k].coordinator.HandleRequest(a, w.candidates[k].until); ok {
 			w.routers[i].ApplyGrant(g)
 		}
 	}
 }
 
-// decide has a candidate that thinks itself in office find the next step.
+// decide makes a candidate that takes itself to lead decide the next step.
 func (w *world) decide(k int) {
-	c := w.cands[k]
-	d, _ := c.h.Document()
-	if c.step != nil || w.out.inForce(ruleLeaderOnly) && !time.Now().Before(c.until) || c.token == 0 {
+	c := w.candidates[k]
+	d, _ := c.coordinator.Document()
+	if c.step != nil || w.disabled.inForce(ruleLeaderOnly) && !time.Now().Before(c.until) || c.token == 0 {
 		return
 	}
 	for _, m := range d.Moves {
-		if c.since[m.Name] != m.SinceEpoch {
-			c.since[m.Name], c.acted[m.Name] = m.SinceEpoch, ActNone
+		if c.stateEpoch[m.Name] != m.SinceEpoch {
+			c.stateEpoch[m.Name], c.done[m.Name] = m.SinceEpoch, ActNone
 		}
-		if s, ok := c.h.NextStep(m.Name, w.enrolledAt(len(w.log)-1), c.acted[m.Name]); ok {
+		if s, ok := c.coordinator.NextStep(m.Name, w.enrolledAt(len(w.log)-1), c.done[m.Name]); ok {
 			c.step = &s
 			return
 		}
@@ -184,34 +184,34 @@
 	}
 }
 
-// carry writes a step, or tells its act; it may come long after the decision.
-func (w *world) carry(k int) {
-	c := w.cands[k]
+// carryOut writes a step, or sends its instruction; that may be long after the decision.
+func (w *world) carryOut(k int) {
+	c := w.candidates[k]
 	if c.step == nil {
 		return
 	}
 	s := *c.step
 	c.step = nil
 	if s.Next == nil {
-		i := c.h.Instruct(s)
-		w.acts = append(w.acts, i)
+		i := c.coordinator.Instruct(s)
+		w.instructions = append(w.instructions, i)
 		if w.pick(2) == 0 {
-			w.acts = append(w.acts, i)
+			w.instructions = append(w.instructions, i)
 		}
 		return
 	}
-	_, version := c.h.Document()
-	if w.out.inForce(ruleToken) && (c.token != w.token || version != w.now().version && w.docVersion() != version) {
-		w.say("holder %d: step fenced", k)
+	_, version := c.coordinator.Document()
+	if w.disabled.inForce(ruleToken) && (c.token != w.token || version != w.newest().version && w.docVersion() != version) {
+		w.logf("candidate %d: step fenced", k)
 		return
 	}
-	v := w.commit(func(n *copied) { n.doc = *s.Next })
-	w.say("holder %d writes epoch %d: %v", k, s.Next.Epoch, states(*s.Next))
+	v := w.commit(func(n *documents) { n.doc = *s.Next })
+	w.logf("candidate %d writes epoch %d: %v", k, s.Next.Epoch, states(*s.Next))
 	if w.pick(5) > 0 {
-		c.h.DocumentWritten(*s.Next, v)
-	} else if c.token == w.token { // an answer that never came: it reads anew
-		n := w.now()
-		c.h.BeginTerm(c.token, n.doc, n.version)
+		c.coordinator.DocumentWritten(*s.Next, v)
+	} else if c.token == w.token { // the answer is lost: the candidate reads anew
+		n := w.newest()
+		c.coordinator.BeginTerm(c.token, n.doc, n.version)
 	}
 }
 
@@ -232,11 +232,11 @@
 	return out
 }
 
-// perform is an act that reaches the clusters. Each holder that still is in the state takes it for done.
+// perform delivers an instruction to the clusters. Each candidate that has the move in that state takes the act to be done.
 func (w *world) perform(n int) {
-	i := w.acts[n]
-	w.acts = slices.Delete(w.acts, n, n+1)
-	if w.out.inForce(ruleActOrder) && !i.Newer(w.last) {
+	i := w.instructions[n]
+	w.instructions = slices.Delete(w.instructions, n, n+1)
+	if w.disabled.inForce(ruleActOrder) && !i.Newer(w.last) {
 		return
 	}
 	if i.Newer(w.last) {
@@ -248,137 +248,137 @@
 			to[id] = true
 		}
 		w.data[i.Move.Range.Cluster] = to
-		w.say("%s of %s by token %d: %d writes", i.Act, i.Move.Name, i.Token, len(to))
+		w.logf("%s of %s by token %d: %d writes", i.Act, i.Move.Name, i.Token, len(to))
 	}
-	for _, c := range w.cands {
-		if c.token == i.Token && c.since[i.Move.Name] == i.Move.SinceEpoch {
-			c.acted[i.Move.Name] = i.Act
+	for _, c := range w.candidates {
+		if c.token == i.Token && c.stateEpoch[i.Move.Name] == i.Move.SinceEpoch {
+			c.done[i.Move.Name] = i.Act
 		}
 	}
 }
 
-// request takes one more write in at a router.
-func (w *world) request(i int) *client {
+// beginWrite admits one more write at a router; nil: it was rejected.
+func (w *world) beginWrite(i int) *clientWrite {
 	r := w.routers[i]
-	wr, _ := r.BeginWrite("k", time.Now().Add(2*term))
-	if wr == nil {
+	admitted, _ := r.BeginWrite("k", time.Now().Add(2*term))
+	if admitted == nil {
 		return nil
 	}
-	c := &client{id: len(w.writes), router: i, life: r.Instance, w: wr}
+	c := &clientWrite{id: len(w.writes), router: i, instance: r.Instance, write: admitted}
 	w.writes = append(w.writes, c)
 	return c
 }
 
-// alive tells whether a write's router is the process that took it in.
-func (w *world) alive(c *client) bool { return w.routers[c.router].Instance == c.life }
+// alive reports whether a write's router still is the process that admitted it.
+func (w *world) alive(c *clientWrite) bool { return w.routers[c.router].Instance == c.instance }
 
-func (w *world) send(c *client) {
-	if c.ended || c.out || c.answer || !w.alive(c) {
+func (w *world) send(c *clientWrite) {
+	if c.ended || c.inFlight || c.answered || !w.alive(c) {
 		return
 	}
-	if _, ok := w.routers[c.router].AuthorizeSend(c.w); ok {
-		c.out = true
-		home, _ := w.now().doc.Home("k")
-		if w.out.inForce(ruleOneHome) && home != c.w.Home {
-			w.broken = fmt.Sprintf("write %d was sent to %d when its range had moved to %d", c.id, c.w.Home, home)
+	if _, ok := w.routers[c.router].AuthorizeSend(c.write); ok {
+		c.inFlight = true
+		home, _ := w.newest().doc.Home("k")
+		if w.disabled.inForce(ruleOneHome) && home != c.write.Home {
+			w.violation = fmt.Sprintf("write %d was sent to %d when its range had moved to %d", c.id, c.write.Home, home)
 		}
 	} else {
 		c.ended = true
-		w.routers[c.router].EndWrite(c.w)
+		w.routers[c.router].EndWrite(c.write)
 	}
 }
 
-// run is a server that carries a write out, whenever it comes.
-func (w *world) run(c *client) {
-	if !c.out {
+// run makes a server carry a write out, whenever it arrives.
+func (w *world) run(c *clientWrite) {
+	if !c.inFlight {
 		return
 	}
-	c.out, c.answer = false, true
-	home := c.w.Home
-	if !w.out.inForce(ruleOneHome) {
+	c.inFlight, c.answered = false, true
+	home := c.write.Home
+	if !w.disabled.inForce(ruleOneHome) {
 		home, _, _ = w.routers[c.router].Home("k")
 	}
 	w.data[home][c.id] = true
-	c.ran = append(c.ran, home)
-	w.say("write %d of %s runs at %d", c.id, c.life, home)
+	c.ranAt = append(c.ranAt, home)
+	w.logf("write %d of %s runs at %d", c.id, c.instance, home)
 }
 
-// hear is an answer that reaches its router: served if it is believed; or it was lost, and a write that is dropped where it is
-// repeated goes out again.
-func (w *world) hear(c *client, lost bool) {
-	if !c.answer || c.ended || !w.alive(c) {
+// answer delivers the answer to a write to its router: the write is served if the answer counts. If the answer is lost, the write is sent
+// once more, as a write that servers recognize when it is repeated.
+func (w *world) answer(c *clientWrite, lost bool) {
+	if !c.answered || c.ended || !w.alive(c) {
 		return
 	}
-	c.answer = false
+	c.answered = false
 	if lost && !c.resent {
 		c.resent = true
 		return
 	}
 	c.ended = true
-	c.served = !lost && w.routers[c.router].AnswerCounts(c.w)
-	w.routers[c.router].EndWrite(c.w)
+	c.served = !lost && w.routers[c.router].AnswerCounts(c.write)
+	w.routers[c.router].EndWrite(c.write)
 	if c.served {
-		w.say("write %d is served", c.id)
+		w.logf("write %d is served", c.id)
 	}
 }
 
-// fault is what must never be.
-func (w *world) fault() string {
-	if w.broken != "" {
-		return w.broken
+// violated returns which invariant is violated; "": none.
+func (w *world) violated() string {
+	if w.violation != "" {
+		return w.violation
 	}
-	home, _ := w.now().doc.Home("k")
+	home, _ := w.newest().doc.Home("k")
 	for _, c := range w.writes {
 		if c.served && !w.data[home][c.id] {
 			return fmt.Sprintf("write %d was served and is not in its home %d", c.id, home)
 		}
-		if slices.Contains(c.ran, 0) && slices.Contains(c.ran, 1) {
+		if slices.Contains(c.ranAt, 0) && slices.Contains(c.ranAt, 1) {
 			return fmt.Sprintf("write %d ran in both clusters", c.id)
 		}
 	}
 	return ""
 }
 
-// play is one history of small size, and the fault that it ends in.
-func play(pick func(int) int, out disabledRules, steps int) (fault string, w *world) {
-	w = &world{out: out, pick: pick, held: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), seen: make([]int, 2)}
-	w.log = []copied{{version: 1, doc: Document{Epoch: 1, Ranges: []Range{{Cluster: 0}}}, routers: map[string]string{}}}
+// play plays one small history, and returns the violation of an invariant that it ends in; "": none.
+func play(pick func(int) int, disabled disabledRules, steps int) (fault string, w *world) {
+	w = &world{disabled: disabled, pick: pick, leader: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), seen: make([]int, 2)}
+	w.log = []documents{{version: 1, doc: Document{Epoch: 1, Ranges: []Range{{Cluster: 0}}}, routers: map[string]string{}}}
 	for range 2 {
-		w.cands = append(w.cands, &candidate{h: Coordinator{Term: term, MaxClockDrift: w.off(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: out}})
+		w.candidates = append(w.candidates, &candidate{coordinator: Coordinator{Term: term, MaxClockDrift: w.assumedDrift(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: disabled}})
 	}
 	for i := range w.routers {
 		w.start(i, 0)
-		w.enrol(i)
+		w.enroll(i)
 		w.seen[i] = len(w.log) - 1
 		w.apply(i)
 	}
-	w.take(0)
+	w.win(0)
 	w.decide(0)
-	w.carry(0)
-	works := func(k int) { // a holder does its work without a fault
-		if w.held >= 0 {
-			k = w.held
+	w.carryOut(0)
+	work := func(k int) { // the leader does its work without a fault
+		if w.leader >= 0 {
+			k = w.leader
 		}
-		w.take(k)
+		w.win(k)
 		w.decide(k)
-		w.carry(k)
-		if len(w.acts) > 0 {
-			w.perform(len(w.acts) - 1)
+		w.carryOut(k)
+		if len(w.instructions) > 0 {
+			w.perform(len(w.instructions) - 1)
 		}
 	}
-	hears := func(i, k int) { // and a router
+	follow := func(i, k int) { // a router follows the documents without a fault
 		w.seen[i] = len(w.log) - 1
 		w.apply(i)
-		if w.held >= 0 {
-			k = w.held
+		if w.leader >= 0 {
+			k = w.leader
 		}
 		w.exchange(i, k)
 	}
-	for range w.pick(3) { // begin further on: known to all, or fenced and known to none
-		hears(0, 0)
-		hears(1, 0)
-		works(0)
-		works(0)
+	for range w.pick(3) { // begin later: known to all, or fenced and known to none
+		follow(0, 0)
+		follow(1, 0)
+		work(0)
+		work(0)
 	}
 	acts := []struct {
 		weight int
@@ -387,28 +387,28 @@
 		{4, func(int, int) {
 			time.Sleep(oneOf(w, []time.Duration{term / 10, term / 3, term, 2 * term}))
 		}},
-		{1, func(_, k int) { w.take(k) }},
+		{1, func(_, k int) { w.win(k) }},
 		{1, func(_, k int) {
-			if w.held >= 0 && w.pick(2) == 0 { // with a step decided, and not carried out yet
-				w.decide(w.held)
+			if w.leader >= 0 && w.pick(2) == 0 { // with a step decided, and not carried out yet
+				w.decide(w.leader)
 			}
 			w.release()
 			if w.pick(2) == 0 {
-				w.take(k)
+				w.win(k)
 			}
 		}},
-		{14, func(_, k int) { works(k) }},
+		{14, func(_, k int) { work(k) }},
 		{1, func(_, k int) { w.decide(k) }},
-		{1, func(_, k int) { w.carry(k) }},
+		{1, func(_, k int) { w.carryOut(k) }},
 		{1, func(int, int) {
-			if len(w.acts) > 0 {
-				w.perform(w.pick(len(w.acts)))
+			if len(w.instructions) > 0 {
+				w.perform(w.pick(len(w.instructions)))
 			}
 		}},
-		{12, hears},
+		{12, follow},
 		{4, func(i, k int) {
-			if w.held >= 0 && w.pick(2) == 0 {
-				k = w.held
+			if w.leader >= 0 && w.pick(2) == 0 {
+				k = w.leader
 			}
 			w.exchange(i, k)
 		}},
@@ -418,12 +418,12 @@
 		}},
 		{2, func(i, _ int) {
 			if a, _, ok := w.routers[i].NextRequest(); ok {
-				w.asks = append(w.asks, a)
+				w.requests = append(w.requests, a)
 			}
 		}},
 		{2, func(_, k int) {
-			if len(w.asks) > 0 {
-				if g, ok := w.cands[k].h.HandleRequest(w.asks[max(0, len(w.asks)-1-w.pick(4))], w.cands[k].until); ok {
+			if len(w.requests) > 0 {
+				if g, ok := w.candidates[k].coordinator.HandleRequest(w.requests[max(0, len(w.requests)-1-w.pick(4))], w.candidates[k].until); ok {
 					w.grants = append(w.grants, g)
 				}
 			}
@@ -435,22 +435,22 @@
 		}},
 		{1, func(i, _ int) {
 			w.start(i, w.between(max(0, len(w.log)-5), len(w.log)-1))
-			w.say("%s starts from version %d", w.routers[i].Instance, w.log[w.seen[i]].version)
+			w.logf("%s starts from version %d", w.routers[i].Instance, w.log[w.seen[i]].version)
 		}},
 		{2, func(i, _ int) {
-			if w.now().routers[w.routers[i].Name] != w.routers[i].Instance {
-				w.enrol(i)
+			if w.newest().routers[w.routers[i].Name] != w.routers[i].Instance {
+				w.enroll(i)
 			}
 		}},
 		{6, func(i, _ int) { // a write without a fault
-			if c := w.request(i); c != nil {
+			if c := w.beginWrite(i); c != nil {
 				w.send(c)
 				w.run(c)
-				w.hear(c, false)
+				w.answer(c, false)
 			}
 		}},
 		{2, func(i, _ int) {
-			if c := w.request(i); c != nil && (w.pick(2) == 0) {
+			if c := w.beginWrite(i); c != nil && (w.pick(2) == 0) {
 				w.send(c)
 			}
 		}},
@@ -464,7 +464,7 @@
 				w.run(c)
 			}
 			if w.pick(2) == 0 {
-				w.hear(c, w.pick(4) == 0)
+				w.answer(c, w.pick(4) == 0)
 			}
 		}},
 	}
@@ -477,14 +477,14 @@
 	for range steps {
 		i, k := w.pick(2), w.pick(2)
 		acts[oneOf(w, deck)].do(i, k)
-		if fault := w.fault(); fault != "" {
+		if fault := w.violated(); fault != "" {
 			return fault, w
 		}
 	}
 	return "", w
 }
 
-// drawn picks by rapid's single bits: its integers prefer small ones.
+// drawn picks by rapid's single bits, as its integers prefer small ones.
 func drawn(t *rapid.T) func(int) int {
 	return func(n int) (at int) {
 		for range 10 {
@@ -497,12 +497,12 @@
 	}
 }
 
-// bubble plays a history on a clock of its own; rapid draws within it, and what its draws panic with has to come out of it.
-func bubble(outer *testing.T, pick func(int) int, out disabledRules, steps int) (fault string, w *world) {
+// bubble plays a history on a clock of its own. rapid draws within the bubble, and a panic of its draws must leave the bubble.
+func bubble(outer *testing.T, pick func(int) int, disabled disabledRules, steps int) (fault string, w *world) {
 	var thrown any
 	synctest.Test(outer, func(*testing.T) {
 		defer func() { thrown = recover() }()
-		fault, w = play(pick, out, steps)
+		fault, w = play(pick, disabled, steps)
 	})
 	if thrown != nil {
 		panic(thrown)
@@ -510,7 +510,7 @@
 	return fault, w
 }
 
-// No history of two routers, two holders and moves to and fro loses a served write or runs one in both clusters.
+// No history of two routers, two candidates and moves in both directions loses a served write or runs one in both clusters.
 func TestMoves(t *testing.T) {
 	reached := map[State]int{}
 	served := 0
@@ -520,7 +520,7 @@
 			if fault != "" {
 				rt.Fatalf("%s\n%s", fault, strings.Join(w.trace, "\n"))
 			}
-			for _, m := range w.now().doc.Moves {
+			for _, m := range w.newest().doc.Moves {
 				reached[m.State]++
 			}
 			for _, c := range w.writes {
@@ -536,7 +536,7 @@
 	}
 }
 
-// Each rule is needed: without it some history ends in a fault.
+// Each rule is needed: while it is disabled some history violates an invariant.
 func TestEachRuleIsNeeded(t *testing.T) {
 	for name, r := range map[string]rule{"enrolled": ruleEnrolled, "armed": ruleAllAcknowledge, "right": ruleRight, "fence": ruleFence, "asked": ruleRightFromRequest,
 		"newest": ruleNewestEpoch, "office": ruleLeaderOnly, "wait": ruleDrain, "anew": ruleFreshWait, "inFlight": ruleInFlight, "late": ruleLateAnswer,
@@ -547,7 +547,7 @@
 				found, _ = bubble(t, rand.New(rand.NewPCG(uint64(plays), 30)).IntN, disabledRules(r), 200)
 			}
 			if found == "" {
-				t.Fatalf("no fault in %d histories", plays)
+				t.Fatalf("no violation in %d histories", plays)
 			}
 			t.Logf("after %d histories: %s", plays, found)
 		})
--- a/internal/lab/shards.go
+++ b/internal/lab/shards.go
@@ -130,7 +130,7 @@
 
 // heard looks for moves that are prepared in a pooler's log: nothing else tells of them in time.
 func (s *shards) heard(pooler int, line string) {
-	if s.Keys > 0 && strings.Contains(line, "shards: an order is carried out") {
+	if s.Keys > 0 && strings.Contains(line, "shardmap: order is carried out") {
 		if _, rest, ok := strings.Cut(line, `"move":"`); ok {
 			name, _, _ := strings.Cut(rest, `"`)
 			go s.meet(name, "prepared", fmt.Sprint("n", pooler+1))
