--- a/internal/fleet/purge/cache_guard.go
+++ b/internal/fleet/purge/cache_guard.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"sync/atomic"
 	"time"
 
@@ -10,91 +11,95 @@
 	"threadsail/internal/policy"
 )
 
-// CacheGuard answers requests of one front from its cache, as its edge allows. It is a routing.Guard; its counts may be read on any
-// goroutine.
+// CacheGuard answers requests of one front from the front's cache, as the edge allows. It implements dispatch.Guard, on the front's event
+// loop; its counts may be read on any goroutine.
 type CacheGuard struct {
 	component *Component
 	cache     *answercache.Cache
-	classes   map[string]bool
+	classes   map[string]bool // by name: those whose answers are cached
 	classOf   func(class int) policy.Class
-	shareable func(answer any) (kept any, size int, ok bool)
+	shareable func(answer any) (shared any, size int, ok bool)
 
 	hits, misses, stored atomic.Uint64
-	refused              [ReasonCount]atomic.Uint64
+	refused              [ReasonCount]atomic.Uint64 // requests that the edge did not let be answered from the cache, by reason
 }
 
 var _ dispatch.Guard = (*CacheGuard)(nil)
 
-// NewCacheGuard is a guard for one front, with a cache of at most so many bytes for the classes that are named. info tells of a class
-// by its number, and keep gives an answer as it may be given to another client, and its bytes; not ok: it can't be.
-func (p *Component) NewCacheGuard(most uint64, classes []string, info func(class int) policy.Class, keep func(answer any) (kept any, size int, ok bool)) *CacheGuard {
-	c := &CacheGuard{component: p, cache: answercache.New(most), classes: map[string]bool{}, classOf: info, shareable: keep}
+// NewCacheGuard returns a guard for one front, with a cache of maxBytes at most for the classes that are named. classOf returns a class by
+// its number. shareable returns an answer as it may be given to another client, and its size in bytes; ok is false if it may not.
+func (c *Component) NewCacheGuard(maxBytes uint64, classes []string, classOf func(class int) policy.Class, shareable func(answer any) (shared any, size int, ok bool)) *CacheGuard {
+	g := &CacheGuard{component: c, cache: answercache.New(maxBytes), classes: map[string]bool{}, classOf: classOf, shareable: shareable}
 	for _, name := range classes {
-		c.classes[name] = true
+		g.classes[name] = true
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.guards = append(p.guards, c)
-	return c
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.guards = append(c.guards, g)
+	return g
 }
 
-// cacheable tells whether a request's answer may be another's: a class that the operators named, that any member may answer, with
-// no bound on age, no session and no effect.
-func (c *CacheGuard) cacheable(r *dispatch.Request) (answercache.Key, bool) {
-	info := c.classOf(r.Class)
-	ok := c.classes[info.Name] && info.Access == policy.ReadAny && info.Idempotency == policy.Idempotent && !r.HasIdempotencyKey && r.SessionCommitAt == 0 && r.CacheVariant != ""
+// cacheable reports whether the answer to a request may be given to another client, and under which key: the class is one that the
+// operators named, any member may answer it, and it has no bound on age, no session and no effect.
+func (g *CacheGuard) cacheable(r *dispatch.Request) (answercache.Key, bool) {
+	class := g.classOf(r.Class)
+	plainRead := class.Access == policy.ReadAny && class.Idempotency == policy.Idempotent
+	ok := g.classes[class.Name] && plainRead && !r.HasIdempotencyKey && r.SessionCommitAt == 0 && r.CacheVariant != ""
 	return answercache.Key{Cluster: r.Group, Class: r.Class, Statement: r.CacheVariant + "\x00" + r.Statement}, ok
 }
 
-// Admit is documented with routing.Guard.
-func (c *CacheGuard) Admit(_ time.Duration, r *dispatch.Request) (a dispatch.Admission) {
-	key, ok := c.cacheable(r)
-	edge := c.component.edge.Load()
+// Admit implements dispatch.Guard: a request is answered from the cache if the cache has a current answer.
+func (g *CacheGuard) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
+	key, ok := g.cacheable(r)
+	edge := g.component.edge.Load()
 	if !ok || edge == nil {
-		return a
+		return dispatch.Admission{}
 	}
 	since, why := edge.Current(r.Group)
 	if why != Allowed {
-		c.refused[why].Add(1)
-		return a
+		g.refused[why].Add(1)
+		return dispatch.Admission{}
 	}
-	if answer, ok := c.cache.Get(key, since); ok {
-		c.hits.Add(1)
-		return dispatch.Admission{Answer: answer}
+	answer, found := g.cache.Get(key, since)
+	if !found {
+		g.misses.Add(1)
+		return dispatch.Admission{}
 	}
-	c.misses.Add(1)
-	return a
+	g.hits.Add(1)
+	return dispatch.Admission{Answer: answer}
 }
 
-// MaySend is documented with routing.Guard.
-func (c *CacheGuard) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
+// MaySend implements dispatch.Guard.
+func (g *CacheGuard) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
 	return dispatch.Send
 }
 
-// RequestEnded is documented with routing.Guard. The time that the request took is counted on the loop's clock, which never steps.
-func (c *CacheGuard) RequestEnded(_ time.Duration, r *dispatch.Request, e dispatch.FinalAnswer) {
-	key, ok := c.cacheable(r)
-	edge := c.component.edge.Load()
-	if !ok || edge == nil || !e.Served || e.Answer == nil {
+// RequestEnded implements dispatch.Guard: the answer is stored if it is shareable and current. The time that the request took is measured
+// on the event loop's clock, which never steps.
+func (g *CacheGuard) RequestEnded(_ time.Duration, r *dispatch.Request, f dispatch.FinalAnswer) {
+	key, ok := g.cacheable(r)
+	edge := g.component.edge.Load()
+	if !ok || edge == nil || !f.Served || f.Answer == nil {
 		return
 	}
-	kept, size, ok := c.shareable(e.Answer)
+	answer, size, ok := g.shareable(f.Answer)
 	if !ok {
 		return
 	}
-	if asked, ok := edge.MayStore(r.Group, e.EndedAt-e.ArrivedAt); ok {
-		c.stored.Add(1)
-		c.cache.Put(key, kept, size, asked)
+	if requestedAt, ok := edge.MayStore(r.Group, f.EndedAt-f.ArrivedAt); ok {
+		g.stored.Add(1)
+		g.cache.Put(key, answer, size, requestedAt)
 	}
 }
 
-// String tells what it has done, for the log.
-func (c *CacheGuard) String() string {
-	text := fmt.Sprintf("hits %d, misses %d, kept %d, bytes %d", c.hits.Load(), c.misses.Load(), c.stored.Load(), c.cache.Bytes())
+// String returns what the cache has done, for the log.
+func (g *CacheGuard) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "hits %d, misses %d, kept %d, bytes %d", g.hits.Load(), g.misses.Load(), g.stored.Load(), g.cache.Bytes())
 	for why := NoPlan; why < ReasonCount; why++ {
-		if n := c.refused[why].Load(); n > 0 {
-			text += fmt.Sprintf(", not asked for %s %d", why, n)
+		if n := g.refused[why].Load(); n > 0 {
+			fmt.Fprintf(&b, ", not asked for %s %d", why, n)
 		}
 	}
-	return text
+	return b.String()
 }
--- a/internal/fleet/purge/clock.go
+++ b/internal/fleet/purge/clock.go
@@ -6,69 +6,89 @@
 )
 
 const (
-	// maxDriftRate is by how much two clocks drift apart unseen: two crystals of 100 ppm each.
+	// maxDriftRate is how fast two clocks drift apart unseen: two crystals of 100 ppm each.
 	maxDriftRate = 200e-6
-	// minPeers is how many other poolers' clocks are needed for a majority that bears one that is wrong, and kept how many are
-	// remembered.
+	// minPeers is how many other poolers' clocks are needed for a majority that outweighs a wrong one.
 	minPeers = 3
+	// maxPeers is how many other poolers' clocks are remembered.
 	maxPeers = 7
 )
 
-// clockComparison knows how far this process's wall clock is from other poolers' clocks. Its owner locks it. Each measurement remembers
-// how the wall clock stood to the monotonic one, so that a step or a slew since then counts in full, at the very next look.
+// clockRound is one comparison with a peer's clock: a request and its answer. Wall clocks are Unix times in ns.
+type clockRound struct {
+	peer           string
+	sentAt         int64         // the request, by the clock here
+	peerReceivedAt int64         // the request, by the peer's clock
+	peerSentAt     int64         // the answer, by the peer's clock
+	receivedAt     int64         // the answer, by the clock here
+	duration       time.Duration // of the round, on the monotonic clock here
+}
+
+// clockComparison knows how far this process's wall clock is from other poolers' clocks. Each measurement remembers how the wall clock
+// stood to the monotonic clock, so a step or a slew of the wall clock since then counts in full at the next look. It is not safe for
+// concurrent use.
 type clockComparison struct {
-	measurements []measurement // of different poolers, the newest last
+	measurements []measurement // of different peers, the newest last
 }
 
+// measurement is what a round says about a peer's clock.
 type measurement struct {
 	peer        string
-	offset      time.Duration // this clock, of the peer's
-	uncertainty time.Duration // half of the round: by so much ahead may be wrong
+	offset      time.Duration // of the clock here from the peer's
+	uncertainty time.Duration // of the offset: half of the round
 	measuredAt  time.Duration // monotonic
-	wallShift   time.Duration // wall less monotonic, then
+	wallShift   time.Duration // of the wall clock from the monotonic one, then
 }
 
-// add takes in a round: asked and heard are this clock's readings around it, got and sent the peer's; monotonic is when it
-// was heard.
-func (c *clockComparison) add(peer string, asked, got, sent, heard int64, took, monotonic time.Duration) {
-	round := max(took-time.Duration(sent-got), 0)
-	next := measurement{peer: peer, offset: time.Duration((asked - got + heard - sent) / 2), uncertainty: round / 2, measuredAt: monotonic,
-		wallShift: time.Duration(heard) - monotonic}
-	if i := slices.IndexFunc(c.measurements, func(m measurement) bool { return m.peer == peer }); i >= 0 {
-		if c.measurements[i].outweighs(next) {
+// add records a round that ended at a time of the monotonic clock.
+func (c *clockComparison) add(r clockRound, monotonic time.Duration) {
+	onTheWay := max(r.duration-time.Duration(r.peerSentAt-r.peerReceivedAt), 0)
+	added := measurement{
+		peer:        r.peer,
+		offset:      time.Duration((r.sentAt - r.peerReceivedAt + r.receivedAt - r.peerSentAt) / 2),
+		uncertainty: onTheWay / 2,
+		measuredAt:  monotonic,
+		wallShift:   time.Duration(r.receivedAt) - monotonic,
+	}
+	i := slices.IndexFunc(c.measurements, func(m measurement) bool { return m.peer == r.peer })
+	if i >= 0 {
+		if c.measurements[i].outweighs(added) {
 			return
 		}
 		c.measurements = slices.Delete(c.measurements, i, i+1)
 	}
-	c.measurements = append(c.measurements, next)
+	c.measurements = append(c.measurements, added)
 	if len(c.measurements) > maxPeers {
 		c.measurements = c.measurements[1:]
 	}
 }
 
-// outweighs tells whether a measurement says more than a later one of the same peer, whose round took long, and does not gainsay
+// outweighs reports whether a measurement says more than a later one of the same peer, whose round took long, and is not contradicted by
 // it: the peer's clock may have moved.
-func (m measurement) outweighs(next measurement) bool {
-	slack := m.uncertainty + time.Duration(maxDriftRate*float64(next.measuredAt-m.measuredAt))
-	moved := m.offset + next.wallShift - m.wallShift - next.offset
-	return slack <= next.uncertainty && max(moved, -moved) <= slack+next.uncertainty
+func (m measurement) outweighs(later measurement) bool {
+	uncertainty := m.uncertainty + time.Duration(maxDriftRate*float64(later.measuredAt-m.measuredAt))
+	moved := m.offset + later.wallShift - m.wallShift - later.offset
+	contradicted := max(moved, -moved) > uncertainty+later.uncertainty
+	return uncertainty <= later.uncertainty && !contradicted
 }
 
-// offsetBound is the least bound that holds for a majority of the clocks measured: this one is no further from each of theirs. drift tells
-// whether what may have come since is counted in. It tells nothing before enough are measured, of others known.
-func (c *clockComparison) offsetBound(wall int64, monotonic time.Duration, others int, drift bool) (time.Duration, bool) {
-	if n := len(c.measurements); n == 0 || n < min(minPeers, others) {
+// offsetBound returns the least bound that holds for a majority of the clocks that were measured: the clock here is no further from each
+// of theirs. withDrift includes what may have come since the measurements. ok is false until enough of the other poolers' clocks are
+// measured.
+func (c *clockComparison) offsetBound(wall int64, monotonic time.Duration, otherPoolers int, withDrift bool) (bound time.Duration, ok bool) {
+	measured := len(c.measurements)
+	if measured == 0 || measured < min(minPeers, otherPoolers) {
 		return 0, false
 	}
-	var bounds []time.Duration
+	bounds := make([]time.Duration, 0, measured)
 	for _, m := range c.measurements {
-		ahead := m.offset + time.Duration(wall) - monotonic - m.wallShift
-		bound := max(ahead, -ahead) + m.uncertainty
-		if drift {
+		offset := m.offset + time.Duration(wall) - monotonic - m.wallShift
+		bound := max(offset, -offset) + m.uncertainty
+		if withDrift {
 			bound += time.Duration(maxDriftRate * float64(monotonic-m.measuredAt))
 		}
 		bounds = append(bounds, bound)
 	}
 	slices.Sort(bounds)
-	return bounds[len(bounds)/2], true
+	return bounds[measured/2], true
 }
--- a/internal/fleet/purge/component_test.go
+++ b/internal/fleet/purge/component_test.go
@@ -33,55 +33,56 @@
 	drift = 50 * time.Millisecond
 )
 
-// The register applies a write at once or never: a lead would hide what the rest of the reach is for.
+// The test cluster applies a write at once or never: a lead would hide what the rest of the reach is for.
 var bounds = Bounds{Guard: 400 * time.Millisecond, MaxReplicaAge: 5 * time.Second, Settle: 200 * time.Millisecond}
 
-// given is an answer as a client got it, in true time.
-type given struct {
-	at, data int64 // when, and as of when its server's data were; cached: it came from the edge
-	cached   bool
-	edge     *testEdge
-	cluster  int
+// receivedAnswer is an answer as a client received it. Its times are true, in Unix ns.
+type receivedAnswer struct {
+	at      int64
+	dataAt  int64 // as of when its server's data were
+	cached  bool  // the edge answered
+	edge    *testEdge
+	cluster int
 }
 
-// testEdge is one pooler of a test, over all its restarts.
+// testEdge is one pooler, over all its restarts.
 type testEdge struct {
 	name, site string
-	w          *world
-	skew       atomic.Int64 // ns
-	first      int64
+	world      *world
+	skew       atomic.Int64 // of its clock, ns
+	startedAt  int64        // by its own clock
 	journal    string
 	view       *replicationtest.View
-	way        *replicationtest.Client
-	cut        bool
-	part       *Component
-	cache      *CacheGuard
+	client     *replicationtest.Client
+	isolated   bool
+	component  *Component
+	guard      *CacheGuard
 	end        context.CancelFunc
 	ended      chan struct{}
 }
 
-// world is some edges on one network, with servers whose data are as of the time they are read, less the lag of a replica.
+// world is some edges on one network, with servers whose data are as of the time at which they are read, less a database replica's lag.
 type world struct {
-	t     *testing.T
-	net   *bustest.Network
-	reg   *replicationtest.Cluster
-	dir   string
-	edges []*testEdge
-	seen  *replicationtest.View
+	t       *testing.T
+	network *bustest.Network
+	cluster *replicationtest.Cluster
+	dir     string
+	edges   []*testEdge
+	view    *replicationtest.View
 
-	mu    sync.Mutex
-	plans map[uint64]Plan // each that was in the documents
-	given []given
+	mu      sync.Mutex
+	plans   map[uint64]Plan // by revision: each that was in the documents
+	answers []receivedAnswer
 }
 
 func newWorld(t *testing.T, sites ...string) *world {
-	w := &world{t: t, net: bustest.New(1), reg: replicationtest.New(drift), dir: t.TempDir(), plans: map[uint64]Plan{}}
-	w.net.SetDelay(0, 20*time.Millisecond)
-	w.seen = w.reg.View()
+	w := &world{t: t, network: bustest.New(1), cluster: replicationtest.New(drift), dir: t.TempDir(), plans: map[uint64]Plan{}}
+	w.network.SetDelay(0, 20*time.Millisecond)
+	w.view = w.cluster.View()
 	go func() {
 		for t.Context().Err() == nil {
-			changed := w.seen.Changed()
-			if p, _, err := parseDocuments(w.seen.List(keyPrefix)); err == nil && p != nil {
+			changed := w.view.Changed()
+			if p, _, err := parseDocuments(w.view.List(keyPrefix)); err == nil && p != nil {
 				w.mu.Lock()
 				w.plans[p.Revision] = *p
 				w.mu.Unlock()
@@ -94,7 +95,7 @@
 	}()
 	for i, site := range sites {
 		name := fmt.Sprint("n", i)
-		w.edges = append(w.edges, &testEdge{name: name, site: site, w: w, journal: filepath.Join(w.dir, name), view: w.reg.View(), way: w.reg.Client(name)})
+		w.edges = append(w.edges, &testEdge{name: name, site: site, world: w, journal: filepath.Join(w.dir, name), view: w.cluster.View(), client: w.cluster.Client(name)})
 	}
 	return w
 }
@@ -103,33 +104,33 @@
 func (e *testEdge) start(p Proposal) {
 	file, _, err := audit.Open(e.journal, 1<<20, 1)
 	if err != nil {
-		e.w.t.Fatal(err)
+		e.world.t.Fatal(err)
 	}
-	e.part = New(e.site, p)
-	e.part.Term, e.part.Journal, e.part.KeptJournals = term, e.journal, 1
-	e.part.wall = func() int64 { return time.Now().UnixNano() + e.skew.Load() }
-	if e.first == 0 {
-		e.first = e.part.wall()
+	e.component = New(e.site, p)
+	e.component.Term, e.component.Journal, e.component.KeptJournals = term, e.journal, 1
+	e.component.wall = func() int64 { return time.Now().UnixNano() + e.skew.Load() }
+	if e.startedAt == 0 {
+		e.startedAt = e.component.wall()
 	}
-	e.cache = e.part.NewCacheGuard(1<<20, []string{"any"}, func(c int) policy.Class { return classes[c] }, func(a any) (any, int, bool) { return a, 8, true })
-	ctx, cancel := context.WithCancel(e.w.t.Context())
-	g := fleet.Runtime{Bus: e.w.net.Join(e.name), View: e.view, Store: e.way, Log: zerolog.Nop(),
+	e.guard = e.component.NewCacheGuard(1<<20, []string{"any"}, func(c int) policy.Class { return classes[c] }, func(a any) (any, int, bool) { return a, 8, true })
+	ctx, cancel := context.WithCancel(e.world.t.Context())
+	runtime := fleet.Runtime{Bus: e.world.network.Join(e.name), View: e.view, Store: e.client, Log: zerolog.Nop(),
 		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
-			return e.way.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift})
+			return e.client.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift})
 		},
 		Audit: func(r audit.Record) {
-			if ctx.Err() != nil { // a request that was under way
+			if ctx.Err() != nil { // of a request that was in flight
 				return
 			}
-			r.At, r.Instance = e.part.wall(), e.name+"/1"
+			r.At, r.Instance = e.component.wall(), e.name+"/1"
 			if err := file.Write(r); err != nil {
-				e.w.t.Error(err)
+				e.world.t.Error(err)
 			}
 		}}
-	g.Audit(audit.Record{Act: audit.Started})
+	runtime.Audit(audit.Record{Act: audit.Started})
 	e.end, e.ended = cancel, make(chan struct{})
 	go func() {
-		_ = e.part.Run(ctx, g)
+		_ = e.component.Run(ctx, runtime)
 		_ = file.Close()
 		close(e.ended)
 	}()
@@ -143,49 +144,50 @@
 	}
 }
 
-// isolate cuts the edge off from all others and the stewards, or heals that.
-func (e *testEdge) isolate(cut bool) {
-	e.cut = cut
-	e.w.net.SetIsolated(e.name, cut)
-	e.way.SetPartitioned(cut)
-	e.view.SetPartitioned(cut)
+// setIsolated cuts the edge off from all others and the voters, or heals that.
+func (e *testEdge) setIsolated(isolated bool) {
+	e.isolated = isolated
+	e.world.network.SetIsolated(e.name, isolated)
+	e.client.SetPartitioned(isolated)
+	e.view.SetPartitioned(isolated)
 }
 
 var classes = []policy.Class{{Name: "any"}, {Name: "bounded", Access: policy.ReadBounded}, {Name: "other"}, {Name: "any", Idempotency: policy.NotIdempotent}}
 
-// ask is one request: from the cache, or from a server that takes a while, whose data lag by up to Settle.
-func (e *testEdge) ask(cluster int, there, back, lag time.Duration) {
+// request sends one request, which the cache answers, or a server that takes some time and whose data lag.
+func (e *testEdge) request(cluster int, there, back, lag time.Duration) {
 	if e.end == nil {
 		return
 	}
 	r := &dispatch.Request{Class: 0, Group: cluster, CacheVariant: "f", Statement: "SELECT 1"}
-	cache, now := e.cache, time.Now()
-	if a := cache.Admit(0, r); a.Answer != nil {
-		e.w.got(given{now.UnixNano(), a.Answer.(int64), true, e, cluster})
+	guard := e.guard
+	now := time.Now()
+	if a := guard.Admit(0, r); a.Answer != nil {
+		e.world.receive(receivedAnswer{now.UnixNano(), a.Answer.(int64), true, e, cluster})
 		return
 	}
 	go func() {
 		time.Sleep(there)
 		data := time.Now().Add(-lag).UnixNano()
 		time.Sleep(back)
-		cache.RequestEnded(0, r, dispatch.FinalAnswer{Served: true, Answer: data, ArrivedAt: time.Duration(now.UnixNano()), EndedAt: time.Duration(time.Now().UnixNano())})
-		e.w.got(given{time.Now().UnixNano(), data, false, e, cluster})
+		guard.RequestEnded(0, r, dispatch.FinalAnswer{Served: true, Answer: data, ArrivedAt: time.Duration(now.UnixNano()), EndedAt: time.Duration(time.Now().UnixNano())})
+		e.world.receive(receivedAnswer{time.Now().UnixNano(), data, false, e, cluster})
 	}()
 }
 
-func (w *world) got(g given) {
+func (w *world) receive(a receivedAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.given = append(w.given, g)
+	w.answers = append(w.answers, a)
 }
 
-// purges are all of a site's in true time, by the plans that were in force one after another.
+// purges returns all purges of a site in true time, by the plans that were in force one after another.
 func (w *world) purges(site string) (out []Event) {
-	_, orders, _ := parseDocuments(w.seen.List(keyPrefix))
+	_, orders, _ := parseDocuments(w.view.List(keyPrefix))
 	end := time.Now().UnixNano()
 	revisions := slices.Sorted(maps.Keys(w.plans))
-	for i, rev := range revisions {
-		p, to := w.plans[rev], end
+	for i, revision := range revisions {
+		p, to := w.plans[revision], end
 		if i+1 < len(revisions) {
 			to = min(to, w.plans[revisions[i+1]].EffectiveAt-1)
 		}
@@ -208,30 +210,31 @@
 	return out
 }
 
-// judge tells what went wrong: a cached answer from before a purge that was over, a purge that an edge noted not at all or twice.
-func (w *world) judge() (faults []string) {
+// violations returns what went wrong: cached answers from before a purge that was over, and purges that an edge recorded twice or not
+// at all.
+func (w *world) violations() (found []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.edges {
 		purges := w.purges(e.site)
-		for _, g := range w.given {
+		for _, g := range w.answers {
 			for _, p := range purges {
-				if g.edge == e && g.cached && p.At <= g.at && g.data < p.At && (p.Cluster == AllClusters || p.Cluster == g.cluster) {
-					faults = append(faults, fmt.Sprintf("%s: an answer as of %v at %v, behind %s", e.name, time.Unix(0, g.data).UTC(), time.Unix(0, g.at).UTC(), p.ID))
+				if g.edge == e && g.cached && p.At <= g.at && g.dataAt < p.At && (p.Cluster == AllClusters || p.Cluster == g.cluster) {
+					found = append(found, fmt.Sprintf("%s: an answer as of %v at %v, behind %s", e.name, time.Unix(0, g.dataAt).UTC(), time.Unix(0, g.at).UTC(), p.ID))
 				}
 			}
 		}
 		h, err := ReadHistory(e.journal, 1)
 		if err != nil {
-			faults = append(faults, err.Error())
+			found = append(found, err.Error())
 		}
 		count := map[string]int{}
 		for _, id := range h.Fired {
 			if count[id]++; count[id] > 1 {
-				faults = append(faults, fmt.Sprintf("%s: %s was noted twice", e.name, id))
+				found = append(found, fmt.Sprintf("%s: %s was recorded twice", e.name, id))
 			}
 		}
-		plan, orders, _ := parseDocuments(w.seen.List(keyPrefix))
+		plan, orders, _ := parseDocuments(w.view.List(keyPrefix))
 		if plan == nil || e.end == nil {
 			continue
 		}
@@ -239,29 +242,29 @@
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		for _, p := range t.Between(e.first-1, time.Now().Add(-2*time.Second).UnixNano()) {
+		for _, p := range t.Between(e.startedAt-1, time.Now().Add(-2*time.Second).UnixNano()) {
 			if count[p.ID] == 0 {
-				faults = append(faults, fmt.Sprintf("%s: %s was never noted", e.name, p.ID))
+				found = append(found, fmt.Sprintf("%s: %s was never recorded", e.name, p.ID))
 			}
 		}
 	}
-	return faults
+	return found
 }
 
-// hits are the shares of answers that came from the cache.
-func (w *world) hits() float64 {
+// hitRate returns the share of answers that came from the cache.
+func (w *world) hitRate() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, g := range w.given {
+	for _, g := range w.answers {
 		if g.cached {
 			n++
 		}
 	}
-	return float64(n) / float64(max(len(w.given), 1))
+	return float64(n) / float64(max(len(w.answers), 1))
 }
 
-// closing is a proposal by which all sites close at so many minutes past midnight, when the test's time begins.
+// closing returns a proposal by which all sites close some minutes after midnight, when a test's time begins.
 func closing(revision uint64, minutes int, orders ...RequestedOrder) Proposal {
 	at := fmt.Sprintf("%02d:%02d", minutes/60, minutes%60)
 	every := map[string]string{}
@@ -273,9 +276,9 @@
 			Sites: map[string]calendar.Site{"a": {Zone: "UTC", Calendar: "c"}, "b": {Zone: "UTC", Calendar: "c"}}}}
 }
 
-// Five edges of two sites, one of them with a clock that is anywhere and steps; cuts, restarts while cut off, plans changed around
-// their closes, orders by hand, requests under way across all of it. No cached answer is from before a purge that was over, and
-// each edge notes each purge once.
+// Five edges of two sites, one of them with a clock that is anywhere and steps; cuts, restarts while cut off, plans changed around their
+// closes, orders, and requests in flight across all of that. No cached answer is from before a purge that was over, and each edge records
+// each purge once.
 func TestNothingStale(t *testing.T) {
 	runs, shares := 0, 0.0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -296,24 +299,24 @@
 				e.skew.Store(int64(skew))
 				e.start(now)
 			}
-			asking := func(d time.Duration, n int) {
+			request := func(d time.Duration, n int) {
 				for end := time.Now().Add(d); time.Now().Before(end); n++ {
 					for _, e := range w.edges {
-						e.ask(n%2, time.Duration(n*37%200)*time.Millisecond, time.Duration(n*61%1500)*time.Millisecond, time.Duration(n*83%200)*time.Millisecond)
+						e.request(n%2, time.Duration(n*37%200)*time.Millisecond, time.Duration(n*61%1500)*time.Millisecond, time.Duration(n*83%200)*time.Millisecond)
 					}
 					time.Sleep(time.Duration(100+n*29%200) * time.Millisecond)
 				}
 			}
-			asking(8*time.Second, 0)
+			request(8*time.Second, 0)
 			for i, act := range acts {
 				n := how[i+8]
 				e := w.edges[n%len(w.edges)]
 				switch {
 				case act < 20:
-					e.isolate(!e.cut)
+					e.setIsolated(!e.isolated)
 				case act < 30:
 					e.stop()
-					if e.cut {
+					if e.isolated {
 						e.view = e.view.Restart()
 					}
 					e.start(now)
@@ -327,7 +330,7 @@
 					revision++
 					now = proposal(n / 8)
 					if e.end != nil {
-						e.part.Propose(now)
+						e.component.Propose(now)
 					}
 				case act < 56:
 					o := RequestedOrder{Name: fmt.Sprint("o", i), Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
@@ -338,29 +341,29 @@
 					orders = append(orders, o)
 					now.Orders = orders
 					if e.end != nil {
-						e.part.Propose(now)
+						e.component.Propose(now)
 					}
 				case act < 64:
 					w.edges[4].skew.Add(int64(time.Duration(n%2001-1000) * time.Millisecond * time.Duration(1<<(n/2048%10)) / 16))
 				}
-				asking(time.Duration(n%4000)*time.Millisecond, n)
+				request(time.Duration(n%4000)*time.Millisecond, n)
 			}
 			for _, e := range w.edges {
-				e.isolate(false)
+				e.setIsolated(false)
 				if e.end == nil {
 					e.start(now)
 				}
 			}
 			w.edges[4].skew.Store(0)
-			asking(15*time.Second, 1)
+			request(15*time.Second, 1)
 			synctest.Wait()
-			faults = w.judge()
+			faults = w.violations()
 			runs++
-			shares += w.hits()
+			shares += w.hitRate()
 			for _, e := range w.edges {
 				e.stop()
 			}
-			time.Sleep(10 * time.Second) // what is still under way ends
+			time.Sleep(10 * time.Second) // what is still in flight ends
 		})
 		if len(faults) > 0 {
 			rt.Fatal(strings.Join(faults[:min(len(faults), 5)], "\n"))
--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -15,46 +16,47 @@
 	"threadsail/internal/policy"
 )
 
-// lone is an edge without a Part, whose clock has been compared with three others; skew moves its clock.
-type lone struct {
+// soloEdge is an edge without a Component, whose clock has been compared with three others; skew moves its clock.
+type soloEdge struct {
 	*Edge
-	view  *replicationtest.View
-	reg   *replicationtest.Cluster
-	skew  time.Duration
-	noted []string
+	view     *replicationtest.View
+	cluster  *replicationtest.Cluster
+	skew     time.Duration
+	recorded []string
 }
 
-func newLone(t *testing.T, p Proposal, h History) *lone {
-	l := &lone{reg: replicationtest.New(drift)}
+// newSoloEdge returns an edge whose plan is in force.
+func newSoloEdge(t *testing.T, p Proposal, h History) *soloEdge {
+	l := &soloEdge{cluster: replicationtest.New(drift)}
 	value, err := p.encodePlan(nil, time.Now().Add(-bounds.reach()).UnixNano()) // in force now
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.put(t, planKey, 0, value)
-	l.view = l.reg.View()
-	l.Edge = NewEdge("a", l.view, h, func(e Event, _ int64) { l.noted = append(l.noted, e.ID) })
+	l.view = l.cluster.View()
+	l.Edge = NewEdge("a", l.view, h, func(e Event, _ int64) { l.recorded = append(l.recorded, e.ID) })
 	l.wall = func() int64 { return time.Now().Add(l.skew).UnixNano() }
 	l.compare()
 	return l
 }
 
-func (l *lone) compare() {
+func (l *soloEdge) compare() {
 	for i := range minPeers {
 		at := time.Now().UnixNano()
-		l.AddClockReading(fmt.Sprint("m", i), l.wall(), at, at, l.wall(), 0)
+		l.addClockRound(clockRound{peer: fmt.Sprint("m", i), sentAt: l.wall(), peerReceivedAt: at, peerSentAt: at, receivedAt: l.wall()})
 	}
 }
 
-func (l *lone) put(t *testing.T, key string, expect uint64, value []byte) uint64 {
+func (l *soloEdge) put(t *testing.T, key string, expect uint64, value []byte) uint64 {
 	t.Helper()
-	version, err := l.reg.Client("w").Put(t.Context(), key, expect, value, replication.Fence{})
+	version, err := l.cluster.Client("w").Put(t.Context(), key, expect, value, replication.Fence{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return version
 }
 
-func (l *lone) order(t *testing.T, o Order) uint64 {
+func (l *soloEdge) order(t *testing.T, o Order) uint64 {
 	value, err := json.Marshal(o)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +66,7 @@
 	return version
 }
 
-func (l *lone) want(t *testing.T, what string, cluster int, want Reason) (since int64) {
+func (l *soloEdge) want(t *testing.T, what string, cluster int, want Reason) (since int64) {
 	t.Helper()
 	since, why := l.Current(cluster)
 	if why != want {
@@ -73,10 +75,10 @@
 	return since
 }
 
-// An edge that did nothing through a close notes it before its first cached answer, and gives none from before it.
+// An edge that did nothing through a close records the close before its first cached answer, and gives no answer from before it.
 func TestCatchesUpBeforeItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLone(t, closing(1, 10), History{})
+		l := newSoloEdge(t, closing(1, 10), History{})
 		time.Sleep(time.Minute)
 		l.want(t, "before", 0, Allowed)
 		asked, ok := l.MayStore(0, 0)
@@ -88,16 +90,16 @@
 		if since := l.want(t, "after", 0, Allowed); asked >= since {
 			t.Error("an answer from before the close may be given")
 		}
-		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.noted, want) {
-			t.Errorf("noted %q, want %q", l.noted, want)
+		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
+			t.Errorf("recorded %q, want %q", l.recorded, want)
 		}
 	})
 }
 
-// Around the instant of a purge nothing is given or kept, and nothing that was under way across it.
+// Around the instant of a purge nothing is given or stored, nor is anything that was in flight across it.
 func TestNearAPurge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLone(t, closing(1, 10), History{})
+		l := newSoloEdge(t, closing(1, 10), History{})
 		at := time.Date(2000, 1, 1, 0, 10, 0, 0, time.UTC)
 		sleepTo := func(d time.Duration) { time.Sleep(time.Until(at.Add(d))); l.compare() }
 		given := func() bool { since, why := l.Current(0); return why == Allowed && l.wall() > since }
@@ -123,11 +125,11 @@
 	})
 }
 
-// A clock that is set back has nothing noted twice and nothing revived; one that is off keeps the edge from its cache, and from
-// noting purges that have not come.
+// A clock that is set back has nothing recorded twice and no answer revived; one that is off keeps the edge from its cache, and from
+// recording purges that have not come.
 func TestClockSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLone(t, closing(1, 10), History{})
+		l := newSoloEdge(t, closing(1, 10), History{})
 		time.Sleep(11 * time.Minute)
 		l.compare()
 		l.want(t, "right", 0, Allowed)
@@ -142,8 +144,8 @@
 		l.FireDue()
 		l.skew = 0
 		l.want(t, "mended", 0, Allowed)
-		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.noted, want) {
-			t.Errorf("noted %q, want %q", l.noted, want)
+		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
+			t.Errorf("recorded %q, want %q", l.recorded, want)
 		}
 		l.skew = -bounds.Guard / 4 // within what is trusted
 		l.want(t, "a little back", 0, Allowed)
@@ -152,10 +154,10 @@
 	})
 }
 
-// A copy that is old, or newer than what was taken in, keeps the edge from its cache.
-func TestUnheard(t *testing.T) {
+// A replica that is old, or newer than the documents that are loaded, keeps the edge from its cache.
+func TestStaleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLone(t, closing(1, 10), History{})
+		l := newSoloEdge(t, closing(1, 10), History{})
 		time.Sleep(time.Minute)
 		l.compare()
 		l.view.SetPartitioned(true)
@@ -165,16 +167,16 @@
 		l.want(t, "older", 0, ReplicaStale)
 		l.put(t, "other/doc", 0, []byte("1"))
 		l.view.SetPartitioned(false)
-		l.want(t, "newer than what was taken in", 0, ReplicaStale)
+		l.want(t, "newer than the loaded documents", 0, ReplicaStale)
 		l.Refresh()
-		l.want(t, "taken in", 0, Allowed)
+		l.want(t, "loaded", 0, Allowed)
 	})
 }
 
-// Orders purge their cluster or all, at their sites; what the documents forget does not bring older answers back.
+// Orders purge their cluster or all clusters, at their sites; a deleted order does not bring older answers back.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLone(t, closing(1, 59), History{})
+		l := newSoloEdge(t, closing(1, 59), History{})
 		time.Sleep(time.Minute)
 		l.compare()
 		two, at := 2, time.Now().Add(time.Minute).UnixNano()
@@ -189,8 +191,8 @@
 		if since := l.want(t, "another cluster", 1, Allowed); since >= at {
 			t.Error("another cluster is purged")
 		}
-		if want := []string{"plan 1", "order x"}; !slices.Equal(l.noted, want) {
-			t.Errorf("noted %q, want %q", l.noted, want)
+		if want := []string{"plan 1", "order x"}; !slices.Equal(l.recorded, want) {
+			t.Errorf("recorded %q, want %q", l.recorded, want)
 		}
 		l.put(t, orderPrefix+"x", version, nil)
 		l.Refresh()
@@ -206,7 +208,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := closing(1, 59, RequestedOrder{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
 		p.Bounds.WriteLead = 2 * time.Second
-		l := newLone(t, p, History{})
+		l := newSoloEdge(t, p, History{})
 		time.Sleep(time.Minute)
 		w, _, err := p.nextWrite(l.view.List("purge/"), time.Now().Add(-bounds.Guard).UnixNano())
 		var o Order
@@ -231,11 +233,11 @@
 func TestHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		since := time.Now().Add(-time.Hour).UnixNano()
-		l := newLone(t, closing(1, 10), History{Since: since, Fired: []string{"plan 1"}})
+		l := newSoloEdge(t, closing(1, 10), History{Since: since, Fired: []string{"plan 1"}})
 		time.Sleep(20 * time.Minute)
 		l.FireDue()
-		if want := []string{"close a 2000-01-01 00:10"}; !slices.Equal(l.noted, want) {
-			t.Errorf("noted %q, want %q", l.noted, want)
+		if want := []string{"close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
+			t.Errorf("recorded %q, want %q", l.recorded, want)
 		}
 	})
 }
@@ -276,7 +278,7 @@
 	if w, _, err := closing(1, 10).nextWrite(doc(first), now); w != nil || err != nil {
 		t.Errorf("written twice: %+v %v", w, err)
 	}
-	if _, _, err := closing(1, 11).nextWrite(doc(first), now); err != errConflictingPlan {
+	if _, _, err := closing(1, 11).nextWrite(doc(first), now); !errors.Is(err, errConflictingPlan) {
 		t.Errorf("two plans of one revision: %v", err)
 	}
 	if w, again, _ := closing(2, 11).nextWrite(doc(first), now); w != nil || again <= 0 {
@@ -318,7 +320,7 @@
 	}
 }
 
-// Only reads that the operators named, that any member may answer and that leave nothing behind are kept.
+// Only reads that the operators named, that any member may answer and that have no effect are cached.
 func TestCacheable(t *testing.T) {
 	c := New("a", Proposal{}).NewCacheGuard(1<<20, []string{"any", "bounded"}, func(c int) policy.Class { return classes[c] }, nil)
 	for _, k := range []struct {
@@ -339,12 +341,13 @@
 	}
 }
 
+// The offset is bounded by a majority of the clocks, a slow round does not replace a better one, and a step counts at once.
 func TestClockByMajority(t *testing.T) {
 	var c clockComparison
 	at, mono := int64(1e18), time.Hour
 	measure := func(peer string, ahead, round time.Duration) {
 		theirs := at - int64(ahead) + int64(round/2)
-		c.add(peer, at, theirs, theirs, at+int64(round), round, mono+round)
+		c.add(clockRound{peer: peer, sentAt: at, peerReceivedAt: theirs, peerSentAt: theirs, receivedAt: at + int64(round), duration: round}, mono+round)
 		at += int64(round)
 		mono += round
 	}
--- a/internal/fleet/purge/proposal.go
+++ b/internal/fleet/purge/proposal.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,67 +13,118 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Proposal is what one pooler's operators have in their file. It binds nobody: what is in force is what the documents say.
+// Proposal is what one pooler's operators have in their file. Nothing follows from it until the documents say so.
 type Proposal struct {
-	Revision uint64 // a plan is written if the fleet's has a lower one; 0: none is proposed
+	Revision uint64 // a plan is written if the fleet's has a lower one; 0: no plan is proposed
 	Bounds   Bounds
 	Book     calendar.Book
 	Orders   []RequestedOrder
 }
 
-// RequestedOrder is a purge that the operators order by hand.
+// RequestedOrder is a purge that the operators order.
 type RequestedOrder struct {
 	Name    string
 	Issued  time.Time
-	Site    string // empty: all
-	Cluster *int   // nil: all
+	Site    string // empty: all sites
+	Cluster *int   // nil: all clusters
 }
 
-// orderFreshness is how long a wish in a file counts. It is less than orders are remembered for, so that one whose document is gone
-// is not written again.
+// orderFreshness is for how long after it was issued an order in a file counts. It is shorter than orders are remembered, so that an order
+// whose document was deleted is not written again.
 const orderFreshness = 24 * time.Hour
 
-// documentWrite is one document to be written or, with Value nil, deleted.
+// documentWrite is a document to be written or, with a nil value, deleted.
 type documentWrite struct {
 	key             string
 	expectedVersion uint64
 	value           []byte
 }
 
-// errConflictingPlan tells of a file whose plan the fleet will never take.
+// errConflictingPlan tells that the file's plan will never be the fleet's.
 var errConflictingPlan = errors.New("purge: this file's plan differs from the fleet's of the same revision")
 
-// nextWrite is what the documents still lack of a proposal, by one write, as of now on the writer's clock; again: there may be more to
-// do after so long, 0: not before something changes. It errs where the file must be mended.
-func (p Proposal) nextWrite(docs []replication.Document, now int64) (w *documentWrite, again time.Duration, err error) {
-	var plan *Plan
-	var version uint64
-	for _, d := range docs {
-		if d.Key == planKey {
-			plan, version = &Plan{}, d.Version
-			if err := json.Unmarshal(d.Value, plan); err != nil {
-				return nil, 0, fmt.Errorf("%s: %w", planKey, err)
-			}
-		}
+// nextWrite decides the next write that the documents need to hold the proposal, as of now on the writer's clock. A nil write means that
+// there is none now; again is after how long there may be one, 0: not before something changes. The error says what the operators must
+// mend in the file; a write may be due all the same.
+func (p Proposal) nextWrite(documents []replication.Document, now int64) (w *documentWrite, again time.Duration, err error) {
+	plan, version, err := findPlan(documents)
+	if err != nil {
+		return nil, 0, err
 	}
-	switch {
-	case p.Revision == 0 || plan != nil && p.Revision < plan.Revision:
-	case plan != nil && p.Revision == plan.Revision:
-		if !sameBook(p.Book, plan.Book) || p.Bounds != plan.Bounds {
-			err = errConflictingPlan
-		}
-	case plan != nil && now <= plan.EffectiveAt+int64(plan.Bounds.Guard): // what Was holds must be known to all before it is let go
-		return nil, time.Duration(plan.EffectiveAt+int64(plan.Bounds.Guard)-now) + time.Millisecond, nil
-	default:
+	step := p.planStep(plan, now)
+	switch step {
+	case planWanted:
 		value, err := p.encodePlan(plan, now)
-		return &documentWrite{planKey, version, value}, 0, err
+		return &documentWrite{key: planKey, expectedVersion: version, value: value}, 0, err
+	case planMustWait:
+		return nil, time.Duration(plan.EffectiveAt+int64(plan.Bounds.Guard)-now) + time.Millisecond, nil
+	case planConflicts:
+		err = errConflictingPlan
+	}
+	if plan != nil { // without a plan nothing is cached, so nothing is purged
+		var orderErr error
+		w, again, orderErr = p.nextOrder(plan, documents, now)
+		if w != nil {
+			return w, 0, orderErr
+		}
+	}
+	if expired := expiredOrder(documents, now); expired != nil {
+		return expired, 0, err
 	}
-	for _, wish := range p.Orders {
-		if plan == nil { // without a plan nothing is cached
-			break
+	return nil, again, err
+}
+
+// findPlan returns the plan among the documents and its version; nil if there is none.
+func findPlan(documents []replication.Document) (plan *Plan, version uint64, err error) {
+	for _, d := range documents {
+		if d.Key != planKey {
+			continue
+		}
+		plan = &Plan{}
+		version = d.Version
+		if err := json.Unmarshal(d.Value, plan); err != nil {
+			return nil, 0, fmt.Errorf("purge: decode %s: %w", planKey, err)
 		}
-		age := time.Duration(now - wish.Issued.UnixNano())
-		known := slices.ContainsFunc(docs, func(d replication.Document) bool { return d.Key == orderPrefix+wish.Name })
+	}
+	return plan, version, nil
+}
+
+// planStep is what is to be done about the plan.
+type planStep int
+
+const (
+	planStands    planStep = iota // the fleet has the proposal's plan, or a later one, or none is proposed
+	planWanted                    // the proposal's plan is to be written
+	planMustWait                  // the fleet's plan is not in force yet; what it replaced must be known to all before it is dropped
+	planConflicts                 // the fleet has another plan of the same revision
+)
+
+// planStep decides what is to be done about the plan; plan is the fleet's, nil if there is none.
+func (p Proposal) planStep(plan *Plan, now int64) planStep {
+	switch {
+	case p.Revision == 0:
+		return planStands
+	case plan == nil:
+		return planWanted
+	case p.Revision < plan.Revision:
+		return planStands
+	case p.Revision > plan.Revision && now <= plan.EffectiveAt+int64(plan.Bounds.Guard):
+		return planMustWait
+	case p.Revision > plan.Revision:
+		return planWanted
+	case sameBook(p.Book, plan.Book) && p.Bounds == plan.Bounds:
+		return planStands
+	}
+	return planConflicts
+}
+
+// nextOrder returns the write of the first requested order that the documents lack; again is after how long the next one will have been
+// issued, 0: there is none.
+func (p Proposal) nextOrder(plan *Plan, documents []replication.Document, now int64) (w *documentWrite, again time.Duration, err error) {
+	for _, requested := range p.Orders {
+		key := orderPrefix + requested.Name
+		age := time.Duration(now - requested.Issued.UnixNano())
+		known := slices.ContainsFunc(documents, func(d replication.Document) bool { return d.Key == key })
 		switch {
 		case known || age > orderFreshness:
 		case age < 0:
@@ -82,46 +132,50 @@
 				again = -age
 			}
 		default:
-			value, err := json.Marshal(Order{Name: wish.Name, EffectiveAt: now + int64(plan.reach()), Site: wish.Site, Cluster: wish.Cluster})
-			return &documentWrite{orderPrefix + wish.Name, 0, value}, 0, err
-		}
-	}
-	for _, d := range docs {
-		var o Order
-		if strings.HasPrefix(d.Key, orderPrefix) && json.Unmarshal(d.Value, &o) == nil && o.EffectiveAt < now-int64(eventRetention+orderFreshness) {
-			return &documentWrite{d.Key, d.Version, nil}, 0, err
+			order := Order{Name: requested.Name, EffectiveAt: now + int64(plan.reach()), Site: requested.Site, Cluster: requested.Cluster}
+			value, err := json.Marshal(order)
+			return &documentWrite{key: key, value: value}, 0, err
 		}
 	}
-	return nil, again, err
+	return nil, again, nil
 }
 
-// reach is Bounds.reach by whichever bounds an edge may go by: those of the plan, or of the one before it.
-func (p *Plan) reach() time.Duration {
-	if p.Previous != nil {
-		return max(p.Bounds.reach(), p.Previous.Bounds.reach())
+// expiredOrder returns the deletion of an order that is remembered no longer; nil if there is none.
+func expiredOrder(documents []replication.Document, now int64) *documentWrite {
+	rememberedFrom := now - int64(eventRetention+orderFreshness)
+	for _, d := range documents {
+		var order Order
+		if !strings.HasPrefix(d.Key, orderPrefix) || json.Unmarshal(d.Value, &order) != nil {
+			continue
+		}
+		if order.EffectiveAt < rememberedFrom {
+			return &documentWrite{key: d.Key, expectedVersion: d.Version}
+		}
 	}
-	return p.Bounds.reach()
+	return nil
 }
 
-// encodePlan is the document for a plan that takes the place of old, nil: the first.
+// encodePlan returns the document of the proposal's plan, which replaces old; nil if it is the first.
 func (p Proposal) encodePlan(old *Plan, now int64) ([]byte, error) {
-	next := Plan{Revision: p.Revision, Bounds: p.Bounds, Book: p.Book}
+	plan := Plan{Revision: p.Revision, Bounds: p.Bounds, Book: p.Book}
 	reach := p.Bounds.reach()
 	if old != nil {
-		was := *old
 		reach = max(reach, old.reach())
-		was.Previous, next.Previous = nil, &was
+		previous := *old
+		previous.Previous = nil
+		plan.Previous = &previous
 	}
-	next.EffectiveAt = now + int64(reach)
+	plan.EffectiveAt = now + int64(reach)
 	var err error
-	if next.ZoneDigests, err = zoneDigests(p.Book, next.EffectiveAt); err != nil {
+	if plan.ZoneDigests, err = zoneDigests(p.Book, plan.EffectiveAt); err != nil {
 		return nil, err
 	}
-	return json.Marshal(next)
+	return json.Marshal(plan)
 }
 
+// sameBook reports whether two books are encoded alike.
 func sameBook(a, b calendar.Book) bool {
-	x, err1 := json.Marshal(a)
-	y, err2 := json.Marshal(b)
-	return cmp.Or(err1, err2) == nil && bytes.Equal(x, y)
+	encodedA, errA := json.Marshal(a)
+	encodedB, errB := json.Marshal(b)
+	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
