--- a/internal/fleet/purge/cache_guard.go
+++ b/internal/fleet/purge/cache_guard.go
@@ -11,7 +11,7 @@
 	"threadsail/internal/policy"
 )
 
-// CacheGuard answers requests of one front from the front's cache, as the edge allows. It implements dispatch.Guard, on the front's event
+// CacheGuard answers requests of one frontend from the frontend's cache, as the edge allows. It implements dispatch.Guard, on the frontend's event
 // loop; its counts may be read on any goroutine.
 type CacheGuard struct {
 	component *Component
@@ -26,7 +26,7 @@
 
 var _ dispatch.Guard = (*CacheGuard)(nil)
 
-// NewCacheGuard returns a guard for one front, with a cache of maxBytes at most for the classes that are named. classOf returns a class by
+// NewCacheGuard returns a guard for one frontend, with a cache of maxBytes at most for the classes that are named. classOf returns a class by
 // its number. shareable returns an answer as it may be given to another client, and its size in bytes; ok is false if it may not.
 func (c *Component) NewCacheGuard(maxBytes uint64, classes []string, classOf func(class int) policy.Class, shareable func(answer any) (shared any, size int, ok bool)) *CacheGuard {
 	g := &CacheGuard{component: c, cache: answercache.New(maxBytes), classes: map[string]bool{}, classOf: classOf, shareable: shareable}
--- a/internal/fleet/purge/component.go
+++ b/internal/fleet/purge/component.go
@@ -60,7 +60,7 @@
 	return c.proposal
 }
 
-// currentGuards returns the fronts' guards.
+// currentGuards returns the frontends' guards.
 func (c *Component) currentGuards() []*CacheGuard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -333,7 +333,7 @@
 		{dispatch.Request{Class: 3, CacheVariant: "f", Statement: "SELECT 1"}, false}, // may leave something behind
 		{dispatch.Request{Class: 0, CacheVariant: "f", Statement: "SELECT 1", HasIdempotencyKey: true}, false},
 		{dispatch.Request{Class: 0, CacheVariant: "f", Statement: "SELECT 1", SessionCommitAt: 1}, false},
-		{dispatch.Request{Class: 0, Statement: "SELECT 1"}, false}, // its front says that it may not be another's
+		{dispatch.Request{Class: 0, Statement: "SELECT 1"}, false}, // its frontend says that it may not be another's
 	} {
 		if _, ok := c.cacheable(&k.r); ok != k.want {
 			t.Errorf("%+v: %v", k.r, ok)
--- a/internal/fleet/purge/purge.go
+++ b/internal/fleet/purge/purge.go
@@ -4,7 +4,7 @@
 // It decides which purges there are (Timetable, from the fleet's documents), whether an edge may answer from its cache now and since when
 // such an answer must have been requested (Edge.Current), which purges an edge still has to record (each once), and what the documents
 // lack of the operators' file (Proposal). It owns the comparison of clocks between edges and, through CacheGuard, the cached answers.
-// Edge and Timetable do no I/O; Component runs on goroutines of its own; CacheGuard is called on the event loop of a front.
+// Edge and Timetable do no I/O; Component runs on goroutines of its own; CacheGuard is called on the event loop of a frontend.
 //
 // Invariant: let a clock be right that is within Bounds.Guard of true time, and let each edge's clock be right if it agrees with most of
 // those that it was compared with within half of that. Then no edge gives a cached answer, after the instant of a purge of its site, that
--- a/internal/fleet/quota/guard.go
+++ b/internal/fleet/quota/guard.go
@@ -10,8 +10,8 @@
 	"threadsail/internal/policy"
 )
 
-// Guard holds one front's requests, attempts, connections and probes to the limits. It belongs to that front's event loop, on which
-// all of its methods are called; the fronts of one process share a Client.
+// Guard holds one frontend's requests, attempts, connections and probes to the limits. It belongs to that frontend's event loop, on which
+// all of its methods are called; the frontends of one process share a Client.
 type Guard struct {
 	client    *Client
 	classOf   func(class int) policy.Class
@@ -24,8 +24,8 @@
 	_ dispatch.ConnectionGate = (*Guard)(nil)
 )
 
-// NewGuard returns the guard of a front. classOf returns a request's class; settings return how a server's slow start goes, and what
-// clients may be told about retries. Both may change at any time.
+// NewGuard returns the guard of a frontend. classOf returns a request's class; settings return how a server's slow start goes, and what
+// clients may learn about retries. Both may change at any time.
 func NewGuard(c *Client, classOf func(class int) policy.Class, settings func() policy.Settings) *Guard {
 	return &Guard{client: c, classOf: classOf, settings: settings, startedAt: map[string]time.Duration{}}
 }
@@ -73,7 +73,7 @@
 }
 
 // retryAfter is when the client of a rejected request may retry: when there will be a token, or when the leader's next grant arrives,
-// which may bring a larger quota; within what the settings let clients be told. 0 tells a client nothing.
+// which may bring a larger quota; within what the settings allow. 0 means that the client learns nothing.
 func (g *Guard) retryAfter(untilToken time.Duration) time.Duration {
 	settings := g.settings()
 	if !settings.RetryAfterSupported {
@@ -87,7 +87,7 @@
 }
 
 // MaySend implements dispatch.Guard: an attempt at a cold server takes a token of its limit, or more the colder the server is. The
-// policy's own share for each front holds beside it.
+// policy's own share for each frontend holds beside it.
 func (g *Guard) MaySend(now time.Duration, r *dispatch.Request, server string) dispatch.SendDecision {
 	if r.WaitedForConnection { // its token was taken before it waited
 		return dispatch.Send
--- a/internal/fleet/quota/guard_test.go
+++ b/internal/fleet/quota/guard_test.go
@@ -10,7 +10,7 @@
 	"threadsail/internal/policy"
 )
 
-// Requests, attempts at cold servers, connections and probes take tokens of their limits, and clients are told when to retry.
+// Requests, attempts at cold servers, connections and probes take tokens of their limits, and clients learn when to retry.
 func TestGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient("a/1", term, 10, config.Limits{Revision: 1, List: []config.Limit{
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -17,7 +17,7 @@
 // clocks that differ by no more than drift over a term.
 //
 // The package owns a pooler's tokens (Client, bucket), the leader's accounts (Allocator) and the messages between the two (Component).
-// Guard asks on the event loop of a front, Component.Run runs on a goroutine of its own, and Client and Allocator are safe for
+// Guard asks on the event loop of a frontend, Component.Run runs on a goroutine of its own, and Client and Allocator are safe for
 // concurrent use. The package does not decide what the limits are: they come from the operators' file, and the highest revision in the
 // fleet's documents counts.
 package quota
--- a/internal/fleet/replication/catch_up.go
+++ b/internal/fleet/replication/catch_up.go
@@ -10,11 +10,11 @@
 const (
 	// fetchSpreadPerMember spreads the fetches of a fleet after a change, by so much for each member.
 	fetchSpreadPerMember = 5 * time.Millisecond
-	// memberFetchTimeout bounds the wait for a member's answer before another is asked.
+	// memberFetchTimeout bounds the wait for a member's answer before another member is queried.
 	memberFetchTimeout = 500 * time.Millisecond
 	// voterFetchTimeout bounds a fetch from the voters.
 	voterFetchTimeout = 2 * time.Second
-	// maxSilentHeartbeats is for how many heartbeats nothing may be announced before the voters are asked.
+	// maxSilentHeartbeats is for how many heartbeats nothing may be announced before the voters are queried.
 	maxSilentHeartbeats = 5
 )
 
--- a/internal/fleet/replication/replicator.go
+++ b/internal/fleet/replication/replicator.go
@@ -41,7 +41,7 @@
 	Name    string // of the replica, among those on the bus; empty: defaultReplicaName
 	Bus     bus.Bus
 	Replica *Replica
-	Voters  SnapshotFetcher // nil: no voter can be asked
+	Voters  SnapshotFetcher // nil: no voter can be queried
 	// Confirm returns the newest version in the log and an instant as of which it was the newest; ok is false while this process
 	// does not lead. It is consensus.Voter.ConfirmVersion, or, for another replica, of the process that writes it. nil: this process never
 	// leads.
--- a/internal/fleet/shardmap/component.go
+++ b/internal/fleet/shardmap/component.go
@@ -78,7 +78,7 @@
 	return c
 }
 
-// Guard returns a guard for a front's dispatcher. isWrite reports whether a class is of writes.
+// Guard returns a guard for a frontend's dispatcher. isWrite reports whether a class is of writes.
 func (c *Component) Guard(isWrite func(class int) bool) *Guard {
 	return c.router.newGuard(isWrite, func() { notify(c.routerWake) })
 }
--- a/internal/fleet/shardmap/component_test.go
+++ b/internal/fleet/shardmap/component_test.go
@@ -199,7 +199,7 @@
 	})
 }
 
-// A router that is cut off while its range is copied writes for less than a term more, and its clients are told when to retry. The
+// A router that is cut off while its range is copied writes for less than a term more, and its clients learn when to retry. The
 // others are without writes for no more than a term, the drift, and the time of the messages. Once the cut is healed the router writes
 // to the new home.
 func TestRouterCutOff(t *testing.T) {
@@ -236,7 +236,7 @@
 			t.Errorf("no writes for %v, want at most %v", none, bound)
 		}
 		if w, after := lone.component.router.BeginWrite("b", time.Now()); w != nil || after <= 0 {
-			t.Errorf("its client is told to retry after %v", after)
+			t.Errorf("its client may retry after %v", after)
 		}
 		if home, _, _ := lone.component.router.Home("b"); home != 0 || lone.write("d") != 0 {
 			t.Error("reads and other ranges do not go on")
--- a/internal/fleet/shardmap/copier.go
+++ b/internal/fleet/shardmap/copier.go
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// Copier moves a range's data between clusters, instruction by instruction; how is the servers' affair. It owes that an act can be
+// Copier moves a range's data between clusters, instruction by instruction, by means of the servers. It owes that an act can be
 // repeated, and that it refuses an instruction if a newer one for any of its keys has been carried out (Instruction.Newer).
 type Copier interface {
 	// Do returns nil once the act is done: an ActCopy when the target is nearly up to the source, an ActFinish when it is fully.
--- a/internal/fleet/shardmap/guard.go
+++ b/internal/fleet/shardmap/guard.go
@@ -9,7 +9,7 @@
 // minSweepSize is the least number of writes at which those whose clients have gone are looked for.
 const minSweepSize = 1 << 10
 
-// Guard applies the map's rules to the requests of one front. All of its methods are called on the front's event loop. Requests without a
+// Guard applies the map's rules to the requests of one frontend. All of its methods are called on the frontend's event loop. Requests without a
 // key pass, and go where they would go without a map; so do all requests while there is no map.
 type Guard struct {
 	router         *Router
@@ -24,7 +24,7 @@
 	_ dispatch.AnswerVerifier = (*Guard)(nil)
 )
 
-// newGuard returns the guard of a front. isWrite reports whether a class is of writes.
+// newGuard returns the guard of a frontend. isWrite reports whether a class is of writes.
 func (r *Router) newGuard(isWrite func(class int) bool, onFenceDrained func()) *Guard {
 	return &Guard{router: r, isWrite: isWrite, onFenceDrained: onFenceDrained, openWrites: map[*dispatch.Request]*Write{}, sweepAt: minSweepSize}
 }
--- a/internal/fleet/shardmap/instruction.go
+++ b/internal/fleet/shardmap/instruction.go
@@ -12,7 +12,7 @@
 	ActClose  Act = "close"  // switched: the source refuses all writes for good, the target accepts those of this epoch or a later one
 )
 
-// Instruction is an act as a Copier is told it. Token and Sequence order all instructions of all coordinators. An instruction is refused
+// Instruction is an act as a Copier receives it. Token and Sequence order all instructions of all coordinators. An instruction is refused
 // once a newer one has been carried out, as it may have been on its way since before the switch.
 type Instruction struct {
 	Act      Act    `json:"act"`
--- a/internal/fleet/shardmap/router.go
+++ b/internal/fleet/shardmap/router.go
@@ -182,7 +182,7 @@
 }
 
 // AnswerCounts reports whether the answer to a write, which has arrived now, is to be believed. If it arrives after the right has ended,
-// the write may have run after the last copy of its range was made: nobody knows, and the client must be told so.
+// the write may have run after the last copy of its range was made: nobody knows, and the client must learn that.
 func (r *Router) AnswerCounts(w *Write) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/shardmap/shardmap.go
+++ b/internal/fleet/shardmap/shardmap.go
@@ -6,7 +6,7 @@
 // the lease LeaseName coordinates the moves, step by step. Each step is one write of the map's document, fenced by the lease's token.
 //
 // Document, Coordinator and Router decide and do no I/O; Component carries their decisions out on goroutines of its own; Guard is
-// called on the event loop of a front. The package does not copy data: that is a Copier's, and the servers'.
+// called on the event loop of a frontend. The package does not copy data: that is a Copier's, and the servers'.
 //
 // The caller owes one process at a time under a pooler's name, servers that answer a write only once it is durable, and a Copier whose
 // acts can be repeated.
