--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -545,8 +545,12 @@
 	Scram // on PostgreSQL's wire: by SCRAM-SHA-256
 )
 
-// Demand sets how the pooler must log in.
+// Demand sets how the pooler must log in. The key of Full8 is made here, not within the first login: on a busy machine that takes
+// longer than a pooler waits for a connection, and all servers would count as down.
 func (s *Server) Demand(how Login) {
+	if how == Full8 {
+		serverKey()
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.login = how
