--- a/cmd/threadsail/inventory.go
+++ b/cmd/threadsail/inventory.go
@@ -58,10 +58,10 @@
 	l, err := c.read(x.File)
 	var wrong *serverlist.ListError
 	if errors.As(err, &wrong) { // a line each, as compilers do
-		for _, p := range wrong.List {
+		for _, p := range wrong.Problems {
 			fmt.Fprintf(s.err, "%s: %s\n", x.File, p)
 		}
-		return fmt.Errorf("%s: %d problems", x.File, len(wrong.List)+wrong.More)
+		return fmt.Errorf("%s: %d problems", x.File, len(wrong.Problems)+wrong.Unreported)
 	}
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 		if i > 0 {
 			change = serverlist.Compare(all[i-1].Servers, g.Servers).String()
 		}
-		fmt.Fprintf(w, "%d\t%s\t%d\t%v\t%s\t%s\n", g.Number, time.Unix(0, int64(g.Taken)).UTC().Format(time.RFC3339), len(g.Servers),
+		fmt.Fprintf(w, "%d\t%s\t%d\t%v\t%s\t%s\n", g.Number, time.Unix(0, int64(g.AcceptedAt)).UTC().Format(time.RFC3339), len(g.Servers),
 			g.Sealed, g.Digest, change)
 	}
 	return w.Flush()
--- a/cmd/threadsail/inventory_test.go
+++ b/cmd/threadsail/inventory_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	for i, l := range []*pooler.List{all, less} {
-		if err := kept.Put(&serverlist.Generation{Number: uint64(i + 1), Digest: serverlist.Digest(l.Servers), Taken: 1e9 * 3600, Servers: l.Servers}); err != nil {
+		if err := kept.Put(&serverlist.Generation{Number: uint64(i + 1), Digest: serverlist.Digest(l.Servers), AcceptedAt: 1e9 * 3600, Servers: l.Servers}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -85,9 +85,9 @@
 	if err != nil || !l.Sealed || l.ConfirmedDigest != digest {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	g := serverlist.NewGate(serverlist.Policy{Hold: time.Hour}, &serverlist.Generation{Number: 2, Digest: digest, Servers: less.Servers})
-	if d := g.Offer(0, serverlist.Candidate{Servers: l.Servers, Sealed: true, Confirms: l.ConfirmedDigest}); d.Verdict != serverlist.Taken {
-		t.Errorf("it is %v: %s", d.Verdict, d.Reason)
+	g := serverlist.NewGate(serverlist.Policy{HoldTime: time.Hour}, &serverlist.Generation{Number: 2, Digest: digest, Servers: less.Servers})
+	if d := g.Offer(0, serverlist.Candidate{Servers: l.Servers, Sealed: true, Confirms: l.ConfirmedDigest}); d.Outcome != serverlist.Accepted {
+		t.Errorf("it is %v: %s", d.Outcome, d.Reason)
 	}
 	if info, err := os.Stat("b.csv"); err != nil || info.Mode().Perm() != 0o640 {
 		t.Error("the file's mode has changed", info.Mode(), err)
--- a/internal/archive/stored_test.go
+++ b/internal/archive/stored_test.go
@@ -15,9 +15,9 @@
 
 // stored is the generation in testdata/state/mysql, which sets every key that a file may hold.
 func stored() *serverlist.Generation {
-	g := &serverlist.Generation{Number: 7, Source: "servers.yaml", Taken: 1764676800 * time.Second, Sealed: true, Servers: []serverlist.Server{
-		{Name: "db1", Addr: "127.0.0.11:3306", Room: "a", Cluster: 4, State: policy.Ready, Weight: 5, Wire: "mysql", Version: "8.4"},
-		{Name: "db2", Addr: "127.0.0.12:5432", Room: "b", Cluster: 5, State: policy.Draining, Weight: 1, Wire: "postgres", Version: "16"},
+	g := &serverlist.Generation{Number: 7, Source: "servers.yaml", AcceptedAt: 1764676800 * time.Second, Sealed: true, Servers: []serverlist.Server{
+		{Name: "db1", Addr: "127.0.0.11:3306", Zone: "a", Cluster: 4, State: policy.Ready, Weight: 5, Wire: "mysql", Version: "8.4"},
+		{Name: "db2", Addr: "127.0.0.12:5432", Zone: "b", Cluster: 5, State: policy.Draining, Weight: 1, Wire: "postgres", Version: "16"},
 		{Name: "db3", Addr: "127.0.0.13:3306", State: policy.Ready},
 	}}
 	g.Digest = serverlist.Digest(g.Servers)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -237,7 +237,7 @@
 "settle_ms":0,"settle_removal_ms":10,"hold_ms":0,"hold_share":0.5,"keep":2,"poll_ms":50}`
 	got, err := parseServerLists([]byte(text))
 	want := &ServerLists{Postgres: ListSource{File: "a.csv"}, MySQL: ListSource{DiscoveryAddr: "127.0.0.1:1"}, ArchiveDir: "s",
-		PollInterval: 50 * time.Millisecond, Policy: serverlist.Policy{SettleRemoval: 10 * time.Millisecond, Share: 0.5, RequireSeal: true, Keep: 2}}
+		PollInterval: 50 * time.Millisecond, Policy: serverlist.Policy{RemovalSettleTime: 10 * time.Millisecond, MaxLossShare: 0.5, RequireSeal: true, MaxGenerations: 2}}
 	if d := cmp.Diff(want, got); d != "" || err != nil {
 		t.Error(err, d)
 	}
--- a/internal/config/lists.go
+++ b/internal/config/lists.go
@@ -42,8 +42,8 @@
 
 // defaultServerLists is what holds without a file.
 func defaultServerLists() *ServerLists {
-	return &ServerLists{PollInterval: 5 * time.Second, Policy: serverlist.Policy{Settle: time.Second, SettleRemoval: 2 * time.Second,
-		Hold: time.Minute, Share: 0.34, Keep: 8}}
+	return &ServerLists{PollInterval: 5 * time.Second, Policy: serverlist.Policy{SettleTime: time.Second, RemovalSettleTime: 2 * time.Second,
+		HoldTime: time.Minute, MaxLossShare: 0.34, MaxGenerations: 8}}
 }
 
 // loadServerLists reads the file of the server lists. Without it, or with "enabled" false, the defaults hold.
@@ -140,9 +140,9 @@
 		least float64
 		to    *time.Duration
 	}{
-		{"settle_ms", file.SettleMs, 0, &l.Policy.Settle},
-		{"settle_removal_ms", file.SettleRemovalMs, 0, &l.Policy.SettleRemoval},
-		{"hold_ms", file.HoldMs, 0, &l.Policy.Hold},
+		{"settle_ms", file.SettleMs, 0, &l.Policy.SettleTime},
+		{"settle_removal_ms", file.SettleRemovalMs, 0, &l.Policy.RemovalSettleTime},
+		{"hold_ms", file.HoldMs, 0, &l.Policy.HoldTime},
 		{"poll_ms", file.PollMs, minPollMs, &l.PollInterval},
 	} {
 		if k.value == nil {
@@ -161,13 +161,13 @@
 		if *share < 0 || *share > 1 {
 			return fmt.Errorf("hold_share: %v is not from 0 to 1", *share)
 		}
-		l.Policy.Share = *share
+		l.Policy.MaxLossShare = *share
 	}
 	if keep := file.Keep; keep != nil {
 		if *keep < 1 || *keep > maxGenerations {
 			return fmt.Errorf("keep: %d is not from 1 to %d", *keep, maxGenerations)
 		}
-		l.Policy.Keep = *keep
+		l.Policy.MaxGenerations = *keep
 	}
 	return nil
 }
--- a/internal/pooler/file_watcher.go
+++ b/internal/pooler/file_watcher.go
@@ -68,8 +68,8 @@
 	if current == nil {
 		return fmt.Errorf("%s: %s", k.path, decision.Reason)
 	}
-	if decision.Verdict != serverlist.Taken {
-		k.log.Info().Uint64("generation", current.Number).Dur("age_ms", k.loop.Now()-current.Taken).Msg("list: serving from the kept generation")
+	if decision.Outcome != serverlist.Accepted {
+		k.log.Info().Uint64("generation", current.Number).Dur("age_ms", k.loop.Now()-current.AcceptedAt).Msg("list: serving from the kept generation")
 	}
 	k.updateRoutes(current.Servers, nil)
 	dispatcher.ApplyList(policy.ListFull, k.listMembers(current.Servers, nil))
@@ -84,7 +84,7 @@
 	if lists.ArchiveDir == "" {
 		return nil, nil
 	}
-	kept, err := archive.Open(filepath.Join(lists.ArchiveDir, k.format.name), lists.Policy.Keep)
+	kept, err := archive.Open(filepath.Join(lists.ArchiveDir, k.format.name), lists.Policy.MaxGenerations)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
@@ -116,7 +116,7 @@
 	defer timer.Stop()
 	for {
 		wait := noTimerDue
-		if due := k.gate.Due(); due > 0 {
+		if due := k.gate.NextTimer(); due > 0 {
 			wait = max(due-k.loop.Now(), 0)
 		}
 		timer.Reset(wait)
@@ -126,7 +126,7 @@
 		case command := <-k.commands:
 			command()
 		case <-timer.C:
-			k.carryOut(k.gate.Timer(k.loop.Now()))
+			k.carryOut(k.gate.HandleTimer(k.loop.Now()))
 		}
 	}
 }
@@ -141,7 +141,7 @@
 // applyConfig puts another policy, path or polling interval in force. It is called on the loop, and waits for nothing.
 func (k *fileWatcher) applyConfig(lists *config.ServerLists, path string) {
 	command := func() {
-		k.carryOut(k.gate.Retune(k.loop.Now(), lists.Policy))
+		k.carryOut(k.gate.SetPolicy(k.loop.Now(), lists.Policy))
 		// The old watcher may be about to deliver a state: it must not wait for this goroutine while this one waits for its end.
 		go k.watcher.Close()
 		k.path = path
@@ -164,7 +164,7 @@
 
 // candidate returns what the file holds, checked, or why it can't be used.
 func (k *fileWatcher) candidate(state watchfile.State) serverlist.Candidate {
-	candidate := serverlist.Candidate{Source: k.path, Content: state.Content, Err: state.Err}
+	candidate := serverlist.Candidate{Source: k.path, ContentHash: state.Content, Err: state.Err}
 	if candidate.Err != nil {
 		return candidate
 	}
@@ -175,7 +175,7 @@
 	}
 	candidate.Servers = list.Servers
 	candidate.Sealed = list.Sealed
-	candidate.Ended = list.Terminated
+	candidate.EndsInNewline = list.Terminated
 	candidate.Confirms = list.ConfirmedDigest
 	return candidate
 }
@@ -183,11 +183,11 @@
 // carryOut carries out what the gate has decided. The dispatcher gets a new list before it is kept on disk: a slow disk must not
 // keep the loop on the old list.
 func (k *fileWatcher) carryOut(decision serverlist.Decision) {
-	if decision.Verdict == serverlist.Idle {
+	if decision.Outcome == serverlist.Idle {
 		return
 	}
-	if decision.Verdict == serverlist.Taken {
-		listed, removed := decision.Diff.Listed(), decision.Diff.Gone()
+	if decision.Outcome == serverlist.Accepted {
+		listed, removed := decision.Diff.NewOrChanged(), decision.Diff.RemovedServers()
 		members := k.listMembers(listed, removed)
 		k.loop.Post(func() {
 			k.updateRoutes(listed, removed)
@@ -200,14 +200,14 @@
 // record logs and counts a decision, and keeps a generation that has come into force.
 func (k *fileWatcher) record(decision serverlist.Decision) {
 	log := k.log.With().Str("file", k.path).Logger()
-	switch decision.Verdict {
-	case serverlist.Taken:
+	switch decision.Outcome {
+	case serverlist.Accepted:
 		k.metrics.Taken++
 		k.recordTaken(log, decision)
 	case serverlist.Held:
 		k.metrics.Held++
 		k.recordHeld(log, decision)
-	case serverlist.TurnedDown:
+	case serverlist.Rejected:
 		k.metrics.Rejected++
 		log.Error().Str("cause", decision.Reason).Msg("list: turned down; the old one stands")
 	case serverlist.Withdrawn:
@@ -230,8 +230,8 @@
 
 func (k *fileWatcher) recordHeld(log zerolog.Logger, decision serverlist.Decision) {
 	event := log.Warn().Str("cause", decision.Reason).Str("change", decision.Diff.String())
-	if decision.Until > 0 {
-		event.Dur("taken_in_ms", decision.Until-k.loop.Now()).Msg("list: held; the old one stands until this one has stood unchanged")
+	if decision.AcceptAt > 0 {
+		event.Dur("taken_in_ms", decision.AcceptAt-k.loop.Now()).Msg("list: held; the old one stands until this one has stood unchanged")
 		return
 	}
 	event.Str("confirm", k.gate.Current().Digest).Msg("list: held until it is confirmed; the old one stands")
@@ -239,7 +239,7 @@
 
 // publish shows the metrics to the admin server's goroutine.
 func (k *fileWatcher) publish() {
-	_, k.metrics.Holding = k.gate.Holding()
+	_, k.metrics.Holding = k.gate.Pending()
 	if current := k.gate.Current(); current != nil {
 		k.metrics.Generation = current.Number
 	}
@@ -274,7 +274,7 @@
 		members = append(members, dispatch.Member{
 			Name:   server.Key(),
 			Addr:   server.Addr,
-			Zone:   zoneIndex(k.zoneIndexes, server.Room),
+			Zone:   zoneIndex(k.zoneIndexes, server.Zone),
 			Group:  server.Cluster,
 			State:  server.State,
 			Weight: weight,
--- a/internal/pooler/list_file.go
+++ b/internal/pooler/list_file.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	servers, err := serverlist.Check(file.Rows, serverlist.Limits{Port: format.defaultPort, Rooms: zones})
+	servers, err := serverlist.Check(file.Rows, serverlist.Constraints{DefaultPort: format.defaultPort, Zones: zones})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/protocol/inventory/csv.go
+++ b/internal/protocol/inventory/csv.go
@@ -48,19 +48,19 @@
 		}
 		row := serverlist.Row{Line: line}
 		for i, c := range cells {
-			if head[i] == serverlist.Fields {
+			if head[i] == serverlist.FieldCount {
 				continue
 			}
-			row.Value[head[i]] = strings.Clone(c)
+			row.Values[head[i]] = strings.Clone(c)
 			if at, _ := r.FieldPos(i); at != line {
-				row.At[head[i]] = at
+				row.Lines[head[i]] = at
 			}
 		}
 		rows = append(rows, row)
 	}
 	if head == nil {
 		p.Add(1, "header", "missing, expected the names of the columns, name among them")
-	} else if !seen[serverlist.Name] {
+	} else if !seen[serverlist.FieldName] {
 		p.Add(1, "header", "no column is called name")
 	}
 	return rows
@@ -77,7 +77,7 @@
 		switch {
 		case !ok:
 			p.Add(line, "header", "unknown column %.40q, expected name, host, port, zone, cluster, state, weight, wire or version", title)
-			f = serverlist.Fields
+			f = serverlist.FieldCount
 		case seen[f]:
 			p.Add(line, "header", "two columns hold the %s", f)
 		}
--- a/internal/protocol/inventory/inventory.go
+++ b/internal/protocol/inventory/inventory.go
@@ -52,7 +52,7 @@
 	f := &File{Ended: bytes.HasSuffix(text, []byte("\n"))}
 	body, seal := cutSeal(text, &p)
 	f.Seal = seal
-	if readable(body, &p); len(p.List) == 0 {
+	if readable(body, &p); len(p.Problems) == 0 {
 		body = bytes.TrimPrefix(body, []byte("\ufeff"))
 		if form == YAML {
 			f.Rows = parseYAML(body, portVariable, &p)
@@ -60,7 +60,7 @@
 			f.Rows = parseCSV(string(body), &p)
 		}
 	}
-	if seal != nil && len(p.List) == 0 && seal.Rows != len(f.Rows) {
+	if seal != nil && len(p.Problems) == 0 && seal.Rows != len(f.Rows) {
 		p.Add(0, "", "the seal counts %d servers, and there are %d", seal.Rows, len(f.Rows))
 	}
 	if err := p.Err(); err != nil {
@@ -88,6 +88,6 @@
 	}
 }
 
-var fields = map[string]serverlist.Field{"name": serverlist.Name, "host": serverlist.Host, "port": serverlist.Port,
-	"zone": serverlist.Room, "room": serverlist.Room, "cluster": serverlist.Cluster, "state": serverlist.State,
-	"weight": serverlist.Weight, "wire": serverlist.Wire, "version": serverlist.Version, "ansible_host": serverlist.Host}
+var fields = map[string]serverlist.Field{"name": serverlist.FieldName, "host": serverlist.FieldHost, "port": serverlist.FieldPort,
+	"zone": serverlist.FieldZone, "room": serverlist.FieldZone, "cluster": serverlist.FieldCluster, "state": serverlist.FieldState,
+	"weight": serverlist.FieldWeight, "wire": serverlist.FieldWire, "version": serverlist.FieldVersion, "ansible_host": serverlist.FieldHost}
--- a/internal/protocol/inventory/inventory_test.go
+++ b/internal/protocol/inventory/inventory_test.go
@@ -12,7 +12,7 @@
 	"threadsail/internal/serverlist"
 )
 
-var limits = serverlist.Limits{Port: 3306, Rooms: []string{"a", "b", "x"}}
+var limits = serverlist.Constraints{DefaultPort: 3306, Zones: []string{"a", "b", "x"}}
 
 func read(form Form, text string) ([]serverlist.Server, error) {
 	f, err := Parse(form, "mysql_port", []byte(text))
@@ -23,7 +23,7 @@
 }
 
 func server(name, addr, room string, cluster int) serverlist.Server {
-	return serverlist.Server{Name: name, Addr: addr, Room: room, Cluster: cluster, State: policy.Ready, Weight: 1}
+	return serverlist.Server{Name: name, Addr: addr, Zone: room, Cluster: cluster, State: policy.Ready, Weight: 1}
 }
 
 func TestParse(t *testing.T) {
@@ -84,7 +84,7 @@
         db3:
         db2: {}
 `, []serverlist.Server{server("db1", "10.0.0.1:3307", "a", 1),
-			{Name: "db2", Addr: "db2:3307", Room: "b", Cluster: 1, State: policy.Draining}, server("db3", "db3:3307", "x", 0)}, ""},
+			{Name: "db2", Addr: "db2:3307", Zone: "b", Cluster: 1, State: policy.Draining}, server("db3", "db3:3307", "x", 0)}, ""},
 		"yaml, inner group wins": {YAML, "all:\n  children:\n    in: {vars: {cluster: 2}, hosts: {db1: }}\n  vars: {cluster: 1}\nouter:\n  vars: {cluster: 3}\n  hosts: {db1: }\n",
 			[]serverlist.Server{server("db1", "db1:3306", "", 2)}, ""},
 		"yaml, ranges": {YAML, "g:\n  hosts:\n    db[09:11].example.org:\n    r[a:c:2]:\n      zone: a\n", []serverlist.Server{
@@ -161,7 +161,7 @@
 // What Format writes must read back as the same list.
 func TestFormat(t *testing.T) {
 	in := []serverlist.Server{server("a", "10.0.0.1:3307", "a", 2), server("no", "[::1]:3306", "", 0),
-		{Name: "x:y", Addr: "h.example:1", Room: "b", Cluster: 2, State: policy.Draining, Weight: 0, Wire: "postgres", Version: "16"}}
+		{Name: "x:y", Addr: "h.example:1", Zone: "b", Cluster: 2, State: policy.Draining, Weight: 0, Wire: "postgres", Version: "16"}}
 	for _, form := range []Form{CSV, YAML} {
 		text, err := Format(form, "mysql_port", in)
 		if err != nil {
@@ -230,9 +230,9 @@
 	})
 	b.Run("gate", func(b *testing.B) {
 		for b.Loop() {
-			g := serverlist.NewGate(serverlist.Policy{Share: 0.34}, &serverlist.Generation{Number: 1, Servers: servers})
-			if d := g.Offer(0, serverlist.Candidate{Servers: changed, Sealed: true}); d.Verdict != serverlist.Taken || len(d.Diff.Changed) != 1 {
-				b.Fatal(d.Verdict)
+			g := serverlist.NewGate(serverlist.Policy{MaxLossShare: 0.34}, &serverlist.Generation{Number: 1, Servers: servers})
+			if d := g.Offer(0, serverlist.Candidate{Servers: changed, Sealed: true}); d.Outcome != serverlist.Accepted || len(d.Diff.Changed) != 1 {
+				b.Fatal(d.Outcome)
 			}
 		}
 	})
--- a/internal/protocol/inventory/stored_test.go
+++ b/internal/protocol/inventory/stored_test.go
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			servers, err := serverlist.Check(f.Rows, serverlist.Limits{Port: 3306})
+			servers, err := serverlist.Check(f.Rows, serverlist.Constraints{DefaultPort: 3306})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -52,7 +52,7 @@
 		}
 		f, err := Parse(form, "mysql_port", text)
 		if err == nil {
-			_, err = serverlist.Check(f.Rows, serverlist.Limits{Port: 3306, Rooms: []string{"a"}})
+			_, err = serverlist.Check(f.Rows, serverlist.Constraints{DefaultPort: 3306, Zones: []string{"a"}})
 		}
 		if err == nil {
 			t.Fatal(name, "passes")
--- a/internal/protocol/inventory/write.go
+++ b/internal/protocol/inventory/write.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
 		}
-		row := []string{s.Name, host, port, s.Room, strconv.Itoa(s.Cluster), serverlist.StateName(s.State), strconv.Itoa(s.Weight)}
+		row := []string{s.Name, host, port, s.Zone, strconv.Itoa(s.Cluster), serverlist.StateName(s.State), strconv.Itoa(s.Weight)}
 		if wires {
 			row = append(row, s.Wire, s.Version)
 		}
@@ -68,8 +68,8 @@
 		one := mapping()
 		add(one, "ansible_host", scalar(host))
 		add(one, portVariable, scalar(n))
-		if s.Room != "" {
-			add(one, "zone", scalar(s.Room))
+		if s.Zone != "" {
+			add(one, "zone", scalar(s.Zone))
 		}
 		add(one, "state", scalar(serverlist.StateName(s.State)))
 		add(one, "weight", scalar(s.Weight))
--- a/internal/protocol/inventory/yaml.go
+++ b/internal/protocol/inventory/yaml.go
@@ -64,7 +64,7 @@
 // host is one that has been listed, maybe in several groups.
 type host struct {
 	row   serverlist.Row
-	depth [serverlist.Fields]int // of the group that each value came from, or own
+	depth [serverlist.FieldCount]int // of the group that each value came from, or own
 }
 
 type walk struct {
@@ -120,7 +120,7 @@
 	h := w.byName[name]
 	if h == nil {
 		h = &host{row: serverlist.Row{Line: line}}
-		h.row.Value[serverlist.Name] = name
+		h.row.Values[serverlist.FieldName] = name
 		w.byName[name] = h
 		w.order = append(w.order, h)
 	}
@@ -134,9 +134,9 @@
 	w.pairs(vars, name, func(line int, key string, v *yaml.Node) {
 		f, known := fields[key]
 		if key == w.portVariable {
-			f, known = serverlist.Port, true
+			f, known = serverlist.FieldPort, true
 		}
-		if !known || f == serverlist.Name || depth < h.depth[f] {
+		if !known || f == serverlist.FieldName || depth < h.depth[f] {
 			return
 		}
 		if v.Kind == yaml.AliasNode {
@@ -148,7 +148,7 @@
 		case strings.Contains(v.Value, "{{"):
 			w.p.Add(line, key, "%.40q, expected a plain value and no template", v.Value)
 		default:
-			h.row.Value[f], h.row.At[f], h.depth[f] = strings.TrimSpace(v.Value), line, depth
+			h.row.Values[f], h.row.Lines[f], h.depth[f] = strings.TrimSpace(v.Value), line, depth
 		}
 	})
 }
--- a/internal/serverlist/check.go
+++ b/internal/serverlist/check.go
@@ -17,27 +17,27 @@
 
 // The fields.
 const (
-	Name Field = iota
-	Host       // empty: the name
-	Port       // empty: Limits.Port
-	Room
-	Cluster // empty: 0
-	State   // empty: ready
-	Weight  // empty: 1
-	Wire    // empty: the front's own
-	Version // empty: unknown
-	Fields  // how many there are
+	FieldName Field = iota
+	FieldHost       // empty: the name
+	FieldPort       // empty: Limits.Port
+	FieldZone
+	FieldCluster // empty: 0
+	FieldState   // empty: ready
+	FieldWeight  // empty: 1
+	FieldWire    // empty: the front's own
+	FieldVersion // empty: unknown
+	FieldCount   // how many there are
 )
 
-var fieldNames = [Fields]string{"name", "host", "port", "zone", "cluster", "state", "weight", "wire", "version"}
+var fieldNames = [FieldCount]string{"name", "host", "port", "zone", "cluster", "state", "weight", "wire", "version"}
 
 func (f Field) String() string { return fieldNames[f] }
 
 // Row is one server as its file words it.
 type Row struct {
-	Line  int // where it begins, counted from 1
-	Value [Fields]string
-	At    [Fields]int // the line of a value that stands apart from the row; 0: the row's
+	Line   int // where it begins, counted from 1
+	Values [FieldCount]string
+	Lines  [FieldCount]int // the line of a value that stands apart from the row; 0: the row's
 }
 
 // Problem is one thing wrong with a file.
@@ -54,71 +54,71 @@
 	return fmt.Sprintf("line %d: %s: %s", p.Line, p.Field, p.Text)
 }
 
-// MaxProblems of a file are told; More counts the others.
-const MaxProblems = 20
+// MaxReported of a file are told; More counts the others.
+const MaxReported = 20
 
 // ListError is the error that lists what is wrong with a file, in the order of its lines.
 type ListError struct {
-	List []Problem
-	More int
+	Problems   []Problem
+	Unreported int
 }
 
 // Add notes one down.
 func (p *ListError) Add(line int, field, format string, args ...any) {
-	if len(p.List) >= MaxProblems {
-		p.More++
+	if len(p.Problems) >= MaxReported {
+		p.Unreported++
 		return
 	}
-	p.List = append(p.List, Problem{line, field, fmt.Sprintf(format, args...)})
+	p.Problems = append(p.Problems, Problem{line, field, fmt.Sprintf(format, args...)})
 }
 
 // Err is nil where nothing is wrong.
 func (p *ListError) Err() error {
-	if len(p.List) == 0 {
+	if len(p.Problems) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(p.List, func(a, b Problem) int { return a.Line - b.Line })
+	slices.SortStableFunc(p.Problems, func(a, b Problem) int { return a.Line - b.Line })
 	return p
 }
 
 func (p *ListError) Error() string {
 	var b strings.Builder
-	for i, x := range p.List {
+	for i, x := range p.Problems {
 		if i > 0 {
 			b.WriteString("; ")
 		}
 		b.WriteString(x.String())
 	}
-	if p.More > 0 {
-		fmt.Fprintf(&b, "; and %d more", p.More)
+	if p.Unreported > 0 {
+		fmt.Fprintf(&b, "; and %d more", p.Unreported)
 	}
 	return b.String()
 }
 
-// Limits is what a list must fit.
-type Limits struct {
-	Port  int      // of a server that names none
-	Rooms []string // the server rooms there are; nil: any
+// Constraints is what a list must fit.
+type Constraints struct {
+	DefaultPort int      // of a server that names none
+	Zones       []string // the server rooms there are; nil: any
 }
 
 // Bounds of what a list may hold.
 const (
-	MaxServers = 1 << 14 // what a pooler of 16 MB holds beside its work
-	MaxCluster = 1 << 16
-	MaxWeight  = 1000
-	maxName    = 253
+	MaxServers    = 1 << 14 // what a pooler of 16 MB holds beside its work
+	MaxCluster    = 1 << 16
+	MaxWeight     = 1000
+	maxNameLength = 253
 )
 
 // Check turns rows into a list in the order of the names, or tells all that is wrong with them. A list with no server in it
 // is fine here: whether it may be used is the gate's to say.
-func Check(rows []Row, lim Limits) ([]Server, error) {
-	c := &checker{lim: lim, names: make(map[string]int, len(rows)), addrs: make(map[string]int, len(rows)), rooms: map[string]bool{}}
-	for _, r := range lim.Rooms {
-		c.rooms[r] = true
+func Check(rows []Row, lim Constraints) ([]Server, error) {
+	c := &checker{constraints: lim, nameLines: make(map[string]int, len(rows)), addrLines: make(map[string]int, len(rows)), zones: map[string]bool{}}
+	for _, r := range lim.Zones {
+		c.zones[r] = true
 	}
 	out := make([]Server, 0, len(rows))
 	for i := range rows {
-		out = append(out, c.row(&rows[i]))
+		out = append(out, c.server(&rows[i]))
 	}
 	if len(rows) > MaxServers {
 		c.problems.Add(rows[MaxServers].Line, "name", "more than %d servers are listed", MaxServers)
@@ -133,24 +133,24 @@
 var wirePorts = map[string]int{"mysql": 3306, "postgres": 5432}
 
 type checker struct {
-	lim      Limits
-	names    map[string]int // the line where each stands first
-	addrs    map[string]int
-	rooms    map[string]bool
-	problems ListError
+	constraints Constraints
+	nameLines   map[string]int // the line where each stands first
+	addrLines   map[string]int
+	zones       map[string]bool
+	problems    ListError
 }
 
 func (c *checker) fail(r *Row, f Field, format string, args ...any) {
 	line := r.Line
-	if r.At[f] > 0 {
-		line = r.At[f]
+	if r.Lines[f] > 0 {
+		line = r.Lines[f]
 	}
 	c.problems.Add(line, f.String(), format, args...)
 }
 
 // number reads a field that counts something; empty: otherwise.
 func (c *checker) number(r *Row, f Field, least, most, otherwise int) int {
-	v := r.Value[f]
+	v := r.Values[f]
 	if v == "" {
 		return otherwise
 	}
@@ -161,72 +161,72 @@
 	return n
 }
 
-func (c *checker) row(r *Row) Server {
-	s := Server{Name: r.Value[Name], Room: r.Value[Room], State: policy.Ready}
-	host, hostField := r.Value[Host], Host
+func (c *checker) server(r *Row) Server {
+	s := Server{Name: r.Values[FieldName], Zone: r.Values[FieldZone], State: policy.Ready}
+	host, hostField := r.Values[FieldHost], FieldHost
 	if host == "" {
-		host, hostField = s.Name, Name
+		host, hostField = s.Name, FieldName
 	}
-	switch first, twice := c.names[fold(s.Name)]; {
+	switch first, twice := c.nameLines[canonicalName(s.Name)]; {
 	case s.Name == "":
-		c.fail(r, Name, "missing, expected the server's name")
-	case len(s.Name) > maxName || strings.ContainsFunc(s.Name, func(x rune) bool { return x <= ' ' || x == 0x7f }):
-		c.fail(r, Name, "%.40q, expected at most %d characters and no space among them", s.Name, maxName)
+		c.fail(r, FieldName, "missing, expected the server's name")
+	case len(s.Name) > maxNameLength || strings.ContainsFunc(s.Name, func(x rune) bool { return x <= ' ' || x == 0x7f }):
+		c.fail(r, FieldName, "%.40q, expected at most %d characters and no space among them", s.Name, maxNameLength)
 	case twice:
-		c.fail(r, Name, "%.80q is listed twice, first on line %d", s.Name, first)
+		c.fail(r, FieldName, "%.80q is listed twice, first on line %d", s.Name, first)
 	default:
-		c.names[fold(s.Name)] = r.Line
+		c.nameLines[canonicalName(s.Name)] = r.Line
 	}
-	host, ok := cleanHost(host)
+	host, ok := canonicalHost(host)
 	if !ok && s.Name != "" {
 		c.fail(r, hostField, "%.80q, expected a host name or an IP address", host)
 	}
-	s.Wire, s.Version = r.Value[Wire], r.Value[Version]
+	s.Wire, s.Version = r.Values[FieldWire], r.Values[FieldVersion]
 	if _, err := routes.ParseWire(s.Wire, routes.MySQL); err != nil {
-		c.fail(r, Wire, "%v", err)
+		c.fail(r, FieldWire, "%v", err)
 	}
 	if _, err := routes.ParseVersion(s.Version); err != nil {
-		c.fail(r, Version, "%v", err)
+		c.fail(r, FieldVersion, "%v", err)
 	}
-	otherwise := c.lim.Port
+	otherwise := c.constraints.DefaultPort
 	if p := wirePorts[s.Wire]; p > 0 {
 		otherwise = p
 	}
-	port := c.number(r, Port, 1, 65535, otherwise)
+	port := c.number(r, FieldPort, 1, 65535, otherwise)
 	s.Addr = net.JoinHostPort(host, strconv.Itoa(port))
-	if first, twice := c.addrs[s.Addr]; twice && ok {
+	if first, twice := c.addrLines[s.Addr]; twice && ok {
 		c.fail(r, hostField, "%s is the address of the server on line %d too", s.Addr, first)
 	} else {
-		c.addrs[s.Addr] = r.Line
+		c.addrLines[s.Addr] = r.Line
 	}
-	if s.Room != "" && c.lim.Rooms != nil && !c.rooms[s.Room] {
-		c.fail(r, Room, "unknown server room %.40q, expected one of %s", s.Room, strings.Join(c.lim.Rooms, ", "))
+	if s.Zone != "" && c.constraints.Zones != nil && !c.zones[s.Zone] {
+		c.fail(r, FieldZone, "unknown server room %.40q, expected one of %s", s.Zone, strings.Join(c.constraints.Zones, ", "))
 	}
-	s.Cluster = c.number(r, Cluster, 0, MaxCluster, 0)
-	s.Weight = c.number(r, Weight, 0, MaxWeight, 1)
-	switch v := r.Value[State]; v {
+	s.Cluster = c.number(r, FieldCluster, 0, MaxCluster, 0)
+	s.Weight = c.number(r, FieldWeight, 0, MaxWeight, 1)
+	switch v := r.Values[FieldState]; v {
 	case "", "ready":
 	case "draining":
 		s.State = policy.Draining
 	default:
-		c.fail(r, State, "%.40q, expected ready or draining", v)
+		c.fail(r, FieldState, "%.40q, expected ready or draining", v)
 	}
 	return s
 }
 
-// fold is a name without regard to case or the root's dot.
-func fold(name string) string { return strings.TrimSuffix(strings.ToLower(name), ".") }
+// canonicalName is a name without regard to case or the root's dot.
+func canonicalName(name string) string { return strings.TrimSuffix(strings.ToLower(name), ".") }
 
-// cleanHost brings a host to the one spelling that it is compared and dialled by.
-func cleanHost(host string) (string, bool) {
-	host = fold(host)
+// canonicalHost brings a host to the one spelling that it is compared and dialled by.
+func canonicalHost(host string) (string, bool) {
+	host = canonicalName(host)
 	if bare, ok := strings.CutPrefix(host, "["); ok {
 		host = strings.TrimSuffix(bare, "]")
 	}
 	if ip, err := netip.ParseAddr(host); err == nil {
 		return ip.Unmap().String(), ip.Zone() == ""
 	}
-	if host == "" || len(host) > maxName || strings.Trim(host, "0123456789.") == "" { // 10.0.0.256 is no name either
+	if host == "" || len(host) > maxNameLength || strings.Trim(host, "0123456789.") == "" { // 10.0.0.256 is no name either
 		return host, false
 	}
 	for label := range strings.SplitSeq(host, ".") {
--- a/internal/serverlist/gate_test.go
+++ b/internal/serverlist/gate_test.go
@@ -19,7 +19,7 @@
 
 const s = time.Second
 
-var gatePolicy = serverlist.Policy{Settle: s, SettleRemoval: 2 * s, Hold: 30 * s, Share: 0.4, Keep: 3}
+var gatePolicy = serverlist.Policy{SettleTime: s, RemovalSettleTime: 2 * s, HoldTime: 30 * s, MaxLossShare: 0.4, MaxGenerations: 3}
 
 // list makes servers of words like "a" or "a/1" (its cluster) or "a!" (draining); each has its name for a host.
 func list(words ...string) []serverlist.Server {
@@ -28,15 +28,15 @@
 		r := serverlist.Row{Line: i + 1}
 		w, draining := strings.CutSuffix(w, "!")
 		if draining {
-			r.Value[serverlist.State] = "draining"
+			r.Values[serverlist.FieldState] = "draining"
 		}
-		r.Value[serverlist.Name], r.Value[serverlist.Cluster], _ = strings.Cut(w, "/")
-		if name, host, ok := strings.Cut(r.Value[serverlist.Name], "@"); ok {
-			r.Value[serverlist.Name], r.Value[serverlist.Host] = name, host
+		r.Values[serverlist.FieldName], r.Values[serverlist.FieldCluster], _ = strings.Cut(w, "/")
+		if name, host, ok := strings.Cut(r.Values[serverlist.FieldName], "@"); ok {
+			r.Values[serverlist.FieldName], r.Values[serverlist.FieldHost] = name, host
 		}
 		rows = append(rows, r)
 	}
-	out, err := serverlist.Check(rows, serverlist.Limits{Port: 1})
+	out, err := serverlist.Check(rows, serverlist.Constraints{DefaultPort: 1})
 	if err != nil {
 		panic(err)
 	}
@@ -47,7 +47,7 @@
 
 func offer(servers []serverlist.Server, change func(*serverlist.Candidate)) serverlist.Candidate {
 	contents++
-	c := serverlist.Candidate{Source: "f", Content: contents, Servers: servers, Ended: true}
+	c := serverlist.Candidate{Source: "f", ContentHash: contents, Servers: servers, EndsInNewline: true}
 	if change != nil {
 		change(&c)
 	}
@@ -55,7 +55,7 @@
 }
 
 func sealed(c *serverlist.Candidate)  { c.Sealed = true }
-func unended(c *serverlist.Candidate) { c.Ended = false }
+func unended(c *serverlist.Candidate) { c.EndsInNewline = false }
 func confirms(servers []serverlist.Server) func(*serverlist.Candidate) {
 	return func(c *serverlist.Candidate) { c.Sealed, c.Confirms = true, serverlist.Digest(servers) }
 }
@@ -66,42 +66,42 @@
 	for name, c := range map[string]struct {
 		to      []serverlist.Server
 		change  func(*serverlist.Candidate)
-		verdict serverlist.Verdict
+		verdict serverlist.Outcome
 		reason  string
 		until   time.Duration
 	}{
-		"the same":                   {base, nil, serverlist.Same, "", 0},
+		"the same":                   {base, nil, serverlist.Unchanged, "", 0},
 		"one more":                   {list("a", "b", "c", "d", "e", "f", "x/1"), nil, serverlist.Held, "it has no seal", s},
 		"one more, cut":              {list("a", "b", "c", "d", "e", "f", "x/1"), unended, serverlist.Held, "it has no seal, and may not be whole", 2 * s},
-		"one more, sealed":           {list("a", "b", "c", "d", "e", "f", "x/1"), sealed, serverlist.Taken, "", 0},
+		"one more, sealed":           {list("a", "b", "c", "d", "e", "f", "x/1"), sealed, serverlist.Accepted, "", 0},
 		"one less":                   {list("a", "b", "c", "d", "x/1"), nil, serverlist.Held, "it has no seal, and may not be whole", 2 * s},
-		"one less, sealed":           {list("a", "b", "c", "d", "x/1"), sealed, serverlist.Taken, "", 0},
+		"one less, sealed":           {list("a", "b", "c", "d", "x/1"), sealed, serverlist.Accepted, "", 0},
 		"one moves":                  {list("a", "b", "c", "d", "e@y", "x/1"), nil, serverlist.Held, "it has no seal, and may not be whole", 2 * s},
 		"three less, sealed":         {list("a", "b", "x/1"), sealed, serverlist.Held, "it takes 3 of 5 ready servers of cluster 0 away", 30 * s},
 		"three move, sealed":         {list("a", "b", "c@1x", "d@1y", "e@1z", "x/1"), sealed, serverlist.Held, "it takes 3 of 5 ready servers of cluster 0 away", 30 * s},
 		"three drain, sealed":        {list("a", "b", "c!", "d!", "e!", "x/1"), sealed, serverlist.Held, "it takes 3 of 5 ready servers of cluster 0 away", 30 * s},
-		"three less, confirmed":      {list("a", "b", "x/1"), confirms(base), serverlist.Taken, "", 0},
+		"three less, confirmed":      {list("a", "b", "x/1"), confirms(base), serverlist.Accepted, "", 0},
 		"confirmed against another":  {list("a", "b", "x/1"), confirms(list("a")), serverlist.Held, "it takes 3 of 5 ready servers of cluster 0 away", 30 * s},
 		"a cluster emptied":          {list("a", "b", "c", "d", "e"), sealed, serverlist.Held, "cluster 1 is left without a ready server", 0},
 		"a cluster all drained":      {list("a", "b", "c", "d", "e", "x/1!"), sealed, serverlist.Held, "cluster 1 is left without a ready server", 0},
-		"a cluster's only one moves": {list("a", "b", "c", "d", "e", "x@y/1"), sealed, serverlist.Taken, "", 0},
+		"a cluster's only one moves": {list("a", "b", "c", "d", "e", "x@y/1"), sealed, serverlist.Accepted, "", 0},
 		"a cluster moves":            {list("a", "b", "c", "d", "e", "x/2"), sealed, serverlist.Held, "cluster 1 is left without a ready server", 0},
 		"nobody":                     {list(), sealed, serverlist.Held, "no server is listed", 0},
-		"nobody, confirmed":          {list(), confirms(base), serverlist.Taken, "", 0},
-		"wrong":                      {nil, func(c *serverlist.Candidate) { c.Err = errors.New("line 3") }, serverlist.TurnedDown, "line 3", 0},
+		"nobody, confirmed":          {list(), confirms(base), serverlist.Accepted, "", 0},
+		"wrong":                      {nil, func(c *serverlist.Candidate) { c.Err = errors.New("line 3") }, serverlist.Rejected, "line 3", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := serverlist.NewGate(gatePolicy)
-			if d := g.Offer(0, offer(base, nil)); d.Verdict != serverlist.Taken || d.Generation.Number != 1 {
-				t.Fatalf("the first list is %v", d.Verdict)
+			if d := g.Offer(0, offer(base, nil)); d.Outcome != serverlist.Accepted || d.Generation.Number != 1 {
+				t.Fatalf("the first list is %v", d.Outcome)
 			}
 			to := offer(c.to, c.change)
 			d := g.Offer(0, to)
-			if d.Verdict != c.verdict || d.Reason != c.reason || d.Until != c.until || g.Due() != c.until {
-				t.Errorf("got %v (%s) until %v, due %v", d.Verdict, d.Reason, d.Until, g.Due())
+			if d.Outcome != c.verdict || d.Reason != c.reason || d.AcceptAt != c.until || g.NextTimer() != c.until {
+				t.Errorf("got %v (%s) until %v, due %v", d.Outcome, d.Reason, d.AcceptAt, g.NextTimer())
 			}
 			want := base
-			if c.verdict == serverlist.Taken {
+			if c.verdict == serverlist.Accepted {
 				want = c.to
 			}
 			if diff := cmp.Diff(want, g.Current().Servers); diff != "" {
@@ -111,19 +111,19 @@
 				return
 			}
 			if c.until == 0 {
-				if d := g.Timer(1000 * time.Hour); d.Verdict != serverlist.Idle {
-					t.Errorf("it is %v by waiting", d.Verdict)
+				if d := g.HandleTimer(1000 * time.Hour); d.Outcome != serverlist.Idle {
+					t.Errorf("it is %v by waiting", d.Outcome)
 				}
 				return
 			}
-			if d := g.Timer(c.until - 1); d.Verdict != serverlist.Idle {
-				t.Errorf("it is %v before its time", d.Verdict)
+			if d := g.HandleTimer(c.until - 1); d.Outcome != serverlist.Idle {
+				t.Errorf("it is %v before its time", d.Outcome)
 			}
-			if d := g.Offer(c.until-1, to); d.Verdict != serverlist.Held || d.Until != c.until {
-				t.Errorf("read again it is %v until %v", d.Verdict, d.Until)
+			if d := g.Offer(c.until-1, to); d.Outcome != serverlist.Held || d.AcceptAt != c.until {
+				t.Errorf("read again it is %v until %v", d.Outcome, d.AcceptAt)
 			}
-			if d := g.Timer(c.until); d.Verdict != serverlist.Taken || d.Generation.Number != 2 {
-				t.Errorf("at its time it is %v", d.Verdict)
+			if d := g.HandleTimer(c.until); d.Outcome != serverlist.Accepted || d.Generation.Number != 2 {
+				t.Errorf("at its time it is %v", d.Outcome)
 			}
 		})
 	}
@@ -140,17 +140,17 @@
 		"the one in force": func(g *serverlist.Gate) serverlist.Decision { return g.Offer(1, offer(base, nil)) },
 		"none":             func(g *serverlist.Gate) serverlist.Decision { return g.Withdraw(1, "no such file") },
 		"seals wanted": func(g *serverlist.Gate) serverlist.Decision {
-			return g.Retune(1, serverlist.Policy{RequireSeal: true})
+			return g.SetPolicy(1, serverlist.Policy{RequireSeal: true})
 		},
 	} {
 		g := serverlist.NewGate(gatePolicy)
 		g.Offer(0, offer(base, nil))
 		g.Offer(0, offer(list("a", "b"), nil))
-		if _, held := g.Holding(); !held {
+		if _, held := g.Pending(); !held {
 			t.Fatal("nothing is held")
 		}
 		next(g)
-		if d := g.Timer(2 * s); d.Verdict == serverlist.Taken && len(d.Generation.Servers) == 2 {
+		if d := g.HandleTimer(2 * s); d.Outcome == serverlist.Accepted && len(d.Generation.Servers) == 2 {
 			t.Errorf("%s: the held list is taken all the same", name)
 		}
 	}
@@ -183,16 +183,16 @@
 				d = g.Offer(now, c)
 			case 2:
 				now += time.Duration(rapid.IntRange(0, 40000).Draw(t, "wait")) * time.Millisecond
-				d = g.Timer(now)
+				d = g.HandleTimer(now)
 			case 3:
 				standing = nil
 				d = g.Withdraw(now, "gone")
 			}
-			if d.Verdict == serverlist.Taken {
+			if d.Outcome == serverlist.Accepted {
 				switch {
 				case standing == nil || cmp.Diff(standing.Servers, d.Generation.Servers) != "":
 					t.Fatalf("%v is taken, which no file holds", d.Generation.Servers)
-				case !standing.Sealed && number > 0 && now < since+gatePolicy.Settle:
+				case !standing.Sealed && number > 0 && now < since+gatePolicy.SettleTime:
 					t.Fatalf("an unsealed list is taken after %v", now-since)
 				case d.Generation.Number <= number:
 					t.Fatalf("generation %d follows %d", d.Generation.Number, number)
@@ -210,7 +210,7 @@
 				}
 				inForce, number = d.Generation.Servers, d.Generation.Number
 			}
-			if cur := g.Current(); cur != nil && cmp.Diff(inForce, cur.Servers) != "" || len(g.History()) > gatePolicy.Keep {
+			if cur := g.Current(); cur != nil && cmp.Diff(inForce, cur.Servers) != "" || len(g.History()) > gatePolicy.MaxGenerations {
 				t.Fatalf("in force is %v, and should be %v; %d are kept", cur, inForce, len(g.History()))
 			}
 		}
@@ -220,7 +220,7 @@
 // Applying a difference to the list before it must give the list after it, whatever moves, swaps or changes.
 func TestCompare(t *testing.T) {
 	swapped := serverlist.Compare(list("a@x", "b@y"), list("a@y", "b@x"))
-	if len(swapped.Moved) != 2 || len(swapped.Gone()) != 2 || len(swapped.Listed()) != 2 {
+	if len(swapped.Moved) != 2 || len(swapped.RemovedServers()) != 2 || len(swapped.NewOrChanged()) != 2 {
 		t.Errorf("two servers that swap their addresses are %v", swapped)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -238,10 +238,10 @@
 		for _, x := range before {
 			byKey[x.Key()] = x
 		}
-		for _, x := range d.Gone() {
+		for _, x := range d.RemovedServers() {
 			delete(byKey, x.Key())
 		}
-		for _, x := range d.Listed() {
+		for _, x := range d.NewOrChanged() {
 			byKey[x.Key()] = x
 		}
 		got := slices.SortedFunc(maps.Values(byKey), func(a, b serverlist.Server) int { return strings.Compare(a.Name, b.Name) })
@@ -271,7 +271,7 @@
 					"others": list("z", "y")} {
 					g := serverlist.NewGate(gatePolicy, &serverlist.Generation{Number: 1, Servers: start})
 					c, _ := candidate(f.form, text[:i])
-					if d := g.Offer(0, c); d.Verdict == serverlist.Taken && cmp.Diff(whole.Servers, d.Generation.Servers) != "" {
+					if d := g.Offer(0, c); d.Outcome == serverlist.Accepted && cmp.Diff(whole.Servers, d.Generation.Servers) != "" {
 						t.Fatalf("%s, %s before: cut after %d bytes it is in force as %v", name, before, i, d.Generation.Servers)
 					}
 				}
@@ -286,8 +286,8 @@
 	c := serverlist.Candidate{Source: "f"}
 	f, err := inventory.Parse(form, "mysql_port", []byte(text))
 	if err == nil {
-		c.Servers, err = serverlist.Check(f.Rows, serverlist.Limits{Port: 3306})
-		c.Sealed, c.Ended = f.Seal != nil, f.Ended
+		c.Servers, err = serverlist.Check(f.Rows, serverlist.Constraints{DefaultPort: 3306})
+		c.Sealed, c.EndsInNewline = f.Seal != nil, f.Ended
 	}
 	c.Err = err
 	return c, err == nil
@@ -303,7 +303,7 @@
 		}
 		g := serverlist.NewGate(gatePolicy, &serverlist.Generation{Number: 1, Servers: list("z")})
 		c, _ := candidate(inventory.CSV, text[:cut])
-		if d := g.Offer(0, c); d.Verdict == serverlist.Taken && cmp.Diff(whole.Servers, d.Generation.Servers) != "" {
+		if d := g.Offer(0, c); d.Outcome == serverlist.Accepted && cmp.Diff(whole.Servers, d.Generation.Servers) != "" {
 			t.Errorf("cut after %d bytes it is in force as %v", cut, d.Generation.Servers)
 		}
 	})
@@ -311,7 +311,7 @@
 
 func TestDiffLines(t *testing.T) {
 	after := list("a", "c@x", "d!")
-	after[0].Weight, after[0].Room = 5, "buda"
+	after[0].Weight, after[0].Zone = 5, "buda"
 	got := serverlist.Compare(list("a", "b", "c", "d"), after).Lines()
 	want := []string{"~ a: room none -> buda, weight 1 -> 5", "- b at b:1, room none, cluster 0, ready, weight 1",
 		"- c at c:1, room none, cluster 0, ready, weight 1 (moves)", "+ c at x:1, room none, cluster 0, ready, weight 1 (moved)",
--- a/internal/serverlist/server.go
+++ b/internal/serverlist/server.go
@@ -25,7 +25,7 @@
 type Server struct {
 	Name    string             `json:"name"`           // as its operators call it; unique without regard to case
 	Addr    string             `json:"addr"`           // host:port, the host in lower case; unique
-	Room    string             `json:"room,omitempty"` // one of the settings' zones; empty: in none of them
+	Zone    string             `json:"room,omitempty"` // one of the settings' zones; empty: in none of them
 	Cluster int                `json:"cluster"`
 	State   policy.MemberState `json:"state"`             // rules.Ready or rules.Draining
 	Weight  int                `json:"weight"`            // its share of reads by turns, against its cluster's others; 0: none
@@ -46,12 +46,12 @@
 
 // Generation is one list that was, or is, in force.
 type Generation struct {
-	Number  uint64        `json:"number"` // 1 is the first; it never goes back
-	Digest  string        `json:"digest"` // of Servers: the same for the same list, however it is written down
-	Source  string        `json:"source"`
-	Taken   time.Duration `json:"taken_unix_ns"` // Unix time
-	Sealed  bool          `json:"sealed"`
-	Servers []Server      `json:"servers"` // by name
+	Number     uint64        `json:"number"` // 1 is the first; it never goes back
+	Digest     string        `json:"digest"` // of Servers: the same for the same list, however it is written down
+	Source     string        `json:"source"`
+	AcceptedAt time.Duration `json:"taken_unix_ns"` // Unix time
+	Sealed     bool          `json:"sealed"`
+	Servers    []Server      `json:"servers"` // by name
 }
 
 // Digest is a short name for a list, 16 hexadecimal digits. It guards against mix-ups, not against forgery.
@@ -69,7 +69,7 @@
 	for _, s := range servers {
 		text(s.Name)
 		text(s.Addr)
-		text(s.Room)
+		text(s.Zone)
 		number(s.Cluster)
 		number(int(s.State))
 		number(s.Weight)
@@ -124,11 +124,11 @@
 	return len(d.Added)+len(d.Removed)+len(d.Moved)+len(d.Changed) == 0
 }
 
-// Takes tells whether a server leaves by it.
-func (d Diff) Takes() bool { return len(d.Removed)+len(d.Moved) > 0 }
+// RemovesServers tells whether a server leaves by it.
+func (d Diff) RemovesServers() bool { return len(d.Removed)+len(d.Moved) > 0 }
 
-// Gone lists the servers that leave by it.
-func (d Diff) Gone() []Server {
+// RemovedServers lists the servers that leave by it.
+func (d Diff) RemovedServers() []Server {
 	out := slices.Clone(d.Removed)
 	for _, c := range d.Moved {
 		out = append(out, c.Before)
@@ -136,8 +136,8 @@
 	return out
 }
 
-// Listed lists the servers that come, or are not as they were.
-func (d Diff) Listed() []Server {
+// NewOrChanged lists the servers that come, or are not as they were.
+func (d Diff) NewOrChanged() []Server {
 	out := slices.Clone(d.Added)
 	for _, c := range d.Moved {
 		out = append(out, c.After)
@@ -172,7 +172,7 @@
 	for _, c := range d.Changed {
 		var what []string
 		for _, f := range []struct{ name, before, after string }{
-			{"room", c.Before.Room, c.After.Room},
+			{"room", c.Before.Zone, c.After.Zone},
 			{"state", StateName(c.Before.State), StateName(c.After.State)},
 			{"weight", strconv.Itoa(c.Before.Weight), strconv.Itoa(c.After.Weight)},
 			{"version", c.Before.Version, c.After.Version},
@@ -193,7 +193,7 @@
 
 func (s Server) String() string {
 	speaks := strings.TrimRight(fmt.Sprintf(", %s %s", s.Wire, s.Version), " ,")
-	return fmt.Sprintf("%s at %s, room %s, cluster %d, %s, weight %d%s", s.Name, s.Addr, cmp.Or(s.Room, "none"), s.Cluster,
+	return fmt.Sprintf("%s at %s, room %s, cluster %d, %s, weight %d%s", s.Name, s.Addr, cmp.Or(s.Zone, "none"), s.Cluster,
 		StateName(s.State), s.Weight, speaks)
 }
 
