--- a/internal/serverlist/gate.go
+++ b/internal/serverlist/gate.go
@@ -1,64 +1,60 @@
 package serverlist
 
 import (
-	"cmp"
-	"fmt"
-	"maps"
 	"slices"
 	"time"
-
-	"threadsail/internal/policy"
 )
 
 // Candidate is a list that might come into force.
 type Candidate struct {
 	Source        string
-	ContentHash   uint64 // names the bytes it was read from
-	Err           error  // what is wrong with it; it is turned down then
+	ContentHash   uint64 // of the bytes that it was read from
+	Err           error  // what is wrong with it, which makes the gate reject it
 	Servers       []Server
-	Sealed        bool   // a seal proves that it is whole
-	EndsInNewline bool   // its text ends with a line end, as a text written whole does
-	Confirms      string // digest of the list in force that whoever sealed it has compared it with
+	Sealed        bool   // a valid seal proves that it is complete
+	EndsInNewline bool   // as a text does that was written to its end
+	Confirms      string // digest of the list in force with which whoever sealed the candidate compared it
 }
 
 // Policy is how careful a gate is.
 type Policy struct {
-	SettleTime        time.Duration // an unsealed candidate must have stood unchanged for so long
-	RemovalSettleTime time.Duration // and so long if a server leaves by it, or its last line has no end
-	HoldTime          time.Duration // one that takes away too much, sealed or not; 0: until it is confirmed
-	MaxLossShare      float64       // of a cluster's ready servers: more than that, and more than one, is too much
+	SettleTime        time.Duration // for which an unsealed candidate must stand unchanged
+	RemovalSettleTime time.Duration // the same for one that removes a server, or does not end in a newline
+	HoldTime          time.Duration // the same for one that removes too much, sealed or not; 0: it must be confirmed
+	MaxLossShare      float64       // of a cluster's ready servers: to remove more than that, and more than one, is too much
 	RequireSeal       bool
-	MaxGenerations    int // generations kept, the one in force included; at least 1
+	MaxGenerations    int // that are kept, the one in force included; at least 1
 }
 
 // Outcome is what a gate makes of a candidate.
 type Outcome uint8
 
-// The verdicts.
+// The outcomes.
 const (
 	Idle      Outcome = iota // there is nothing to judge
-	Unchanged                // it is the list in force
-	Accepted                 // it is the list in force from now on
-	Held                     // it may become that
-	Rejected                 // it can't be used
-	Withdrawn                // it was held, and is there no more
+	Unchanged                // the candidate is the list in force
+	Accepted                 // the candidate is the list in force from now on
+	Held                     // the candidate may be accepted later
+	Rejected                 // the candidate can't be used
+	Withdrawn                // the candidate that was held is no longer there
 )
 
 var outcomeNames = [...]string{"idle", "same", "taken", "held", "turned down", "withdrawn"}
 
-func (v Outcome) String() string { return outcomeNames[v] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
 // Decision is what follows from an event.
 type Decision struct {
 	Outcome    Outcome
-	Reason     string        // of all but Taken and Same, in words for operators
-	AcceptAt   time.Duration // Held: it is taken then, if it still stands; 0: only once it is confirmed
-	Generation *Generation   // Taken: must not be changed
-	Diff       Diff          // Taken, Held: against the list in force before
+	Reason     string        // for operators; empty: Accepted or Unchanged
+	AcceptAt   time.Duration // Held: when the candidate is accepted if it still stands; 0: once it is confirmed
+	Generation *Generation   // Accepted: the new list, which must not be modified
+	Diff       Diff          // Accepted, Held: against the list in force before
 }
 
-// Gate keeps the list in force and guards its way. Invariants: the list in force is one that was offered, or begun with,
-// as a whole; its number only grows; no held candidate is taken before its time, nor one whose bytes have changed since.
+// Gate keeps the list in force and decides which candidate replaces it. Invariants: the list in force is one that was offered, or that
+// the gate began with, as a whole; its number only grows; no candidate that is held is accepted before its time, nor one whose bytes
+// have changed since.
 type Gate struct {
 	policy  Policy
 	now     time.Duration
@@ -66,35 +62,39 @@
 	pending *pendingCandidate
 }
 
+// pendingCandidate is a candidate that is held.
 type pendingCandidate struct {
 	Candidate
 	diff     Diff
 	since    time.Duration
-	acceptAt time.Duration // 0: only once it is confirmed
+	acceptAt time.Duration // 0: once it is confirmed
 	reason   string
 }
 
-// NewGate returns a gate with the generations there were, the newest last; none: the first sound candidate is taken.
+// NewGate returns a gate that begins with generations, the newest last. Without any, the first valid candidate is accepted.
 func NewGate(p Policy, history ...*Generation) *Gate {
-	p.MaxGenerations = max(p.MaxGenerations, 1)
-	g := &Gate{policy: p, history: slices.Clone(history)}
-	g.trim()
+	g := &Gate{history: slices.Clone(history)}
+	g.usePolicy(p)
 	return g
 }
 
-// SetPolicy takes over another policy. What is held is judged by it anew, from when it came.
+// SetPolicy replaces the policy. A candidate that is held is judged anew, as of when it came.
 func (g *Gate) SetPolicy(now time.Duration, p Policy) Decision {
 	g.advance(now)
+	g.usePolicy(p)
+	if g.pending == nil {
+		return Decision{}
+	}
+	return g.judge(g.pending.Candidate, g.pending.since)
+}
+
+func (g *Gate) usePolicy(p Policy) {
 	p.MaxGenerations = max(p.MaxGenerations, 1)
 	g.policy = p
 	g.trim()
-	if h := g.pending; h != nil {
-		return g.judge(h.Candidate, h.since)
-	}
-	return Decision{}
 }
 
-// Current is the generation in force; nil: there is none yet.
+// Current returns the generation in force; nil: there is none yet.
 func (g *Gate) Current() *Generation {
 	if len(g.history) == 0 {
 		return nil
@@ -102,10 +102,10 @@
 	return g.history[len(g.history)-1]
 }
 
-// History is what is kept, the newest last.
+// History returns the generations that are kept, the newest last.
 func (g *Gate) History() []*Generation { return slices.Clone(g.history) }
 
-// Pending tells what waits, if anything does.
+// Pending returns the decision on the candidate that is held, if there is one.
 func (g *Gate) Pending() (d Decision, ok bool) {
 	if g.pending == nil {
 		return d, false
@@ -113,7 +113,7 @@
 	return g.pending.decision(), true
 }
 
-// NextTimer is when Timer wants to be called; 0: not at all.
+// NextTimer returns when HandleTimer is to be called; 0: not at all.
 func (g *Gate) NextTimer() time.Duration {
 	if g.pending == nil {
 		return 0
@@ -121,128 +121,119 @@
 	return g.pending.acceptAt
 }
 
+// advance takes over the time, which never goes back.
 func (g *Gate) advance(now time.Duration) { g.now = max(g.now, now) }
 
-// Offer judges a candidate. It takes the place of what was held: that stands in its file no more.
+// Offer judges a candidate. It replaces the one that is held, which its file no longer has.
 func (g *Gate) Offer(now time.Duration, c Candidate) Decision {
 	g.advance(now)
 	since := g.now
-	if h := g.pending; h != nil && h.ContentHash == c.ContentHash && h.Source == c.Source {
-		since = h.since
+	if p := g.pending; p != nil && p.ContentHash == c.ContentHash && p.Source == c.Source {
+		since = p.since
 	}
 	return g.judge(c, since)
 }
 
-// Withdraw tells that the file can't be read: nothing in it may be taken any more.
-func (g *Gate) Withdraw(now time.Duration, why string) Decision {
+// Withdraw drops the candidate that is held: its file can't be read any more.
+func (g *Gate) Withdraw(now time.Duration, reason string) Decision {
 	g.advance(now)
 	if g.pending == nil {
 		return Decision{}
 	}
 	g.pending = nil
-	return Decision{Outcome: Withdrawn, Reason: why}
+	return Decision{Outcome: Withdrawn, Reason: reason}
 }
 
-// HandleTimer takes what has stood for long enough.
+// HandleTimer accepts the candidate that has been held for long enough.
 func (g *Gate) HandleTimer(now time.Duration) Decision {
 	g.advance(now)
-	if h := g.pending; h != nil && h.acceptAt > 0 && g.now >= h.acceptAt {
-		return g.accept(h.Candidate, h.diff)
+	if p := g.pending; p != nil && p.due(g.now) {
+		return g.accept(p.Candidate, p.diff)
 	}
 	return Decision{}
 }
 
+// judge decides on a candidate that has stood unchanged since a time.
 func (g *Gate) judge(c Candidate, since time.Duration) Decision {
 	g.pending = nil
-	cur := g.Current()
-	switch {
-	case c.Err != nil:
-		return Decision{Outcome: Rejected, Reason: c.Err.Error()}
-	case g.policy.RequireSeal && !c.Sealed:
-		return Decision{Outcome: Rejected, Reason: "it has no seal, and only sealed files are taken"}
-	case cur == nil && len(c.Servers) == 0:
-		return Decision{Outcome: Rejected, Reason: "no server is listed"}
-	case cur == nil:
+	current := g.Current()
+	if reason := g.rejects(c, current); reason != "" {
+		return Decision{Outcome: Rejected, Reason: reason}
+	}
+	if current == nil {
 		return g.accept(c, Diff{Added: c.Servers})
 	}
-	d := Compare(cur.Servers, c.Servers)
-	if d.Empty() {
+	diff := Compare(current.Servers, c.Servers)
+	if diff.Empty() {
 		return Decision{Outcome: Unchanged}
 	}
-	h := &pendingCandidate{Candidate: c, diff: d, since: since}
-	confirmed := c.Sealed && c.Confirms == cur.Digest
-	switch why, forGood := excessiveLoss(cur.Servers, c.Servers, g.policy.MaxLossShare); {
-	case confirmed || why == "" && c.Sealed:
-		return g.accept(c, d)
-	case why != "":
-		h.reason = why
-		if !forGood && g.policy.HoldTime > 0 {
-			h.acceptAt = since + max(g.policy.HoldTime, g.policy.SettleTime, g.policy.RemovalSettleTime)
+	loss := excessiveLoss(current.Servers, c.Servers, g.policy.MaxLossShare)
+	confirmed := c.Sealed && c.Confirms == current.Digest
+	if confirmed || c.Sealed && loss.reason == "" {
+		return g.accept(c, diff)
+	}
+	p := g.hold(c, diff, since, loss)
+	if p.due(g.now) {
+		return g.accept(c, diff)
+	}
+	g.pending = p
+	return p.decision()
+}
+
+// rejects returns why a candidate can't be used; empty: it can.
+func (g *Gate) rejects(c Candidate, current *Generation) (reason string) {
+	switch {
+	case c.Err != nil:
+		return c.Err.Error()
+	case g.policy.RequireSeal && !c.Sealed:
+		return "it has no seal, and only sealed files are taken"
+	case current == nil && len(c.Servers) == 0:
+		return reasonNoServers
+	}
+	return ""
+}
+
+// hold returns a candidate as it is held: why, and until when.
+func (g *Gate) hold(c Candidate, diff Diff, since time.Duration, loss loss) *pendingCandidate {
+	p := &pendingCandidate{Candidate: c, diff: diff, since: since}
+	switch {
+	case loss.reason != "":
+		p.reason = loss.reason
+		if !loss.permanent && g.policy.HoldTime > 0 {
+			p.acceptAt = since + max(g.policy.HoldTime, g.policy.SettleTime, g.policy.RemovalSettleTime)
 		}
-	case d.RemovesServers() || !c.EndsInNewline:
-		h.reason, h.acceptAt = "it has no seal, and may not be whole", since+max(g.policy.RemovalSettleTime, g.policy.SettleTime)
+	case diff.RemovesServers() || !c.EndsInNewline:
+		p.reason = "it has no seal, and may not be whole"
+		p.acceptAt = since + max(g.policy.RemovalSettleTime, g.policy.SettleTime)
 	default:
-		h.reason, h.acceptAt = "it has no seal", since+g.policy.SettleTime
-	}
-	if h.acceptAt > 0 && g.now >= h.acceptAt {
-		return g.accept(c, d)
+		p.reason = "it has no seal"
+		p.acceptAt = since + g.policy.SettleTime
 	}
-	g.pending = h
-	return h.decision()
+	return p
 }
 
-func (h *pendingCandidate) decision() Decision {
-	return Decision{Outcome: Held, Reason: h.reason, AcceptAt: h.acceptAt, Diff: h.diff}
+// due tells whether the candidate has been held for long enough.
+func (p *pendingCandidate) due(now time.Duration) bool { return p.acceptAt > 0 && now >= p.acceptAt }
+
+func (p *pendingCandidate) decision() Decision {
+	return Decision{Outcome: Held, Reason: p.reason, AcceptAt: p.acceptAt, Diff: p.diff}
 }
 
-func (g *Gate) accept(c Candidate, d Diff) Decision {
+// accept puts a candidate into force.
+func (g *Gate) accept(c Candidate, diff Diff) Decision {
 	g.pending = nil
 	next := &Generation{Number: 1, Digest: Digest(c.Servers), Source: c.Source, AcceptedAt: g.now, Sealed: c.Sealed, Servers: c.Servers}
-	if cur := g.Current(); cur != nil {
-		next.Number = cur.Number + 1
+	if current := g.Current(); current != nil {
+		next.Number = current.Number + 1
 	}
 	g.history = append(g.history, next)
 	g.trim()
-	return Decision{Outcome: Accepted, Generation: next, Diff: d}
+	return Decision{Outcome: Accepted, Generation: next, Diff: diff}
 }
 
+// trim drops the oldest generations that are too many.
 func (g *Gate) trim() {
 	if n := len(g.history) - g.policy.MaxGenerations; n > 0 {
 		g.history = slices.Delete(g.history, 0, n)
 	}
 }
-
-// excessiveLoss tells what a list takes away that is too much to believe at once. forGood: no waiting makes it likelier, since
-// nobody who runs the cluster on can mean it. Servers that only drain from now on count as taken away.
-func excessiveLoss(before, after []Server, share float64) (why string, forGood bool) {
-	if len(after) == 0 {
-		return "no server is listed", true
-	}
-	stays := map[string]bool{}
-	left := map[int]int{} // by cluster
-	for _, s := range after {
-		if s.State == policy.Ready {
-			stays[s.Key()] = true
-			left[s.Cluster]++
-		}
-	}
-	had, gone := map[int]int{}, map[int]int{}
-	for _, s := range before {
-		if s.State != policy.Ready {
-			continue
-		}
-		had[s.Cluster]++
-		if !stays[s.Key()] {
-			gone[s.Cluster]++
-		}
-	}
-	for _, cluster := range slices.Sorted(maps.Keys(gone)) {
-		switch n := gone[cluster]; {
-		case left[cluster] == 0:
-			return fmt.Sprintf("cluster %d is left without a ready server", cluster), true
-		case n > 1 && float64(n) > share*float64(had[cluster]):
-			why = cmp.Or(why, fmt.Sprintf("it takes %d of %d ready servers of cluster %d away", n, had[cluster], cluster))
-		}
-	}
-	return why, false
-}
