--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -66,15 +66,15 @@
 
 // start begins an instance with its settings. An instance of the same number ends by that.
 func (a *adapter) start(number uint16, start simulator.Start) error {
-	facts, err := config.ParseSettings(start.Settings)
+	file, err := config.ParseSettings(start.Settings)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	settings, err := config.PolicySettings(facts)
+	settings, err := config.PolicySettings(file)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{number: number, reply: &a.reply, positionEpoch: settings.PositionEpoch, reportFields: facts.Report.Fields}
+	i := &instance{number: number, reply: &a.reply, positionEpoch: settings.PositionEpoch, reportFields: file.Report.Fields}
 	i.router, err = policy.New(settings, start.Seed, i)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
--- a/internal/simulator/frame_test.go
+++ b/internal/simulator/frame_test.go
@@ -27,22 +27,22 @@
 }
 
 const (
-	recCall    = "02 0100 0a000000 0200 00000000 0700000000000000 0000000000408f40 0000000000000000 00004040 00004842 04"
-	recOutcome = "01 0100 0a000000 91000000 01 0000000000003440 6500 63000000 00 02 0000c03f 0000803f"
-	recEcho    = "0b 0100 63000000 3001 000000000000f03f 00"
-	recList    = "09 0300 01000000 63000000 0100 0000 0300 02 0000803f 0000803f 0000000000409f40"
-	recTargets = "04 0100 01 09000000 0300"
-	recSpawn   = "05 0100 2a00000000000000 02000000 7b7d"
-	recElapsed = "0a 0100 08000000"
-	recGone    = "08 0100 0a000000"
-	recDown    = "03 0100"
-	recInbox   = "06 0100 0200 0300 414243"
-	recStarted = "07 0100 0a000000 000000000000f03f 63000000 00"
+	requestRecord       = "02 0100 0a000000 0200 00000000 0700000000000000 0000000000408f40 0000000000000000 00004040 00004842 04"
+	outcomeRecord       = "01 0100 0a000000 91000000 01 0000000000003440 6500 63000000 00 02 0000c03f 0000803f"
+	probeResultRecord   = "0b 0100 63000000 3001 000000000000f03f 00"
+	serverListRecord    = "09 0300 01000000 63000000 0100 0000 0300 02 0000803f 0000803f 0000000000409f40"
+	listUpdateRecord    = "04 0100 01 09000000 0300"
+	startRecord         = "05 0100 2a00000000000000 02000000 7b7d"
+	timerRecord         = "0a 0100 08000000"
+	disconnectRecord    = "08 0100 0a000000"
+	stopRecord          = "03 0100"
+	peerMessageRecord   = "06 0100 0200 0300 414243"
+	streamStartedRecord = "07 0100 0a000000 000000000000f03f 63000000 00"
 )
 
 func TestDecodeGolden(t *testing.T) {
-	b, err := Decode(frame(t, 11, recSpawn, recList, recTargets, recCall, recOutcome, recEcho, recElapsed, recGone,
-		recInbox, recStarted, recDown))
+	b, err := Decode(frame(t, 11, startRecord, serverListRecord, listUpdateRecord, requestRecord, outcomeRecord, probeResultRecord, timerRecord, disconnectRecord,
+		peerMessageRecord, streamStartedRecord, stopRecord))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,26 +105,26 @@
 }
 
 func TestDecodeMalformed(t *testing.T) {
-	good := frame(t, 1, recCall)
+	good := frame(t, 1, requestRecord)
 	edit := func(f func(b []byte) []byte) []byte { return f(append([]byte(nil), good...)) }
 	for name, c := range map[string]struct {
 		frame []byte
 		want  string
 	}{
-		"short header":       {good[:12], "batch header"},
-		"length off":         {edit(func(b []byte) []byte { b[8]++; return b }), "header says"},
-		"impossible count":   {edit(func(b []byte) []byte { b[7] = 0xff; return b }), "do not fit"},
-		"bytes left over":    {edit(func(b []byte) []byte { b[4] = 0; return b }), "after the last record"},
-		"truncated record":   {frame(t, 1, recCall[:60]), "bytes wanted"},
-		"unknown code":       {frame(t, 1, "63 0100"), "unknown code"},
-		"unknown outcome":    {frame(t, 1, "0b 0100 63000000 0900 000000000000f03f 00"), "unknown outcome"},
-		"report too long":    {frame(t, 1, "0b 0100 63000000 6400 000000000000f03f ff"), "does not fit"},
-		"list too long":      {frame(t, 1, "09 0300 ffffffff"), "does not fit"},
-		"list out of range":  {frame(t, 1, "09 1000 00000000"), "out of range"},
-		"unknown list kind":  {frame(t, 1, "04 0100 04 09000000 0300"), "unknown kind"},
-		"settings too long":  {frame(t, 1, "05 0100 2a00000000000000 ffffff7f"), "bytes wanted"},
-		"patience not a nmb": {frame(t, 1, strings.Replace(recCall, "0000000000408f40", "000000000000f87f", 1)), "not a finite"},
-		"fractional group":   {frame(t, 1, strings.Replace(recCall, "00004040", "00002040", 1)), "impossible group"},
+		"short header":          {good[:12], "batch header"},
+		"length off":            {edit(func(b []byte) []byte { b[8]++; return b }), "header says"},
+		"impossible count":      {edit(func(b []byte) []byte { b[7] = 0xff; return b }), "do not fit"},
+		"bytes left over":       {edit(func(b []byte) []byte { b[4] = 0; return b }), "after the last record"},
+		"truncated record":      {frame(t, 1, requestRecord[:60]), "bytes wanted"},
+		"unknown code":          {frame(t, 1, "63 0100"), "unknown code"},
+		"unknown outcome":       {frame(t, 1, "0b 0100 63000000 0900 000000000000f03f 00"), "unknown outcome"},
+		"report too long":       {frame(t, 1, "0b 0100 63000000 6400 000000000000f03f ff"), "does not fit"},
+		"list too long":         {frame(t, 1, "09 0300 ffffffff"), "does not fit"},
+		"list out of range":     {frame(t, 1, "09 1000 00000000"), "out of range"},
+		"unknown list kind":     {frame(t, 1, "04 0100 04 09000000 0300"), "unknown kind"},
+		"settings too long":     {frame(t, 1, "05 0100 2a00000000000000 ffffff7f"), "bytes wanted"},
+		"time-out not a number": {frame(t, 1, strings.Replace(requestRecord, "0000000000408f40", "000000000000f87f", 1)), "not a finite"},
+		"fractional group":      {frame(t, 1, strings.Replace(requestRecord, "00004040", "00002040", 1)), "impossible group"},
 	} {
 		if _, err := Decode(c.frame); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
@@ -133,7 +133,7 @@
 }
 
 func TestReadFrame(t *testing.T) {
-	good := frame(t, 1, recCall)
+	good := frame(t, 1, requestRecord)
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("empty input: %v, want io.EOF", err)
 	}
@@ -155,9 +155,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(f, 1, recCall))
-	f.Add(frame(f, 3, recList, recTargets, recOutcome))
-	f.Add(frame(f, 2, recSpawn, recInbox))
+	f.Add(frame(f, 1, requestRecord))
+	f.Add(frame(f, 3, serverListRecord, listUpdateRecord, outcomeRecord))
+	f.Add(frame(f, 2, startRecord, peerMessageRecord))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		batch, err := Decode(b)
 		if (batch == nil) == (err == nil) {
