--- a/internal/pooler/mysql/kept.go
+++ b/internal/pooler/mysql/cacheable.go
@@ -1,8 +1,8 @@
 package mysql
 
-// Cacheable is an answer as it may be given to other clients of the same Form, and its bytes: a result set. Not ok: an error, or an
-// answer without rows.
-func Cacheable(answer any) (kept any, bytes int, ok bool) {
+// Cacheable returns a copy of an answer that may be given to other clients of the same cache variant, and its size in bytes: a result
+// set. ok is false for an error, and for an answer without rows.
+func Cacheable(answer any) (copied any, bytes int, ok bool) {
 	raw, ok := answer.([]byte)
 	const header = 4 // of the first packet; the payload of a result set's is its number of columns
 	if !ok || len(raw) <= header || raw[header] == 0 || raw[header] >= 0xfb {
--- /dev/null
+++ b/internal/pooler/mysql/login.go
@@ -0,0 +1,67 @@
+package mysql
+
+import (
+	"threadsail/internal/protocol/mysql"
+	"threadsail/internal/translate"
+)
+
+// login is where a client's login stands.
+type login struct {
+	challenge      []byte
+	user           string
+	pluginSwitched bool // the client was asked to answer by the native password plugin
+	done           bool
+}
+
+// handleLogin takes in a packet of the login.
+func (s *session) handleLogin(seq byte, payload []byte) {
+	response := payload
+	if !s.login.pluginSwitched {
+		parsed, err := mysql.ParseLogin(payload)
+		if err != nil {
+			s.writePacket(seq+1, mysql.Error(mysql.ErrHandshake, "08S01", err.Error()))
+			s.Finish()
+			return
+		}
+		s.login.user = parsed.User
+		s.database = parsed.Database
+		s.client = clientOfLogin(&parsed)
+		if !parsed.IsNative() {
+			s.login.pluginSwitched = true
+			s.writePacket(seq+1, mysql.SwitchToNative(s.login.challenge))
+			return
+		}
+		response = parsed.Response
+	}
+	if !s.mayLogin(response) {
+		s.writePacket(seq+1, mysql.Error(mysql.ErrAccessDenied, "28000", "Access denied"))
+		s.Finish()
+		return
+	}
+	s.login.done = true
+	s.writePacket(seq+1, mysql.OK())
+}
+
+// mayLogin checks the user and the password. Without a configured user every client may log in.
+func (s *session) mayLogin(response []byte) bool {
+	cfg := s.frontend.config
+	if cfg.ClientUser == "" {
+		return true
+	}
+	return s.login.user == cfg.ClientUser && mysql.PasswordFits(s.login.challenge, response, cfg.ClientPassword)
+}
+
+// clientOfLogin returns what a login tells of its client's program.
+func clientOfLogin(l *mysql.Login) translate.Client {
+	client := translate.Client{Generation: translate.Gen80, Charset: translate.UTF8MB4}
+	switch {
+	case !l.PluginAuth():
+		client.Generation = translate.Gen50
+	case !l.TracksSessions():
+		client.Generation = translate.Gen55
+	}
+	if charset, ok := translate.CharsetOf(l.Collation); ok {
+		client.Charset = charset
+	}
+	return client
+}
--- a/internal/pooler/postgres/relay_test.go
+++ b/internal/pooler/postgres/relay_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	core.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Addr: server.Addr, State: policy.Ready}})
-	front, err := Listen(loop, func(accept func(*transport.Conn)) (*transport.Listener, error) {
+	front, err := Listen(func(accept func(*transport.Conn)) (*transport.Listener, error) {
 		return transport.Listen(loop, budget, "127.0.0.1:0", accept)
 	}, core, connlimit.New(loop, 100, 1<<20), func(string, int) error { return nil })
 	if err != nil {
--- a/internal/pooler/worker_mysql.go
+++ b/internal/pooler/worker_mysql.go
@@ -11,6 +11,7 @@
 	"threadsail/internal/pooler/mysql"
 	"threadsail/internal/pooler/translating"
 	"threadsail/internal/routes"
+	"threadsail/internal/transport"
 )
 
 // newMySQLWorker sets up the frontend for MySQL clients with all that is behind it: the inventory is its discovery, probes tell
@@ -24,7 +25,10 @@
 	if err := w.startDispatcher(withMySQLPollInterval(cfg, mysqlConfig), backend, options, fleet); err != nil {
 		return nil, err
 	}
-	frontend, err := mysql.Listen(w.loop, w.clientBudget, w.dispatcher, mysqlConfig, w.limiter, table)
+	listen := func(accept func(*transport.Conn)) (*transport.Listener, error) {
+		return transport.Listen(w.loop, w.clientBudget, mysqlConfig.Listen, accept)
+	}
+	frontend, err := mysql.Listen(w.loop, listen, w.dispatcher, mysqlConfig, w.limiter, table)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/pooler/worker_postgres.go
+++ b/internal/pooler/worker_postgres.go
@@ -7,6 +7,7 @@
 
 	"threadsail/internal/config"
 	"threadsail/internal/dispatch"
+	"threadsail/internal/pooler/frontend"
 	"threadsail/internal/pooler/mysql"
 	"threadsail/internal/pooler/postgres"
 	"threadsail/internal/pooler/translating"
@@ -38,7 +39,7 @@
 			return checkTranslatable(table, text, group, cfg.ServerLists.MySQLServers.Echo)
 		}
 	}
-	frontend, err := postgres.Listen(w.loop, w.listenPostgres(cfg), w.dispatcher, w.limiter, check)
+	frontend, err := postgres.Listen(w.listenPostgres(cfg), w.dispatcher, w.limiter, check)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -76,7 +77,7 @@
 }
 
 // listenPostgres returns what opens the frontend's socket: the one that the process has inherited, or a new one.
-func (w *worker) listenPostgres(cfg *config.Config) postgres.ListenFunc {
+func (w *worker) listenPostgres(cfg *config.Config) frontend.ListenFunc {
 	return func(accept func(*transport.Conn)) (*transport.Listener, error) {
 		if cfg.InheritedSocket > 0 {
 			return transport.Inherit(w.loop, w.clientBudget, cfg.InheritedSocket, accept)
