--- a/internal/pooler/upstream/exchange.go
+++ b/internal/pooler/upstream/exchange.go
@@ -1,5 +1,10 @@
-// Package exchange is what attempts and probes on both wires have in common: they take a connection, an idle one or a
-// new one, end once, and give the connection back.
+// Package upstream is what the attempts and probes of all protocols share on their way to a server.
+//
+// An Exchange takes a connection, an idle one or a new one, ends exactly once, and gives the connection back. A Conversation is an
+// Exchange that speaks several messages before the request itself. The package decides how long a connection is waited for, when
+// an answer counts as stalled or too large, and whether a request can have run when its connection breaks. It owns no goroutine:
+// everything runs on the worker's event loop. It knows no protocol, chooses no server and repeats no request; only a probe whose
+// connection breaks is started once more.
 package upstream
 
 import (
@@ -11,152 +16,84 @@
 	"threadsail/internal/transport"
 )
 
-// Connector is how servers are reached.
-type Connector struct {
-	Loop           *dispatch.EventLoop
-	Budget         *transport.Budget
-	Pool           *transport.Pool
-	ConnectTimeout time.Duration // for all that goes before the request itself
-	// MayDial is asked before each new connection; nil: none need be. Of a no: after how long to ask again.
-	MayDial func(addr string) (after time.Duration, ok bool)
-}
-
-// CloseIdle closes the idle connections to a server.
-func (s *Connector) CloseIdle(addr string) { s.Pool.CloseIdle(addr) }
+const (
+	// answerStallTimeout may pass between the first bytes of an answer and its last; values are small.
+	answerStallTimeout = 100 * time.Millisecond
+	// stallCheckInterval is how often a stalled answer is looked at again while more of it has come and is not taken in yet.
+	stallCheckInterval = answerStallTimeout / 4
+	// maxReceivedBytes are taken in for one request, its login and what else goes before it included. The answers that are kept as
+	// a whole have a quarter of it at most: one that goes on, with notices say, would keep this machine busy until its time is over.
+	maxReceivedBytes = 4 << 20
+)
 
-// Exchange is one request on one connection. It is a routing.Call.
+// Exchange is one request on one connection. It is a dispatch.Call.
 type Exchange struct {
 	Conn          *transport.Conn
-	Result        dispatch.AttemptResult
+	Result        dispatch.AttemptResult // as it is known so far; Finish reports it
 	connector     *Connector
 	addr          string
 	attempt       dispatch.AttemptCallbacks
-	cancelDial    func() // of the dial
+	cancelDial    func() // nil: no dial is under way
 	connectTimer  *dispatch.Timer
-	dialTimer     *dispatch.Timer // for leave to dial
+	dialTimer     *dispatch.Timer // while the exchange waits until it may dial
 	answerTimer   *dispatch.Timer // of an answer that has begun
 	finished      bool
-	receivedBytes int // bytes of the server
+	receivedBytes int
 }
 
-const (
-	// answerStallTimeout may pass between the first bytes of an answer and its last; values are small.
-	answerStallTimeout = 100 * time.Millisecond
-	// maxReceivedBytes bytes are taken in for one request, its login and what goes before it with them. The answers that are kept whole
-	// have a quarter of it at most: one that goes on, with notices say, would keep this machine busy until its time is over.
-	maxReceivedBytes = 4 << 20
-)
-
-// Start takes a connection for h: an idle one, with what was put back with it, or a new one. A machine that has vanished
-// answers neither the dial nor what follows: one time-out is for all that goes before Begun.
-func (x *Exchange) Start(s *Connector, addr string, h transport.Handler, a dispatch.AttemptCallbacks, idle func(state any),
+// Start takes a connection for handler: an idle one, and calls idle with what was put back with it, or a new one, and calls fresh. A
+// machine that has vanished answers neither the dial nor what follows: one timeout is for everything that goes before
+// RequestWritten.
+func (x *Exchange) Start(s *Connector, addr string, handler transport.Handler, a dispatch.AttemptCallbacks, idle func(state any),
 	fresh func()) {
-	x.connector, x.addr, x.attempt = s, addr, a
-	x.acquireConn(s.Loop.Now()+time.Duration(dialWaitShare*float64(s.ConnectTimeout)), false, h, idle, fresh)
+	x.connector = s
+	x.addr = addr
+	x.attempt = a
+	wait := time.Duration(dialWaitShare * float64(s.ConnectTimeout))
+	x.acquireConn(acquisition{deadline: s.Loop.Now() + wait, handler: handler, idle: idle, fresh: fresh})
 }
 
-// Waiting for leave to dial: a part of the time to connect, in which a connection may come back to the pool. What is still
-// without leave ends as sent away unseen: it says nothing of the server's health.
-const (
-	dialWaitShare = 0.5
-	minDialRetry  = 2 * time.Millisecond
-	maxDialRetry  = 40 * time.Millisecond // leave may come sooner than was told, and hundreds that ask often cost a busy machine
-)
-
-func (x *Exchange) acquireConn(until time.Duration, waited bool, h transport.Handler, idle func(state any), fresh func()) {
-	s, addr := x.connector, x.addr
-	if waited && !x.attempt.StillAllowed() {
-		x.Finish(policy.Misdirected)
-		return
-	}
-	if c, state := s.Pool.Get(addr, s.Loop.Now()); c != nil {
-		x.Conn = c
-		x.startConnectTimer()
-		c.SetHandler(h)
-		idle(state)
-		return
-	}
-	if s.Budget.Full() && s.Pool.CloseOldest() && s.Loop.Now()+minDialRetry <= until { // the poller gives a descriptor back a moment later
-		x.dialTimer = s.Loop.After(minDialRetry, func() { x.acquireConn(until, true, h, idle, fresh) })
-		return
-	}
-	if s.MayDial != nil {
-		if after, ok := s.MayDial(addr); !ok {
-			wait := min(max(after, minDialRetry), maxDialRetry)
-			if s.Loop.Now()+wait > until {
-				x.dialTimer = s.Loop.After(0, func() { x.Finish(policy.Overloaded) })
-			} else {
-				x.dialTimer = s.Loop.After(wait, func() { x.acquireConn(until, true, h, idle, fresh) })
-			}
-			return
-		}
-	}
-	x.startConnectTimer()
-	x.cancelDial = transport.Dial(s.Loop, s.Budget, addr, s.ConnectTimeout, func(c *transport.Conn, err error) {
-		x.cancelDial = nil
-		if errors.Is(err, transport.ErrNoDescriptor) { // our own want says nothing of the server's health
-			x.Finish(policy.Overloaded)
-			return
-		}
-		if err != nil {
-			x.Finish(policy.ConnectFailed)
-			return
-		}
-		x.Conn = c
-		c.SetHandler(h)
-		fresh()
-	})
-}
-
-// startConnectTimer starts the time to connect.
-func (x *Exchange) startConnectTimer() {
-	x.connectTimer = x.connector.Loop.After(x.connector.ConnectTimeout, func() {
-		x.Abort()
-		x.Finish(policy.ConnectFailed)
-	})
-}
-
-// RequestWritten tells that the request itself has been given to Write: the time to connect no longer binds, and its last byte
+// RequestWritten tells that the request itself has been given to Write: the connect timeout no longer binds, and its last byte
 // is reported.
 func (x *Exchange) RequestWritten() {
 	x.connectTimer.Stop()
 	x.Conn.OnWritten(x.attempt.Sent)
 }
 
-// Loop is what it runs on.
+// Addr returns the address of the server.
+func (x *Exchange) Addr() string { return x.addr }
+
+// Loop returns the event loop that the exchange runs on.
 func (x *Exchange) Loop() *dispatch.EventLoop { return x.connector.Loop }
 
 // MaySend tells whether the request may still be sent.
 func (x *Exchange) MaySend() bool { return x.attempt.StillAllowed() }
 
-// ProbeAttempt is the attempt of a probe, which always fits and counts nowhere.
-func ProbeAttempt(done func(dispatch.AttemptResult)) dispatch.AttemptCallbacks {
-	return dispatch.AttemptCallbacks{StillAllowed: func() bool { return true }, Sent: func() {}, Done: done}
-}
-
-// Received tells that bytes of the server have come. begun: they belong to the answer, and if its rest stays away, as behind a
-// length that is too large, it is spoilt. So it is, and false comes back, where they never end.
-func (x *Exchange) Received(bytes int, begun bool, spoilt func()) bool {
-	if x.receivedBytes += bytes; x.receivedBytes > maxReceivedBytes {
-		spoilt()
+// Received takes in that bytes of the server have come. begun: they belong to the answer, and if its rest stays away, as behind a
+// length that is too large, failMalformed is called. So it is, and false is returned, where they never end.
+func (x *Exchange) Received(bytes int, begun bool, failMalformed func()) bool {
+	x.receivedBytes += bytes
+	if x.receivedBytes > maxReceivedBytes {
+		failMalformed()
 		return false
 	}
-	if !begun || x.answerTimer != nil {
-		return true
-	}
-	var look func()
-	look = func() {
-		if x.Conn.Quiet() {
-			spoilt()
-		} else { // more has come while this machine was busy, and is not taken in yet
-			x.answerTimer = x.connector.Loop.After(answerStallTimeout/4, look)
-		}
+	if begun && x.answerTimer == nil {
+		x.answerTimer = x.connector.Loop.After(answerStallTimeout, func() { x.checkStalled(failMalformed) })
 	}
-	x.answerTimer = x.connector.Loop.After(answerStallTimeout, look)
 	return true
 }
 
-// Abort closes the connection, which is how an attempt is given up.
+// checkStalled ends the exchange if the rest of its answer stays away. More may have come while this machine was busy, and not be
+// taken in yet.
+func (x *Exchange) checkStalled(failMalformed func()) {
+	if x.Conn.Quiet() {
+		failMalformed()
+		return
+	}
+	x.answerTimer = x.connector.Loop.After(stallCheckInterval, func() { x.checkStalled(failMalformed) })
+}
+
+// Abort gives the exchange up and closes its connection. Its end is not reported.
 func (x *Exchange) Abort() {
 	x.dialTimer.Stop()
 	x.connectTimer.Stop()
@@ -169,7 +106,8 @@
 	}
 }
 
-// ReleaseConn gives the connection back, or closes it if more has come on it than the answer.
+// ReleaseConn gives the connection back with what is known of it. clean is false where more has come on it than the answer: it is
+// closed then.
 func (x *Exchange) ReleaseConn(clean bool, state any) {
 	if clean {
 		x.connector.Pool.Put(x.addr, x.Conn, state)
@@ -178,68 +116,33 @@
 	}
 }
 
-// FinishBroken reports that the connection broke.
+// Finish reports the end.
+func (x *Exchange) Finish(r policy.Result) {
+	x.connectTimer.Stop()
+	x.answerTimer.Stop()
+	x.Result.Result = r
+	x.finished = true
+	x.attempt.Done(x.Result)
+}
+
+// FinishBroken reports the end of an exchange whose connection broke.
 func (x *Exchange) FinishBroken(r policy.Result) {
 	x.Result = dispatch.AttemptResult{Broken: true}
 	x.Finish(r)
 }
 
-// localCall is an attempt that was over before anything was sent.
-type localCall struct{ aborted bool }
-
-func (e *localCall) Abort() { e.aborted = true }
-
-// AnswerLocally reports the end of an attempt that needs no server.
-func AnswerLocally(loop *dispatch.EventLoop, a dispatch.AttemptCallbacks, r dispatch.AttemptResult) dispatch.Call {
-	e := &localCall{}
-	loop.Post(func() {
-		if !e.aborted {
-			a.Done(r)
-		}
-	})
-	return e
-}
+// Finished tells whether the end has been reported.
+func (x *Exchange) Finished() bool { return x.finished }
 
 // ConnClosed ends an exchange whose connection has closed. sent: its request was given to Write; before its last byte has gone out
-// nothing can have run. A server that sent more than it was asked for has spoilt its answer.
-func (x *Exchange) ConnClosed(err error, sent bool, spoilt func(error)) {
+// nothing can have run. The answer of a server that sent more than it was asked for is malformed.
+func (x *Exchange) ConnClosed(err error, sent bool, failMalformed func(error)) {
 	switch {
 	case !sent || !x.Conn.Written():
 		x.FinishBroken(policy.ConnectFailed)
 	case errors.Is(err, transport.ErrFlood):
-		spoilt(err)
+		failMalformed(err)
 	default:
 		x.FinishBroken(policy.ConnectionReset)
 	}
 }
-
-// Probe is a probe that is started once more if its connection breaks: the next one tells whether the server is gone.
-type Probe struct{ call dispatch.Call }
-
-// StartProbe starts a probe.
-func StartProbe(start func(done func(dispatch.AttemptResult)) dispatch.Call, done func(dispatch.AttemptResult)) *Probe {
-	p := &Probe{}
-	p.call = start(func(r dispatch.AttemptResult) {
-		if r.Broken {
-			p.call = start(done)
-		} else {
-			done(r)
-		}
-	})
-	return p
-}
-
-// Abort gives it up.
-func (p *Probe) Abort() { p.call.Abort() }
-
-// Finish reports the end.
-func (x *Exchange) Finish(r policy.Result) {
-	x.connectTimer.Stop()
-	x.answerTimer.Stop()
-	x.Result.Result = r
-	x.finished = true
-	x.attempt.Done(x.Result)
-}
-
-// Finished tells that its end has been reported.
-func (x *Exchange) Finished() bool { return x.finished }
--- a/internal/pooler/worker_mysql.go
+++ b/internal/pooler/worker_mysql.go
@@ -10,6 +10,7 @@
 	"threadsail/internal/policy"
 	"threadsail/internal/pooler/mysql"
 	"threadsail/internal/pooler/translating"
+	"threadsail/internal/pooler/upstream"
 	"threadsail/internal/routes"
 	"threadsail/internal/transport"
 )
@@ -41,21 +42,25 @@
 func (w *worker) mysqlBackends(cfg *config.Config, mysqlConfig *config.MySQL, table *routes.Table) dispatch.Backend {
 	own := &mysql.Backend{
 		Connector: w.newConnector(cfg, mysqlConfig.ProbeTimeout),
-		User:      mysqlConfig.User,
-		Password:  mysqlConfig.Password,
-		Database:  mysqlConfig.Database,
-		Heartbeat: mysqlConfig.Heartbeat,
-		Version:   func(addr string) routes.Version { return table.At(addr).Version },
-		Log:       messageLogger(w.log),
+		Account: upstream.Account{
+			User:      mysqlConfig.User,
+			Password:  mysqlConfig.Password,
+			Database:  mysqlConfig.Database,
+			Heartbeat: mysqlConfig.Heartbeat,
+			Log:       messageLogger(w.log),
+		},
+		Version: func(addr string) routes.Version { return table.At(addr).Version },
 	}
 	servers := mysqlConfig.Postgres
 	other := &translating.PostgresBackend{
 		Connector: w.newConnector(cfg, mysqlConfig.ProbeTimeout),
-		User:      servers.User,
-		Password:  servers.Password,
-		Database:  servers.Database,
-		Heartbeat: servers.Heartbeat,
-		Log:       own.Log,
+		Account: upstream.Account{
+			User:      servers.User,
+			Password:  servers.Password,
+			Database:  servers.Database,
+			Heartbeat: servers.Heartbeat,
+			Log:       messageLogger(w.log),
+		},
 	}
 	w.connectors = append(w.connectors, &own.Connector, &other.Connector)
 	return &wireBackends{table: table, backends: map[routes.Wire]dispatch.Backend{routes.MySQL: own, routes.Postgres: other}}
--- a/internal/pooler/worker_postgres.go
+++ b/internal/pooler/worker_postgres.go
@@ -11,6 +11,7 @@
 	"threadsail/internal/pooler/mysql"
 	"threadsail/internal/pooler/postgres"
 	"threadsail/internal/pooler/translating"
+	"threadsail/internal/pooler/upstream"
 	"threadsail/internal/routes"
 	"threadsail/internal/translate"
 	"threadsail/internal/transport"
@@ -53,12 +54,14 @@
 	servers := cfg.ServerLists.MySQLServers
 	other := &mysql.Backend{
 		Connector: w.newConnector(cfg, cfg.ConnectTimeout),
-		User:      servers.User,
-		Password:  servers.Password,
-		Database:  servers.Database,
-		Heartbeat: servers.Heartbeat,
-		Version:   func(addr string) routes.Version { return table.At(addr).Version },
-		Log:       messageLogger(w.log),
+		Account: upstream.Account{
+			User:      servers.User,
+			Password:  servers.Password,
+			Database:  servers.Database,
+			Heartbeat: servers.Heartbeat,
+			Log:       messageLogger(w.log),
+		},
+		Version: func(addr string) routes.Version { return table.At(addr).Version },
 	}
 	w.connectors = append(w.connectors, &other.Connector)
 	return &wireBackends{table: table, backends: map[routes.Wire]dispatch.Backend{
