--- a/internal/pooler/discovery_agent.go
+++ b/internal/pooler/discovery_agent.go
@@ -17,7 +17,7 @@
 	// grace period may be a quarter of a second, and a call on the own machine costs some 0.1 ms.
 	minRedialDelay = 5 * time.Millisecond
 	maxRedialDelay = 80 * time.Millisecond
-	// catchUpTime after its first message a watch has told everything that the agent had when it was opened: that comes at once,
+	// catchUpTime after its first message a watch has reported everything that the agent had when it was opened: that comes at once,
 	// and not at all where there is nothing new.
 	catchUpTime = time.Second
 	// firstListTimeout bounds how long a start waits for the agent, which is silent while discovery is down.
@@ -55,7 +55,7 @@
 	return w.redial.firstMessageLimit
 }
 
-// markDisconnected notes that a watch that has told everything until now has ended.
+// markDisconnected notes that a watch that has reported everything until now has ended.
 func (w *watcher) markDisconnected() {
 	if w.call.caughtUp {
 		w.knownUntil = w.loop.Now()
--- a/internal/pooler/discovery_watcher.go
+++ b/internal/pooler/discovery_watcher.go
@@ -78,7 +78,7 @@
 	pushed      bool            // the service is an agent on this machine, which is always watched: see discovery_agent.go
 
 	revision uint64 // of the last list; 0: the whole list is asked for
-	// knownUntil is until when everything that was listed is known here: the last message, or the end of a watch that had told
+	// knownUntil is until when everything that was listed is known here: the last message, or the end of a watch that had reported
 	// everything until then. Nothing can have been heard after it where a dial was refused or did not come up.
 	knownUntil   time.Duration
 	call         watchCall
@@ -92,7 +92,7 @@
 	stop           func() // ends it; nil: there is none
 	stream         *discovery.Stream
 	firstMessageAt time.Duration // 0: nothing has come yet
-	caughtUp       bool          // it has told a list, or had none to tell
+	caughtUp       bool          // it has sent a list, or had none to send
 }
 
 // start hands the dispatcher the first list: an agent's, where it answers in time, or the one that the configuration knows.
@@ -163,7 +163,7 @@
 	w.revision = 0
 	w.redial.firstMessageLimit = 0
 	switch {
-	case w.leadership == nil && !w.pushed: // all poolers are told to move at once
+	case w.leadership == nil && !w.pushed: // all poolers move at once
 		w.onList(policy.ListFailed, nil, w.loop.Now())
 	case open || w.leadership == nil: // else the leader's announcement tells what the new service lists
 		w.open()
--- a/internal/pooler/list_leadership.go
+++ b/internal/pooler/list_leadership.go
@@ -67,14 +67,14 @@
 // events returns what takes in the fleet's reports, on the loop.
 func (d *listLeadership) events() FleetEvents {
 	return FleetEvents{
-		Announced: func(word discoveryleader.Announcement, least discoveryleader.MinimumVersion) {
-			d.loop.Post(func() { d.receiveAnnouncement(word, least) })
+		Announced: func(announcement discoveryleader.Announcement, minimum discoveryleader.MinimumVersion) {
+			d.loop.Post(func() { d.receiveAnnouncement(announcement, minimum) })
 		},
 		ListRequested: func(from string) {
 			d.loop.Post(func() { d.sendList(from) })
 		},
-		ListReceived: func(word discoveryleader.Announcement, list []byte) {
-			d.loop.Post(func() { d.receiveList(word, list) })
+		ListReceived: func(announcement discoveryleader.Announcement, list []byte) {
+			d.loop.Post(func() { d.receiveList(announcement, list) })
 		},
 		PrimaryReportedDown: func(group int) {
 			d.loop.Post(func() { d.dispatcher.ReportPrimaryDown(group) })
--- a/internal/pooler/mysql/frontend.go
+++ b/internal/pooler/mysql/frontend.go
@@ -31,7 +31,7 @@
 	config           *config.MySQL
 	routes           *routes.Table // what the servers speak
 	lastThreadID     uint32
-	sessionsByThread map[uint32]*session // by the thread ID that each client was told at its login
+	sessionsByThread map[uint32]*session // by the thread ID that each client was sent at its login
 }
 
 // Listen starts a frontend for the clients that the limiter admits; listen opens its socket. It must be called before the event
--- a/internal/pooler/mysql/session.go
+++ b/internal/pooler/mysql/session.go
@@ -14,7 +14,7 @@
 // maxClientInput bounds the bytes of commands that a client has sent and that are not taken in yet.
 const maxClientInput = 2 * mysql.MaxCommand
 
-// What clients are told where no answer can be had.
+// The texts that clients get where no answer can be had.
 const (
 	shutdownText = "Query execution was interrupted: the server is shutting down"
 	failedText   = "Query execution was interrupted: no answer in time; the statement may have run"
--- a/internal/pooler/pooler.go
+++ b/internal/pooler/pooler.go
@@ -7,7 +7,7 @@
 // and repeats no requests (package policy decides that, package dispatch carries it out), and it speaks no protocol itself
 // (packages postgres, mysql and translating do).
 //
-// The life of the process is told in three files: start.go, reload.go and shutdown.go.
+// The life of the process stands in three files: start.go, reload.go and shutdown.go.
 package pooler
 
 import (
@@ -20,7 +20,7 @@
 	"threadsail/internal/pooler/admin"
 )
 
-// Control is how a running pooler is told what to do.
+// Control carries the orders to a running pooler.
 type Control struct {
 	// Terminate is closed to shut the pooler down once everything that it has accepted is answered.
 	Terminate <-chan struct{}
--- a/internal/pooler/upstream/acquire.go
+++ b/internal/pooler/upstream/acquire.go
@@ -13,7 +13,7 @@
 const (
 	dialWaitShare = 0.5
 	minDialRetry  = 2 * time.Millisecond
-	maxDialRetry  = 40 * time.Millisecond // it may dial sooner than was told, and hundreds that ask often cost a busy machine
+	maxDialRetry  = 40 * time.Millisecond // it may dial sooner than was returned, and hundreds that ask often cost a busy machine
 )
 
 // acquisition is an exchange's way to its connection.
--- a/internal/pooler/upstream/conversation.go
+++ b/internal/pooler/upstream/conversation.go
@@ -91,7 +91,7 @@
 	return !primary && c.Account.Heartbeat != ""
 }
 
-// ReportPosition enters the position that the heartbeat query has told.
+// ReportPosition enters the position that the heartbeat query has found.
 func (c *Conversation) ReportPosition(value string) {
 	c.Result.Report.Position, c.Result.Report.HasPosition = protocol.Position(value)
 }
