--- a/internal/pooler/admin_test.go
+++ b/internal/pooler/admin_test.go
@@ -11,8 +11,8 @@
 	"threadsail/internal/pooler"
 )
 
-// call makes one call at the operators' door.
-func call(t *testing.T, a pooler.Addresses, line string) string {
+// adminCall makes one call at the operators' door.
+func adminCall(t *testing.T, a pooler.Addresses, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", a.Admin)
 	if err != nil {
@@ -30,11 +30,11 @@
 	return string(answer)
 }
 
-// shows asks for the figures until they hold all the lines: they lag a little.
-func shows(t *testing.T, a pooler.Addresses, lines ...string) {
+// expectInfo asks for the figures until they hold all the lines: they lag a little.
+func expectInfo(t *testing.T, a pooler.Addresses, lines ...string) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; {
-		answer := call(t, a, "INFO\n")
+		answer := adminCall(t, a, "INFO\n")
 		missing := ""
 		for _, l := range lines {
 			if !strings.Contains(answer, "\n"+l+"\n") {
@@ -52,11 +52,11 @@
 
 // The figures must tell what became of the requests, on either wire: each counts once, at its end, whatever its attempts.
 func TestFigures(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
-		served(t, c.Do(standin.Write("k", patience)))
+		expectServed(t, c.Do(standin.Write("k", patience)))
 		f.Servers[0].Do(once(standin.Break))
-		served(t, c.Do(standin.Write("k2", patience))) // by its second attempt
+		expectServed(t, c.Do(standin.Write("k2", patience))) // by its second attempt
 		f.Servers[0].Do(once(standin.Break))
 		if r := c.Do(standin.Write("", patience)); !r.Failed { // counts as its class, though it has rules of its own
 			t.Fatalf("got %+v", r)
@@ -65,21 +65,21 @@
 		f.Servers[0].Do(func(standin.Seen) standin.Act { <-release; return standin.Answer })
 		ended := make(chan standin.Result, 1)
 		go func() { ended <- waits.Do(standin.Write("", 20*time.Second)) }()
-		shows(t, a, `edge_proxy_downstream_requests{lane="write",result="completed"} 2`,
+		expectInfo(t, a, `edge_proxy_downstream_requests{lane="write",result="completed"} 2`,
 			`edge_proxy_downstream_requests{lane="write",result="failed"} 1`,
 			`edge_proxy_downstream_requests{lane="write",result="rejected"} 0`,
 			`edge_proxy_upstream_requests{lane="write"} 5`, `edge_proxy_upstream_requests{lane="any"} 0`,
 			"edge_proxy_pending 1", "edge_proxy_members 2", "edge_proxy_config_reloads 0")
 		close(release)
-		served(t, <-ended)
+		expectServed(t, <-ended)
 		f.Drain(f.Servers[1])
-		shows(t, a, "edge_proxy_pending 0", "edge_proxy_members_unavailable 1",
+		expectInfo(t, a, "edge_proxy_pending 0", "edge_proxy_members_unavailable 1",
 			`edge_proxy_downstream_requests{lane="write",result="completed"} 3`)
 	})
 }
 
 // Callers that say nothing, or too much, must not keep the others waiting; what is no call is an error.
-func TestOperatorsDoor(t *testing.T) {
+func TestAdminServer(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "p")
 	a := poolerProcess(t, f)
 	for range 40 {
@@ -88,12 +88,12 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if got := call(t, a, "PING\n"); got != "done\n" {
+		if got := adminCall(t, a, "PING\n"); got != "done\n" {
 			t.Fatalf("PING got %q", got)
 		}
 	}
 	for _, line := range []string{"\n", "ping\n", "LIST\n", strings.Repeat("x", 1000)} {
-		if got := call(t, a, line); !strings.HasPrefix(got, "error ") || strings.Count(got, "\n") != 1 {
+		if got := adminCall(t, a, line); !strings.HasPrefix(got, "error ") || strings.Count(got, "\n") != 1 {
 			t.Errorf("%.20q got %q", line, got)
 		}
 	}
--- a/internal/pooler/bench_test.go
+++ b/internal/pooler/bench_test.go
@@ -14,10 +14,10 @@
 		b.Run(wire, func(b *testing.B) {
 			f := standin.NewFleet(b, wire == "mysql", nil, "p", "r")
 			c := dial(b, poolerProcess(b, f))
-			served(b, c.Do(standin.Read("any", 2*time.Second)))
+			expectServed(b, c.Do(standin.Read("any", 2*time.Second)))
 			b.ReportAllocs()
 			for b.Loop() {
-				served(b, c.Do(standin.Read("any", 2*time.Second)))
+				expectServed(b, c.Do(standin.Read("any", 2*time.Second)))
 			}
 		})
 	}
--- a/internal/pooler/endings_test.go
+++ b/internal/pooler/broken_connections_test.go
@@ -28,20 +28,20 @@
 	}
 }
 
-func cut(c *net.TCPConn) { c.Close() }
+func closeConn(c *net.TCPConn) { c.Close() }
 
-func reset(c *net.TCPConn) {
+func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	c.Close()
 }
 
 // A server that ends at any byte of its answer has given none: a read is served by another attempt, and a write without a key
 // is failed and not sent again.
-func TestServerEndsInItsAnswer(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestServerClosesWithinItsAnswer(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		for _, at := range []int{0, 1, 5, -7, -1} {
-			for how, end := range map[string]func(*net.TCPConn){"close": cut, "reset": reset} {
+			for how, end := range map[string]func(*net.TCPConn){"close": closeConn, "reset": resetConn} {
 				once := first(end)
 				for _, s := range f.Servers {
 					s.Meet(at, once)
@@ -60,11 +60,11 @@
 }
 
 // A whole error is a server's word though it closes before it says that it is ready again: what it turned away has not run.
-func TestWholeErrorThenTheEnd(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestCompleteErrorThenClose(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c, p := dial(t, a), f.Servers[0]
-		served(t, c.Do(standin.Write("", patience)))
-		for _, end := range []func(*net.TCPConn){cut, reset} {
+		expectServed(t, c.Do(standin.Write("", patience)))
+		for _, end := range []func(*net.TCPConn){closeConn, resetConn} {
 			p.Do(once(standin.Full))
 			at := 1 << 20 // on MySQL's wire the error is all
 			if !p.SpeaksMySQL() {
@@ -80,8 +80,8 @@
 
 // An answer that never ends costs its own request and connection: it is cut off long before the request's time is over, and
 // others are served meanwhile.
-func TestAnswersThatNeverEnd(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestEndlessAnswers(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		p := f.Servers[0]
 		kinds := map[string]func(n int) []byte{
 			"notices": func(int) []byte {
@@ -111,7 +111,7 @@
 			if !p.Wait(had + 1) {
 				t.Fatal("the write never came")
 			}
-			served(t, other.Do(standin.Read("any", 20*time.Second)))
+			expectServed(t, other.Do(standin.Read("any", 20*time.Second)))
 			if r := <-ended; !r.Failed || time.Since(began) > 15*time.Second {
 				t.Errorf("%s: a write got %+v after %v", name, r, time.Since(began))
 			}
@@ -121,7 +121,7 @@
 
 // A long value that has begun and stops ends by its server's silence, so that its client can tell that it is not whole; before that
 // nobody cuts it off. Where nothing of it has been passed on its request fails as others do, in its time, and its connection serves on.
-func TestLongValueThatStops(t *testing.T) {
+func TestLongValueStalls(t *testing.T) {
 	f, c := postgresPooler(t, "p")
 	_, long := longAnswer(1 << 20)
 	f.Servers[0].Spoil(func(s standin.Seen) []byte {
@@ -156,12 +156,12 @@
 }
 
 // A client may say that it leaves right behind its last statement: it gets the answer, and then the end.
-func TestFarewellBehindAStatement(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+func TestQuitAfterAStatement(t *testing.T) {
+	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		defer func() { close(terminate); <-ended }()
 		release := make(chan struct{})
 		f.Servers[0].Meet(0, func(*net.TCPConn) { <-release })
-		c := talk(t, a)
+		c := newRawClient(t, a)
 		farewell := pgwire.Append(nil, 'X')
 		if a.MySQL != "" {
 			farewell = mysql.Append(nil, 0, []byte{mysql.ComQuit})
@@ -185,11 +185,11 @@
 
 // SIGTERM meets clients that say nothing, have said half of their first message or rest, and writes that wait: for a primary, and
 // for a server that lets them connect and says nothing. Each write gets its answer before SIGKILL, and each client its end.
-func TestStagesThatMeetARestart(t *testing.T) {
+func TestRestartWithinEachStage(t *testing.T) {
 	for _, name := range []string{"no primary", "a silent server"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+			testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 				p := f.Servers[0]
 				if name == "no primary" {
 					p.Set(false, 0)
@@ -203,7 +203,7 @@
 				}
 				var others []net.Conn
 				for _, said := range []string{"", "\x00\x00\x00\x54\x00\x03"} {
-					c, err := net.Dial("tcp", addr(a))
+					c, err := net.Dial("tcp", frontendAddr(a))
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -213,8 +213,8 @@
 					}
 					others = append(others, c)
 				}
-				others = append(others, talk(t, a))
-				before, after := talk(t, a), talk(t, a)
+				others = append(others, newRawClient(t, a))
+				before, after := newRawClient(t, a), newRawClient(t, a)
 				if err := before.Send(standin.Write("k", 20*time.Second)); err != nil {
 					t.Fatal(err)
 				}
@@ -223,7 +223,7 @@
 				if err := after.Send(standin.Write("", 20*time.Second)); err != nil {
 					t.Fatal(err)
 				}
-				for i, c := range []talker{before, after} {
+				for i, c := range []rawClient{before, after} {
 					if r := c.Receive(); r.Err != nil {
 						t.Errorf("write %d has no answer: %v", i, r.Err)
 					}
@@ -234,15 +234,15 @@
 						t.Errorf("client %d stays connected", i)
 					}
 				}
-				endsInTime(t, told, ended)
+				expectShutdownInTime(t, told, ended)
 			})
 		})
 	}
 }
 
 // A client that reads late gets every answer whole though the process is told to end meanwhile, and then the end.
-func TestSlowReaderMeetsARestart(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+func TestRestartWithASlowReader(t *testing.T) {
+	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		const ahead = 8
 		value := strings.Repeat("v", 60<<10)
 		if a.MySQL != "" {
@@ -251,7 +251,7 @@
 		for _, s := range f.Servers {
 			s.Give(value)
 		}
-		c := talk(t, a)
+		c := newRawClient(t, a)
 		if r, ok := c.(*standin.Postgres); ok {
 			_ = r.Conn.(*net.TCPConn).SetReadBuffer(16 << 10)
 		}
@@ -276,31 +276,31 @@
 		if r := c.Receive(); r.Err == nil {
 			t.Error("it stays connected")
 		}
-		endsInTime(t, told, ended)
+		expectShutdownInTime(t, told, ended)
 	})
 }
 
 // A client that is cut off, as it sends more than is taken in ahead of an answer, or is killed, has an answer to what was under
 // way first.
-func TestClientsThatAreCutOff(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+func TestClientsThatAreDisconnected(t *testing.T) {
+	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		defer func() { close(terminate); <-ended }()
 		f.Servers[0].Do(always(standin.Hang))
-		killer := talk(t, a)
-		for name, cutOff := range map[string]func(c talker) error{
-			"much ahead": func(c talker) (err error) {
+		killer := newRawClient(t, a)
+		for name, cutOff := range map[string]func(c rawClient) error{
+			"much ahead": func(c rawClient) (err error) {
 				for n := 0; n < 200 && err == nil; n++ {
 					_, err = c.Write(packet(c, standin.Read("any", patience)+strings.Repeat(" ", 16<<10)))
 				}
 				return nil // it may be closed by then
 			},
-			"killed": func(c talker) error { return killer.Send(fmt.Sprint("KILL ", c.(oldTalker).Thread)) },
+			"killed": func(c rawClient) error { return killer.Send(fmt.Sprint("KILL ", c.(oldMySQLClient).Thread)) },
 		} {
 			if name == "killed" && a.MySQL == "" {
 				continue // PostgreSQL's wire has no such command
 			}
 			had := len(f.Servers[0].Seen())
-			c := talk(t, a)
+			c := newRawClient(t, a)
 			if err := c.Send(standin.Write("", 20*time.Second)); err != nil || !f.Servers[0].Wait(had+1) {
 				t.Fatal("the write never came", err)
 			}
@@ -320,7 +320,7 @@
 
 // An attempt whose time is over is given up: the server's connection is closed, and a write without a key is not sent again.
 func TestAttemptTimesOut(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		p := f.Servers[0]
 		closed := make(chan struct{})
 		p.Meet(0, first(func(c *net.TCPConn) {
@@ -339,7 +339,7 @@
 }
 
 // A client that leaves in the middle of a long answer takes the server's connection with it.
-func TestLongAnswerIsLeft(t *testing.T) {
+func TestClientDisconnectsWithinALongAnswer(t *testing.T) {
 	f, c := postgresPooler(t, "p")
 	_, answer := longAnswer(pgwire.MaxLong)
 	f.Servers[0].Spoil(func(standin.Seen) []byte { return answer })
--- a/internal/pooler/answers_test.go
+++ b/internal/pooler/cached_answers_test.go
@@ -18,8 +18,8 @@
 	"threadsail/internal/pooler/postgres"
 )
 
-// fileWatcher gives the first answer that may be another's to each later request that may have it.
-type fileWatcher struct {
+// answerCache gives the first answer that may be another's to each later request that may have it.
+type answerCache struct {
 	kept   map[string]any
 	keep   func(any) (any, int, bool)
 	passed int // requests that may have another's answer, and found none
@@ -29,23 +29,23 @@
 	return fmt.Sprint(r.Class, r.Group, r.CacheVariant, "|", r.Statement)
 }
 
-func (k *fileWatcher) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
+func (c *answerCache) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
 	if r.CacheVariant == "" {
 		return dispatch.Admission{}
 	}
-	if k.kept[keyOf(r)] == nil {
-		k.passed++
+	if c.kept[keyOf(r)] == nil {
+		c.passed++
 	}
-	return dispatch.Admission{Answer: k.kept[keyOf(r)]}
+	return dispatch.Admission{Answer: c.kept[keyOf(r)]}
 }
 
-func (k *fileWatcher) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
+func (c *answerCache) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
 	return dispatch.Send
 }
 
-func (k *fileWatcher) RequestEnded(_ time.Duration, r *dispatch.Request, e dispatch.FinalAnswer) {
-	if answer, _, ok := k.keep(e.Answer); ok && r.CacheVariant != "" {
-		k.kept[keyOf(r)] = answer
+func (c *answerCache) RequestEnded(_ time.Duration, r *dispatch.Request, e dispatch.FinalAnswer) {
+	if answer, _, ok := c.keep(e.Answer); ok && r.CacheVariant != "" {
+		c.kept[keyOf(r)] = answer
 	}
 }
 
@@ -60,7 +60,7 @@
 
 // A kept answer is given to other clients on either wire, as the server gave it; on MySQL's not to a client that reads another
 // charset, nor for a prepared statement, nor where the statement did not name its class.
-func TestKeptAnswers(t *testing.T) {
+func TestCachedAnswers(t *testing.T) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
 			f := standin.NewFleet(t, wire == "mysql", nil, "db1")
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			ready, terminate, ended := make(chan pooler.Addresses, 1), make(chan struct{}), make(chan error, 1)
-			guard := &fileWatcher{kept: map[string]any{}, keep: postgres.Cacheable}
+			guard := &answerCache{kept: map[string]any{}, keep: postgres.Cacheable}
 			if wire == "mysql" {
 				guard.keep = mysql.Cacheable
 			}
--- a/internal/pooler/cancel_test.go
+++ b/internal/pooler/cancel_test.go
@@ -9,20 +9,20 @@
 	"threadsail/internal/pooler"
 )
 
-// canceller is a client whose statements another connection can cancel.
-type canceller struct {
+// cancelClient is a client whose statements another connection can cancel.
+type cancelClient struct {
 	do     func(text string) standin.Result
 	cancel func() error
 	code   string // of a statement that was cancelled
 }
 
-func cancels(t *testing.T, f *standin.Fleet, a pooler.Addresses) canceller {
+func newCancelClient(t *testing.T, f *standin.Fleet, a pooler.Addresses) cancelClient {
 	t.Helper()
 	if f.Wire() == "postgres" {
 		c := dial(t, a).(*standin.Postgres)
-		return canceller{c.Do, c.Cancel, "57014"}
+		return cancelClient{c.Do, c.Cancel, "57014"}
 	}
-	db, killer := open(t, a, nil), open(t, a, nil)
+	db, killer := openMySQL(t, a, nil), openMySQL(t, a, nil)
 	var id int
 	// The number that the front has told this client at its login is one less than the next client's.
 	if err := db.Ping(); err != nil {
@@ -33,7 +33,7 @@
 			break
 		}
 	}
-	return canceller{func(text string) standin.Result {
+	return cancelClient{func(text string) standin.Result {
 		rows, err := db.Query(text)
 		if err != nil {
 			return standin.FromMySQL(err)
@@ -50,12 +50,12 @@
 // A cancel before, during, after and twice: what is under way is answered at once and never sent again; nothing else is
 // touched. The server is as good as before, and the next statement on the connection is served.
 func TestCancel(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
-		c, p := cancels(t, f, a), f.Servers[0]
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+		c, p := newCancelClient(t, f, a), f.Servers[0]
 		if err := c.cancel(); err != nil { // before
 			t.Fatal(err)
 		}
-		served(t, c.do(standin.Write("k0", patience)))
+		expectServed(t, c.do(standin.Write("k0", patience)))
 		if err := c.cancel(); err != nil { // after
 			t.Fatal(err)
 		}
@@ -76,12 +76,12 @@
 			if r := <-ended; r.Code != c.code || time.Since(began) > 10*time.Second {
 				t.Errorf("a cancelled write got %+v after %v", r, time.Since(began))
 			}
-			served(t, c.do(standin.Write(fmt.Sprint("k2", i), patience)))
+			expectServed(t, c.do(standin.Write(fmt.Sprint("k2", i), patience)))
 			if n := len(p.Seen()) - had; n != 2 {
 				t.Errorf("%d statements came for a cancelled write and the one after it", n)
 			}
 		}
-		shows(t, a, "edge_proxy_members_unavailable 0", "edge_proxy_pending 0", `edge_proxy_downstream_requests{lane="write",result="failed"} 0`)
+		expectInfo(t, a, "edge_proxy_members_unavailable 0", "edge_proxy_pending 0", `edge_proxy_downstream_requests{lane="write",result="failed"} 0`)
 	})
 }
 
@@ -89,7 +89,7 @@
 func TestCancelReachesTheServer(t *testing.T) {
 	f := standin.NewMixedFleet(t, true, func(int) bool { return false }, nil, "p")
 	a := poolerProcess(t, f)
-	c, p := cancels(t, f, a), f.Servers[0]
+	c, p := newCancelClient(t, f, a), f.Servers[0]
 	p.Do(once(standin.Hang))
 	ended := make(chan standin.Result, 1)
 	go func() { ended <- c.do(standin.Write("k", 20*time.Second)) }()
--- a/internal/pooler/clients_test.go
+++ b/internal/pooler/clients_test.go
@@ -13,7 +13,7 @@
 	"threadsail/internal/protocol/pgwire"
 )
 
-func addr(a pooler.Addresses) string {
+func frontendAddr(a pooler.Addresses) string {
 	if a.MySQL != "" {
 		return a.MySQL
 	}
@@ -22,13 +22,13 @@
 
 // Clients that connect and say nothing, or nothing whole, are owed a word or a close within 3 s. One that has logged in
 // and has not asked yet stays.
-func TestSilentClientsAreTurnedOut(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, _ *standin.Fleet, a pooler.Addresses) {
+func TestSilentClientsAreEvicted(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, _ *standin.Fleet, a pooler.Addresses) {
 		waits := dial(t, a) // logged in, and keeps its connection for later
 		var silent []net.Conn
 		for _, first := range []string{"", "\x00\x00\x00\x54\x00\x03",
 			string(pgwire.AppendStartup(nil, "client", "core")) + "Q\x00\x00\x00\x40SELECT"} {
-			c, err := net.Dial("tcp", addr(a))
+			c, err := net.Dial("tcp", frontendAddr(a))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,19 +48,19 @@
 				t.Errorf("silent client %d is never turned out", i)
 			}
 		}
-		served(t, waits.Do(standin.Read("any", patience)))
+		expectServed(t, waits.Do(standin.Read("any", patience)))
 	})
 }
 
 // Clients that have asked once and stay must not keep out those that ask now: the longest idle makes room.
-func TestNewcomersFindRoom(t *testing.T) {
+func TestNewClientsFindCapacity(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "p")
 	f.Configure("limits", map[string]any{"sockets": 64, "memory_mb": 64})
 	a := poolerProcess(t, f)
 	var idle []standin.Client
 	for range 12 {
 		c := dial(t, a)
-		served(t, c.Do(standin.Read("any", patience)))
+		expectServed(t, c.Do(standin.Read("any", patience)))
 		idle = append(idle, c)
 	}
 	for until := time.Now().Add(20 * time.Second); ; {
@@ -85,7 +85,7 @@
 
 // A newcomer for whom there is no room is closed without a word: its first query may be on the way, and would take the
 // word for its answer.
-func TestNoRoomIsNoAnswer(t *testing.T) {
+func TestRejectedClientGetsNoAnswer(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "p")
 	f.Configure("limits", map[string]any{"sockets": 64, "memory_mb": 64})
 	a := poolerProcess(t, f)
@@ -114,8 +114,8 @@
 }
 
 // An id that is open elsewhere can't be told from the other's: an error, and the first is served.
-func TestOpenIDIsRefused(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestRequestIDInFlightIsRejected(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		release := make(chan struct{})
 		f.Servers[0].Do(func(standin.Seen) standin.Act { <-release; return standin.Answer })
 		text := standin.Read("any", 5*patience)
@@ -129,13 +129,13 @@
 			t.Errorf("got %+v for an id that is open", r)
 		}
 		close(release)
-		served(t, <-ended)
-		served(t, second.Do(text)) // it is free again
+		expectServed(t, <-ended)
+		expectServed(t, second.Do(text)) // it is free again
 	})
 }
 
 // What can't be read ends the connection at once, whatever waits on it: that gets its final answer before.
-func TestUnreadableBehindAnOpenRequest(t *testing.T) {
+func TestMalformedMessageAfterARequest(t *testing.T) {
 	f, c := postgresPooler(t, "p")
 	f.Servers[0].Do(always(standin.Hang))
 	if err := c.Send(standin.Write("k", 20*time.Second)); err != nil || !f.Servers[0].Wait(1) {
@@ -157,8 +157,8 @@
 
 // A value that is far too large is turned away by its first bytes, while the client still sends.
 func TestHugeCommand(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
-		c, err := net.Dial("tcp", addr(a))
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+		c, err := net.Dial("tcp", frontendAddr(a))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -172,6 +172,6 @@
 		if err == nil {
 			t.Error("60 MB are taken in")
 		}
-		served(t, dial(t, a).Do(standin.Read("any", patience)))
+		expectServed(t, dial(t, a).Do(standin.Read("any", patience)))
 	})
 }
--- a/internal/pooler/disconnected_clients_test.go
+++ b/internal/pooler/disconnected_clients_test.go
@@ -15,9 +15,9 @@
 	"threadsail/internal/pooler"
 )
 
-// way calls an act on a front's loop, once, at a moment of a request's way: nothing else is taken in meanwhile, so what happens in it
+// disconnectPoint calls an act on a front's loop, once, at a moment of a request's way: nothing else is taken in meanwhile, so what happens in it
 // has not been read when the front goes on. Until the act's client has left no connection is made.
-type way struct {
+type disconnectPoint struct {
 	mu   sync.Mutex
 	at   string
 	on   bool // the act's request has come
@@ -26,7 +26,7 @@
 	left bool
 }
 
-func (w *way) is(moment string) {
+func (w *disconnectPoint) reached(moment string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if moment == "comes" && w.act != nil && !w.on {
@@ -39,18 +39,18 @@
 	}
 }
 
-func (w *way) Admit(time.Duration, *dispatch.Request) (a dispatch.Admission) {
-	w.is("comes")
+func (w *disconnectPoint) Admit(time.Duration, *dispatch.Request) (a dispatch.Admission) {
+	w.reached("comes")
 	return a
 }
-func (w *way) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
+func (w *disconnectPoint) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
 	return dispatch.Send
 }
-func (w *way) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
-func (w *way) ServerListed(string, time.Duration)                                  {}
-func (w *way) MayProbe(time.Duration, string) bool                                 { return true }
-func (w *way) MayDial(time.Duration, string) (time.Duration, bool) {
-	w.is("dials")
+func (w *disconnectPoint) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
+func (w *disconnectPoint) ServerListed(string, time.Duration)                                  {}
+func (w *disconnectPoint) MayProbe(time.Duration, string) bool                                 { return true }
+func (w *disconnectPoint) MayDial(time.Duration, string) (time.Duration, bool) {
+	w.reached("dials")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Millisecond, w.at != "dials" || !w.on || w.left
@@ -59,7 +59,7 @@
 // A client that has closed its connection, or reset it, or has cancelled, gets no attempt from then on, first or further, whatever
 // the pooler has read of that: each client goes at a moment right behind which the attempt is due. A write that a server has begun
 // runs on, as these settings let nothing be cancelled.
-func TestNoAttemptForTheGone(t *testing.T) {
+func TestNoAttemptForDisconnectedClients(t *testing.T) {
 	for _, pair := range pairs {
 		if strings.Contains(pair.name, " and ") {
 			continue
@@ -71,7 +71,7 @@
 				}
 				t.Run(strings.Join([]string{pair.name, at, how}, "/"), func(t *testing.T) {
 					t.Parallel()
-					leaves(t, standin.NewMixedFleet(t, pair.mysql, pair.speak, func(s map[string]any) {
+					testDisconnectAt(t, standin.NewMixedFleet(t, pair.mysql, pair.speak, func(s map[string]any) {
 						caps := s["caps"].(map[string]any)
 						caps["mayCancel"] = false
 						if at == "dials" {
@@ -84,8 +84,8 @@
 	}
 }
 
-func leaves(t *testing.T, f *standin.Fleet, at, how string) {
-	w := &way{at: at, came: make(chan struct{})}
+func testDisconnectAt(t *testing.T, f *standin.Fleet, at, how string) {
+	w := &disconnectPoint{at: at, came: make(chan struct{})}
 	var front pooler.Frontend
 	var none sync.Once
 	lost := make(chan struct{})
@@ -98,11 +98,11 @@
 				return
 			}
 			front = x
-			x.Dispatcher.OnOutcome(func(string, int, policy.Result, time.Duration) { w.is("resends") })
+			x.Dispatcher.OnOutcome(func(string, int, policy.Result, time.Duration) { w.reached("resends") })
 			x.Dispatcher.OnPrimary(func(kind policy.PrimaryEventKind, _ int, _ string, _ time.Duration) {
 				switch kind {
 				case policy.PrimaryFound:
-					w.is("held")
+					w.reached("held")
 				case policy.PrimaryDown:
 					none.Do(func() { close(lost) })
 				}
@@ -117,9 +117,9 @@
 			t.Error(err)
 		}
 	}()
-	other, c := dial(t, a), talk(t, a)
-	served(t, other.Do(standin.Read("any", 20*time.Second)))
-	served(t, other.Do(standin.Write("k1", 20*time.Second))) // the primary is known
+	other, c := dial(t, a), newRawClient(t, a)
+	expectServed(t, other.Do(standin.Read("any", 20*time.Second)))
+	expectServed(t, other.Do(standin.Write("k1", 20*time.Second))) // the primary is known
 	text := standin.Read("any", 20*time.Second)
 	p := f.Servers[0]
 	switch at {
@@ -155,9 +155,9 @@
 	leave := func() error {
 		defer func() { before = seen() }()
 		if how != "cancel" {
-			return standin.Leave(rawOf(c), how == "reset")
+			return standin.Leave(netConnOf(c), how == "reset")
 		}
-		if old, ok := c.(oldTalker); ok {
+		if old, ok := c.(oldMySQLClient); ok {
 			_, err := other.(*standin.MySQL).Exec(fmt.Sprintf("KILL QUERY %d", old.Thread))
 			return err
 		}
@@ -215,18 +215,18 @@
 	if n := seen(); n != before {
 		t.Errorf("%d attempts after the client had gone", n-before)
 	}
-	served(t, other.Do(standin.Write("k2", 20*time.Second)))
+	expectServed(t, other.Do(standin.Write("k2", 20*time.Second)))
 }
 
 // Clients that send much at once and go, in order or by a reset, cost nobody else an answer, and leave nothing behind.
-func TestClientsThatSendMuchAndGo(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestClientsThatSendMuchAndDisconnect(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		other := dial(t, a)
-		served(t, other.Do(standin.Read("any", 20*time.Second)))
+		expectServed(t, other.Do(standin.Read("any", 20*time.Second)))
 		var gone sync.WaitGroup
 		for i := range 60 {
 			gone.Go(func() {
-				c, err := tryTalk(t, a)
+				c, err := tryRawClient(t, a)
 				if err != nil {
 					return // turned away
 				}
@@ -239,7 +239,7 @@
 				}
 				_, _ = c.Write(out) // may be cut off
 				if i%2 == 0 {
-					_ = rawOf(c).(*net.TCPConn).SetLinger(0)
+					_ = netConnOf(c).(*net.TCPConn).SetLinger(0)
 				}
 				c.Close()
 			})
@@ -250,14 +250,14 @@
 			}
 		}
 		gone.Wait()
-		shows(t, a, "edge_proxy_pending 0")
+		expectInfo(t, a, "edge_proxy_pending 0")
 		waitFor(t, "an answer", func() bool { return other.Do(standin.Read("any", 20*time.Second)).Served() })
 	})
 }
 
-// rawOf is a client's connection itself.
-func rawOf(c talker) net.Conn {
-	if old, ok := c.(oldTalker); ok {
+// netConnOf is a client's connection itself.
+func netConnOf(c rawClient) net.Conn {
+	if old, ok := c.(oldMySQLClient); ok {
 		return old.Conn
 	}
 	return c.(*standin.Postgres).Conn
--- a/internal/pooler/discovery_agent_test.go
+++ b/internal/pooler/discovery_agent_test.go
@@ -52,8 +52,8 @@
 	return a
 }
 
-// overPushed runs a test on fronts of both wires to whose machine lists are pushed.
-func overPushed(t *testing.T, names []string, test func(t *testing.T, f *standin.Fleet, a *agent)) {
+// testOverPushedLists runs a test on fronts of both wires to whose machine lists are pushed.
+func testOverPushedLists(t *testing.T, names []string, test func(t *testing.T, f *standin.Fleet, a *agent)) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
 			t.Parallel()
@@ -78,8 +78,8 @@
 
 // What the agent has counts as told from a process's first moment, whatever list that process was started with: no read
 // and no write goes to what drains already.
-func TestPushedListHoldsFromTheStart(t *testing.T) {
-	overPushed(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a *agent) {
+func TestPushedListAppliesFromTheStart(t *testing.T) {
+	testOverPushedLists(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a *agent) {
 		a.drain(f.Servers[0])
 		a.drain(f.Servers[1])
 		c := dial(t, poolerProcess(t, f))
@@ -98,7 +98,7 @@
 // While the agent is away the pooler serves from what it knows. What has changed meanwhile holds, without a grace, as soon
 // as the agent answers again, and later changes do too.
 func TestPushedListComesBack(t *testing.T) {
-	overPushed(t, []string{"p", "r1", "r2", "r3"}, func(t *testing.T, f *standin.Fleet, a *agent) {
+	testOverPushedLists(t, []string{"p", "r1", "r2", "r3"}, func(t *testing.T, f *standin.Fleet, a *agent) {
 		c := dial(t, poolerProcess(t, f))
 		a.Out(true)
 		readUntil(t, c, "the pooler does not call the agent again", func() bool { return a.TurnedAway() > 1 })
@@ -125,7 +125,7 @@
 
 // A configuration that moves the lists to another agent holds, though that one can't be reached at first.
 func TestPushedListMoves(t *testing.T) {
-	overPushed(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a *agent) {
+	testOverPushedLists(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a *agent) {
 		c := dial(t, poolerProcess(t, f))
 		next := newAgent(t, f)
 		next.Out(true)
@@ -145,21 +145,21 @@
 	a.Hush(true)
 	a.name()
 	c := dial(t, poolerProcess(t, f))
-	served(t, c.Do(standin.Write("k", 15*time.Second)))
+	expectServed(t, c.Do(standin.Write("k", 15*time.Second)))
 	a.drain(f.Servers[1])
 	a.Hush(false)
 	readUntil(t, c, "the agent is not heard", func() bool { return quiet(c, f.Servers[1]) })
 }
 
 // Lists may turn from asked to pushed under way.
-func TestAskedListTurnsPushed(t *testing.T) {
+func TestPolledListBecomesPushed(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "p", "r1", "r2")
 	a := poolerProcess(t, f)
 	c := dial(t, a)
 	settings := standin.Settings()
 	settings["discovery"] = "push"
 	f.Reload("settings", settings)
-	shows(t, a, "edge_proxy_config_reloads 1")
+	expectInfo(t, a, "edge_proxy_config_reloads 1")
 	f.Discovery.Out(true)
 	readUntil(t, c, "the agent is not called", func() bool { return f.Discovery.TurnedAway() > 2 })
 	f.Drain(f.Servers[1])
@@ -217,14 +217,14 @@
 					}
 					began := time.Now()
 					a := poolerProcess(t, f)
-					c := talk(t, a)
+					c := newRawClient(t, a)
 					if err := c.Send(""); err != nil {
 						t.Fatal(err)
 					}
 					if r := c.Receive(); r.Err != nil {
 						t.Errorf("an empty query got %v", r.Err)
 					}
-					served(t, dial(t, a).Do(standin.Write("k", patience)))
+					expectServed(t, dial(t, a).Do(standin.Write("k", patience)))
 					if d := time.Since(began); d > 5*time.Second { // of the 10 allowed; 0.5 s to wait for an agent, 0.1 s without load
 						t.Errorf("a write was served after %v", d)
 					}
--- a/internal/pooler/discovery_watcher_clock_test.go
+++ b/internal/pooler/discovery_watcher_clock_test.go
@@ -71,7 +71,7 @@
 func (c *outageCall) SetHandler(h transport.Handler) { c.h = h }
 func (c *outageCall) Close()                         { c.closed = true }
 
-func (c *outageCall) say(text string) {
+func (c *outageCall) send(text string) {
 	if !c.closed {
 		c.h.Data(c.loop.Now(), []byte(text))
 	}
@@ -84,10 +84,10 @@
 	}
 }
 
-// on says a text again and again, whatever the service does for others by then.
-func (c *outageCall) on(every time.Duration, text string) {
-	if c.say(text); !c.closed {
-		c.loop.After(every, func() { c.on(every, text) })
+// sendEvery says a text again and again, whatever the service does for others by then.
+func (c *outageCall) sendEvery(every time.Duration, text string) {
+	if c.send(text); !c.closed {
+		c.loop.After(every, func() { c.sendEvery(every, text) })
 	}
 }
 
@@ -101,37 +101,37 @@
 	whole := answerHead + answerList(1, "Ready")
 	switch c.fault {
 	case "":
-		c.loop.After(c.turn, func() { c.say(answerHead + answerList(2, "Terminating")) })
+		c.loop.After(c.turn, func() { c.send(answerHead + answerList(2, "Terminating")) })
 	case "silent":
 	case "503":
-		c.loop.After(turn, func() { c.say("HTTP/1.1 503 Service Unavailable\r\n\r\n") })
+		c.loop.After(turn, func() { c.send("HTTP/1.1 503 Service Unavailable\r\n\r\n") })
 	case "reset":
 		c.loop.After(turn, c.end)
 	case "reset in a list":
-		c.say(half)
+		c.send(half)
 		c.loop.After(turn, c.end)
 	case "rubbish":
-		c.say("220 mail\r\n\r\n")
+		c.send("220 mail\r\n\r\n")
 	case "head by bytes":
-		c.say("HTTP/1.1 200 OK\r\nX: ")
-		c.on(300*time.Millisecond, "x")
+		c.send("HTTP/1.1 200 OK\r\nX: ")
+		c.sendEvery(300*time.Millisecond, "x")
 	case "list by bytes":
-		c.say(half)
-		c.on(300*time.Millisecond, " ")
+		c.send(half)
+		c.sendEvery(300*time.Millisecond, " ")
 	case "endless list":
-		c.say(strings.Replace(half, "fff", "fffff", 1))
-		c.on(10*time.Millisecond, strings.Repeat(fmt.Sprintf(serverText, "Ready")+",", 20))
+		c.send(strings.Replace(half, "fff", "fffff", 1))
+		c.sendEvery(10*time.Millisecond, strings.Repeat(fmt.Sprintf(serverText, "Ready")+",", 20))
 	case "size by bytes":
-		c.say(answerHead)
-		c.on(2*time.Second, "0")
+		c.send(answerHead)
+		c.sendEvery(2*time.Second, "0")
 	case "empty lines":
-		c.say(answerHead)
+		c.send(answerHead)
 		if strings.Contains(string(request), "since=") { // nothing has changed, until it has
 			c.fault = "good, then silent"
 		}
 		c.lines()
 	default: // "good, then ...": a watch in order, until the change
-		c.say(whole)
+		c.send(whole)
 		c.lines()
 	}
 }
@@ -145,13 +145,13 @@
 	c.loop.After(wait, func() {
 		switch {
 		case c.loop.Now() < c.over || c.fault == "empty lines":
-			c.say("1\r\n\n\r\n")
+			c.send("1\r\n\n\r\n")
 			c.lines()
 		case c.fault == "good, then reset":
 			c.end()
 		case c.fault == "good, then half a list":
-			c.say("fff\r\n{\"revision\":2,")
-			c.on(100*time.Millisecond, " \n")
+			c.send("fff\r\n{\"revision\":2,")
+			c.sendEvery(100*time.Millisecond, " \n")
 		}
 	})
 }
@@ -167,9 +167,9 @@
 func (noServers) Probe(string, func(dispatch.AttemptResult)) dispatch.Call { return nil }
 func (noServers) CloseIdle(string)                                         {}
 
-// heardAfter plays one outage of the given length and tells how long after its end the change was heard, and since when it
+// listDelay plays one outage of the given length and tells how long after its end the change was heard, and since when it
 // counts as told, counted from the start.
-func heardAfter(t *testing.T, fleet, me int, pushed, moved bool, length time.Duration, rng *rand.Rand, fault func() string) (after, told time.Duration) {
+func listDelay(t *testing.T, fleet, me int, pushed, moved bool, length time.Duration, rng *rand.Rand, fault func() string) (after, told time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		loop := dispatch.NewEventLoop()
 		o := &outage{loop: loop, over: loop.Now() + length, fault: fault, rng: rng}
@@ -208,7 +208,7 @@
 
 // Whatever calls of the list service met before, and whatever a watch that is open does from then on, a change is heard half a
 // second before it counts as told, 6 s after the service has it and can be reached. An agent's counts 4 s after a move at the latest.
-func TestChangesAreHeardInTime(t *testing.T) {
+func TestChangesArriveInTime(t *testing.T) {
 	mixed := append([]string{"mixed"}, outageFaults...)
 	for _, name := range mixed {
 		t.Run(name, func(t *testing.T) {
@@ -227,7 +227,7 @@
 				if pushed {
 					bound = 4 * time.Second
 				}
-				after, told := heardAfter(t, fleet, rng.IntN(fleet), pushed, moved, length, rng, fault)
+				after, told := listDelay(t, fleet, rng.IntN(fleet), pushed, moved, length, rng, fault)
 				if after < 0 || after > bound+time.Millisecond {
 					t.Fatalf("outage %d of %v, %d poolers, pushed %v, moved %v: heard %v after it", n, length, fleet, pushed, moved, after)
 				}
--- a/internal/pooler/discovery_watcher_test.go
+++ b/internal/pooler/discovery_watcher_test.go
@@ -8,8 +8,8 @@
 	"threadsail/internal/pooler"
 )
 
-// overLists runs a test on a front whose lists are asked for, in a large fleet, and on one to which they are pushed.
-func overLists(t *testing.T, test func(t *testing.T, f *standin.Fleet, a *agent)) {
+// testOverLists runs a test on a front whose lists are asked for, in a large fleet, and on one to which they are pushed.
+func testOverLists(t *testing.T, test func(t *testing.T, f *standin.Fleet, a *agent)) {
 	for _, how := range []string{"ask", "push"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
@@ -37,7 +37,7 @@
 // A watch that has fallen silent is opened anew. What it missed, a server that drains, is heard of before it counts as told,
 // 6 s after the silence began.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	overLists(t, func(t *testing.T, f *standin.Fleet, a *agent) {
+	testOverLists(t, func(t *testing.T, f *standin.Fleet, a *agent) {
 		c := dial(t, poolerProcess(t, f))
 		waitFor(t, "no watch is opened", func() bool { _, ok := a.Open(); return ok })
 		silent := time.Now()
@@ -53,7 +53,7 @@
 
 // Lists that come indented, over many lines, are taken as any others are.
 func TestIndentedLists(t *testing.T) {
-	overLists(t, func(t *testing.T, f *standin.Fleet, a *agent) {
+	testOverLists(t, func(t *testing.T, f *standin.Fleet, a *agent) {
 		a.Indent()
 		c := dial(t, poolerProcess(t, f))
 		waitFor(t, "no watch is opened", func() bool { _, ok := a.Open(); return ok })
@@ -67,7 +67,7 @@
 
 // Idle clients fill their places and idle connections those of the servers, at the least limits there are, while the list
 // service is down. Both are left some: requests are served, and the list is heard once the service is back.
-func TestPlacesLeftWhileTheListIsAway(t *testing.T) {
+func TestCapacityWhileTheListIsAway(t *testing.T) {
 	for wire, sockets := range map[string]int{"postgres": 32, "mysql": 64} { // the front of PostgreSQL runs beside MySQL's
 		t.Run(wire, func(t *testing.T) {
 			f := standin.NewFleet(t, wire == "mysql", nil, "p", "r1", "r2", "r3", "r4", "r5")
@@ -80,7 +80,7 @@
 			waitFor(t, "the list service is not called again", func() bool { return a.TurnedAway() > 0 })
 			turned := 0
 			for range 2 * sockets {
-				if c, err := standin.Dial(wire, addr(addrs)); err != nil {
+				if c, err := standin.Dial(wire, frontendAddr(addrs)); err != nil {
 					turned++
 				} else {
 					t.Cleanup(func() { c.Close() })
@@ -88,7 +88,7 @@
 			}
 			var c standin.Client
 			waitFor(t, "a newcomer finds no room", func() (ok bool) {
-				if c, ok = newcomer(t, wire, addrs); !ok {
+				if c, ok = tryNewClient(t, wire, addrs); !ok {
 					turned++
 				}
 				return ok
@@ -107,15 +107,15 @@
 			a.Out(false)
 			readUntil(t, c, "the list service is not called once it is back", func() bool { return a.Watches() > watches })
 			readUntil(t, c, "the drain is never heard of", func() bool { return quiet(c, f.Servers[1]) })
-			served(t, c.Do(standin.Write("k", patience)))
+			expectServed(t, c.Do(standin.Write("k", patience)))
 			t.Logf("%d turned away, %d connections to servers, heard within %v", turned, open, time.Since(back))
 		})
 	}
 }
 
-// newcomer connects a client, if it finds room and is served.
-func newcomer(t *testing.T, wire string, a pooler.Addresses) (standin.Client, bool) {
-	c, err := standin.Dial(wire, addr(a))
+// tryNewClient connects a client, if it finds room and is served.
+func tryNewClient(t *testing.T, wire string, a pooler.Addresses) (standin.Client, bool) {
+	c, err := standin.Dial(wire, frontendAddr(a))
 	if err != nil {
 		return nil, false
 	}
--- a/internal/pooler/fleet_test.go
+++ b/internal/pooler/fleet_test.go
@@ -16,16 +16,16 @@
 	"threadsail/internal/pooler/admin"
 )
 
-// fullFleet can't write its copy.
-type fullFleet struct{ idleFleet }
+// fleetOnFullDisk can't write its copy.
+type fleetOnFullDisk struct{ idleFleet }
 
-func (fullFleet) Status() admin.FleetStatus {
+func (fleetOnFullDisk) Status() admin.FleetStatus {
 	return admin.FleetStatus{DocumentsVersion: 7, DocumentsAge: -1, ReplicaWriteFailing: true}
 }
 
 // What a full disk keeps from being written is told at the operators' door, and the pooler goes on; a part without which it must
 // not serve ends it in order, with the part's error.
-func TestFleetAtTheDoor(t *testing.T) {
+func TestFleetStatusAtTheAdminServer(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "db1")
 	cfg, err := config.Load(f.Getenv)
 	if err != nil {
@@ -36,7 +36,7 @@
 	part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
 		Open: func(e pooler.FleetEvents) (pooler.Fleet, error) {
 			events <- e
-			return fullFleet{}, nil
+			return fleetOnFullDisk{}, nil
 		}}
 	go func() {
 		ended <- pooler.Serve(cfg, nil, zerolog.Nop(), pooler.Control{Terminate: make(chan struct{}), Fleet: part}, func(a pooler.Addresses) { ready <- a })
--- a/internal/pooler/rules_test.go
+++ b/internal/pooler/guarantees_test.go
@@ -104,8 +104,8 @@
 	{"mysql to old and new", true, func(i int) bool { return i == 0 }},
 }
 
-// overBoth runs a test of a rule over all pairs of fronts and servers.
-func overBoth(t *testing.T, change func(map[string]any), names []string, test func(*testing.T, *standin.Fleet, pooler.Addresses)) {
+// testOverAllProtocols runs a test of a rule over all pairs of fronts and servers.
+func testOverAllProtocols(t *testing.T, change func(map[string]any), names []string, test func(*testing.T, *standin.Fleet, pooler.Addresses)) {
 	for _, pair := range pairs {
 		t.Run(pair.name, func(t *testing.T) {
 			t.Parallel() // they mostly wait
@@ -135,7 +135,7 @@
 
 const patience = 800 * time.Millisecond
 
-func served(t testing.TB, r standin.Result) {
+func expectServed(t testing.TB, r standin.Result) {
 	t.Helper()
 	if !r.Served() {
 		t.Fatalf("got %+v, want an answer", r)
@@ -145,7 +145,7 @@
 // Rule 1: servers that say nothing must not leave a client without its one answer. A read is refused; a write that
 // may have run is failed.
 func TestNoLostRequest(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		for _, s := range f.Servers {
 			s.Do(always(standin.Hang))
 		}
@@ -161,7 +161,7 @@
 
 // Rule 2: a write without a key that may have run is never sent again and never refused.
 func TestNoDuplicatedEffect(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Break))
 		if r := dial(t, a).Do(standin.Write("", patience)); !r.Failed {
 			t.Errorf("a broken write ended as %+v, want a failure", r)
@@ -174,9 +174,9 @@
 
 // Rule 2 as well: with a key it is sent again, to the cluster that drops the repeat, with all but d unchanged.
 func TestKeyedWriteIsRepeated(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Break))
-		served(t, dial(t, a).Do(standin.Write("k2", patience)))
+		expectServed(t, dial(t, a).Do(standin.Write("k2", patience)))
 		seen := f.Servers[0].Seen()
 		if len(seen) != 2 || seen[0].ID != seen[1].ID || !strings.Contains(seen[1].Text, ",k=k2,") {
 			t.Errorf("the primary has seen %+v, want the same write twice", seen)
@@ -186,17 +186,17 @@
 
 // Rule 3: from the end of the grace on, nothing goes to a server listed as draining.
 func TestSafeDrain(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		draining := f.Servers[1]
 		for len(draining.Seen()) == 0 {
-			served(t, c.Do(standin.Read("any", patience)))
+			expectServed(t, c.Do(standin.Read("any", patience)))
 		}
 		f.Drain(draining)
 		told := time.Now()
 		const grace, late = 500 * time.Millisecond, time.Second // and time for the news on a slow machine
 		for time.Since(told) < grace+2*late {
-			served(t, c.Do(standin.Read("any", patience)))
+			expectServed(t, c.Do(standin.Read("any", patience)))
 		}
 		seen := draining.Seen()
 		if last := seen[len(seen)-1].At.Sub(told); last > grace+late {
@@ -206,11 +206,11 @@
 }
 
 // Rule 4: a server that was out of reach counts as cold and gets a small share of a burst.
-func TestColdServerIsSpared(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestSlowStart(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		cold := f.Servers[1]
 		cold.Down()
-		served(t, dial(t, a).Do(standin.Read("any", patience)))
+		expectServed(t, dial(t, a).Do(standin.Read("any", patience)))
 		if err := cold.Up(); err != nil {
 			t.Fatal(err)
 		}
@@ -234,12 +234,12 @@
 func TestNoStaleRead(t *testing.T) {
 	for name, behind := range map[string]time.Duration{"behind": 5 * time.Second, "unknown": -1} {
 		t.Run(name, func(t *testing.T) {
-			overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+			testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 				f.Servers[1].Set(false, behind)
 				c := dial(t, a)
 				for range 4 {
 					r := c.Do(standin.Read("view", patience))
-					if served(t, r); r.Value != "from p" {
+					if expectServed(t, r); r.Value != "from p" {
 						t.Errorf("a bounded read was answered %q", r.Value)
 					}
 				}
@@ -249,9 +249,9 @@
 }
 
 // A request beyond the open ones is refused at once, with the time after which to come again.
-func TestRefusalTellsWhenToComeAgain(t *testing.T) {
+func TestRejectionHasARetryTime(t *testing.T) {
 	one := func(s map[string]any) { s["caps"].(map[string]any)["maxOpen"] = 1 }
-	overBoth(t, one, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, one, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(always(standin.Hang))
 		first, second := dial(t, a), dial(t, a)
 		ended := make(chan standin.Result, 1)
@@ -267,8 +267,8 @@
 }
 
 // A client that leaves takes its attempt with it: the server's connection is closed.
-func TestClientThatLeaves(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestClientDisconnects(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Hang))
 		c, text := dial(t, a), standin.Write("k4", 2*time.Second)
 		leave := func() { c.Close() }
@@ -287,20 +287,20 @@
 			t.Fatal("the write never came")
 		}
 		leave()
-		served(t, dial(t, a).Do(standin.Write("k4", patience)))
+		expectServed(t, dial(t, a).Do(standin.Write("k4", patience)))
 	})
 }
 
 // The brief's second hard case: a write meets a server that has just lost its role, and goes once to the replica
 // that has just been promoted.
 func TestWriteMeetsPromotedReplica(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
-		served(t, c.Do(standin.Write("k5", patience)))
+		expectServed(t, c.Do(standin.Write("k5", patience)))
 		f.Servers[0].Set(false, 0)
 		f.Servers[1].Set(true, 0)
 		text := standin.Write("k6", 2*time.Second)
-		served(t, c.Do(text))
+		expectServed(t, c.Do(text))
 		took := 0
 		for _, seen := range f.Servers[1].Seen() {
 			if strings.Contains(seen.Text, ",k=k6,") {
--- a/internal/pooler/journal_test.go
+++ b/internal/pooler/journal_test.go
@@ -13,7 +13,7 @@
 )
 
 // While the journal can't be written, other acts are dropped and told of; counted ones are written once there is room again.
-func TestCountedActsOutlastAFullDisk(t *testing.T) {
+func TestCountedRecordsOutlastAFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "acts")
 	inTheWay := filepath.Join(path+".1", "x") // the full file can't be put aside
 	if err := os.MkdirAll(inTheWay, 0o700); err != nil {
--- a/internal/pooler/limits_test.go
+++ b/internal/pooler/limiter_test.go
@@ -15,25 +15,25 @@
 	"threadsail/internal/pooler"
 )
 
-// miser lets a connection be made every 40 ms, and sends every fourth attempt elsewhere. It is one front's, on its loop.
-type miser struct {
+// scarceLimiter lets a connection be made every 40 ms, and sends every fourth attempt elsewhere. It is one front's, on its loop.
+type scarceLimiter struct {
 	next  time.Duration
 	sends int
 	leave *atomic.Int64 // connections that were let, of all fronts
 }
 
-func (m *miser) Admit(time.Duration, *dispatch.Request) dispatch.Admission {
+func (m *scarceLimiter) Admit(time.Duration, *dispatch.Request) dispatch.Admission {
 	return dispatch.Admission{}
 }
-func (m *miser) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.SendDecision {
+func (m *scarceLimiter) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.SendDecision {
 	if m.sends++; m.sends%4 == 0 && !r.WaitedForConnection {
 		return dispatch.SendElsewhere
 	}
 	return dispatch.Send
 }
-func (m *miser) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
-func (m *miser) ServerListed(string, time.Duration)                                  {}
-func (m *miser) MayDial(now time.Duration, _ string) (time.Duration, bool) {
+func (m *scarceLimiter) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
+func (m *scarceLimiter) ServerListed(string, time.Duration)                                  {}
+func (m *scarceLimiter) MayDial(now time.Duration, _ string) (time.Duration, bool) {
 	if now < m.next {
 		return m.next - now, false
 	}
@@ -41,7 +41,7 @@
 	m.leave.Add(1)
 	return 0, true
 }
-func (m *miser) MayProbe(time.Duration, string) bool { return true }
+func (m *scarceLimiter) MayProbe(time.Duration, string) bool { return true }
 
 // Under limits that bind, on every pair of wires, no connection is made without leave, every request is answered, and
 // many are served.
@@ -59,9 +59,11 @@
 				t.Fatal(err)
 			}
 			var leave atomic.Int64
-			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
-				Open:       func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-				NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return &miser{leave: &leave} }}
+			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeasePart: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
+				Open: func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
+				NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter {
+					return &scarceLimiter{leave: &leave}
+				}}
 			ready, terminate, ended := make(chan pooler.Addresses, 1), make(chan struct{}), make(chan error, 1)
 			go func() {
 				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addresses) { ready <- a })
--- a/internal/pooler/spoilt_test.go
+++ b/internal/pooler/malformed_answers_test.go
@@ -15,7 +15,7 @@
 )
 
 // Answers that are not made as they should be, on PostgreSQL's wire.
-func spoiltAnswers() map[string][]byte {
+func malformedAnswers() map[string][]byte {
 	row := pgwire.AppendRow(nil, "val", "wrong", "SELECT 1")
 	description := row[:len(row)-len("D\x00\x00\x00\x0f\x00\x01\x00\x00\x00\x05wrong")-len("C\x00\x00\x00\x0dSELECT 1\x00")]
 	refusal := pgwire.AppendError(nil, "ERROR", pgwire.CodeTooMany, "full", "")
@@ -47,7 +47,7 @@
 }
 
 // Answers that are not made as they should be, on MySQL's.
-func spoiltPackets() map[string][]byte {
+func malformedPackets() map[string][]byte {
 	refusal := mysql.Error(mysql.ErrConCount, "08004", "full")
 	return map[string][]byte{
 		"noise":                 []byte("\xff\xff\xff\x00 noise"),
@@ -61,14 +61,14 @@
 
 // A spoilt answer is a failed attempt that may have run, whatever stands in it. A read is served by another attempt; a
 // write without a key is failed and not sent again.
-func TestSpoiltAnswersAreNotServed(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
-		answers := spoiltAnswers()
+func TestMalformedAnswersAreNotServed(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+		answers := malformedAnswers()
 		if a.MySQL != "" {
-			answers = spoiltPackets()
+			answers = malformedPackets()
 		}
 		c := dial(t, a)
-		served(t, c.Do(standin.Read("any", patience)))
+		expectServed(t, c.Do(standin.Read("any", patience)))
 		for name, bytes := range answers {
 			t.Run(name, func(t *testing.T) {
 				var n atomic.Int32
@@ -96,8 +96,8 @@
 
 // An answer followed by more than belongs to it is good, but its connection is of no further use: the next request's
 // answer must not be read from what is left.
-func TestMoreBehindAnAnswer(t *testing.T) {
-	overBoth(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+func TestBytesAfterAnAnswer(t *testing.T) {
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		c := dial(t, a)
 		if _, ok := c.(*standin.Postgres); !ok || f.Servers[0].SpeaksMySQL() {
 			t.Skip("the rows of the MySQL stand-in are made elsewhere")
@@ -116,7 +116,7 @@
 }
 
 // An unreadable load report alone spoils nothing.
-func TestUnreadableReport(t *testing.T) {
+func TestMalformedReport(t *testing.T) {
 	f, c := postgresPooler(t, "p")
 	f.Servers[0].Spoil(func(standin.Seen) []byte {
 		out := pgwire.AppendParameter(nil, "health", "x0=\xff,,x1")
--- a/internal/pooler/mysql/cacheable_test.go
+++ b/internal/pooler/mysql/cacheable_test.go
@@ -6,7 +6,7 @@
 	"threadsail/internal/protocol/mysql"
 )
 
-func TestKept(t *testing.T) {
+func TestCacheable(t *testing.T) {
 	rows := mysql.Append(mysql.Append(nil, 1, []byte{1}), 2, mysql.ColumnDef("val"))
 	kept, n, ok := Cacheable(rows)
 	if !ok || n != len(rows) || cap(kept.([]byte)) != n {
--- a/internal/pooler/mysql_test.go
+++ b/internal/pooler/mysql_test.go
@@ -34,11 +34,11 @@
 	st := prepared(t, c, "SELECT val FROM state WHERE uid = ?")
 	draining := f.Servers[1]
 	for len(draining.Seen()) == 0 {
-		served(t, standin.Execute(st, "u1"))
+		expectServed(t, standin.Execute(st, "u1"))
 	}
 	f.Drain(draining)
 	for until := time.Now().Add(1500 * time.Millisecond); time.Now().Before(until); {
-		served(t, standin.Execute(st, "u1"))
+		expectServed(t, standin.Execute(st, "u1"))
 	}
 	before := len(draining.Seen())
 	draining.Down()
@@ -122,11 +122,11 @@
 // A bad inventory keeps the old list; a new server is found without a restart.
 func TestInventoryIsReadAgain(t *testing.T) {
 	f, c, _ := mysqlPooler(t, "p")
-	served(t, c.Do(standin.Read("any", patience)))
+	expectServed(t, c.Do(standin.Read("any", patience)))
 	if err := os.WriteFile(f.Inventory(), []byte("name,port\np,none\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	served(t, c.Do(standin.Read("any", patience)))
+	expectServed(t, c.Do(standin.Read("any", patience)))
 	r, err := standin.NewServer("r", true, false, f.Ledger)
 	if err != nil {
 		t.Fatal(err)
@@ -138,6 +138,6 @@
 		if time.Now().After(until) {
 			t.Fatal("the new server gets nothing")
 		}
-		served(t, c.Do(standin.Read("any", patience)))
+		expectServed(t, c.Do(standin.Read("any", patience)))
 	}
 }
--- a/internal/pooler/postgres/cacheable_test.go
+++ b/internal/pooler/postgres/cacheable_test.go
@@ -6,7 +6,7 @@
 	"threadsail/internal/protocol/pgwire"
 )
 
-func TestKept(t *testing.T) {
+func TestCacheable(t *testing.T) {
 	rows := pgwire.AppendRow(make([]byte, 0, 1<<10), "val", "v", "SELECT 1")
 	kept, n, ok := Cacheable(rows)
 	if !ok || n != len(rows) || cap(kept.([]byte)) != n {
--- a/internal/pooler/relay_test.go
+++ b/internal/pooler/relay_test.go
@@ -54,7 +54,7 @@
 }
 
 // A long answer that is spoilt once it has begun must not look whole, and its request must not be tried again.
-func TestLongAnswerBreaksVisibly(t *testing.T) {
+func TestBrokenLongAnswerClosesTheClient(t *testing.T) {
 	f, c := postgresPooler(t, "p")
 	_, answer := longAnswer(1 << 20)
 	answer = append(answer[:bytes.LastIndex(answer, []byte("C\x00\x00\x00\x0d"))], pgwire.AppendError(nil, "ERROR", "XX000", "fault", "")...)
@@ -68,7 +68,7 @@
 }
 
 // Clients that read slowly keep their servers waiting: what is held for them must stay small, and others are served.
-func TestSlowReadersHoldLittle(t *testing.T) {
+func TestSlowReadersUseLittleMemory(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "p")
 	a := poolerProcess(t, f)
 	value, answer := longAnswer(pgwire.MaxLong)
@@ -93,7 +93,7 @@
 	}
 	other := dial(t, a)
 	for range 20 {
-		served(t, other.Do(standin.Read("view", 20*time.Second)))
+		expectServed(t, other.Do(standin.Read("view", 20*time.Second)))
 	}
 	if n := f.Servers[0].Unsent(); n != clients {
 		t.Errorf("%d servers wait, want %d", n, clients)
--- a/internal/pooler/reload_test.go
+++ b/internal/pooler/reload_test.go
@@ -13,11 +13,11 @@
 // error, also to a statement that was prepared before, and a stricter effect holds. What the old settings had kept for reuse
 // is kept no longer than the new ones have it. A file that is turned down changes nothing.
 func TestNewSettings(t *testing.T) {
-	overBoth(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		release, waits, c := make(chan struct{}), dial(t, a), dial(t, a)
 		block := func(s standin.Seen) standin.Act { <-release; return standin.Break }
 		f.Servers[0].Do(once(standin.Answer))
-		served(t, c.Do(standin.Write("k", patience)))
+		expectServed(t, c.Do(standin.Write("k", patience)))
 		f.Servers[0].Do(block)
 		ended := make(chan standin.Result, 1)
 		go func() { ended <- waits.Do(standin.Write("k1", 20*time.Second)) }()
@@ -40,7 +40,7 @@
 		settings["lanes"] = []any{write, lanes[1], more} // view vanishes
 		settings["familyInfo"].(map[string]any)["classRead"] = []string{"mutate", "eventual", "mutate"}
 		f.Reload("settings", settings)
-		shows(t, a, "edge_proxy_config_reloads 1", "edge_proxy_config_reload_errors 0",
+		expectInfo(t, a, "edge_proxy_config_reloads 1", "edge_proxy_config_reload_errors 0",
 			`edge_proxy_upstream_requests{lane="more"} 0`)
 		f.Servers[0].Do(once(standin.Break))
 		if r := c.Do(standin.Write("k2", patience)); !r.Failed || len(f.Servers[0].Seen()) != 3 {
@@ -49,9 +49,9 @@
 		if r := view(); r.Served() || r.Refused || r.Err != nil {
 			t.Errorf("a class that has vanished got %+v", r)
 		}
-		served(t, c.Do(standin.Read("any", patience)))
+		expectServed(t, c.Do(standin.Read("any", patience)))
 		close(release)
-		served(t, <-ended) // by its second attempt, as its class allowed when it came
+		expectServed(t, <-ended) // by its second attempt, as its class allowed when it came
 		came := func() (n int) {
 			for _, s := range f.Servers {
 				n += s.Came()
@@ -61,7 +61,7 @@
 		caps := settings["caps"].(map[string]any)
 		caps["connIdleMs"] = 1
 		f.Reload("settings", settings)
-		shows(t, a, "edge_proxy_config_reloads 2", "edge_proxy_config_reload_errors 0")
+		expectInfo(t, a, "edge_proxy_config_reloads 2", "edge_proxy_config_reload_errors 0")
 		before := came()
 		for n := 0; n < 4; {
 			if r := c.Do(standin.Read("any", patience)); r.Served() {
@@ -79,11 +79,11 @@
 			settings["familyInfo"].(map[string]any)["classRead"] = []string{"mutate", "mutate"}
 			f.Reload("settings", settings)
 			wrong = 1
-			shows(t, a, "edge_proxy_config_reloads 2", fmt.Sprint("edge_proxy_config_reload_errors ", wrong))
+			expectInfo(t, a, "edge_proxy_config_reloads 2", fmt.Sprint("edge_proxy_config_reload_errors ", wrong))
 		}
 		caps["maxAttempts"] = 0
 		f.Reload("settings", settings)
-		shows(t, a, "edge_proxy_config_reloads 2", fmt.Sprint("edge_proxy_config_reload_errors ", wrong+1))
-		served(t, c.Do(standin.Write("k3", patience)))
+		expectInfo(t, a, "edge_proxy_config_reloads 2", fmt.Sprint("edge_proxy_config_reload_errors ", wrong+1))
+		expectServed(t, c.Do(standin.Write("k3", patience)))
 	})
 }
--- a/internal/pooler/server_source_test.go
+++ b/internal/pooler/server_source_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// overFiles runs a test on fronts that take their servers from a file.
-func overFiles(t *testing.T, keys map[string]any, names []string, test func(t *testing.T, f *standin.Fleet)) {
+// testOverFiles runs a test on fronts that take their servers from a file.
+func testOverFiles(t *testing.T, keys map[string]any, names []string, test func(t *testing.T, f *standin.Fleet)) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
 			f := standin.NewFleet(t, wire == "mysql", nil, names...)
@@ -66,14 +66,14 @@
 	}
 }
 
-func row(s *standin.Server, more string) string {
+func inventoryRow(s *standin.Server, more string) string {
 	host, port, _ := net.SplitHostPort(s.Addr)
 	return fmt.Sprintf("%s,%s,%s,%s\n", s.Name, host, port, more)
 }
 
 const columns = "name,host,port,zone,cluster,weight\n"
 
-func rename(t *testing.T, path string, text []byte) {
+func replaceFile(t *testing.T, path string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".next", text, 0o600); err != nil {
 		t.Fatal(err)
@@ -85,18 +85,18 @@
 
 // Reads by turns follow the weights of the file; the one of weight 0 gets none.
 func TestReadsByWeights(t *testing.T) {
-	overFiles(t, nil, []string{"p", "r1", "r2", "r3", "r4"}, func(t *testing.T, f *standin.Fleet) {
+	testOverFiles(t, nil, []string{"p", "r1", "r2", "r3", "r4"}, func(t *testing.T, f *standin.Fleet) {
 		// Fewer clients than the least window of a server (windowLeast, 6 attempts): with 8, the replica of weight 5 holds
 		// more than its window at times and rightly gives turns away, and the shares stray by 6 to 16%.
 		const reads, clients = 20000, 4
 		weights := []int{1, 1, 2, 5, 0}
 		text := columns
 		for i, s := range f.Servers {
-			text += row(s, fmt.Sprintf("a,0,%d", weights[i]))
+			text += inventoryRow(s, fmt.Sprintf("a,0,%d", weights[i]))
 		}
-		rename(t, f.Inventory(), inventory.AppendSeal([]byte(text), len(weights), ""))
+		replaceFile(t, f.Inventory(), inventory.AppendSeal([]byte(text), len(weights), ""))
 		a := poolerProcess(t, f)
-		served(t, dial(t, a).Do(standin.Write("k", patience)))
+		expectServed(t, dial(t, a).Do(standin.Write("k", patience)))
 		before := make([]int, len(weights))
 		for i, s := range f.Servers {
 			before[i] = len(s.Seen())
@@ -125,28 +125,28 @@
 // A start with a bad file fails and names the line; with a kept generation it serves from that, and takes the file once it
 // is mended.
 func TestStartWithBadFile(t *testing.T) {
-	overFiles(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet) {
+	testOverFiles(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet) {
 		good, err := os.ReadFile(f.Inventory())
 		if err != nil {
 			t.Fatal(err)
 		}
-		bad := []byte(columns + row(f.Servers[0], "a,0,1") + "db9,10.0.0.9,1,ujpest2,0,1\n")
-		rename(t, f.Inventory(), bad)
+		bad := []byte(columns + inventoryRow(f.Servers[0], "a,0,1") + "db9,10.0.0.9,1,ujpest2,0,1\n")
+		replaceFile(t, f.Inventory(), bad)
 		if _, err := tryServe(t, f.Getenv, nil); err == nil || !strings.Contains(err.Error(), `line 3: zone: unknown server room "ujpest2"`) {
 			t.Fatalf("it starts with %v", err)
 		}
 		keys := map[string]any{"state": t.TempDir()}
 		f.FromFile(keys)
-		rename(t, f.Inventory(), good)
-		t.Run("first", func(t *testing.T) { served(t, dial(t, poolerProcess(t, f)).Do(standin.Read("any", patience))) })
-		rename(t, f.Inventory(), bad)
+		replaceFile(t, f.Inventory(), good)
+		t.Run("first", func(t *testing.T) { expectServed(t, dial(t, poolerProcess(t, f)).Do(standin.Read("any", patience))) })
+		replaceFile(t, f.Inventory(), bad)
 		a := poolerProcess(t, f)
-		served(t, dial(t, a).Do(standin.Write("k", patience)))
+		expectServed(t, dial(t, a).Do(standin.Write("k", patience)))
 		front := f.Wire()
-		shows(t, a, `edge_proxy_list_generation{front="`+front+`"} 1`, `edge_proxy_list_candidates{front="`+front+`",result="turned_down"} 1`)
-		text := columns + row(f.Servers[0], "a,0,1")
-		rename(t, f.Inventory(), inventory.AppendSeal([]byte(text), 1, ""))
-		shows(t, a, `edge_proxy_list_generation{front="`+front+`"} 2`, `edge_proxy_members 1`)
+		expectInfo(t, a, `edge_proxy_list_generation{front="`+front+`"} 1`, `edge_proxy_list_candidates{front="`+front+`",result="turned_down"} 1`)
+		text := columns + inventoryRow(f.Servers[0], "a,0,1")
+		replaceFile(t, f.Inventory(), inventory.AppendSeal([]byte(text), 1, ""))
+		expectInfo(t, a, `edge_proxy_list_generation{front="`+front+`"} 2`, `edge_proxy_members 1`)
 	})
 }
 
@@ -155,7 +155,7 @@
 func TestHeldUntilConfirmed(t *testing.T) {
 	for name, release := range map[string]func(t *testing.T, f *standin.Fleet, text []byte, inForce string){
 		"confirmed": func(t *testing.T, f *standin.Fleet, text []byte, inForce string) {
-			rename(t, f.Inventory(), inventory.AppendSeal(text, 1, inForce))
+			replaceFile(t, f.Inventory(), inventory.AppendSeal(text, 1, inForce))
 		},
 		"another policy": func(t *testing.T, f *standin.Fleet, _ []byte, _ string) {
 			f.FromFile(map[string]any{"hold_share": 1})
@@ -163,25 +163,25 @@
 		},
 		"another file": func(t *testing.T, f *standin.Fleet, text []byte, inForce string) {
 			next := f.Inventory() + ".other.csv"
-			rename(t, next, inventory.AppendSeal(text, 1, inForce))
+			replaceFile(t, next, inventory.AppendSeal(text, 1, inForce))
 			f.FromFile(map[string]any{f.Wire(): map[string]any{"file": next}})
 			f.Hup <- struct{}{}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			overFiles(t, nil, []string{"p", "r1", "r2", "r3"}, func(t *testing.T, f *standin.Fleet) {
+			testOverFiles(t, nil, []string{"p", "r1", "r2", "r3"}, func(t *testing.T, f *standin.Fleet) {
 				front := f.Wire()
 				list, err := pooler.ReadList(front, f.Inventory(), nil)
 				if err != nil {
 					t.Fatal(err)
 				}
 				a := poolerProcess(t, f)
-				text := []byte(columns + row(f.Servers[0], "a,0,1"))
-				rename(t, f.Inventory(), inventory.AppendSeal(text, 1, ""))
-				shows(t, a, `edge_proxy_list_holding{front="`+front+`"} 1`, `edge_proxy_members 4`)
-				served(t, dial(t, a).Do(standin.Write("k", patience)))
+				text := []byte(columns + inventoryRow(f.Servers[0], "a,0,1"))
+				replaceFile(t, f.Inventory(), inventory.AppendSeal(text, 1, ""))
+				expectInfo(t, a, `edge_proxy_list_holding{front="`+front+`"} 1`, `edge_proxy_members 4`)
+				expectServed(t, dial(t, a).Do(standin.Write("k", patience)))
 				release(t, f, text, serverlist.Digest(list.Servers))
-				shows(t, a, `edge_proxy_list_holding{front="`+front+`"} 0`, `edge_proxy_list_generation{front="`+front+`"} 2`, `edge_proxy_members 1`)
+				expectInfo(t, a, `edge_proxy_list_holding{front="`+front+`"} 0`, `edge_proxy_list_generation{front="`+front+`"} 2`, `edge_proxy_members 1`)
 			})
 		})
 	}
@@ -195,7 +195,7 @@
 	t.Cleanup(service.CloseClientConnections)
 	f.Lists(map[string]any{"enabled": true, "mysql": map[string]any{"discovery": strings.TrimPrefix(service.URL, "http://")}})
 	c := dial(t, poolerProcess(t, f))
-	served(t, c.Do(standin.Write("k", patience)))
+	expectServed(t, c.Do(standin.Write("k", patience)))
 	if r := c.Do(standin.Read("any", patience)); r.Value != "from r" {
 		t.Errorf("a read got %+v", r)
 	}
@@ -204,10 +204,10 @@
 // The primary leaves the file while a write is under way there: that ends as it would. A later write waits, is tried out at
 // no other server, and goes once to the one that is promoted. A bad operators' file at SIGHUP changes nothing meanwhile.
 func TestPrimaryLeavesTheFile(t *testing.T) {
-	overFiles(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet) {
+	testOverFiles(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet) {
 		a := poolerProcess(t, f)
 		p, rest := f.Servers[0], f.Servers[1:]
-		served(t, dial(t, a).Do(standin.Write("k0", patience)))
+		expectServed(t, dial(t, a).Do(standin.Write("k0", patience)))
 		release := make(chan struct{})
 		p.Do(func(standin.Seen) standin.Act { <-release; return standin.Answer })
 		under, later := make(chan standin.Result, 1), make(chan standin.Result, 1)
@@ -218,19 +218,19 @@
 		}
 		f.Servers = rest
 		f.List()
-		shows(t, a, "edge_proxy_members 2")
+		expectInfo(t, a, "edge_proxy_members 2")
 		f.FromFile(map[string]any{"hold_share": 7})
 		f.Hup <- struct{}{}
-		shows(t, a, "edge_proxy_config_reload_errors 1")
+		expectInfo(t, a, "edge_proxy_config_reload_errors 1")
 		p.Set(false, 0)
 		time.Sleep(600 * time.Millisecond) // the grace is 500 ms: what follows must not fall into it
 		go func() { later <- c2.Do(standin.Write("k2", 20*time.Second)) }()
-		shows(t, a, "edge_proxy_pending 2")
+		expectInfo(t, a, "edge_proxy_pending 2")
 		close(release)
-		served(t, <-under)
+		expectServed(t, <-under)
 		had := len(p.Seen())
 		rest[1].Set(true, 0)
-		served(t, <-later)
+		expectServed(t, <-later)
 		var came []string
 		for _, s := range f.Servers {
 			for _, seen := range s.Seen() {
--- a/internal/pooler/restart_test.go
+++ b/internal/pooler/shutdown_test.go
@@ -13,49 +13,49 @@
 	"threadsail/internal/protocol/pgwire"
 )
 
-// talker is a client's connection on which statements may be sent ahead of their answers.
-type talker interface {
+// rawClient is a client's connection on which statements may be sent ahead of their answers.
+type rawClient interface {
 	Send(text string) error
 	Receive() standin.Result
 	net.Conn
 }
 
 // packet is a statement as a client of the wire sends it.
-func packet(c talker, text string) []byte {
-	if _, old := c.(oldTalker); old {
+func packet(c rawClient, text string) []byte {
+	if _, old := c.(oldMySQLClient); old {
 		return mysql.Append(nil, 0, append([]byte{mysql.ComQuery}, text...))
 	}
 	return pgwire.AppendQuery(nil, text)
 }
 
-type oldTalker struct{ *standin.OldClient }
+type oldMySQLClient struct{ *standin.OldClient }
 
-func (o oldTalker) Send(text string) error {
+func (o oldMySQLClient) Send(text string) error {
 	return o.OldClient.Send(append([]byte{mysql.ComQuery}, text...))
 }
 
-func (o oldTalker) Receive() (r standin.Result) {
+func (o oldMySQLClient) Receive() (r standin.Result) {
 	_, r.Err = o.OldClient.Receive(mysql.ComQuery)
 	return r
 }
 
-// talk connects a client that waits a bounded time in all: the end of the program inside the test closes no connection.
-func talk(t *testing.T, a pooler.Addresses) talker {
+// newRawClient connects a client that waits a bounded time in all: the end of the program inside the test closes no connection.
+func newRawClient(t *testing.T, a pooler.Addresses) rawClient {
 	t.Helper()
-	c, err := tryTalk(t, a)
+	c, err := tryRawClient(t, a)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func tryTalk(t *testing.T, a pooler.Addresses) (c talker, err error) {
+func tryRawClient(t *testing.T, a pooler.Addresses) (c rawClient, err error) {
 	if a.MySQL == "" {
 		c, err = standin.DialPostgres(a.Postgres)
 	} else {
 		var old *standin.OldClient
 		old, err = standin.DialOld(a.MySQL, standin.ClientUser, standin.ClientPassword, standin.Latin2)
-		c = oldTalker{old}
+		c = oldMySQLClient{old}
 	}
 	if err != nil {
 		return nil, err
@@ -64,8 +64,8 @@
 	return c, c.SetDeadline(time.Now().Add(20 * time.Second))
 }
 
-// restarts runs a test of a planned restart on both wires.
-func restarts(t *testing.T, test func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error)) {
+// testRestart runs a test of a planned restart on both wires.
+func testRestart(t *testing.T, test func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error)) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
 			t.Parallel()
@@ -85,7 +85,7 @@
 	late    = 1300 * time.Millisecond
 )
 
-func endsInTime(t *testing.T, told time.Time, ended chan error) {
+func expectShutdownInTime(t *testing.T, told time.Time, ended chan error) {
 	t.Helper()
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -104,14 +104,14 @@
 // After SIGTERM clients go on sending, some with several statements ahead, for as long as their connections stay open. Each
 // statement that a server has seen is answered: what crosses a close is safe to send again.
 func TestClientsThatNeverStopSending(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		const clients, ahead = 24, 4
 		var mu sync.Mutex
 		open := map[string]bool{}
 		var ends []time.Time
 		var all, warm sync.WaitGroup
 		for i := range clients {
-			c, depth := talk(t, a), 1
+			c, depth := newRawClient(t, a), 1
 			if i%ahead == 0 {
 				depth = ahead
 			}
@@ -148,7 +148,7 @@
 		warm.Wait()
 		told := time.Now()
 		close(terminate)
-		endsInTime(t, told, ended)
+		expectShutdownInTime(t, told, ended)
 		all.Wait()
 		for _, s := range f.Servers {
 			for _, seen := range s.Seen() {
@@ -165,12 +165,12 @@
 
 // What has a longer time than is left before SIGKILL gets its answer before that, whether it came before SIGTERM or after.
 func TestAnswersBeforeSigkill(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		for _, s := range f.Servers {
 			s.Do(always(standin.Hang))
 		}
 		const ahead = 3
-		before, after := talk(t, a), talk(t, a)
+		before, after := newRawClient(t, a), newRawClient(t, a)
 		if err := before.Send(standin.Write("k", 20*time.Second)); err != nil || !f.Servers[0].Wait(1) {
 			t.Fatal("the write never came", err)
 		}
@@ -184,7 +184,7 @@
 				t.Fatal(err)
 			}
 		}
-		for i, c := range []talker{before, after} {
+		for i, c := range []rawClient{before, after} {
 			for n := range 1 + ahead*(1-i) {
 				if r := c.Receive(); r.Err != nil {
 					t.Errorf("write %d on connection %d has no answer: %v", n, i, r.Err)
@@ -194,15 +194,15 @@
 				t.Errorf("connection %d stays open", i)
 			}
 		}
-		endsInTime(t, told, ended)
+		expectShutdownInTime(t, told, ended)
 	})
 }
 
 // Statements that come on new connections while the news of a restart spreads are answered, and so is one whose first half
 // comes before SIGTERM and whose rest comes when all other clients have gone.
-func TestStatementsThatMeetARestart(t *testing.T) {
-	restarts(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
-		half, idle := talk(t, a), talk(t, a)
+func TestRestartWithinStatements(t *testing.T) {
+	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+		half, idle := newRawClient(t, a), newRawClient(t, a)
 		p := packet(half, standin.Read("any", patience))
 		if _, err := half.Write(p[:len(p)/2]); err != nil {
 			t.Fatal(err)
@@ -210,7 +210,7 @@
 		told := time.Now()
 		close(terminate)
 		for time.Since(told) < 200*time.Millisecond {
-			c, err := tryTalk(t, a)
+			c, err := tryRawClient(t, a)
 			if err == nil {
 				err = c.Send(standin.Read("any", patience))
 			}
@@ -233,6 +233,6 @@
 		if r := half.Receive(); r.Err == nil {
 			t.Error("its client stays connected")
 		}
-		endsInTime(t, told, ended)
+		expectShutdownInTime(t, told, ended)
 	})
 }
--- a/internal/pooler/simulated_test.go
+++ b/internal/pooler/simulated_test.go
@@ -13,41 +13,41 @@
 	"threadsail/internal/pooler/admin"
 )
 
-// alone is a fleet of one, which gives the duty to whoever asks.
-type alone struct {
+// stubFleet is a fleet of one, which gives the duty to whoever asks.
+type stubFleet struct {
 	Fleet
 	told, closed chan struct{}
 }
 
-func (a alone) AcquireLease(done func(lease.Lease, bool, error)) {
+func (a stubFleet) AcquireLease(done func(lease.Lease, bool, error)) {
 	go done(lease.Lease{Token: 1, Holder: "n1", Duration: 300 * time.Millisecond}, true, nil)
 }
-func (a alone) Announce(_ discoveryleader.Announcement, _ time.Duration, done func(bool)) {
+func (a stubFleet) Announce(_ discoveryleader.Announcement, _ time.Duration, done func(bool)) {
 	select {
 	case a.told <- struct{}{}:
 	default:
 	}
 	go done(true)
 }
-func (alone) ReleaseLease()                                          {}
-func (alone) ReportPrimaryDown(string, int)                          {}
-func (alone) SetStatus(discoveryleader.Announcement, string, string) {}
-func (alone) FetchList(discoveryleader.Announcement)                 {}
-func (a alone) Status() admin.FleetStatus                            { return admin.FleetStatus{DocumentsVersion: 7} }
-func (a alone) Close()                                               { close(a.closed) }
-func (alone) AnnouncePrimary(_ uint64, _ int, _ string, _, _ time.Duration, done func(bool)) {
+func (stubFleet) ReleaseLease()                                          {}
+func (stubFleet) ReportPrimaryDown(string, int)                          {}
+func (stubFleet) SetStatus(discoveryleader.Announcement, string, string) {}
+func (stubFleet) FetchList(discoveryleader.Announcement)                 {}
+func (a stubFleet) Status() admin.FleetStatus                            { return admin.FleetStatus{DocumentsVersion: 7} }
+func (a stubFleet) Close()                                               { close(a.closed) }
+func (stubFleet) AnnouncePrimary(_ uint64, _ int, _ string, _, _ time.Duration, done func(bool)) {
 	go done(true)
 }
 
 // A hollow pooler takes the list duty, brings the list, hands it on, and ends, though its watch is open.
-func TestHollow(t *testing.T) {
+func TestSimulated(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "db1", "db2")
 	cfg, err := config.Load(f.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := alone{told: make(chan struct{}, 1), closed: make(chan struct{})}
-	h, err := OpenSimulated(cfg, &FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: 300 * time.Millisecond, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Hour, SharedAddresses: true},
+	a := stubFleet{told: make(chan struct{}, 1), closed: make(chan struct{})}
+	h, err := OpenSimulated(cfg, &FleetOptions{Config: &config.Fleet{Name: "n1", LeasePart: config.LeaseConfig{Term: 300 * time.Millisecond, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Hour, SharedAddresses: true},
 		Open: func(FleetEvents) (Fleet, error) { return a, nil }}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/pooler/translate_test.go
+++ b/internal/pooler/translate_test.go
@@ -22,8 +22,8 @@
 	"threadsail/internal/protocol/pgwire"
 )
 
-// lessons is a table on a PostgreSQL stand-in: what it is asked and with which values, and what it answers.
-type lessons struct {
+// scriptedPostgres is a table on a PostgreSQL stand-in: what it is asked and with which values, and what it answers.
+type scriptedPostgres struct {
 	mu    sync.Mutex
 	asked []string // statements that have run, with their values, without comments
 	types map[string][]uint32
@@ -35,9 +35,9 @@
 	return text
 }
 
-func (l *lessons) Types(text string) []uint32 { return l.types[bare(text)] }
+func (l *scriptedPostgres) Types(text string) []uint32 { return l.types[bare(text)] }
 
-func (l *lessons) Run(text string, params [][]byte) (standin.Rows, bool) {
+func (l *scriptedPostgres) Run(text string, params [][]byte) (standin.Rows, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.rows[bare(text)]
@@ -47,7 +47,7 @@
 	return r, ok
 }
 
-func (l *lessons) last() string {
+func (l *scriptedPostgres) last() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.asked) == 0 {
@@ -74,7 +74,7 @@
 	return out
 }
 
-func open(t *testing.T, a pooler.Addresses, change func(*mysql.Config)) *sql.DB {
+func openMySQL(t *testing.T, a pooler.Addresses, change func(*mysql.Config)) *sql.DB {
 	t.Helper()
 	cfg := mysql.NewConfig()
 	cfg.Net, cfg.Addr, cfg.User, cfg.Passwd = "tcp", a.MySQL, standin.ClientUser, standin.ClientPassword
@@ -92,7 +92,7 @@
 	return db
 }
 
-func translating(t *testing.T, l *lessons) (*standin.Fleet, pooler.Addresses) {
+func newTranslatingPooler(t *testing.T, l *scriptedPostgres) (*standin.Fleet, pooler.Addresses) {
 	f := standin.NewMixedFleet(t, true, func(int) bool { return false }, nil, "p")
 	f.Servers[0].Hold(l)
 	return f, poolerProcess(t, f)
@@ -106,7 +106,7 @@
 			"2026-12-01 17:00:00.25", "2026-12-01 16:00:00+00", "12345678901234567890.10", `{"a": 1}`, "NULL")}, Tag: "SELECT 1"}
 	want := []string{"1", "\x00\xff", "-9223372036854775808", "-7", "42", "Őszi ünnep", "1.5", "2.25", "2026-12-01", "17:00:01",
 		"2026-12-01 17:00:00.25", "2026-12-01 16:00:00", "12345678901234567890.10", `{"a": 1}`, "NULL"}
-	l := &lessons{rows: map[string]standin.Rows{
+	l := &scriptedPostgres{rows: map[string]standin.Rows{
 		"SELECT * FROM lesson": all,
 		`SELECT * FROM lesson WHERE "user" = $1 LIMIT $3 OFFSET $2`: all,
 		`INSERT INTO "lesson" (a) VALUES ($1), ($2) RETURNING "id"`: {Fields: fields(20), Values: [][][]byte{texts("77"), texts("78")}, Tag: "INSERT 0 2"},
@@ -118,8 +118,8 @@
 		"SELECT point FROM lesson":                                  {Fields: fields(600), Values: [][][]byte{texts("(1,2)")}, Tag: "SELECT 1"},
 	}, types: map[string][]uint32{`SELECT * FROM lesson WHERE "user" = $1 LIMIT $3 OFFSET $2`: {25, 20, 20},
 		"UPDATE lesson SET a = $1, b = $2, c = $3, d = $4": {17, 16, 1114, 20}}}
-	_, a := translating(t, l)
-	db := open(t, a, nil)
+	_, a := newTranslatingPooler(t, l)
+	db := openMySQL(t, a, nil)
 	scan := func(rows *sql.Rows, err error) (out []string) {
 		t.Helper()
 		if err != nil {
@@ -203,12 +203,12 @@
 func TestEightBitClients(t *testing.T) {
 	for _, name := range []string{"latin2", "cp1250"} {
 		t.Run(name, func(t *testing.T) {
-			l := &lessons{rows: map[string]standin.Rows{
+			l := &scriptedPostgres{rows: map[string]standin.Rows{
 				"SELECT 'Bőgő és fűz'": {Fields: fields(25), Values: [][][]byte{texts("Bőgő és fűz")}, Tag: "SELECT 1"},
 				"SELECT $1":            {Fields: fields(25), Values: [][][]byte{texts("fűz")}, Tag: "SELECT 1"},
 				"SELECT 'jp'":          {Fields: fields(25), Values: [][][]byte{texts("日本")}, Tag: "SELECT 1"}}}
-			_, a := translating(t, l)
-			db := open(t, a, func(c *mysql.Config) { c.Apply(mysql.Charset(name, "")) })
+			_, a := newTranslatingPooler(t, l)
+			db := openMySQL(t, a, func(c *mysql.Config) { c.Apply(mysql.Charset(name, "")) })
 			var got string
 			if err := db.QueryRow("SELECT 'B\xf5g\xf5 \xe9s f\xfbz'").Scan(&got); err != nil || got != "B\xf5g\xf5 \xe9s f\xfbz" {
 				t.Errorf("%q, %v", got, err)
@@ -226,14 +226,14 @@
 		})
 	}
 	t.Run("no text", func(t *testing.T) {
-		_, a := translating(t, &lessons{})
-		if err := open(t, a, nil).QueryRow("SELECT '\xf5'").Scan(new(string)); err == nil {
+		_, a := newTranslatingPooler(t, &scriptedPostgres{})
+		if err := openMySQL(t, a, nil).QueryRow("SELECT '\xf5'").Scan(new(string)); err == nil {
 			t.Error("a sequence that is no UTF-8 passes")
 		}
 	})
 	t.Run("old wire", func(t *testing.T) { // the stand-in repeats what it was asked: it must be UTF-8, and come back as it was
 		f := standin.NewFleet(t, true, nil, "ő")
-		db := open(t, poolerProcess(t, f), func(c *mysql.Config) { c.Apply(mysql.Charset("latin2", "")) })
+		db := openMySQL(t, poolerProcess(t, f), func(c *mysql.Config) { c.Apply(mysql.Charset("latin2", "")) })
 		var got string
 		if err := db.QueryRow("SELECT val FROM state WHERE uid = 'f\xfbz'").Scan(&got); err != nil || got != "from \xf5" {
 			t.Errorf("%q, %v", got, err)
@@ -261,7 +261,7 @@
 	f.Servers = f.Servers[:1]
 	f.List()
 	a := poolerProcess(t, f)
-	db := open(t, a, nil)
+	db := openMySQL(t, a, nil)
 	read, err := db.Prepare("SELECT val FROM state WHERE uid = ? LIMIT 0, 1")
 	if err != nil {
 		t.Fatal(err)
@@ -274,7 +274,7 @@
 		t.Helper()
 		for late := time.Now().Add(20 * time.Second); ; {
 			r := standin.Execute(read, "u1")
-			if served(t, r); r.Value == "from "+name {
+			if expectServed(t, r); r.Value == "from "+name {
 				break
 			}
 			if time.Now().After(late) {
@@ -308,9 +308,9 @@
 // An answer that breaks off in the middle of a row is none: a read is tried again, a write without a key has failed, and
 // nothing of it comes to the client.
 func TestTranslatedAnswerBreaksOff(t *testing.T) {
-	l := &lessons{}
-	f, a := translating(t, l)
-	db := open(t, a, nil)
+	l := &scriptedPostgres{}
+	f, a := newTranslatingPooler(t, l)
+	db := openMySQL(t, a, nil)
 	part := pgwire.AppendValues(nil, texts("half"))
 	var spoils int
 	f.Servers[0].Spoil(func(s standin.Seen) []byte {
@@ -337,14 +337,14 @@
 		t.Run(name, func(t *testing.T) {
 			f := standin.NewMixedFleet(t, true, func(int) bool { return how != standin.Scram }, nil, "p")
 			f.Servers[0].Demand(how)
-			served(t, dial(t, poolerProcess(t, f)).Do(standin.Write("k", patience)))
+			expectServed(t, dial(t, poolerProcess(t, f)).Do(standin.Write("k", patience)))
 		})
 	}
 }
 
 // A booking write that is refused reads to an old client as untouched and safe to resend: connectors give up, resend at once,
 // or after the time told, and each way it runs once at the most. One that may have run is resent by none of them.
-func TestConnectorHabits(t *testing.T) {
+func TestConnectorStatements(t *testing.T) {
 	// What connectors go by: 08 is a connection that was not made, 40001 a transaction undone; all else has maybe run.
 	resends := func(r standin.Result) bool { return r.Code == "1040" || r.Code == "1213" }
 	for name, habit := range map[string]func(standin.Result) bool{
@@ -360,7 +360,7 @@
 				t.Parallel()
 				f := standin.NewMixedFleet(t, pair.mysql, pair.speak, nil, "p", "r")
 				c, p := dial(t, poolerProcess(t, f)), f.Servers[0]
-				served(t, c.Do(standin.Write("k0", patience)))
+				expectServed(t, c.Do(standin.Write("k0", patience)))
 				try := func(key string, act func(standin.Seen) standin.Act, well func()) (ran int, first, last standin.Result) {
 					var mu sync.Mutex
 					p.Do(func(s standin.Seen) standin.Act {
@@ -411,7 +411,7 @@
 	f := standin.NewFleet(t, true, nil, "p")
 	version := func(v string) {
 		host, port, _ := net.SplitHostPort(f.Servers[0].Addr)
-		rename(t, f.Inventory(), inventory.AppendSeal(fmt.Appendf(nil, "name,host,port,version\np,%s,%s,%s\n", host, port, v), 1, ""))
+		replaceFile(t, f.Inventory(), inventory.AppendSeal(fmt.Appendf(nil, "name,host,port,version\np,%s,%s,%s\n", host, port, v), 1, ""))
 	}
 	version("8.4")
 	a := poolerProcess(t, f)
@@ -455,7 +455,7 @@
 	}
 	f.Servers[0].Do(nil)
 	version("5.7") // such a server knows the old name only, which the stand-in does not
-	shows(t, a, "edge_proxy_list_generation{front=\"mysql\"} 2")
+	expectInfo(t, a, "edge_proxy_list_generation{front=\"mysql\"} 2")
 	if _, last := columns(wire.ComQuery, "SHOW SLAVE STATUS"); last[0] != 0xff {
 		t.Errorf("the old name is answered by %q", last)
 	}
--- a/internal/pooler/upstream/exchange_test.go
+++ b/internal/pooler/upstream/exchange_test.go
@@ -18,7 +18,7 @@
 
 // An exchange without leave to dial asks again; with leave it dials, with a connection put back meanwhile it takes that, and
 // with neither it ends as sent away unseen, in time.
-func TestLeaveToDial(t *testing.T) {
+func TestWaitToDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 }
 
 // What never ends is spoilt by its size, also before the request is sent, where no other time than that to connect is bound.
-func TestTooMuchIsSpoilt(t *testing.T) {
+func TestTooLargeAnswerIsMalformed(t *testing.T) {
 	x, spoilt := &Exchange{}, 0
 	for n := 0; x.Received(64<<10, false, func() { spoilt++ }); n++ {
 		if n > 1000 {
--- a/internal/pooler/version_test.go
+++ b/internal/pooler/version_test.go
@@ -7,7 +7,7 @@
 	"golang.org/x/mod/semver"
 )
 
-func TestBuild(t *testing.T) {
+func TestBuildVersion(t *testing.T) {
 	commit := []debug.BuildSetting{{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.time", Value: "2026-12-02T01:02:03+01:00"}}
 	dirty := append(commit[:2:2], debug.BuildSetting{Key: "vcs.modified", Value: "true"})
 	for _, c := range []struct {
