--- a/internal/pooler/broken_connections_test.go
+++ b/internal/pooler/broken_connections_test.go
@@ -28,11 +28,11 @@
 	}
 }
 
-func closeConn(c *net.TCPConn) { c.Close() }
+func closeConn(c *net.TCPConn) { _ = c.Close() }
 
 func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
-	c.Close()
+	_ = c.Close()
 }
 
 // A server that ends at any byte of its answer has given none: a read is served by another attempt, and a write without a key
@@ -158,7 +158,12 @@
 // A client may say that it leaves right behind its last statement: it gets the answer, and then the end.
 func TestQuitAfterAStatement(t *testing.T) {
 	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
-		defer func() { close(terminate); <-ended }()
+		defer func() {
+			close(terminate)
+			if err := <-ended; err != nil {
+				t.Error(err)
+			}
+		}()
 		release := make(chan struct{})
 		f.Servers[0].Meet(0, func(*net.TCPConn) { <-release })
 		c := newRawClient(t, a)
@@ -284,7 +289,12 @@
 // way first.
 func TestClientsThatAreDisconnected(t *testing.T) {
 	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
-		defer func() { close(terminate); <-ended }()
+		defer func() {
+			close(terminate)
+			if err := <-ended; err != nil {
+				t.Error(err)
+			}
+		}()
 		f.Servers[0].Do(always(standin.Hang))
 		killer := newRawClient(t, a)
 		for name, cutOff := range map[string]func(c rawClient) error{
--- a/internal/pooler/cancel_test.go
+++ b/internal/pooler/cancel_test.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return standin.FromMySQL(err)
 		}
-		defer rows.Close()
+		defer func() { _ = rows.Close() }()
 		var r standin.Result
 		for rows.Next() {
 			_ = rows.Scan(&r.Value)
--- a/internal/pooler/clients_test.go
+++ b/internal/pooler/clients_test.go
@@ -44,7 +44,8 @@
 			for b := make([]byte, 4096); err == nil; {
 				_, err = c.Read(b)
 			}
-			if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
+			var timeout net.Error
+			if errors.As(err, &timeout) && timeout.Timeout() {
 				t.Errorf("silent client %d is never turned out", i)
 			}
 		}
@@ -157,7 +158,7 @@
 
 // A value that is far too large is turned away by its first bytes, while the client still sends.
 func TestHugeCommand(t *testing.T) {
-	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, _ *standin.Fleet, a pooler.Addresses) {
 		c, err := net.Dial("tcp", frontendAddr(a))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/pooler/disconnected_clients_test.go
+++ b/internal/pooler/disconnected_clients_test.go
@@ -220,7 +220,7 @@
 
 // Clients that send much at once and go, in order or by a reset, cost nobody else an answer, and leave nothing behind.
 func TestClientsThatSendMuchAndDisconnect(t *testing.T) {
-	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
+	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, _ *standin.Fleet, a pooler.Addresses) {
 		other := dial(t, a)
 		expectServed(t, other.Do(standin.Read("any", 20*time.Second)))
 		var gone sync.WaitGroup
--- a/internal/pooler/discovery_agent_test.go
+++ b/internal/pooler/discovery_agent_test.go
@@ -125,7 +125,7 @@
 
 // A configuration that moves the lists to another agent holds, though that one can't be reached at first.
 func TestPushedListMoves(t *testing.T) {
-	testOverPushedLists(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, a *agent) {
+	testOverPushedLists(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet, _ *agent) {
 		c := dial(t, poolerProcess(t, f))
 		next := newAgent(t, f)
 		next.Out(true)
--- a/internal/pooler/discovery_watcher_test.go
+++ b/internal/pooler/discovery_watcher_test.go
@@ -83,7 +83,7 @@
 				if c, err := standin.Dial(wire, frontendAddr(addrs)); err != nil {
 					turned++
 				} else {
-					t.Cleanup(func() { c.Close() })
+					t.Cleanup(func() { _ = c.Close() })
 				}
 			}
 			var c standin.Client
@@ -119,6 +119,6 @@
 	if err != nil {
 		return nil, false
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return c, c.Do(standin.Read("any", patience)).Served()
 }
--- a/internal/pooler/guarantees_test.go
+++ b/internal/pooler/guarantees_test.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -271,7 +271,7 @@
 	testOverAllProtocols(t, nil, []string{"p"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		f.Servers[0].Do(once(standin.Hang))
 		c, text := dial(t, a), standin.Write("k4", 2*time.Second)
-		leave := func() { c.Close() }
+		leave := func() { _ = c.Close() }
 		switch c := c.(type) {
 		case *standin.Postgres:
 			if err := c.Send(text); err != nil {
--- a/internal/pooler/journal_test.go
+++ b/internal/pooler/journal_test.go
@@ -12,6 +12,14 @@
 	"threadsail/internal/fleet/audit"
 )
 
+// waitUntil waits for a condition, for 20 s at most; the caller checks what has come of it.
+func waitUntil(met func() bool) {
+	const limit = 20 * time.Second
+	for end := time.Now().Add(limit); !met() && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+}
+
 // While the journal can't be written, other acts are dropped and told of; counted ones are written once there is room again.
 func TestCountedRecordsOutlastAFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "acts")
@@ -27,8 +35,7 @@
 	note(audit.Started, "")
 	note(audit.Purged, "a")
 	note(audit.ListApplied, "")
-	for end := time.Now().Add(20 * time.Second); j.dropped.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
-	}
+	waitUntil(func() bool { return j.dropped.Load() > 0 })
 	if dropped, failing := j.metrics(); dropped != 1 || !failing {
 		t.Errorf("%d dropped, failing %v", dropped, failing)
 	}
@@ -43,8 +50,7 @@
 		}
 		return records[len(records)-1].Purge
 	}
-	for end := time.Now().Add(20 * time.Second); written() != "a" && time.Now().Before(end); time.Sleep(time.Millisecond) {
-	}
+	waitUntil(func() bool { return written() == "a" })
 	if got := written(); got != "a" {
 		t.Errorf("the last act tells of %q", got)
 	}
--- a/internal/pooler/limiter_test.go
+++ b/internal/pooler/limiter_test.go
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			var leave atomic.Int64
-			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeasePart: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
+			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
 				Open: func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
 				NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter {
 					return &scarceLimiter{leave: &leave}
--- a/internal/pooler/mysql/frontend.go
+++ b/internal/pooler/mysql/frontend.go
@@ -46,7 +46,7 @@
 		routes:           table,
 		sessionsByThread: map[uint32]*session{},
 	}
-	return f, f.Clients.Listen(listen, f.accept)
+	return f, f.Listen(listen, f.accept)
 }
 
 // accept begins the session of a new connection.
--- a/internal/pooler/mysql_test.go
+++ b/internal/pooler/mysql_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { st.Close() })
+	t.Cleanup(func() { _ = st.Close() })
 	return st
 }
 
@@ -105,7 +105,7 @@
 	if standin.FromMySQL(err).Code != "1045" {
 		t.Errorf("a wrong password ends with %v", err)
 	}
-	c.Close()
+	_ = c.Close()
 }
 
 // The statement's own errors reach the client as the server worded them; a server's state does not.
--- a/internal/pooler/postgres/frontend.go
+++ b/internal/pooler/postgres/frontend.go
@@ -54,7 +54,7 @@
 		checkStatement: check,
 		sessionsByKey:  map[pgwire.Key]*session{},
 	}
-	return f, f.Clients.Listen(listen, f.accept)
+	return f, f.Listen(listen, f.accept)
 }
 
 // accept begins the session of a new connection. One that the limiter rejects gets no error, as its first query may be on the way
--- a/internal/pooler/reload_test.go
+++ b/internal/pooler/reload_test.go
@@ -15,7 +15,7 @@
 func TestNewSettings(t *testing.T) {
 	testOverAllProtocols(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet, a pooler.Addresses) {
 		release, waits, c := make(chan struct{}), dial(t, a), dial(t, a)
-		block := func(s standin.Seen) standin.Act { <-release; return standin.Break }
+		block := func(standin.Seen) standin.Act { <-release; return standin.Break }
 		f.Servers[0].Do(once(standin.Answer))
 		expectServed(t, c.Do(standin.Write("k", patience)))
 		f.Servers[0].Do(block)
--- a/internal/pooler/server_source_test.go
+++ b/internal/pooler/server_source_test.go
@@ -55,12 +55,12 @@
 	}
 }
 
-// testOverFiles runs a test on fronts that take their servers from a file.
-func testOverFiles(t *testing.T, keys map[string]any, names []string, test func(t *testing.T, f *standin.Fleet)) {
+// testOverFiles runs a test on both frontends, which have their servers from a file.
+func testOverFiles(t *testing.T, names []string, test func(t *testing.T, f *standin.Fleet)) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
 			f := standin.NewFleet(t, wire == "mysql", nil, names...)
-			f.FromFile(keys)
+			f.FromFile(nil)
 			test(t, f)
 		})
 	}
@@ -85,7 +85,7 @@
 
 // Reads by turns follow the weights of the file; the one of weight 0 gets none.
 func TestReadsByWeights(t *testing.T) {
-	testOverFiles(t, nil, []string{"p", "r1", "r2", "r3", "r4"}, func(t *testing.T, f *standin.Fleet) {
+	testOverFiles(t, []string{"p", "r1", "r2", "r3", "r4"}, func(t *testing.T, f *standin.Fleet) {
 		// Fewer clients than the least window of a server (windowLeast, 6 attempts): with 8, the replica of weight 5 holds
 		// more than its window at times and rightly gives turns away, and the shares stray by 6 to 16%.
 		const reads, clients = 20000, 4
@@ -125,7 +125,7 @@
 // A start with a bad file fails and names the line; with a kept generation it serves from that, and takes the file once it
 // is mended.
 func TestStartWithBadFile(t *testing.T) {
-	testOverFiles(t, nil, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet) {
+	testOverFiles(t, []string{"p", "r"}, func(t *testing.T, f *standin.Fleet) {
 		good, err := os.ReadFile(f.Inventory())
 		if err != nil {
 			t.Fatal(err)
@@ -157,7 +157,7 @@
 		"confirmed": func(t *testing.T, f *standin.Fleet, text []byte, inForce string) {
 			replaceFile(t, f.Inventory(), inventory.AppendSeal(text, 1, inForce))
 		},
-		"another policy": func(t *testing.T, f *standin.Fleet, _ []byte, _ string) {
+		"another policy": func(_ *testing.T, f *standin.Fleet, _ []byte, _ string) {
 			f.FromFile(map[string]any{"hold_share": 1})
 			f.Hup <- struct{}{}
 		},
@@ -169,7 +169,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			testOverFiles(t, nil, []string{"p", "r1", "r2", "r3"}, func(t *testing.T, f *standin.Fleet) {
+			testOverFiles(t, []string{"p", "r1", "r2", "r3"}, func(t *testing.T, f *standin.Fleet) {
 				front := f.Wire()
 				list, err := pooler.ReadList(front, f.Inventory(), nil)
 				if err != nil {
@@ -204,7 +204,7 @@
 // The primary leaves the file while a write is under way there: that ends as it would. A later write waits, is tried out at
 // no other server, and goes once to the one that is promoted. A bad operators' file at SIGHUP changes nothing meanwhile.
 func TestPrimaryLeavesTheFile(t *testing.T) {
-	testOverFiles(t, nil, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet) {
+	testOverFiles(t, []string{"p", "r1", "r2"}, func(t *testing.T, f *standin.Fleet) {
 		a := poolerProcess(t, f)
 		p, rest := f.Servers[0], f.Servers[1:]
 		expectServed(t, dial(t, a).Do(standin.Write("k0", patience)))
--- a/internal/pooler/shutdown_test.go
+++ b/internal/pooler/shutdown_test.go
@@ -201,7 +201,7 @@
 // Statements that come on new connections while the news of a restart spreads are answered, and so is one whose first half
 // comes before SIGTERM and whose rest comes when all other clients have gone.
 func TestRestartWithinStatements(t *testing.T) {
-	testRestart(t, func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
+	testRestart(t, func(t *testing.T, _ *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error) {
 		half, idle := newRawClient(t, a), newRawClient(t, a)
 		p := packet(half, standin.Read("any", patience))
 		if _, err := half.Write(p[:len(p)/2]); err != nil {
--- a/internal/pooler/simulated_test.go
+++ b/internal/pooler/simulated_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	a := stubFleet{told: make(chan struct{}, 1), closed: make(chan struct{})}
-	h, err := OpenSimulated(cfg, &FleetOptions{Config: &config.Fleet{Name: "n1", LeasePart: config.LeaseConfig{Term: 300 * time.Millisecond, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Hour, SharedAddresses: true},
+	h, err := OpenSimulated(cfg, &FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: 300 * time.Millisecond, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Hour, SharedAddresses: true},
 		Open: func(FleetEvents) (Fleet, error) { return a, nil }}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/pooler/translate_test.go
+++ b/internal/pooler/translate_test.go
@@ -88,10 +88,19 @@
 	}
 	db := sql.OpenDB(connector)
 	db.SetMaxOpenConns(1)
-	t.Cleanup(func() { db.Close() })
+	t.Cleanup(func() { _ = db.Close() })
 	return db
 }
 
+// withCharset has a client speak a charset.
+func withCharset(t *testing.T, name string) func(*mysql.Config) {
+	return func(c *mysql.Config) {
+		if err := c.Apply(mysql.Charset(name, "")); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
 func newTranslatingPooler(t *testing.T, l *scriptedPostgres) (*standin.Fleet, pooler.Addresses) {
 	f := standin.NewMixedFleet(t, true, func(int) bool { return false }, nil, "p")
 	f.Servers[0].Hold(l)
@@ -125,7 +134,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer rows.Close()
+		defer func() { _ = rows.Close() }()
 		for rows.Next() {
 			values, into := make([]sql.NullString, len(want)), make([]any, len(want))
 			for i := range values {
@@ -208,7 +217,7 @@
 				"SELECT $1":            {Fields: fields(25), Values: [][][]byte{texts("fűz")}, Tag: "SELECT 1"},
 				"SELECT 'jp'":          {Fields: fields(25), Values: [][][]byte{texts("日本")}, Tag: "SELECT 1"}}}
 			_, a := newTranslatingPooler(t, l)
-			db := openMySQL(t, a, func(c *mysql.Config) { c.Apply(mysql.Charset(name, "")) })
+			db := openMySQL(t, a, withCharset(t, name))
 			var got string
 			if err := db.QueryRow("SELECT 'B\xf5g\xf5 \xe9s f\xfbz'").Scan(&got); err != nil || got != "B\xf5g\xf5 \xe9s f\xfbz" {
 				t.Errorf("%q, %v", got, err)
@@ -233,7 +242,7 @@
 	})
 	t.Run("old wire", func(t *testing.T) { // the stand-in repeats what it was asked: it must be UTF-8, and come back as it was
 		f := standin.NewFleet(t, true, nil, "ő")
-		db := openMySQL(t, poolerProcess(t, f), func(c *mysql.Config) { c.Apply(mysql.Charset("latin2", "")) })
+		db := openMySQL(t, poolerProcess(t, f), withCharset(t, "latin2"))
 		var got string
 		if err := db.QueryRow("SELECT val FROM state WHERE uid = 'f\xfbz'").Scan(&got); err != nil || got != "from \xf5" {
 			t.Errorf("%q, %v", got, err)
@@ -313,7 +322,7 @@
 	db := openMySQL(t, a, nil)
 	part := pgwire.AppendValues(nil, texts("half"))
 	var spoils int
-	f.Servers[0].Spoil(func(s standin.Seen) []byte {
+	f.Servers[0].Spoil(func(standin.Seen) []byte {
 		if spoils++; spoils%2 == 1 {
 			return append(pgwire.AppendFields(nil, fields(25)), part[:len(part)-2]...)
 		}
--- a/internal/pooler/version_test.go
+++ b/internal/pooler/version_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"runtime/debug"
+	"slices"
 	"testing"
 
 	"golang.org/x/mod/semver"
@@ -9,7 +10,7 @@
 
 func TestBuildVersion(t *testing.T) {
 	commit := []debug.BuildSetting{{Key: "vcs.revision", Value: "0123456789abcdef"}, {Key: "vcs.time", Value: "2026-12-02T01:02:03+01:00"}}
-	dirty := append(commit[:2:2], debug.BuildSetting{Key: "vcs.modified", Value: "true"})
+	dirty := slices.Concat(commit[:2], []debug.BuildSetting{{Key: "vcs.modified", Value: "true"}})
 	for _, c := range []struct {
 		version string
 		vcs     []debug.BuildSetting
