--- a/internal/fleet/outlier/judge.go
+++ b/internal/fleet/outlier/aggregation.go
@@ -33,13 +33,13 @@
 
 // Finding is what the joined evidence of all observers says of one server, and what it rests on.
 type Finding struct {
-	Server                        string
-	Good, Failed, Slow            uint32 // attempts, of observers that count
-	Accusers, Zones               int    // observers that complain, and their zones
-	Others                        int    // observers that have evidence and do not complain
-	LostPrimary, LostPrimaryZones int    // observers for which it was a primary and lost that place, and their zones
-	AccuserNames                  []string
-	weightAgainst, weightFor      float64 // weights
+	Server                           string
+	Good, Failed, Slow               uint32 // attempts, of observers that count
+	Complainers, Zones               int    // observers that complain, and their zones
+	Satisfied                        int    // observers that have evidence and do not complain
+	LostPrimary, LostPrimaryZones    int    // observers for which it was a primary and lost that place, and their zones
+	ComplainerNames                  []string
+	complaintWeight, satisfiedWeight float64 // weights
 	// Elsewhere is the median over observers of the share of their attempts at other servers that failed or were slow.
 	Elsewhere float64
 }
@@ -47,7 +47,7 @@
 // String names the evidence.
 func (f Finding) String() string {
 	return fmt.Sprintf("%d observers in %d rooms against %d others; %d failed, %d slow, %d good; elsewhere %.2f bad; %s",
-		f.Accusers, f.Zones, f.Others, f.Failed, f.Slow, f.Good, f.Elsewhere, strings.Join(f.AccuserNames, ","))
+		f.Complainers, f.Zones, f.Satisfied, f.Failed, f.Slow, f.Good, f.Elsewhere, strings.Join(f.ComplainerNames, ","))
 }
 
 // observerReport is what one observer says now.
@@ -56,14 +56,14 @@
 	Report
 }
 
-// isDoubtful tells whether an observer's complaints count for nothing: it complains of more than half of the servers that it
+// isUnreliable tells whether an observer's complaints count for nothing: it complains of more than half of the servers that it
 // has evidence of, so that its own link is the likelier cause. In an outage of more than half of all servers nobody is
 // convicted, which is what the share of a group would forbid anyway.
-func isDoubtful(r Report) bool { return 2*r.Complaints > r.ServersSeen }
+func isUnreliable(r Report) bool { return 2*r.Complaints > r.ServersSeen }
 
 // aggregateServers joins the evidence on servers, and weighTenants that on tenants. Their outcome follows from the set of voices alone, in whatever order they came.
 func aggregateServers(voices []observerReport) map[string]Finding {
-	found := aggregate(voices, func(v observerReport) []Line { return v.Lines }, isDoubtful)
+	found := aggregate(voices, func(v observerReport) []Observation { return v.Servers }, isUnreliable)
 	for server, f := range found {
 		f.Elsewhere = failureShareElsewhere(voices, server)
 		found[server] = f
@@ -76,9 +76,9 @@
 func failureShareElsewhere(voices []observerReport, server string) float64 {
 	var shares []float64
 	for _, v := range voices {
-		var l Line
-		if i := slices.IndexFunc(v.Lines, func(l Line) bool { return l.Server == server }); i >= 0 {
-			l = v.Lines[i]
+		var l Observation
+		if i := slices.IndexFunc(v.Servers, func(l Observation) bool { return l.Server == server }); i >= 0 {
+			l = v.Servers[i]
 		}
 		if share, ok := v.failureShareElsewhere(l); ok {
 			shares = append(shares, share)
@@ -92,10 +92,10 @@
 }
 
 func aggregateTenants(voices []observerReport) map[string]Finding {
-	return aggregate(voices, func(v observerReport) []Line { return v.Tenants }, func(Report) bool { return false })
+	return aggregate(voices, func(v observerReport) []Observation { return v.Tenants }, func(Report) bool { return false })
 }
 
-func aggregate(voices []observerReport, of func(observerReport) []Line, doubtful func(Report) bool) map[string]Finding {
+func aggregate(voices []observerReport, of func(observerReport) []Observation, doubtful func(Report) bool) map[string]Finding {
 	slices.SortFunc(voices, func(a, b observerReport) int { return strings.Compare(a.observer, b.observer) })
 	type rooms map[string]bool
 	found, accusers, lostOf := map[string]Finding{}, map[string]rooms{}, map[string]rooms{}
@@ -118,12 +118,12 @@
 						accusers[l.Server] = rooms{}
 					}
 					accusers[l.Server][v.Zone] = true
-					if f.Accusers++; len(f.AccuserNames) < maxNamedObservers {
-						f.AccuserNames = append(f.AccuserNames, v.observer)
+					if f.Complainers++; len(f.ComplainerNames) < maxNamedObservers {
+						f.ComplainerNames = append(f.ComplainerNames, v.observer)
 					}
-					f.Zones, f.weightAgainst = len(accusers[l.Server]), f.weightAgainst+w
+					f.Zones, f.complaintWeight = len(accusers[l.Server]), f.complaintWeight+w
 				} else {
-					f.Others, f.weightFor = f.Others+1, f.weightFor+w
+					f.Satisfied, f.satisfiedWeight = f.Satisfied+1, f.satisfiedWeight+w
 				}
 			}
 			found[l.Server] = f
@@ -136,7 +136,7 @@
 // weight, among them, and by far worse than the other servers are, as rules.failed has it for one pooler. Fewer liars or bad links than Observers never are enough; more of them are not while observers with
 // good answers outweigh them.
 func (r Settings) shouldEject(f Finding, renew bool) bool {
-	return f.Accusers >= r.MinObservers && f.Zones >= r.MinZones && f.weightAgainst > f.weightFor && r.failureRateExceeded(f, renew)
+	return f.Complainers >= r.MinObservers && f.Zones >= r.MinZones && f.complaintWeight > f.satisfiedWeight && r.failureRateExceeded(f, renew)
 }
 
 // failureRateExceeded tells whether a server's attempts, of all observers that count, are enough and bad enough beside those elsewhere. Where
@@ -151,7 +151,7 @@
 
 // shouldClear tells whether it ends a verdict: good answers of several observers outweigh the complaints.
 func (r Settings) shouldClear(f Finding) bool {
-	return f.Others >= minClearingObservers && f.weightFor > f.weightAgainst
+	return f.Satisfied >= minClearingObservers && f.satisfiedWeight > f.complaintWeight
 }
 
 // sufficientlyReported tells whether a side of a server's case needs no more voices: enough observers speak for it, and outweigh the other side
@@ -160,13 +160,13 @@
 // it is over another takes its turn.
 func (r Settings) sufficientlyReported(f Finding, against bool) bool {
 	if against {
-		return f.Accusers >= sufficientReports*r.MinObservers && f.weightAgainst >= 2*f.weightFor
+		return f.Complainers >= sufficientReports*r.MinObservers && f.complaintWeight >= 2*f.satisfiedWeight
 	}
-	return f.Others >= sufficientReports*r.MinObservers && f.weightFor >= 2*f.weightAgainst
+	return f.Satisfied >= sufficientReports*r.MinObservers && f.satisfiedWeight >= 2*f.complaintWeight
 }
 
-// primaryIsLost tells whether enough observers in enough rooms have lost a server as their group's primary.
-func (r Settings) primaryIsLost(f Finding) bool {
+// shouldReportPrimaryDown tells whether enough observers in enough rooms have lost a server as their group's primary.
+func (r Settings) shouldReportPrimaryDown(f Finding) bool {
 	return f.LostPrimary >= r.MinObservers && f.LostPrimaryZones >= r.MinZones
 }
 
--- a/internal/fleet/outlier/fleet_test.go
+++ b/internal/fleet/outlier/cluster_test.go
@@ -21,87 +21,87 @@
 	"threadsail/internal/fleet/bus/bustest"
 )
 
-// pooler is a pooler as the part sees one: it sends reads to the servers of one group, leaves a server after two failures or
+// testPooler is a pooler as the part sees one: it sends reads to the servers of one group, leaves a server after two failures or
 // by the fleet's word, and then tries it each three seconds.
-type pooler struct {
+type testPooler struct {
 	*Component
-	name     string
-	idle     atomic.Bool
-	suspects atomic.Int32
-	rest     time.Duration // between two reads
-	bad      func(server string) bool
-	stop     context.CancelFunc
-	mu       sync.Mutex
-	told     map[string]bool // the fleet's word
-	record   []audit.Record
-	tried    map[string]time.Time
-	failed   map[string]int
-	sent     map[string][]time.Time // to servers that were bad for it
+	name         string
+	idle         atomic.Bool
+	primaryDowns atomic.Int32
+	interval     time.Duration // between two reads
+	bad          func(server string) bool
+	stop         context.CancelFunc
+	mu           sync.Mutex
+	ejected      map[string]bool // the fleet's word
+	records      []audit.Record
+	lastSentAt   map[string]time.Time
+	failures     map[string]int
+	badSends     map[string][]time.Time // to servers that were bad for it
 }
 
-func (p *pooler) SetEjected(server string, bad bool) {
+func (p *testPooler) SetEjected(server string, bad bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told[server] = bad
+	p.ejected[server] = bad
 }
-func (p *pooler) ReportPrimaryDown(int)     { p.suspects.Add(1) }
-func (p *pooler) Members() map[int][]string { return map[int][]string{0: {"a", "b", "c", "d"}} }
+func (p *testPooler) ReportPrimaryDown(int)     { p.primaryDowns.Add(1) }
+func (p *testPooler) Members() map[int][]string { return map[int][]string{0: {"a", "b", "c", "d"}} }
 
-// left tells whether the pooler leaves a server by the fleet's word.
-func (p *pooler) left(server string) bool {
+// ejects tells whether the pooler leaves a server by the fleet's word.
+func (p *testPooler) ejects(server string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.told[server]
+	return p.ejected[server]
 }
 
 // work sends reads, a server each in turn by chance.
-func (p *pooler) work(ctx context.Context, rng *rand.Rand) {
+func (p *testPooler) work(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(p.rest/2 + time.Duration(rng.Int64N(int64(p.rest)))):
+		case <-time.After(p.interval/2 + time.Duration(rng.Int64N(int64(p.interval)))):
 		}
 		now, server := time.Now(), p.Members()[0][rng.IntN(4)]
 		if p.idle.Load() {
 			continue
 		}
-		if (p.failed[server] >= 2 || p.left(server)) && now.Sub(p.tried[server]) < 3*time.Second {
+		if (p.failures[server] >= 2 || p.ejects(server)) && now.Sub(p.lastSentAt[server]) < 3*time.Second {
 			continue
 		}
-		p.tried[server] = now
+		p.lastSentAt[server] = now
 		if p.MaySend(0, &dispatch.Request{}, server) != dispatch.Send {
 			continue
 		}
 		if p.bad(server) {
-			p.failed[server]++
+			p.failures[server]++
 			p.mu.Lock()
-			p.sent[server] = append(p.sent[server], now)
+			p.badSends[server] = append(p.badSends[server], now)
 			p.mu.Unlock()
-			p.Observe(server, 0, Failed, time.Second)
+			p.Observe(server, 0, Failure, time.Second)
 		} else {
-			p.failed[server] = 0
-			p.Observe(server, 0, Good, time.Millisecond)
+			p.failures[server] = 0
+			p.Observe(server, 0, Success, time.Millisecond)
 		}
 	}
 }
 
-// rig is a fleet in a bubble.
-type rig struct {
-	net     *bustest.Network
-	poolers []*pooler
+// cluster is a fleet in a bubble.
+type cluster struct {
+	network *bustest.Network
+	poolers []*testPooler
 	seed    uint64
 	ctx     context.Context
 	running sync.WaitGroup
 }
 
-// start has n poolers work before four servers, in zones by turns; bad tells when a server is bad for one of them.
-func start(t *testing.T, n int, seed uint64, rest time.Duration, bad func(i int, server string) bool) *rig {
+// startCluster has n poolers work before four servers, in zones by turns; bad tells when a server is bad for one of them.
+func startCluster(t *testing.T, n int, seed uint64, rest time.Duration, bad func(i int, server string) bool) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{net: bustest.New(seed), seed: seed, ctx: ctx}
+	r := &cluster{network: bustest.New(seed), seed: seed, ctx: ctx}
 	for i := range n {
 		r.poolers = append(r.poolers, nil)
-		r.begin(i, rest, func(s string) bool { return bad(i, s) })
+		r.startPooler(i, rest, func(s string) bool { return bad(i, s) })
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -110,38 +110,38 @@
 	return r
 }
 
-func (r *rig) begin(i int, rest time.Duration, bad func(server string) bool) {
-	p := &pooler{name: fmt.Sprint("n", i), rest: rest, bad: bad, told: map[string]bool{}, tried: map[string]time.Time{}, failed: map[string]int{}, sent: map[string][]time.Time{}}
-	p.Component = New(testRules, fmt.Sprint("z", i%3), p)
+func (r *cluster) startPooler(i int, rest time.Duration, bad func(server string) bool) {
+	p := &testPooler{name: fmt.Sprint("n", i), interval: rest, bad: bad, ejected: map[string]bool{}, lastSentAt: map[string]time.Time{}, failures: map[string]int{}, badSends: map[string][]time.Time{}}
+	p.Component = New(testSettings, fmt.Sprint("z", i%3), p)
 	r.poolers[i] = p
 	ctx, cancel := context.WithCancel(r.ctx)
 	p.stop = cancel
-	b := r.net.Join(p.name)
+	b := r.network.Join(p.name)
 	r.running.Go(func() {
 		_ = p.Run(ctx, fleet.Runtime{Bus: b, Log: zerolog.Nop(), Audit: func(a audit.Record) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			a.At = time.Now().UnixNano()
-			p.record = append(p.record, a)
+			p.records = append(p.records, a)
 		}})
 	})
 	r.running.Go(func() { p.work(ctx, rand.New(rand.NewPCG(r.seed, uint64(i)))) })
 }
 
-// leavers counts the poolers that leave a server, and convicted the verdicts that were ever begun on it.
-func (r *rig) leavers(server string) (n int) {
+// countEjecting counts the poolers that leave a server, and convicted the verdicts that were ever begun on it.
+func (r *cluster) countEjecting(server string) (n int) {
 	for _, p := range r.poolers {
-		if p.left(server) {
+		if p.ejects(server) {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *rig) convicted(server string) (n int) {
+func (r *cluster) countEjections(server string) (n int) {
 	for _, p := range r.poolers {
 		p.mu.Lock()
-		for _, a := range p.record {
+		for _, a := range p.records {
 			if a.Act == audit.EjectionBegun && a.Server == server {
 				n++
 			}
@@ -151,10 +151,10 @@
 	return n
 }
 
-func (r *rig) sent(server string, from, to time.Time) (n int) {
+func (r *cluster) countSent(server string, from, to time.Time) (n int) {
 	for _, p := range r.poolers {
 		p.mu.Lock()
-		for _, at := range p.sent[server] {
+		for _, at := range p.badSends[server] {
 			if at.After(from) && !at.After(to) {
 				n++
 			}
@@ -164,8 +164,8 @@
 	return n
 }
 
-// within waits until something holds, for so long at most, and returns how long it took.
-func within(t *testing.T, d time.Duration, what string, holds func() bool) time.Duration {
+// requireWithin waits until something holds, for so long at most, and returns how long it took.
+func requireWithin(t *testing.T, d time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for !holds() {
@@ -184,41 +184,41 @@
 		const n = 24
 		var mu sync.Mutex
 		ill := false
-		r := start(t, n, 1, 400*time.Millisecond, func(i int, s string) bool {
+		r := startCluster(t, n, 1, 400*time.Millisecond, func(i int, s string) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return ill && s == "b"
 		})
-		r.begin(n-1, time.Hour, func(string) bool { return false }) // sees nothing at all
+		r.startPooler(n-1, time.Hour, func(string) bool { return false }) // sees nothing at all
 		set := func(v bool) { mu.Lock(); ill = v; mu.Unlock() }
 		time.Sleep(5 * time.Second)
-		if _, casts := r.net.MessageCounts(); casts > 0 {
+		if _, casts := r.network.MessageCounts(); casts > 0 {
 			t.Errorf("%d datagrams in a calm", casts)
 		}
 		set(true)
 		fell := time.Now()
-		took := within(t, 10*time.Second, "all leave b", func() bool { return r.leavers("b") == n })
+		took := requireWithin(t, 10*time.Second, "all leave b", func() bool { return r.countEjecting("b") == n })
 		for range 40 { // the few that try it renew the verdict, again and again
 			time.Sleep(500 * time.Millisecond)
-			if k := r.leavers("b"); k < n/2 {
+			if k := r.countEjecting("b"); k < n/2 {
 				t.Fatalf("%d leave b while it is bad", k)
 			}
 		}
-		after := r.sent("b", fell.Add(took), time.Now())
+		after := r.countSent("b", fell.Add(took), time.Now())
 		if rate := float64(after) / 20; rate > 3 { // six poolers each trialEvery, and turns that overlap; all would make 5
 			t.Errorf("%v requests a second go to b while it is left", rate)
 		}
 		set(false)
-		back := within(t, testRules.MaxStaleEjection(n), "all use b", func() bool { return r.leavers("b") == 0 })
+		back := requireWithin(t, testSettings.MaxStaleEjection(n), "all use b", func() bool { return r.countEjecting("b") == 0 })
 		for _, s := range []string{"a", "c", "d"} {
-			if k := r.convicted(s); k > 0 {
+			if k := r.countEjections(s); k > 0 {
 				t.Errorf("%s was convicted %d times", s, k)
 			}
 		}
 		time.Sleep(30 * time.Second)
-		_, before := r.net.MessageCounts()
+		_, before := r.network.MessageCounts()
 		time.Sleep(5 * time.Second)
-		if _, casts := r.net.MessageCounts(); casts > before {
+		if _, casts := r.network.MessageCounts(); casts > before {
 			t.Errorf("%d datagrams after it", casts-before)
 		}
 		t.Logf("left by all in %v, %d requests to it in the 20 s after, used by all again in %v, %d datagrams in all", took, after, back, before)
@@ -242,19 +242,19 @@
 			if oneZone {
 				return i%3 == 0 && s == "a"
 			}
-			return i < testRules.MinObservers-2 && s == "a" // the liar is one more
+			return i < testSettings.MinObservers-2 && s == "a" // the liar is one more
 		}
 		synctest.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
 			healed := false
-			r := start(t, n, seed, rest, func(i int, s string) bool {
+			r := startCluster(t, n, seed, rest, func(i int, s string) bool {
 				mu.Lock()
 				defer mu.Unlock()
 				return !healed && hurt(i, s)
 			})
-			r.net.SetDelay(0, jitter)
-			r.net.SetLoss(drop, twice)
-			tale := r.net.Join("liar")
+			r.network.SetDelay(0, jitter)
+			r.network.SetLoss(drop, twice)
+			tale := r.network.Join("liar")
 			if oneZone {
 				tale.Stop() // two zones would complain
 			}
@@ -270,17 +270,17 @@
 				if k < len(restarts) {
 					i := restarts[k]
 					r.poolers[i].stop()
-					r.begin(i, rest, func(s string) bool { mu.Lock(); defer mu.Unlock(); return !healed && hurt(i, s) })
+					r.startPooler(i, rest, func(s string) bool { mu.Lock(); defer mu.Unlock(); return !healed && hurt(i, s) })
 				}
-				r.net.SetCut(side, rest2, k >= 6 && k < 15)
+				r.network.SetCut(side, rest2, k >= 6 && k < 15)
 				if !oneZone {
 					tale.Broadcast(topicReport, Report{StartedAt: 1, Sequence: uint64(k + 1), SentAt: time.Now().UnixNano(), Zone: fmt.Sprint("z", liar), ServersSeen: 100,
-						Lines: []Line{{Server: "a", Failed: 1 << 20}, {Server: "b", Failed: 6}, {Server: "c", Slow: 6}, {Server: "d", LostPrimary: true}}}.encode())
+						Servers: []Observation{{Server: "a", Failed: 1 << 20}, {Server: "b", Failed: 6}, {Server: "c", Slow: 6}, {Server: "d", LostPrimary: true}}}.encode())
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
 			for _, s := range []string{"a", "b", "c", "d"} {
-				if k := r.convicted(s); k > 0 {
+				if k := r.countEjections(s); k > 0 {
 					t.Errorf("%s is convicted %d times: oneZone %v", s, k, oneZone)
 				}
 			}
@@ -303,13 +303,13 @@
 		ill := time.Duration(rapid.IntRange(2, 12).Draw(rt, "ill s")) * time.Second
 		drop, jitter := rapid.Float64Range(0, 0.5).Draw(rt, "drop"), time.Duration(rapid.IntRange(1, 1000).Draw(rt, "jitter ms"))*time.Millisecond
 		synctest.Test(t, func(t *testing.T) {
-			was := testRules
-			defer func() { testRules = was }()
-			testRules.BaseEjectionTime = time.Second
+			was := testSettings
+			defer func() { testSettings = was }()
+			testSettings.BaseEjectionTime = time.Second
 			good := time.Now().Add(ill)
-			r := start(t, n, uint64(n), 100*time.Millisecond, func(_ int, s string) bool { return s == "c" && time.Now().Before(good) })
-			r.net.SetDelay(0, jitter)
-			r.net.SetLoss(drop, drop)
+			r := startCluster(t, n, uint64(n), 100*time.Millisecond, func(_ int, s string) bool { return s == "c" && time.Now().Before(good) })
+			r.network.SetDelay(0, jitter)
+			r.network.SetLoss(drop, drop)
 			time.Sleep(ill)
 			var here, there []string
 			for i, p := range r.poolers {
@@ -319,9 +319,9 @@
 					there = append(there, p.name)
 				}
 			}
-			r.net.SetCut(here, there, true)
-			time.Sleep(testRules.MaxStaleEjection(n) + evaluationInterval)
-			if k := r.leavers("c"); k > 0 {
+			r.network.SetCut(here, there, true)
+			time.Sleep(testSettings.MaxStaleEjection(n) + evaluationInterval)
+			if k := r.countEjecting("c"); k > 0 {
 				t.Errorf("%d of %d still leave c", k, n)
 			}
 		})
@@ -338,7 +338,7 @@
 		const n, far = 13, 5
 		var mu sync.Mutex
 		cut := false
-		r := start(t, n, 3, 300*time.Millisecond, func(i int, s string) bool {
+		r := startCluster(t, n, 3, 300*time.Millisecond, func(i int, s string) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return cut && i < far && s == "b"
@@ -356,23 +356,23 @@
 			mu.Lock()
 			cut = v
 			mu.Unlock()
-			r.net.SetCut(here, there, v)
+			r.network.SetCut(here, there, v)
 		}
 		set(true)
-		within(t, 10*time.Second, "the one side leaves b", func() bool { return r.leavers("b") == far })
+		requireWithin(t, 10*time.Second, "the one side leaves b", func() bool { return r.countEjecting("b") == far })
 		time.Sleep(10 * time.Second)
-		if k := r.leavers("b"); k > far {
+		if k := r.countEjecting("b"); k > far {
 			t.Errorf("%d leave b, with %d on that side", k, far)
 		}
 		set(false)
-		took := within(t, testRules.MaxStaleEjection(n), "all use b", func() bool { return r.leavers("b") == 0 })
+		took := requireWithin(t, testSettings.MaxStaleEjection(n), "all use b", func() bool { return r.countEjecting("b") == 0 })
 		t.Logf("one verdict %v after the heal", took)
 		mu.Lock() // and where the server stays bad for the few
 		cut = true
 		mu.Unlock()
-		r.net.SetCut(here, there, false)
+		r.network.SetCut(here, there, false)
 		time.Sleep(20 * time.Second)
-		if k := r.leavers("b"); k > 0 {
+		if k := r.countEjecting("b"); k > 0 {
 			t.Errorf("%d of %d leave b, which is good for most", k, n)
 		}
 	})
@@ -382,13 +382,13 @@
 func TestLastServerIsKept(t *testing.T) {
 	for _, bad := range [][]string{{"a"}, {"a", "b"}, {"a", "b", "c"}, {"a", "b", "c", "d"}} {
 		synctest.Test(t, func(t *testing.T) {
-			r := start(t, 9, 4, 300*time.Millisecond, func(i int, s string) bool { return slices.Contains(bad, s) })
+			r := startCluster(t, 9, 4, 300*time.Millisecond, func(i int, s string) bool { return slices.Contains(bad, s) })
 			for range 100 {
 				time.Sleep(200 * time.Millisecond)
 				for _, p := range r.poolers {
 					p.mu.Lock()
 					k := 0
-					for _, left := range maps.All(p.told) {
+					for _, left := range maps.All(p.ejected) {
 						if left {
 							k++
 						}
@@ -399,8 +399,8 @@
 					}
 				}
 			}
-			if len(bad) <= 2 && r.leavers(bad[0]) < 8 {
-				t.Errorf("%d leave %s", r.leavers(bad[0]), bad[0])
+			if len(bad) <= 2 && r.countEjecting(bad[0]) < 8 {
+				t.Errorf("%d leave %s", r.countEjecting(bad[0]), bad[0])
 			}
 		})
 	}
@@ -409,13 +409,13 @@
 // A pooler that has good answers of its own goes on with a server that all others leave.
 func TestOwnEvidenceOutranks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := start(t, 8, 5, 80*time.Millisecond, func(i int, s string) bool { return i > 0 && s == "c" })
-		within(t, 10*time.Second, "the others leave c", func() bool { return r.leavers("c") == 7 })
+		r := startCluster(t, 8, 5, 80*time.Millisecond, func(i int, s string) bool { return i > 0 && s == "c" })
+		requireWithin(t, 10*time.Second, "the others leave c", func() bool { return r.countEjecting("c") == 7 })
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
 			p := r.poolers[0]
 			p.mu.Lock()
-			told := p.told["c"]
+			told := p.ejected["c"]
 			p.mu.Unlock()
 			if told {
 				t.Fatal("the pooler with good answers is told to leave c")
@@ -431,16 +431,16 @@
 func TestPrimaryLost(t *testing.T) {
 	for lost := range 4 {
 		synctest.Test(t, func(t *testing.T) {
-			r := start(t, 5, 7, time.Hour, func(int, string) bool { return false })
+			r := startCluster(t, 5, 7, time.Hour, func(int, string) bool { return false })
 			for _, p := range r.poolers[:lost] {
 				p.LostPrimary("a")
 			}
 			time.Sleep(evidenceSpan + reportLifetime(5) + time.Second)
 			var heard []int32
 			for _, p := range r.poolers {
-				heard = append(heard, p.suspects.Load())
+				heard = append(heard, p.primaryDowns.Load())
 			}
-			if told := slices.Min(heard) > 0; told != (lost >= testRules.MinObservers) || slices.Max(heard) > 6 { // once a second
+			if told := slices.Min(heard) > 0; told != (lost >= testSettings.MinObservers) || slices.Max(heard) > 6 { // once a second
 				t.Errorf("%d of 5 have lost it: told %v times", lost, heard)
 			}
 		})
@@ -450,11 +450,11 @@
 // A verdict that nobody can appeal, as no client asks anything any more, still ends, at all poolers within their spread.
 func TestEndsByItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := start(t, 6, 6, 300*time.Millisecond, func(_ int, s string) bool { return s == "d" })
-		within(t, 10*time.Second, "all leave d", func() bool { return r.leavers("d") == 6 })
+		r := startCluster(t, 6, 6, 300*time.Millisecond, func(_ int, s string) bool { return s == "d" })
+		requireWithin(t, 10*time.Second, "all leave d", func() bool { return r.countEjecting("d") == 6 })
 		for _, p := range r.poolers {
 			p.idle.Store(true)
 		}
-		within(t, testRules.BaseEjectionTime*5/4+evidenceSpan+time.Second, "all use d", func() bool { return r.leavers("d") == 0 })
+		requireWithin(t, testSettings.BaseEjectionTime*5/4+evidenceSpan+time.Second, "all use d", func() bool { return r.countEjecting("d") == 0 })
 	})
 }
--- a/internal/fleet/outlier/part.go
+++ b/internal/fleet/outlier/component.go
@@ -43,21 +43,21 @@
 	startedAt      int64
 	jitterFraction float64 // of this pooler's verdicts, so that not all go back to a server at once
 
-	mu                sync.Mutex
-	members           []string // poolers held to be alive; only Run changes it
-	local             localEvidence
-	board             board
-	ejections         ejections
-	tenants           tenantCounts
-	hotTenants        ejections           // by tenant
-	ejected           map[string]bool     // servers that the fleet leaves
-	alternatives      map[string][]string // of each, the members of its group that it does not leave
-	probing           map[string]bool     // of those left, the ones that this pooler is to try now
-	sequence          uint64
-	complained        map[string]bool      // servers that the last report complains of
-	nextReportAt      time.Time            // not before the next one
-	hostToldAt        map[string]time.Time // words given to the host, and when last
-	primaryDownToldAt map[int]time.Time
+	mu                    sync.Mutex
+	members               []string // poolers held to be alive; only Run changes it
+	local                 localEvidence
+	reports               reportStore
+	ejections             ejections
+	tenants               tenantCounts
+	hotTenants            ejections           // by tenant
+	ejected               map[string]bool     // servers that the fleet leaves
+	alternatives          map[string][]string // of each, the members of its group that it does not leave
+	probing               map[string]bool     // of those left, the ones that this pooler is to try now
+	sequence              uint64
+	complained            map[string]bool      // servers that the last report complains of
+	nextReportAt          time.Time            // not before the next one
+	hostNotifiedAt        map[string]time.Time // words given to the host, and when last
+	primaryDownNotifiedAt map[int]time.Time
 
 	// Reports said and heard since the log was told last, and their bytes.
 	reportsSent, reportBytesSent, reportsReceived, reportBytesReceived int
@@ -65,8 +65,8 @@
 
 // New returns a part that has seen nothing. room is the pooler's zone.
 func New(r Settings, room string, host Host) *Component {
-	return &Component{settings: r, zone: room, host: host, startedAt: time.Now().UnixNano(), jitterFraction: rand.Float64(), local: newLocalEvidence(), board: board{reports: map[string]boardEntry{}},
-		ejections: ejections{}, hotTenants: ejections{}, ejected: map[string]bool{}, alternatives: map[string][]string{}, probing: map[string]bool{}, hostToldAt: map[string]time.Time{}, primaryDownToldAt: map[int]time.Time{}}
+	return &Component{settings: r, zone: room, host: host, startedAt: time.Now().UnixNano(), jitterFraction: rand.Float64(), local: newLocalEvidence(), reports: reportStore{reports: map[string]storedReport{}},
+		ejections: ejections{}, hotTenants: ejections{}, ejected: map[string]bool{}, alternatives: map[string][]string{}, probing: map[string]bool{}, hostNotifiedAt: map[string]time.Time{}, primaryDownNotifiedAt: map[int]time.Time{}}
 }
 
 // Observe takes in the end of an attempt: what it met with, and how long it took.
@@ -113,7 +113,7 @@
 		return dispatch.Send
 	}
 	for _, m := range p.alternatives[server] {
-		if l := p.local.line(now, m, evidenceSpan); l.Good > 0 && !l.complains() {
+		if l := p.local.observation(now, m, evidenceSpan); l.Good > 0 && !l.complains() {
 			return dispatch.SendElsewhere
 		}
 	}
@@ -131,7 +131,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.reportsReceived, p.reportBytesReceived = p.reportsReceived+1, p.reportBytesReceived+len(body)
-		p.board.add(time.Now(), from, r, reportLifetime(len(p.members)))
+		p.reports.add(time.Now(), from, r, reportLifetime(len(p.members)))
 	})
 	told := time.NewTicker(trafficLogInterval)
 	defer told.Stop()
@@ -165,14 +165,14 @@
 	groups := p.host.Members()
 	p.mu.Lock()
 	report := Report{StartedAt: p.startedAt, SentAt: now.UnixNano(), Zone: p.zone}
-	report.Lines, report.ServersSeen = p.local.lines(now)
-	report.Complaints = countComplaints(report.Lines)
-	for _, l := range report.Lines {
+	report.Servers, report.ServersSeen = p.local.observations(now)
+	report.Complaints = countComplaints(report.Servers)
+	for _, l := range report.Servers {
 		report.FailedAttempts, report.Attempts = report.FailedAttempts+int(l.Failed+l.Slow), report.Attempts+int(l.Good+l.Failed+l.Slow)
 	}
-	voices := p.board.current(now)
-	servers := complainedAbout(voices, func(v observerReport) []Line { return v.Lines }) // by others
-	report.Tenants = p.tenants.lines(now, complainedAbout(voices, func(v observerReport) []Line { return v.Tenants }))
+	voices := p.reports.current(now)
+	servers := complainedAbout(voices, func(v observerReport) []Observation { return v.Servers }) // by others
+	report.Tenants = p.tenants.observations(now, complainedAbout(voices, func(v observerReport) []Observation { return v.Tenants }))
 	p.mu.Unlock() // joining what hundreds say takes longer than a front's loop should wait
 	voices = append(voices, observerReport{g.Bus.Self(), report})
 	found, hot := aggregateServers(voices), aggregateTenants(voices)
@@ -180,7 +180,7 @@
 	changes := p.ejections.update(now, p.settings, found, p.jitterFraction)
 	tenants := p.hotTenants.update(now, p.settings, hot, p.jitterFraction)
 	p.updateEjected(now, g.Bus.Self(), p.members, groups)
-	words, suspects := p.hostUpdates(now), p.groupsWithLostPrimary(now, found, groups)
+	words, suspects := p.dueEjections(now), p.duePrimaryDowns(now, found, groups)
 	cast := p.dueReport(now, report, servers, found, len(p.members))
 	p.mu.Unlock()
 
@@ -235,33 +235,33 @@
 	return before < max(minProbers*r.MinObservers, int(proberShare*float64(len(fleetOf))))
 }
 
-// hostUpdates is what the host is to be told: each server's word when it changes, and again while it stands, but for
+// dueEjections is what the host is to be told: each server's word when it changes, and again while it stands, but for
 // one that this pooler's own evidence outranks.
-func (p *Component) hostUpdates(now time.Time) map[string]bool {
+func (p *Component) dueEjections(now time.Time) map[string]bool {
 	out := map[string]bool{}
 	for server := range p.ejected {
-		if at, ok := p.hostToldAt[server]; (!ok || now.Sub(at) >= repeatInterval) && !p.local.overridesFleet(now, server) {
-			out[server], p.hostToldAt[server] = true, now
+		if at, ok := p.hostNotifiedAt[server]; (!ok || now.Sub(at) >= repeatInterval) && !p.local.overridesFleet(now, server) {
+			out[server], p.hostNotifiedAt[server] = true, now
 		}
 	}
-	for server := range p.hostToldAt {
+	for server := range p.hostNotifiedAt {
 		if !p.ejected[server] {
 			out[server] = false
-			delete(p.hostToldAt, server)
+			delete(p.hostNotifiedAt, server)
 		}
 	}
 	return out
 }
 
-// groupsWithLostPrimary are the groups whose primary enough observers have lost, each told once a second while that stands.
-func (p *Component) groupsWithLostPrimary(now time.Time, found map[string]Finding, groups map[int][]string) (out []int) {
+// duePrimaryDowns are the groups whose primary enough observers have lost, each told once a second while that stands.
+func (p *Component) duePrimaryDowns(now time.Time, found map[string]Finding, groups map[int][]string) (out []int) {
 	for group, members := range groups {
-		if slices.ContainsFunc(members, func(m string) bool { return p.settings.primaryIsLost(found[m]) }) && now.Sub(p.primaryDownToldAt[group]) >= repeatInterval {
-			p.primaryDownToldAt[group] = now
+		if slices.ContainsFunc(members, func(m string) bool { return p.settings.shouldReportPrimaryDown(found[m]) }) && now.Sub(p.primaryDownNotifiedAt[group]) >= repeatInterval {
+			p.primaryDownNotifiedAt[group] = now
 			out = append(out, group)
 		}
 	}
-	maps.DeleteFunc(p.primaryDownToldAt, func(_ int, at time.Time) bool { return now.Sub(at) > rememberFor })
+	maps.DeleteFunc(p.primaryDownNotifiedAt, func(_ int, at time.Time) bool { return now.Sub(at) > ejectionMemory })
 	return out
 }
 
@@ -280,9 +280,11 @@
 // another complains of or that is convicted, as long as its side needs voices, and once more to take back a complaint: a calm
 // fleet is silent.
 func (p *Component) dueReport(now time.Time, r Report, accused map[string]bool, found map[string]Finding, n int) []byte {
-	r.Lines = slices.DeleteFunc(r.Lines, func(l Line) bool { return !l.isNewsworthy() && !accused[l.Server] && !p.ejections.isEjected(l.Server) })
+	r.Servers = slices.DeleteFunc(r.Servers, func(l Observation) bool {
+		return !l.isReportable() && !accused[l.Server] && !p.ejections.isEjected(l.Server)
+	})
 	complains, due := map[string]bool{}, len(r.Tenants) > 0
-	for _, l := range r.Lines {
+	for _, l := range r.Servers {
 		due = due || l.LostPrimary || !p.settings.sufficientlyReported(found[l.Server], l.complains())
 		if l.complains() {
 			complains[l.Server] = true
@@ -309,25 +311,25 @@
 	if c.active {
 		act = audit.EjectionBegun
 	}
-	if c.what != changeRenewed {
+	if c.kind != changeRenewed {
 		g.Audit(audit.Record{Act: act, Server: c.server})
 	}
 	c.log(g, "server", "verdict: ")
 }
 
 func (c change) log(g fleet.Runtime, key, what string) {
-	g.Log.Info().Str(key, c.server).Str("evidence", c.finding.String()).Int("times", c.consecutive).Time("until", c.until).Msg(what + c.what)
+	g.Log.Info().Str(key, c.server).Str("evidence", c.finding.String()).Int("times", c.consecutive).Time("until", c.until).Msg(what + c.kind)
 }
 
 // FromResult is what an attempt's result, as routing.Core.OnOutcome tells it, says of its server; ok: anything.
 func FromResult(r policy.Result) (kind Outcome, ok bool) {
 	switch r {
 	case policy.OK:
-		return Good, true
+		return Success, true
 	case policy.ConnectFailed, policy.ConnectionReset, policy.ServerError:
-		return Failed, true
+		return Failure, true
 	case policy.TimedOut, policy.Cancelled:
-		return Silent, true
+		return Timeout, true
 	}
 	return 0, false // turned or sent away: it may be busy, or not the primary
 }
--- a/internal/fleet/outlier/standing.go
+++ b/internal/fleet/outlier/ejections.go
@@ -18,17 +18,17 @@
 // change is a verdict that begins, is renewed or ends.
 type change struct {
 	server string
-	what   string
+	kind   string
 	ejection
 }
 
 // What a change tells.
 const (
-	changeBegun   = "convicted"
-	changeRenewed = "renewed"
-	changeCleared = "acquitted"
-	changeExpired = "over"
-	rememberFor   = time.Minute // a verdict that ended so long ago makes the next one a first one
+	changeBegun    = "convicted"
+	changeRenewed  = "renewed"
+	changeCleared  = "acquitted"
+	changeExpired  = "over"
+	ejectionMemory = time.Minute // a verdict that ended so long ago makes the next one a first one
 )
 
 // ejections are those of this pooler, by server. The caller holds its mutex.
@@ -59,14 +59,14 @@
 		case enough && now.Sub(v.evidenceSince) >= confirmationDelay:
 			if what = changeBegun; v.active {
 				what = changeRenewed
-			} else if now.Sub(v.until) >= rememberFor {
+			} else if now.Sub(v.until) >= ejectionMemory {
 				v.consecutive = 0
 			}
 			v.active, v.consecutive, v.startedAt, v.finding = true, min(v.consecutive+1, maxEjectionMultiplier), now, f
 			v.until = now.Add(time.Duration(float64(v.consecutive) * float64(r.BaseEjectionTime) * (1 + spread/4)))
 		case v.active:
 			v.active, what = false, changeExpired
-		case v.evidenceSince.IsZero() && now.Sub(v.until) >= rememberFor:
+		case v.evidenceSince.IsZero() && now.Sub(v.until) >= ejectionMemory:
 			delete(vs, server)
 		}
 		if what != "" {
--- a/internal/fleet/outlier/evidence.go
+++ b/internal/fleet/outlier/local_evidence.go
@@ -15,8 +15,8 @@
 	// maxRecentAttempts is how many attempts count, the last ones.
 	maxRecentAttempts   = 6
 	consecutiveFailures = 2                // bad ones in a row at which a pooler leaves a server; one where it was silent
-	visibleFor          = 10 * time.Second // a server that has answered since is one that the observer sees
-	freshFor            = 2 * time.Second  // good answers so young outrank the fleet's word
+	serverMemory        = 10 * time.Second // a server that has answered since is one that the observer sees
+	freshEvidenceSpan   = 2 * time.Second  // good answers so young outrank the fleet's word
 	minFreshGood        = 2                // if there are so many, and no bad one
 	maxServers          = 512              // that one observer counts
 	maxLostPrimaries    = 64               // primaries whose loss it remembers
@@ -36,10 +36,10 @@
 
 // The kinds.
 const (
-	Good   Outcome = iota // answered
-	Failed                // no connection, a broken one, an error that another server did not give
-	Silent                // no answer in the time that it was given
-	slow                  // answered, in slowTimes the usual time
+	Success     Outcome = iota // answered
+	Failure                    // no connection, a broken one, an error that another server did not give
+	Timeout                    // no answer in the time that it was given
+	slowSuccess                // answered, in slowTimes the usual time
 )
 
 // attempt is one attempt.
@@ -108,20 +108,20 @@
 		o.servers[server] = r
 	}
 	switch kind {
-	case Silent:
-		if kind = Failed; !o.isSlow(class, took, minSilentLatency) {
+	case Timeout:
+		if kind = Failure; !o.isSlow(class, took, minSilentLatency) {
 			return
 		}
 		for range consecutiveFailures - 1 {
 			r.add(now, kind)
 		}
-	case Good:
+	case Success:
 		if now.Sub(o.usualLatencyAt) >= latencyUpdateInterval {
 			o.usualLatencyAt = now
 			o.updateUsualLatency()
 		}
 		if o.isSlow(class, took, math.MaxInt64) {
-			kind = slow
+			kind = slowSuccess
 		}
 		p := r.latencies[class]
 		if p == nil && len(r.latencies) < maxClasses {
@@ -132,7 +132,7 @@
 			p.observe(took)
 		}
 	}
-	if kind == Good {
+	if kind == Success {
 		r.lastGoodAt = now
 	}
 	r.add(now, kind)
@@ -163,11 +163,11 @@
 	}
 }
 
-// line is what was seen of a server within a time: its last attempts, back to recent of them; or the last alone if two or more
+// observation is what was seen of a server within a time: its last attempts, back to recent of them; or the last alone if two or more
 // in a row were bad, as this pooler has then left the server (rules.failed), and gets little further evidence. What it saw before
 // is over, and would outvote that for as long as it counts.
-func (o *localEvidence) line(now time.Time, server string, within time.Duration) Line {
-	l := Line{Server: server}
+func (o *localEvidence) observation(now time.Time, server string, within time.Duration) Observation {
+	l := Observation{Server: server}
 	r := o.servers[server]
 	if r == nil {
 		return l
@@ -177,13 +177,13 @@
 		switch {
 		case s.at.IsZero() || now.Sub(s.at) >= within:
 			return l
-		case s.outcome == Good && l.Good == 0 && l.Failed+l.Slow >= consecutiveFailures:
+		case s.outcome == Success && l.Good == 0 && l.Failed+l.Slow >= consecutiveFailures:
 			return l
-		case s.outcome == Good:
+		case s.outcome == Success:
 			l.Good++
-		case s.outcome == Failed:
+		case s.outcome == Failure:
 			l.Failed++
-		case s.outcome == slow:
+		case s.outcome == slowSuccess:
 			l.Slow++
 		}
 	}
@@ -193,14 +193,14 @@
 // overridesFleet tells whether this observer's own fresh evidence goes before the fleet's word that a server is bad: it has just had
 // good answers of it, and no other.
 func (o *localEvidence) overridesFleet(now time.Time, server string) bool {
-	l := o.line(now, server, freshFor)
+	l := o.observation(now, server, freshEvidenceSpan)
 	return l.Good >= minFreshGood && l.Failed+l.Slow == 0
 }
 
 // sweep forgets servers of which nothing was seen in a while.
 func (o *localEvidence) sweep(now time.Time) {
 	for server := range o.servers {
-		if now.Sub(o.servers[server].lastGoodAt) >= visibleFor && o.line(now, server, evidenceSpan).weight() == 0 {
+		if now.Sub(o.servers[server].lastGoodAt) >= serverMemory && o.observation(now, server, evidenceSpan).weight() == 0 {
 			delete(o.servers, server)
 		}
 	}
@@ -219,12 +219,12 @@
 	}
 }
 
-// lines is what the observer has to say: a line for each server of which it saw anything within the span, its complaints
+// observations is what the observer has to say: a line for each server of which it saw anything within the span, its complaints
 // first; and how many servers it sees at all.
-func (o *localEvidence) lines(now time.Time) (lines []Line, sees int) {
+func (o *localEvidence) observations(now time.Time) (lines []Observation, sees int) {
 	o.sweep(now)
 	for server := range o.servers {
-		l := o.line(now, server, evidenceSpan)
+		l := o.observation(now, server, evidenceSpan)
 		if _, l.LostPrimary = o.lostPrimaries[server]; l.weight() > 0 || l.LostPrimary {
 			lines = append(lines, l)
 		} else {
@@ -233,12 +233,12 @@
 	}
 	for server := range o.lostPrimaries {
 		if o.servers[server] == nil {
-			lines = append(lines, Line{Server: server, LostPrimary: true})
+			lines = append(lines, Observation{Server: server, LostPrimary: true})
 		}
 	}
-	slices.SortFunc(lines, func(a, b Line) int {
-		if a.isNewsworthy() != b.isNewsworthy() {
-			if a.isNewsworthy() {
+	slices.SortFunc(lines, func(a, b Observation) int {
+		if a.isReportable() != b.isReportable() {
+			if a.isReportable() {
 				return -1
 			}
 			return 1
@@ -249,7 +249,7 @@
 }
 
 // countComplaints counts the lines that complain.
-func countComplaints(lines []Line) (n int) {
+func countComplaints(lines []Observation) (n int) {
 	for _, l := range lines {
 		if l.complains() {
 			n++
--- a/internal/fleet/outlier/verdict_test.go
+++ b/internal/fleet/outlier/outlier_test.go
@@ -12,19 +12,19 @@
 	"threadsail/internal/dispatch"
 )
 
-var testRules = Settings{MinObservers: 3, MinZones: 2, MaxEjectedShare: 0.5, BaseEjectionTime: 5 * time.Second}
+var testSettings = Settings{MinObservers: 3, MinZones: 2, MaxEjectedShare: 0.5, BaseEjectionTime: 5 * time.Second}
 
-// said is a drawn report: what an honest observer could count, or anything that can be read.
-func said(t *rapid.T, servers []string) Report {
+// drawReport is a drawn report: what an honest observer could count, or anything that can be read.
+func drawReport(t *rapid.T, servers []string) Report {
 	r := Report{StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "born")), Sequence: uint64(rapid.IntRange(1, 5).Draw(t, "seq")),
 		Zone: rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "room"), ServersSeen: len(servers)}
 	for _, s := range servers {
 		if n := rapid.IntRange(0, 3).Draw(t, "said"); n > 0 {
-			r.Lines = append(r.Lines, Line{Server: s, Good: uint32(rapid.IntRange(0, 9).Draw(t, "good")),
+			r.Servers = append(r.Servers, Observation{Server: s, Good: uint32(rapid.IntRange(0, 9).Draw(t, "good")),
 				Failed: uint32(rapid.IntRange(0, 9).Draw(t, "failed")), Slow: uint32(rapid.IntRange(0, 9).Draw(t, "slow")), LostPrimary: n == 3})
 		}
 	}
-	r.Complaints = countComplaints(r.Lines)
+	r.Complaints = countComplaints(r.Servers)
 	return r
 }
 
@@ -40,7 +40,7 @@
 		var sent []msg
 		newest := map[string]Report{}
 		for range rapid.IntRange(0, 20).Draw(t, "messages") {
-			m := msg{rapid.SampledFrom([]string{"n1", "n2", "n3", "n4"}).Draw(t, "from"), said(t, []string{"a", "b"})}
+			m := msg{rapid.SampledFrom([]string{"n1", "n2", "n3", "n4"}).Draw(t, "from"), drawReport(t, []string{"a", "b"})}
 			if slices.ContainsFunc(sent, func(o msg) bool { return o.from == m.from && o.StartedAt == m.StartedAt && o.Sequence == m.Sequence }) {
 				continue // an observer never says two things under one number
 			}
@@ -49,9 +49,9 @@
 				newest[m.from] = m.Report
 			}
 		}
-		boards := [2]board{}
+		boards := [2]reportStore{}
 		for i := range boards {
-			boards[i].reports = map[string]boardEntry{}
+			boards[i].reports = map[string]storedReport{}
 			order := rapid.Permutation(append(slices.Clone(sent), sent...)).Draw(t, "order")
 			for _, m := range order {
 				boards[i].add(now, m.from, m.Report, time.Second)
@@ -85,10 +85,10 @@
 		var voices []observerReport
 		liars := rapid.IntRange(0, 8).Draw(t, "liars")
 		if few {
-			liars = min(liars, testRules.MinObservers-1)
+			liars = min(liars, testSettings.MinObservers-1)
 		}
 		for i := range liars {
-			r := said(t, servers)
+			r := drawReport(t, servers)
 			if !few {
 				r.Zone = "z1"
 			}
@@ -98,12 +98,12 @@
 		for i := range rapid.IntRange(0, 5).Draw(t, "honest") {
 			r := Report{Zone: rapid.SampledFrom([]string{"z1", "z2"}).Draw(t, "room"), ServersSeen: 3}
 			for _, s := range servers {
-				r.Lines = append(r.Lines, Line{Server: s, Good: uint32(rapid.IntRange(0, 2).Draw(t, "good"))})
+				r.Servers = append(r.Servers, Observation{Server: s, Good: uint32(rapid.IntRange(0, 2).Draw(t, "good"))})
 			}
 			voices = append(voices, observerReport{fmt.Sprint("n", i), r})
 		}
 		for s, f := range aggregateServers(voices) {
-			if testRules.shouldEject(f, false) || testRules.primaryIsLost(f) {
+			if testSettings.shouldEject(f, false) || testSettings.shouldReportPrimaryDown(f) {
 				t.Fatalf("%s is convicted: %v", s, f)
 			}
 		}
@@ -114,14 +114,14 @@
 func TestMajority(t *testing.T) {
 	var voices []observerReport
 	for i := range 10 {
-		l := Line{Server: "a", Failed: 1 << 31, Slow: 1 << 31}
+		l := Observation{Server: "a", Failed: 1 << 31, Slow: 1 << 31}
 		if i >= 5 {
-			l = Line{Server: "a", Good: maxRecentAttempts}
+			l = Observation{Server: "a", Good: maxRecentAttempts}
 		}
-		voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 10, Lines: []Line{l}}})
+		voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 10, Servers: []Observation{l}}})
 	}
-	if f := aggregateServers(voices)["a"]; testRules.shouldEject(f, false) || f.weightAgainst != f.weightFor {
-		t.Errorf("%v, %v against %v", f, f.weightAgainst, f.weightFor)
+	if f := aggregateServers(voices)["a"]; testSettings.shouldEject(f, false) || f.complaintWeight != f.satisfiedWeight {
+		t.Errorf("%v, %v against %v", f, f.complaintWeight, f.satisfiedWeight)
 	}
 }
 
@@ -130,13 +130,13 @@
 	var voices []observerReport
 	for i := range 4 {
 		voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 3, Complaints: 2,
-			Lines: []Line{{Server: "a", Failed: 3}, {Server: "b", Failed: 3}, {Server: "c", Good: 3}}}})
+			Servers: []Observation{{Server: "a", Failed: 3}, {Server: "b", Failed: 3}, {Server: "c", Good: 3}}}})
 	}
 	found := aggregateServers(voices)
-	if f := found["a"]; f.Accusers > 0 || testRules.shouldEject(f, false) {
+	if f := found["a"]; f.Complainers > 0 || testSettings.shouldEject(f, false) {
 		t.Errorf("a: %v", f)
 	}
-	if f := found["c"]; f.Others != 4 {
+	if f := found["c"]; f.Satisfied != 4 {
 		t.Errorf("c: %v", f)
 	}
 }
@@ -144,25 +144,25 @@
 // Where everything fails and is slow no server is convicted; one that is by far the worst is, and a few failures are no case.
 func TestEverythingIsBad(t *testing.T) {
 	for _, c := range []struct {
-		line     Line
+		line     Observation
 		bad, all int
 		want     bool
 	}{
-		{Line{Failed: 3, Good: 3}, 3, 20, true},
-		{Line{Failed: 3, Good: 3}, 9, 20, false}, // 6 of 14 elsewhere
-		{Line{Slow: 3, Good: 2}, 10, 20, false},
-		{Line{Failed: 5}, 12, 20, true},
-		{Line{Failed: 1}, 1, 20, false},
-		{Line{Failed: 2}, 2, 2, true},    // nothing else is seen
-		{Line{Failed: 6}, 20, 20, false}, // nothing else is any better
+		{Observation{Failed: 3, Good: 3}, 3, 20, true},
+		{Observation{Failed: 3, Good: 3}, 9, 20, false}, // 6 of 14 elsewhere
+		{Observation{Slow: 3, Good: 2}, 10, 20, false},
+		{Observation{Failed: 5}, 12, 20, true},
+		{Observation{Failed: 1}, 1, 20, false},
+		{Observation{Failed: 2}, 2, 2, true},    // nothing else is seen
+		{Observation{Failed: 6}, 20, 20, false}, // nothing else is any better
 	} {
 		var voices []observerReport
 		for i := range 3 {
 			c.line.Server = "a"
-			voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 4, Complaints: 1, FailedAttempts: c.bad, Attempts: c.all, Lines: []Line{c.line}}})
+			voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 4, Complaints: 1, FailedAttempts: c.bad, Attempts: c.all, Servers: []Observation{c.line}}})
 		}
 		voices = append(voices, observerReport{"liar", Report{ServersSeen: 4, FailedAttempts: 1 << 30, Attempts: 1 << 30}})
-		if f := aggregateServers(voices)["a"]; testRules.shouldEject(f, false) != c.want {
+		if f := aggregateServers(voices)["a"]; testSettings.shouldEject(f, false) != c.want {
 			t.Errorf("%+v, %d of %d: convicted %v", c.line, c.bad, c.all, !c.want)
 		}
 	}
@@ -174,13 +174,13 @@
 		f             Finding
 		against, good bool // is said
 	}{
-		{Finding{Accusers: 12, weightAgainst: 70}, true, false},
-		{Finding{Accusers: 11, weightAgainst: 70}, false, false},
-		{Finding{Accusers: 12, weightAgainst: 70, Others: 8, weightFor: 40}, false, false},
-		{Finding{Accusers: 4, weightAgainst: 20, Others: 12, weightFor: 40}, false, true},
-		{Finding{Accusers: 40, weightAgainst: 200, Others: 60, weightFor: 300}, false, false},
+		{Finding{Complainers: 12, complaintWeight: 70}, true, false},
+		{Finding{Complainers: 11, complaintWeight: 70}, false, false},
+		{Finding{Complainers: 12, complaintWeight: 70, Satisfied: 8, satisfiedWeight: 40}, false, false},
+		{Finding{Complainers: 4, complaintWeight: 20, Satisfied: 12, satisfiedWeight: 40}, false, true},
+		{Finding{Complainers: 40, complaintWeight: 200, Satisfied: 60, satisfiedWeight: 300}, false, false},
 	} {
-		if testRules.sufficientlyReported(c.f, true) != c.against || testRules.sufficientlyReported(c.f, false) != c.good {
+		if testSettings.sufficientlyReported(c.f, true) != c.against || testSettings.sufficientlyReported(c.f, false) != c.good {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -189,7 +189,7 @@
 // Of a group's members at most the share is left, never the last one, and all poolers leave the same.
 func TestLeave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := testRules
+		r := testSettings
 		r.MaxEjectedShare = rapid.Float64Range(0, 1).Draw(t, "share")
 		members := rapid.SliceOfN(rapid.StringMatching("[a-f]"), 0, 8).Draw(t, "members")
 		bad := map[string]bool{}
@@ -215,7 +215,7 @@
 // A verdict needs evidence that stands, lasts for its term, longer each time, ends by an appeal, and is forgotten.
 func TestStanding(t *testing.T) {
 	vs, now := ejections{}, time.Unix(1000, 0)
-	against := Finding{Server: "a", Accusers: 3, Zones: 2, Failed: 9, weightAgainst: 9}
+	against := Finding{Server: "a", Complainers: 3, Zones: 2, Failed: 9, complaintWeight: 9}
 	for _, c := range []struct {
 		after time.Duration
 		f     Finding
@@ -226,24 +226,24 @@
 		{0, Finding{}, ""}, // it did not stand
 		{0, against, ""},
 		{confirmationDelay, against, changeBegun},
-		{testRules.BaseEjectionTime - 1, Finding{}, ""}, // nobody knows better
+		{testSettings.BaseEjectionTime - 1, Finding{}, ""}, // nobody knows better
 		{1, Finding{}, changeExpired},
 		{0, against, ""},
 		{confirmationDelay, against, changeBegun},
-		{2*testRules.BaseEjectionTime - 1, against, ""},
+		{2*testSettings.BaseEjectionTime - 1, against, ""},
 		{1, against, changeRenewed},
-		{time.Second, Finding{Others: 1, weightFor: 9}, ""},
-		{time.Second, Finding{Others: 2, weightFor: 9, weightAgainst: 9}, ""},
-		{time.Second, Finding{Others: 2, weightFor: 10, weightAgainst: 9}, changeCleared},
+		{time.Second, Finding{Satisfied: 1, satisfiedWeight: 9}, ""},
+		{time.Second, Finding{Satisfied: 2, satisfiedWeight: 9, complaintWeight: 9}, ""},
+		{time.Second, Finding{Satisfied: 2, satisfiedWeight: 10, complaintWeight: 9}, changeCleared},
 		{0, against, ""},
 		{confirmationDelay, against, changeBegun},
-		{maxEjectionMultiplier * testRules.BaseEjectionTime, Finding{}, changeExpired},
-		{rememberFor, Finding{}, ""},
+		{maxEjectionMultiplier * testSettings.BaseEjectionTime, Finding{}, changeExpired},
+		{ejectionMemory, Finding{}, ""},
 	} {
 		now = now.Add(c.after)
 		got := ""
-		for _, ch := range vs.update(now, testRules, map[string]Finding{"a": c.f}, 0) {
-			got = ch.what
+		for _, ch := range vs.update(now, testSettings, map[string]Finding{"a": c.f}, 0) {
+			got = ch.kind
 		}
 		if got != c.want {
 			t.Fatalf("after %v, %v: %q, want %q", c.after, c.f, got, c.want)
@@ -256,22 +256,22 @@
 
 // Whatever comes, the state keeps to its bounds.
 func TestBounded(t *testing.T) {
-	now, b, o, vs := time.Unix(1000, 0), board{reports: map[string]boardEntry{}}, newLocalEvidence(), ejections{}
+	now, b, o, vs := time.Unix(1000, 0), reportStore{reports: map[string]storedReport{}}, newLocalEvidence(), ejections{}
 	for i := range 3 * maxObservers {
 		b.add(now, fmt.Sprint(i), Report{StartedAt: 1, Sequence: 1, SentAt: now.UnixNano()}, time.Second)
-		o.observe(now, fmt.Sprint(i), i, Failed, 0)
+		o.observe(now, fmt.Sprint(i), i, Failure, 0)
 		o.recordLostPrimary(now, fmt.Sprint(i))
-		vs.update(now, testRules, map[string]Finding{fmt.Sprint(i): {Accusers: 3, Zones: 2, Failed: 6, weightAgainst: 1}}, 0)
+		vs.update(now, testSettings, map[string]Finding{fmt.Sprint(i): {Complainers: 3, Zones: 2, Failed: 6, complaintWeight: 1}}, 0)
 	}
 	if len(b.reports) > maxObservers || len(o.servers) > maxServers || len(o.lostPrimaries) > maxLostPrimaries || len(vs) > maxServers {
 		t.Errorf("%d reports, %d servers, %d lost, %d verdicts", len(b.reports), len(o.servers), len(o.lostPrimaries), len(vs))
 	}
-	now = now.Add(forgetAfter + time.Second) // and what is old makes way
+	now = now.Add(reportMemory + time.Second) // and what is old makes way
 	if !b.add(now, "new", Report{StartedAt: 1, Sequence: 1, SentAt: now.UnixNano()}, time.Second) || len(b.reports) != 1 {
 		t.Errorf("%d reports are known after all have been forgotten", len(b.reports))
 	}
-	o.observe(now, "new", 0, Good, 0)
-	if l, _ := o.lines(now); len(l) != 1 || l[0].Server != "new" {
+	o.observe(now, "new", 0, Success, 0)
+	if l, _ := o.observations(now); len(l) != 1 || l[0].Server != "new" {
 		t.Errorf("%v", l)
 	}
 }
@@ -284,7 +284,7 @@
 		ok   bool
 		ends time.Duration
 	}{{0, true, life}, {maxClockSkew, true, life}, {-time.Hour, true, life}, {life + maxClockSkew, true, 0}, {life + maxClockSkew + 1, false, 0}, {maxClockSkew + life/2, true, life / 2}} {
-		b := board{reports: map[string]boardEntry{}}
+		b := reportStore{reports: map[string]storedReport{}}
 		if ok := b.add(now, "n", Report{StartedAt: 1, Sequence: 1, SentAt: now.Add(-c.age).UnixNano()}, life); ok != c.ok || ok && !b.reports["n"].expiresAt.Equal(now.Add(c.ends)) {
 			t.Errorf("%v old: %v, counts until %v", c.age, ok, b.reports["n"].expiresAt.Sub(now))
 		}
@@ -297,7 +297,7 @@
 	see := func(server string, class int, took time.Duration, n int) {
 		for range n {
 			now = now.Add(100 * time.Millisecond)
-			o.observe(now, server, class, Good, took)
+			o.observe(now, server, class, Success, took)
 		}
 	}
 	for range 20 {
@@ -307,52 +307,52 @@
 		see("b", 1, 400*time.Millisecond, 1)
 	}
 	see("a", 0, 300*time.Millisecond, 1)
-	if l := o.line(now, "a", evidenceSpan); l.complains() || l.Slow != 1 {
+	if l := o.observation(now, "a", evidenceSpan); l.complains() || l.Slow != 1 {
 		t.Errorf("one slow answer: %+v", l)
 	}
 	see("b", 0, 10*time.Millisecond, 5)
 	see("a", 0, 300*time.Millisecond, 5)
-	if l := o.line(now, "a", evidenceSpan); !l.complains() {
+	if l := o.observation(now, "a", evidenceSpan); !l.complains() {
 		t.Errorf("a slow server: %+v", l)
 	}
 	for range 60 { // and it does not become the measure
 		see("a", 0, 300*time.Millisecond, 1)
 		see("b", 0, 10*time.Millisecond, 1)
 	}
-	if l := o.line(now, "a", evidenceSpan); !l.complains() {
+	if l := o.observation(now, "a", evidenceSpan); !l.complains() {
 		t.Errorf("a server that stays slow: %+v", l)
 	}
 	for range 80 { // which follows the day
 		see("a", 0, 300*time.Millisecond, 1)
 		see("b", 0, 300*time.Millisecond, 1)
 	}
-	if l := o.line(now, "a", evidenceSpan); l.complains() {
+	if l := o.observation(now, "a", evidenceSpan); l.complains() {
 		t.Errorf("all are slow: %+v", l)
 	}
-	o.observe(now, "b", 0, Silent, 200*time.Millisecond)
-	if l := o.line(now, "b", evidenceSpan); l.Failed > 0 {
+	o.observe(now, "b", 0, Timeout, 200*time.Millisecond)
+	if l := o.observation(now, "b", evidenceSpan); l.Failed > 0 {
 		t.Errorf("a hurried client: %+v", l)
 	}
-	o.observe(now, "b", 0, Silent, 2*time.Second)
-	if l := o.line(now, "b", evidenceSpan); l.Failed != consecutiveFailures || l.Good > 0 {
+	o.observe(now, "b", 0, Timeout, 2*time.Second)
+	if l := o.observation(now, "b", evidenceSpan); l.Failed != consecutiveFailures || l.Good > 0 {
 		t.Errorf("silence: %+v", l)
 	}
 	see("b", 0, 10*time.Millisecond, maxRecentAttempts)
-	o.observe(now, "b", 0, Failed, 0)
-	if l := o.line(now, "b", evidenceSpan); l.complains() || l.Good == 0 {
+	o.observe(now, "b", 0, Failure, 0)
+	if l := o.observation(now, "b", evidenceSpan); l.complains() || l.Good == 0 {
 		t.Errorf("one failure: %+v", l)
 	}
-	o.observe(now, "b", 0, Failed, 0)
-	if l := o.line(now, "b", evidenceSpan); l.Good > 0 || l.Failed != 2 {
+	o.observe(now, "b", 0, Failure, 0)
+	if l := o.observation(now, "b", evidenceSpan); l.Good > 0 || l.Failed != 2 {
 		t.Errorf("a second in a row: %+v", l)
 	}
 	alone := newLocalEvidence()
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		alone.observe(now, "a", 0, Good, 10*time.Millisecond)
+		alone.observe(now, "a", 0, Success, 10*time.Millisecond)
 	}
-	alone.observe(now, "a", 0, Good, time.Second)
-	if l := alone.line(now, "a", evidenceSpan); l.Slow > 0 {
+	alone.observe(now, "a", 0, Success, time.Second)
+	if l := alone.observation(now, "a", evidenceSpan); l.Slow > 0 {
 		t.Errorf("a server alone is compared with nothing: %+v", l)
 	}
 }
@@ -368,7 +368,7 @@
 		now, voices := time.Unix(1000, 0), []observerReport(nil)
 		step := func(busy bool) {
 			now = now.Add(evidenceSpan / 4)
-			told := complainedAbout(voices, func(v observerReport) []Line { return v.Tenants })
+			told := complainedAbout(voices, func(v observerReport) []Observation { return v.Tenants })
 			voices = voices[:0]
 			for i := range each {
 				for k := range 10 {
@@ -378,9 +378,9 @@
 					}
 					each[i].observe(now, tenant)
 				}
-				voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i%3), Tenants: each[i].lines(now, told)}})
+				voices = append(voices, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i%3), Tenants: each[i].observations(now, told)}})
 			}
-			hot.update(now, testRules, aggregateTenants(voices), 0)
+			hot.update(now, testSettings, aggregateTenants(voices), 0)
 		}
 		for range 12 {
 			step(true)
@@ -404,16 +404,16 @@
 		for i := range rapid.IntRange(0, 20).Draw(t, "servers") {
 			servers = append(servers, fmt.Sprint(rapid.StringOfN(rapid.RuneFrom([]rune("ab-")), 0, 90, -1).Draw(t, "name"), i))
 		}
-		r := said(t, servers)
-		r.ServersSeen = max(r.ServersSeen, len(r.Lines))
+		r := drawReport(t, servers)
+		r.ServersSeen = max(r.ServersSeen, len(r.Servers))
 		text := r.encode()
 		got, err := decode(text)
-		if err != nil || len(text) > maxReport {
+		if err != nil || len(text) > maxReportSize {
 			t.Fatalf("%v, %d bytes", err, len(text))
 		}
-		r.Lines = r.Lines[:len(got.Lines)]
-		if len(r.Lines) == 0 {
-			r.Lines = nil
+		r.Servers = r.Servers[:len(got.Servers)]
+		if len(r.Servers) == 0 {
+			r.Servers = nil
 		}
 		if d := cmp.Diff(r, got); d != "" {
 			t.Fatal(d)
@@ -429,15 +429,15 @@
 		of           map[string]Outcome
 		want         dispatch.SendDecision
 	}{
-		{true, false, map[string]Outcome{"b": Good}, dispatch.SendElsewhere},
-		{false, false, map[string]Outcome{"b": Good}, dispatch.Send},
-		{true, true, map[string]Outcome{"b": Good}, dispatch.Send},
+		{true, false, map[string]Outcome{"b": Success}, dispatch.SendElsewhere},
+		{false, false, map[string]Outcome{"b": Success}, dispatch.Send},
+		{true, true, map[string]Outcome{"b": Success}, dispatch.Send},
 		{true, false, nil, dispatch.Send},
-		{true, false, map[string]Outcome{"b": Failed}, dispatch.Send},
-		{true, false, map[string]Outcome{"b": Good, "a": Failed}, dispatch.SendElsewhere},
-		{true, false, map[string]Outcome{"b": Good, "a": Good}, dispatch.Send},
+		{true, false, map[string]Outcome{"b": Failure}, dispatch.Send},
+		{true, false, map[string]Outcome{"b": Success, "a": Failure}, dispatch.SendElsewhere},
+		{true, false, map[string]Outcome{"b": Success, "a": Success}, dispatch.Send},
 	} {
-		p := New(testRules, "z1", nil)
+		p := New(testSettings, "z1", nil)
 		p.ejected["a"], p.probing["a"], p.alternatives["a"] = c.left, c.trying, []string{"b"}
 		for server, kind := range c.of {
 			p.Observe(server, 0, kind, 0)
@@ -451,9 +451,9 @@
 
 // A pooler speaks when it complains or is asked, at its own pace, and once more to take back what it said.
 func TestSay(t *testing.T) {
-	p, now := New(testRules, "z1", nil), time.Unix(1000, 0)
-	ill := Report{ServersSeen: 2, Complaints: 1, Lines: []Line{{Server: "a", Failed: 2}, {Server: "b", Good: 1}}}
-	well := Report{ServersSeen: 2, Lines: []Line{{Server: "a", Good: 2}, {Server: "b", Good: 1}}}
+	p, now := New(testSettings, "z1", nil), time.Unix(1000, 0)
+	ill := Report{ServersSeen: 2, Complaints: 1, Servers: []Observation{{Server: "a", Failed: 2}, {Server: "b", Good: 1}}}
+	well := Report{ServersSeen: 2, Servers: []Observation{{Server: "a", Good: 2}, {Server: "b", Good: 1}}}
 	for i, c := range []struct {
 		after   time.Duration
 		r       Report
@@ -462,11 +462,11 @@
 	}{{0, well, nil, -1}, {0, ill, nil, 1}, {minReportInterval / 2, ill, nil, -1}, {minReportInterval, well, nil, 0}, {2 * minReportInterval, well, nil, -1},
 		{0, well, map[string]bool{"b": true}, 1}, {2 * minReportInterval, well, map[string]bool{"c": true}, -1}, {2 * minReportInterval, well, nil, -1}} {
 		now = now.Add(c.after)
-		c.r.Lines = slices.Clone(c.r.Lines)
+		c.r.Servers = slices.Clone(c.r.Servers)
 		text, lines := p.dueReport(now, c.r, c.accused, nil, 5), -1
 		if text != nil {
 			r, err := decode(text)
-			if lines = len(r.Lines); err != nil {
+			if lines = len(r.Servers); err != nil {
 				t.Error(err)
 			}
 		}
@@ -477,7 +477,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add((&Report{StartedAt: 1, Sequence: 2, SentAt: 3, Zone: "z1", ServersSeen: 2, Complaints: 1, Lines: []Line{{Server: "a", Failed: 3, LostPrimary: true}, {Server: "b", Good: 1}}}).encode())
+	f.Add((&Report{StartedAt: 1, Sequence: 2, SentAt: 3, Zone: "z1", ServersSeen: 2, Complaints: 1, Servers: []Observation{{Server: "a", Failed: 3, LostPrimary: true}, {Server: "b", Good: 1}}}).encode())
 	f.Add([]byte(`{"e":1,"l":[{"s":"a"},{"s":"a"}]}`))
 	f.Add([]byte(`{"e":1,"i":-1}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -485,14 +485,14 @@
 		if err != nil {
 			return
 		}
-		if len(r.Lines) > maxLines || countComplaints(r.Lines) > r.Complaints || r.Complaints > r.ServersSeen {
+		if len(r.Servers) > maxReportedServers || countComplaints(r.Servers) > r.Complaints || r.Complaints > r.ServersSeen {
 			t.Errorf("%+v", r)
 		}
-		if again, err := decode(r.encode()); err != nil || len(again.Lines) > len(r.Lines) {
+		if again, err := decode(r.encode()); err != nil || len(again.Servers) > len(r.Servers) {
 			t.Errorf("%+v: %v", again, err)
 		}
 		for s, f := range aggregateServers([]observerReport{{"n", r}}) {
-			if testRules.shouldEject(f, false) {
+			if testSettings.shouldEject(f, false) {
 				t.Errorf("%s is convicted by one", s)
 			}
 		}
--- a/internal/fleet/outlier/report.go
+++ b/internal/fleet/outlier/report.go
@@ -8,13 +8,13 @@
 
 // What a report may hold. A datagram carries it whole.
 const (
-	maxLines  = 12
-	maxName   = 128
-	maxReport = 1000 // bytes; peers.maxWord is the most that gossip passes on
+	maxReportedServers = 12
+	maxNameLength      = 128
+	maxReportSize      = 1000 // bytes; peers.maxWord is the most that gossip passes on
 )
 
-// Line is what an observer has seen of one server within its span.
-type Line struct {
+// Observation is what an observer has seen of one server within its span.
+type Observation struct {
 	Server      string `json:"s"`
 	Good        uint32 `json:"g,omitempty"`
 	Failed      uint32 `json:"f,omitempty"`
@@ -23,7 +23,7 @@
 }
 
 // failureRate is the share of the attempts that the server failed or was slow at.
-func (l Line) failureRate() float64 {
+func (l Observation) failureRate() float64 {
 	bad := float64(l.Failed) + float64(l.Slow)
 	if bad == 0 {
 		return 0
@@ -32,13 +32,13 @@
 }
 
 // complains tells whether the line says that the server is bad.
-func (l Line) complains() bool { return l.failureRate() >= failureThreshold }
+func (l Observation) complains() bool { return l.failureRate() >= failureThreshold }
 
-// isNewsworthy tells whether the line is news by itself; any other is told only as an answer to one.
-func (l Line) isNewsworthy() bool { return l.complains() || l.LostPrimary }
+// isReportable tells whether the line is news by itself; any other is told only as an answer to one.
+func (l Observation) isReportable() bool { return l.complains() || l.LostPrimary }
 
 // weight is how much the line counts: what it rests on, up to the most that one observer may say.
-func (l Line) weight() float64 {
+func (l Observation) weight() float64 {
 	n := min(l.Good, maxRecentAttempts) + min(l.Failed, maxRecentAttempts) + min(l.Slow, maxRecentAttempts)
 	return float64(min(n, maxRecentAttempts))
 }
@@ -54,11 +54,11 @@
 	ServersSeen int `json:"e"`
 	Complaints  int `json:"i,omitempty"`
 	// FailedAttempts of its last All attempts, up to recent at each server, failed or were slow, at servers told and others.
-	FailedAttempts int    `json:"d,omitempty"`
-	Attempts       int    `json:"a,omitempty"`
-	Lines          []Line `json:"l,omitempty"`
+	FailedAttempts int           `json:"d,omitempty"`
+	Attempts       int           `json:"a,omitempty"`
+	Servers        []Observation `json:"l,omitempty"`
 	// Tenants are lines on tenants: Failed stands for a tenant's own part of the observer's requests, Good for that of all others.
-	Tenants []Line `json:"h,omitempty"`
+	Tenants []Observation `json:"h,omitempty"`
 }
 
 // before tells whether r is older than o.
@@ -67,7 +67,7 @@
 }
 
 // failureShareElsewhere is the share of the observer's attempts at all servers but one that failed or were slow; ok: there were any.
-func (r Report) failureShareElsewhere(l Line) (share float64, ok bool) {
+func (r Report) failureShareElsewhere(l Observation) (share float64, ok bool) {
 	bad, all := float64(r.FailedAttempts)-float64(l.Failed)-float64(l.Slow), float64(r.Attempts)-float64(l.Good)-float64(l.Failed)-float64(l.Slow)
 	if all < 1 || bad < 0 {
 		return 0, false
@@ -77,44 +77,44 @@
 
 // encode writes a report, with fewer lines if it would be too long for a datagram: the last ones, which matter least, go.
 func (r Report) encode() []byte {
-	r.Lines = r.Lines[:min(len(r.Lines), maxLines)]
+	r.Servers = r.Servers[:min(len(r.Servers), maxReportedServers)]
 	for {
 		text, err := json.Marshal(r)
 		if err != nil {
 			panic(err) // it holds nothing that JSON lacks
 		}
 		switch {
-		case len(text) <= maxReport || len(r.Lines)+len(r.Tenants) == 0:
+		case len(text) <= maxReportSize || len(r.Servers)+len(r.Tenants) == 0:
 			return text
 		case len(r.Tenants) > 0:
 			r.Tenants = r.Tenants[:len(r.Tenants)-1]
 		default:
-			r.Lines = r.Lines[:len(r.Lines)-1]
+			r.Servers = r.Servers[:len(r.Servers)-1]
 		}
 	}
 }
 
 // decode reads another pooler's report. What is wrong in any part is refused whole.
 func decode(text []byte) (r Report, err error) {
-	if len(text) > 2*maxReport {
+	if len(text) > 2*maxReportSize {
 		return r, errors.New("verdict: a report is too long")
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Report{}, fmt.Errorf("verdict: a report can't be read: %w", err)
 	}
-	if len(r.Tenants) > maxReportedTenants || len(r.Lines) > maxLines || len(r.Zone) > maxName || r.ServersSeen < 0 || r.Complaints < 0 || r.FailedAttempts < 0 || r.FailedAttempts > r.Attempts || r.Complaints > r.ServersSeen || len(r.Lines) > r.ServersSeen {
+	if len(r.Tenants) > maxReportedTenants || len(r.Servers) > maxReportedServers || len(r.Zone) > maxNameLength || r.ServersSeen < 0 || r.Complaints < 0 || r.FailedAttempts < 0 || r.FailedAttempts > r.Attempts || r.Complaints > r.ServersSeen || len(r.Servers) > r.ServersSeen {
 		return Report{}, errors.New("verdict: a report's numbers don't fit each other")
 	}
-	for _, lines := range [][]Line{r.Lines, r.Tenants} {
+	for _, lines := range [][]Observation{r.Servers, r.Tenants} {
 		seen := map[string]bool{}
 		for _, l := range lines {
-			if l.Server == "" || len(l.Server) > maxName || seen[l.Server] {
+			if l.Server == "" || len(l.Server) > maxNameLength || seen[l.Server] {
 				return Report{}, errors.New("verdict: a report names a server or tenant twice, or none")
 			}
 			seen[l.Server] = true
 		}
 	}
-	if countComplaints(r.Lines) > r.Complaints {
+	if countComplaints(r.Servers) > r.Complaints {
 		return Report{}, errors.New("verdict: a report complains of more servers than it says")
 	}
 	return r, nil
--- a/internal/fleet/outlier/tenants.go
+++ b/internal/fleet/outlier/tenants.go
@@ -43,34 +43,34 @@
 	t.current, t.total, t.rotatedAt = map[string]uint32{}, 0, now
 }
 
-// line is a tenant's share of the requests beside others', in attempts as a server's line has them: what is against it is its own part.
-func (t *tenantCounts) line(tenant string) Line {
+// observation is a tenant's share of the requests beside others', in attempts as a server's line has them: what is against it is its own part.
+func (t *tenantCounts) observation(tenant string) Observation {
 	all, mine := t.total+t.previousTotal, t.current[tenant]+t.previous[tenant]
 	if all < minHotRequests || mine == all { // one alone is hot to nobody
-		return Line{Server: tenant}
+		return Observation{Server: tenant}
 	}
 	against := uint32(min(float64(mine)/float64(all)*failureThreshold/hotShare, 1) * maxRecentAttempts)
-	return Line{Server: tenant, Failed: against, Good: maxRecentAttempts - against}
+	return Observation{Server: tenant, Failed: against, Good: maxRecentAttempts - against}
 }
 
-// lines are those of hot tenants, and of tenants that others hold to be hot.
-func (t *tenantCounts) lines(now time.Time, accused map[string]bool) (out []Line) {
+// observations are those of hot tenants, and of tenants that others hold to be hot.
+func (t *tenantCounts) observations(now time.Time, accused map[string]bool) (out []Observation) {
 	t.rotate(now)
 	names := map[string]bool{}
 	for _, counts := range []map[string]uint32{t.current, t.previous} {
 		for tenant := range counts {
-			names[tenant] = len(tenant) <= maxName && tenant != ""
+			names[tenant] = len(tenant) <= maxNameLength && tenant != ""
 		}
 	}
 	for tenant := range accused {
 		names[tenant] = true
 	}
 	for tenant, told := range names {
-		if l := t.line(tenant); told && (l.complains() || accused[tenant] && l.weight() > 0) {
+		if l := t.observation(tenant); told && (l.complains() || accused[tenant] && l.weight() > 0) {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Line) int {
+	slices.SortFunc(out, func(a, b Observation) int {
 		if a.Failed != b.Failed {
 			return int(b.Failed) - int(a.Failed)
 		}
