--- a/internal/fleet/outlier/doc.go
+++ b/internal/fleet/outlier/doc.go
@@ -1,20 +1,26 @@
-// Package verdict has the poolers of a fleet find out together which servers are bad: each of them sees too little of a server
-// to tell a bad one from a bad link, and each has to lose requests before it knows.
+// Package outlier detects outliers among the servers of a whole fleet and ejects them, as Envoy's outlier detection does for one
+// proxy: each pooler alone sees too little of a server to tell a bad server from a bad link, and loses requests before it knows.
 //
-// It decides which servers the fleet leaves, and for how long. Every pooler counts what its own attempts met with (own), tells
-// the others while there is anything to complain of (Report), keeps the newest report of each (board), and comes to the
-// verdict by itself, by functions of the joined evidence alone (weigh, Rules). Nothing is elected, nothing is agreed on and
-// nothing is written to the stewards' log: poolers that have heard the same come to the same, and in a cut each side goes by
-// what it sees.
+// It decides which servers the fleet ejects, and for how long. Every pooler counts the outcomes of its own attempts (localEvidence),
+// reports them to the others while it has something to complain of (Report, reporter), keeps the newest report of each (reportStore),
+// joins them (aggregateServers), and decides for itself by functions of the joined evidence alone (Settings.shouldEject,
+// Settings.shouldClear). There is no leader, no agreement, and nothing is written to the voters' log: poolers that hold the same reports
+// decide the same, and in a partition each side goes by what it sees.
 //
-// What holds:
-//   - Fewer observers than Rules.Observers, or in fewer rooms than Rules.Rooms, convict nobody, whatever they say; one that
-//     complains of most servers counts for none, and more of them count for nothing while good answers of others outweigh them.
-//   - Of a group's members no more than Rules.Share are left, and one never is.
-//   - A pooler with good answers of its own that are younger than freshFor does not leave a server for the fleet's word.
-//   - A verdict has an end. A server that is good again is left by nobody for longer than Rules.MostStale.
-//   - The state is bounded: maxObservers reports of maxReport bytes, maxServers servers.
+// It owns a pooler's evidence, the reports that it holds, and its ejections, all bounded. Component may be called from any goroutine, and
+// its guard's methods never wait; Run is the one goroutine that evaluates, reports and tells the Host.
 //
-// The caller owes the attempts' outcomes (Part.Observe), the members of groups (Host.Members) and that it carries out what
-// Host is told; package program wires it.
+// It does not carry ejections out, probe servers by itself, or take writes off a primary: the caller owes the outcomes of attempts
+// (Component.Observe, Component.LostPrimary), the members of groups (Host.Members), and what Host is told.
+//
+// Invariants:
+//   - Fewer observers than Settings.MinObservers, or in fewer zones than Settings.MinZones, eject no server, whatever they report. An
+//     observer that complains of most servers does not count, and more of them do not count while good answers of others outweigh
+//     them.
+//   - Of a group's members no more than Settings.MaxEjectedShare are ejected, and never the last one.
+//   - A pooler with good answers of its own that are younger than freshEvidenceSpan does not eject the server.
+//   - An ejection ends. No pooler ejects a server that is good again for longer than Settings.MaxStaleEjection.
+//   - The state is bounded: maxObservers reports of maxReportSize bytes, maxServers servers.
+//
+// docs/verdicts.md has the rules and their bounds. The topic, the settings and the journal keep the name "verdict".
 package outlier
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -6,76 +6,104 @@
 	"time"
 )
 
-// ejection is one server's standing with this pooler.
+// ejection is what this pooler holds of one server that has been, or may be, ejected. What holds: it is active from startedAt up to until
+// at the most, and until is that of the last one where it is not.
 type ejection struct {
-	evidenceSince    time.Time // enough evidence has stood from then on; zero: there is not enough
-	startedAt, until time.Time // of the verdict in force, or the last one
+	evidenceSince    time.Time // since when there is enough evidence without a break; the zero time: there is not
+	startedAt, until time.Time
 	active           bool
-	consecutive      int // verdicts in a row
+	consecutive      int // ejections in a row
 	finding          Finding
 }
 
-// change is a verdict that begins, is renewed or ends.
+// changeKind is what happens to an ejection.
+type changeKind string
+
+// The kinds of changes, as the log names them.
+const (
+	changeBegun   changeKind = "ejected"
+	changeRenewed changeKind = "ejection renewed"
+	changeCleared changeKind = "ejection cleared"
+	changeExpired changeKind = "ejection expired"
+)
+
+// change is an ejection that begins, is renewed or ends.
 type change struct {
 	server string
-	kind   string
+	kind   changeKind
 	ejection
 }
 
-// What a change tells.
-const (
-	changeBegun    = "convicted"
-	changeRenewed  = "renewed"
-	changeCleared  = "acquitted"
-	changeExpired  = "over"
-	ejectionMemory = time.Minute // a verdict that ended so long ago makes the next one a first one
-)
-
-// ejections are those of this pooler, by server. The caller holds its mutex.
+// ejections are those of this pooler by server, or by hot tenant. It is not safe for use by several goroutines.
 type ejections map[string]*ejection
 
-// update takes in what the evidence says now, and returns what has changed, by server. A verdict begins once enough evidence has
-// stood for hold, lasts for its term, a longer one each time, and ends before where an appeal has been heard.
-func (vs ejections) update(now time.Time, r Settings, found map[string]Finding, spread float64) (out []change) {
-	for server, f := range found {
-		if vs[server] == nil && r.shouldEject(f, false) && len(vs) < maxServers {
-			vs[server] = &ejection{}
+// isEjected reports whether a server's ejection is in force.
+func (e ejections) isEjected(server string) bool { return e[server] != nil && e[server].active }
+
+// update takes in the current findings, and returns what has changed, by server. jitter, from 0 up to 1, lengthens ejections by up to a
+// quarter.
+func (e ejections) update(now time.Time, settings Settings, findings map[string]Finding, jitter float64) (changes []change) {
+	for server, finding := range findings {
+		if e[server] == nil && settings.shouldEject(finding, false) && len(e) < maxServers {
+			e[server] = &ejection{}
 		}
 	}
-	for server, v := range vs {
-		f := found[server]
-		enough := r.shouldEject(f, v.active)
-		switch {
-		case !enough:
-			v.evidenceSince = time.Time{}
-		case v.evidenceSince.IsZero():
-			v.evidenceSince = now
-		}
-		what := ""
-		switch {
-		case v.active && r.shouldClear(f):
-			v.active, v.until, what = false, now, changeCleared
-		case v.active && now.Before(v.until):
-		case enough && now.Sub(v.evidenceSince) >= confirmationDelay:
-			if what = changeBegun; v.active {
-				what = changeRenewed
-			} else if now.Sub(v.until) >= ejectionMemory {
-				v.consecutive = 0
-			}
-			v.active, v.consecutive, v.startedAt, v.finding = true, min(v.consecutive+1, maxEjectionMultiplier), now, f
-			v.until = now.Add(time.Duration(float64(v.consecutive) * float64(r.BaseEjectionTime) * (1 + spread/4)))
-		case v.active:
-			v.active, what = false, changeExpired
-		case v.evidenceSince.IsZero() && now.Sub(v.until) >= ejectionMemory:
-			delete(vs, server)
-		}
-		if what != "" {
-			out = append(out, change{server, what, *v})
+	for server, one := range e {
+		kind := one.update(now, settings, findings[server], jitter)
+		if kind != "" {
+			changes = append(changes, change{server, kind, *one})
+		} else if one.isForgotten(now) {
+			delete(e, server)
 		}
 	}
-	slices.SortFunc(out, func(a, b change) int { return strings.Compare(a.server, b.server) })
-	return out
+	slices.SortFunc(changes, func(a, b change) int { return strings.Compare(a.server, b.server) })
+	return changes
+}
+
+// update takes in the current finding. An ejection begins once enough evidence has stood for confirmationDelay, lasts for the base
+// ejection time as many times as it is the n-th in a row, is renewed by evidence that stands then, and ends early where it is cleared.
+func (e *ejection) update(now time.Time, settings Settings, finding Finding, jitter float64) changeKind {
+	enough := settings.shouldEject(finding, e.active)
+	switch {
+	case !enough:
+		e.evidenceSince = time.Time{}
+	case e.evidenceSince.IsZero():
+		e.evidenceSince = now
+	}
+	switch {
+	case e.active && settings.shouldClear(finding):
+		e.active, e.until = false, now
+		return changeCleared
+	case e.active && now.Before(e.until):
+		return ""
+	case enough && now.Sub(e.evidenceSince) >= confirmationDelay:
+		return e.begin(now, settings, finding, jitter)
+	case e.active:
+		e.active = false
+		return changeExpired
+	}
+	return ""
 }
 
-// isEjected tells whether a verdict on a server is in force.
-func (vs ejections) isEjected(server string) bool { return vs[server] != nil && vs[server].active }
+// begin begins an ejection, or renews the one in force.
+func (e *ejection) begin(now time.Time, settings Settings, finding Finding, jitter float64) changeKind {
+	kind := changeBegun
+	switch {
+	case e.active:
+		kind = changeRenewed
+	case now.Sub(e.until) >= ejectionMemory:
+		e.consecutive = 0
+	}
+	e.active = true
+	e.consecutive = min(e.consecutive+1, maxEjectionMultiplier)
+	e.startedAt = now
+	e.finding = finding
+	length := float64(e.consecutive) * float64(settings.BaseEjectionTime) * (1 + jitter/4)
+	e.until = now.Add(time.Duration(length))
+	return kind
+}
+
+// isForgotten reports whether the ejection is over for so long that the next one is a first one.
+func (e *ejection) isForgotten(now time.Time) bool {
+	return !e.active && e.evidenceSince.IsZero() && now.Sub(e.until) >= ejectionMemory
+}
--- a/internal/fleet/outlier/local_evidence.go
+++ b/internal/fleet/outlier/local_evidence.go
@@ -5,44 +5,55 @@
 	"slices"
 	"strings"
 	"time"
+
+	"threadsail/internal/policy"
 )
 
-// How much of its own evidence an observer keeps.
 const (
-	// evidenceSpan is how old an attempt may be to count: a server without its turn is tried each 3 s (rules.trialMost), and each trial
-	// must stand until the next, yet no longer, so that good trials end a verdict soon.
+	// evidenceSpan is how old an attempt may be to count. A server without its turn is tried each 3 s, and each attempt must stand until
+	// the next, yet no longer, so that good probes end an ejection soon.
 	evidenceSpan = 3500 * time.Millisecond
 	// maxRecentAttempts is how many attempts count, the last ones.
-	maxRecentAttempts   = 6
-	consecutiveFailures = 2                // bad ones in a row at which a pooler leaves a server; one where it was silent
-	serverMemory        = 10 * time.Second // a server that has answered since is one that the observer sees
-	freshEvidenceSpan   = 2 * time.Second  // good answers so young outrank the fleet's word
-	minFreshGood        = 2                // if there are so many, and no bad one
-	maxServers          = 512              // that one observer counts
-	maxLostPrimaries    = 64               // primaries whose loss it remembers
-	slowFactor          = 4.0              // usual times from which an answer is slow: a queue of two or three is none
-	minSlowLatency      = 20 * time.Millisecond
-	// minSilentLatency without an answer is a failure where the usual time is not known, as rules.leastSilence; a client that gives
-	// up sooner says nothing of the server.
-	minSilentLatency      = 150 * time.Millisecond
-	latencyStep           = 1.05 // of a server's typical time with each answer
-	minLatencySamples     = 5    // answers before a server's typical time counts
-	latencyUpdateInterval = time.Second
-	maxClasses            = 64
+	maxRecentAttempts = 6
+	// consecutiveFailures is after how many bad attempts in a row a pooler leaves a server by itself; one that was silent counts as many.
+	consecutiveFailures = 2
+	// serverMemory is how long after its last good answer a server still is one that the observer sees.
+	serverMemory = 10 * time.Second
+	// freshEvidenceSpan is how young minFreshGood good answers, and no bad one, must be to outrank the fleet's ejection.
+	freshEvidenceSpan = 2 * time.Second
+	minFreshGood      = 2
+	maxServers        = 512 // that one observer counts
+	maxLostPrimaries  = 64  // primaries whose loss it remembers
+	// minSilentLatency is from when no answer is a failure where the usual latency is not known; a client that gives up sooner says
+	// nothing of the server.
+	minSilentLatency = 150 * time.Millisecond
 )
 
 // Outcome is what one attempt tells of its server.
 type Outcome uint8
 
-// The kinds.
+// The outcomes.
 const (
-	Success     Outcome = iota // answered
-	Failure                    // no connection, a broken one, an error that another server did not give
+	Success     Outcome = iota // an answer
+	Failure                    // no connection, a broken one, or an error that another server did not give
 	Timeout                    // no answer in the time that it was given
-	slowSuccess                // answered, in slowTimes the usual time
+	slowSuccess                // an answer, after slowFactor times the usual latency
 )
 
-// attempt is one attempt.
+// FromResult returns what an attempt's result, as dispatch.Dispatcher.OnOutcome has it, tells of its server; ok: anything.
+func FromResult(result policy.Result) (outcome Outcome, ok bool) {
+	switch result {
+	case policy.OK:
+		return Success, true
+	case policy.ConnectFailed, policy.ConnectionReset, policy.ServerError:
+		return Failure, true
+	case policy.TimedOut, policy.Cancelled:
+		return Timeout, true
+	}
+	return 0, false // refused or redirected: the server may be busy, or not the primary
+}
+
+// attempt is an attempt that has ended.
 type attempt struct {
 	at      time.Time
 	outcome Outcome
@@ -50,210 +61,200 @@
 
 // serverRecord is what this observer has seen of one server.
 type serverRecord struct {
-	attempts   [maxRecentAttempts]attempt
-	nextIndex  int
-	lastGoodAt time.Time                // the last good answer
+	attempts   [maxRecentAttempts]attempt // a ring
+	nextIndex  int                        // of the oldest attempt
+	lastGoodAt time.Time
 	latencies  map[int]*latencyEstimate // by class
 }
 
-// latencyEstimate follows a server's typical time for a class: a step up or down with each answer, so that it settles at the median and
-// no single answer moves it far.
-type latencyEstimate struct {
-	median  time.Duration
-	samples int
+func (r *serverRecord) add(now time.Time, outcome Outcome) {
+	r.attempts[r.nextIndex] = attempt{now, outcome}
+	r.nextIndex = (r.nextIndex + 1) % maxRecentAttempts
+}
+
+// last returns the i-th attempt from the end; 1 is the last one.
+func (r *serverRecord) last(i int) attempt {
+	return r.attempts[(r.nextIndex-i+maxRecentAttempts)%maxRecentAttempts]
 }
 
-func (p *latencyEstimate) observe(took time.Duration) {
-	switch p.samples++; {
-	case p.samples == 1:
-		p.median = max(took, time.Microsecond)
-	case took > p.median:
-		p.median = time.Duration(float64(p.median)*latencyStep) + 1
-	default:
-		p.median = time.Duration(float64(p.median) / latencyStep)
+// observeLatency takes an answer's latency into the estimate of its class.
+func (r *serverRecord) observeLatency(class int, latency time.Duration) {
+	estimate := r.latencies[class]
+	if estimate == nil {
+		if len(r.latencies) >= maxClasses {
+			return
+		}
+		estimate = &latencyEstimate{}
+		r.latencies[class] = estimate
 	}
+	estimate.observe(latency)
 }
 
-// localEvidence is the evidence of this observer itself. The caller holds its mutex.
+// localEvidence is the evidence of this observer itself. It is not safe for use by several goroutines.
 type localEvidence struct {
-	servers        map[string]*serverRecord
-	lostPrimaries  map[string]time.Time  // servers that were their group's primary here and lost that place, and when
-	usualLatency   map[int]time.Duration // by class
-	usualLatencyAt time.Time
+	servers       map[string]*serverRecord
+	lostPrimaries map[string]time.Time // when a server lost the place of its group's primary here
+	usual         usualLatencies
 }
 
 func newLocalEvidence() localEvidence {
-	return localEvidence{servers: map[string]*serverRecord{}, lostPrimaries: map[string]time.Time{}, usualLatency: map[int]time.Duration{}}
-}
-
-// isSlow tells whether a time is long for a class, and least where that has no usual time.
-func (o *localEvidence) isSlow(class int, took, least time.Duration) bool {
-	if usual := o.usualLatency[class]; usual > 0 {
-		return took >= minSlowLatency && float64(took) >= slowFactor*float64(usual)
-	}
-	return took >= least
+	return localEvidence{servers: map[string]*serverRecord{}, lostPrimaries: map[string]time.Time{}, usual: usualLatencies{byClass: map[int]time.Duration{}}}
 }
 
 // observe counts an attempt.
-func (o *localEvidence) observe(now time.Time, server string, class int, kind Outcome, took time.Duration) {
-	r := o.servers[server]
-	if r == nil {
-		if len(o.servers) >= maxServers {
-			o.sweep(now)
-		}
-		if len(o.servers) >= maxServers {
-			return
-		}
-		r = &serverRecord{latencies: map[int]*latencyEstimate{}}
-		o.servers[server] = r
+func (e *localEvidence) observe(now time.Time, server string, class int, outcome Outcome, latency time.Duration) {
+	record := e.record(now, server)
+	if record == nil {
+		return
 	}
-	switch kind {
+	switch outcome {
 	case Timeout:
-		if kind = Failure; !o.isSlow(class, took, minSilentLatency) {
-			return
-		}
-		for range consecutiveFailures - 1 {
-			r.add(now, kind)
-		}
+		e.observeTimeout(now, record, class, latency)
+		return
 	case Success:
-		if now.Sub(o.usualLatencyAt) >= latencyUpdateInterval {
-			o.usualLatencyAt = now
-			o.updateUsualLatency()
-		}
-		if o.isSlow(class, took, math.MaxInt64) {
-			kind = slowSuccess
-		}
-		p := r.latencies[class]
-		if p == nil && len(r.latencies) < maxClasses {
-			p = &latencyEstimate{}
-			r.latencies[class] = p
-		}
-		if p != nil {
-			p.observe(took)
+		e.usual.update(now, e.servers)
+		slow := e.usual.isSlow(class, latency, math.MaxInt64)
+		record.observeLatency(class, latency)
+		if slow {
+			outcome = slowSuccess
+		} else {
+			record.lastGoodAt = now
 		}
 	}
-	if kind == Success {
-		r.lastGoodAt = now
-	}
-	r.add(now, kind)
+	record.add(now, outcome)
 }
 
-func (r *serverRecord) add(now time.Time, kind Outcome) {
-	r.attempts[r.nextIndex] = attempt{now, kind}
-	r.nextIndex = (r.nextIndex + 1) % maxRecentAttempts
+// observeTimeout counts an attempt without an answer, if it was given the time for one.
+func (e *localEvidence) observeTimeout(now time.Time, record *serverRecord, class int, latency time.Duration) {
+	if !e.usual.isSlow(class, latency, minSilentLatency) {
+		return
+	}
+	for range consecutiveFailures {
+		record.add(now, Failure)
+	}
 }
 
-// updateUsualLatency finds each class's usual time: the lower median of the servers' typical ones, each server counted once whatever it is
-// sent, so that a slow server does not become the measure of itself. One server alone has nothing to be compared with.
-func (o *localEvidence) updateUsualLatency() {
-	times := map[int][]time.Duration{}
-	for _, r := range o.servers {
-		for class, p := range r.latencies {
-			if p.samples >= minLatencySamples {
-				times[class] = append(times[class], p.median)
-			}
-		}
+// record returns a server's record; nil: there are too many servers.
+func (e *localEvidence) record(now time.Time, server string) *serverRecord {
+	if record := e.servers[server]; record != nil {
+		return record
 	}
-	clear(o.usualLatency)
-	for class, all := range times {
-		if len(all) > 1 {
-			slices.Sort(all)
-			o.usualLatency[class] = all[(len(all)-1)/2]
-		}
+	if len(e.servers) >= maxServers {
+		e.sweep(now)
+	}
+	if len(e.servers) >= maxServers {
+		return nil
 	}
+	record := &serverRecord{latencies: map[int]*latencyEstimate{}}
+	e.servers[server] = record
+	return record
 }
 
-// observation is what was seen of a server within a time: its last attempts, back to recent of them; or the last alone if two or more
-// in a row were bad, as this pooler has then left the server (rules.failed), and gets little further evidence. What it saw before
-// is over, and would outvote that for as long as it counts.
-func (o *localEvidence) observation(now time.Time, server string, within time.Duration) Observation {
-	l := Observation{Server: server}
-	r := o.servers[server]
-	if r == nil {
-		return l
+// recordLostPrimary records that a server has lost the place of its group's primary here.
+func (e *localEvidence) recordLostPrimary(now time.Time, server string) {
+	e.sweep(now)
+	if len(e.lostPrimaries) < maxLostPrimaries {
+		e.lostPrimaries[server] = now
+	}
+}
+
+// observation returns what was seen of a server within a span: its last attempts; or the last bad ones alone if consecutiveFailures or
+// more were bad in a row. This pooler has left the server then, and gets little further evidence: what it saw before is over, and would
+// outvote the failures for as long as it counts.
+func (e *localEvidence) observation(now time.Time, server string, span time.Duration) Observation {
+	o := Observation{Server: server}
+	record := e.servers[server]
+	if record == nil {
+		return o
 	}
 	for i := 1; i <= maxRecentAttempts; i++ {
-		s := r.attempts[(r.nextIndex-i+maxRecentAttempts)%maxRecentAttempts]
-		switch {
-		case s.at.IsZero() || now.Sub(s.at) >= within:
-			return l
-		case s.outcome == Success && l.Good == 0 && l.Failed+l.Slow >= consecutiveFailures:
-			return l
-		case s.outcome == Success:
-			l.Good++
-		case s.outcome == Failure:
-			l.Failed++
-		case s.outcome == slowSuccess:
-			l.Slow++
+		last := record.last(i)
+		if last.at.IsZero() || now.Sub(last.at) >= span {
+			return o
+		}
+		switch last.outcome {
+		case Success:
+			if o.Good == 0 && o.Failed+o.Slow >= consecutiveFailures {
+				return o
+			}
+			o.Good++
+		case Failure:
+			o.Failed++
+		case slowSuccess:
+			o.Slow++
 		}
 	}
-	return l
+	return o
 }
 
-// overridesFleet tells whether this observer's own fresh evidence goes before the fleet's word that a server is bad: it has just had
-// good answers of it, and no other.
-func (o *localEvidence) overridesFleet(now time.Time, server string) bool {
-	l := o.observation(now, server, freshEvidenceSpan)
-	return l.Good >= minFreshGood && l.Failed+l.Slow == 0
+// overridesFleet reports whether this observer's own fresh evidence outranks the fleet's ejection of a server: good answers, and no other.
+func (e *localEvidence) overridesFleet(now time.Time, server string) bool {
+	o := e.observation(now, server, freshEvidenceSpan)
+	return o.Good >= minFreshGood && o.Failed+o.Slow == 0
 }
 
-// sweep forgets servers of which nothing was seen in a while.
-func (o *localEvidence) sweep(now time.Time) {
-	for server := range o.servers {
-		if now.Sub(o.servers[server].lastGoodAt) >= serverMemory && o.observation(now, server, evidenceSpan).weight() == 0 {
-			delete(o.servers, server)
+// answers reports whether a server has answered here within evidenceSpan, and not mostly failed.
+func (e *localEvidence) answers(now time.Time, server string) bool {
+	o := e.observation(now, server, evidenceSpan)
+	return o.Good > 0 && !o.complains()
+}
+
+// sweep forgets the servers and primaries of which nothing was seen for a while.
+func (e *localEvidence) sweep(now time.Time) {
+	for server, record := range e.servers {
+		if now.Sub(record.lastGoodAt) >= serverMemory && e.observation(now, server, evidenceSpan).weight() == 0 {
+			delete(e.servers, server)
 		}
 	}
-	for server, at := range o.lostPrimaries {
-		if now.Sub(at) >= evidenceSpan {
-			delete(o.lostPrimaries, server)
+	for server, lostAt := range e.lostPrimaries {
+		if now.Sub(lostAt) >= evidenceSpan {
+			delete(e.lostPrimaries, server)
 		}
 	}
 }
 
-// recordLostPrimary notes that a group's primary has lost its place here.
-func (o *localEvidence) recordLostPrimary(now time.Time, server string) {
-	o.sweep(now)
-	if len(o.lostPrimaries) < maxLostPrimaries {
-		o.lostPrimaries[server] = now
-	}
-}
-
-// observations is what the observer has to say: a line for each server of which it saw anything within the span, its complaints
-// first; and how many servers it sees at all.
-func (o *localEvidence) observations(now time.Time) (lines []Observation, sees int) {
-	o.sweep(now)
-	for server := range o.servers {
-		l := o.observation(now, server, evidenceSpan)
-		if _, l.LostPrimary = o.lostPrimaries[server]; l.weight() > 0 || l.LostPrimary {
-			lines = append(lines, l)
-		} else {
-			sees++
+// observations returns an observation of each server of which anything was seen within evidenceSpan, reportable ones first; and how many
+// servers the observer sees at all.
+func (e *localEvidence) observations(now time.Time) (observations []Observation, serversSeen int) {
+	e.sweep(now)
+	silent := 0
+	for server := range e.servers {
+		o := e.observation(now, server, evidenceSpan)
+		_, o.LostPrimary = e.lostPrimaries[server]
+		if o.weight() == 0 && !o.LostPrimary {
+			silent++
+			continue
 		}
+		observations = append(observations, o)
 	}
-	for server := range o.lostPrimaries {
-		if o.servers[server] == nil {
-			lines = append(lines, Observation{Server: server, LostPrimary: true})
+	for server := range e.lostPrimaries {
+		if e.servers[server] == nil {
+			observations = append(observations, Observation{Server: server, LostPrimary: true})
 		}
 	}
-	slices.SortFunc(lines, func(a, b Observation) int {
-		if a.isReportable() != b.isReportable() {
-			if a.isReportable() {
-				return -1
-			}
-			return 1
-		}
+	slices.SortFunc(observations, compareObservations)
+	return observations, silent + len(observations)
+}
+
+// compareObservations orders reportable observations before others, and then by server.
+func compareObservations(a, b Observation) int {
+	switch {
+	case a.isReportable() == b.isReportable():
 		return strings.Compare(a.Server, b.Server)
-	})
-	return lines, sees + len(lines)
+	case a.isReportable():
+		return -1
+	}
+	return 1
 }
 
-// countComplaints counts the lines that complain.
-func countComplaints(lines []Observation) (n int) {
-	for _, l := range lines {
-		if l.complains() {
-			n++
-		}
+// newReport returns a report of all observations of servers, without the tenants and the sender's own fields.
+func (e *localEvidence) newReport(now time.Time) Report {
+	r := Report{SentAt: now.UnixNano()}
+	r.Servers, r.ServersSeen = e.observations(now)
+	r.Complaints = countComplaints(r.Servers)
+	for _, o := range r.Servers {
+		r.FailedAttempts += int(o.Failed + o.Slow)
+		r.Attempts += int(o.Good + o.Failed + o.Slow)
 	}
-	return n
+	return r
 }
--- a/internal/fleet/outlier/outlier_test.go
+++ b/internal/fleet/outlier/outlier_test.go
@@ -219,7 +219,7 @@
 	for _, c := range []struct {
 		after time.Duration
 		f     Finding
-		want  string
+		want  changeKind
 	}{
 		{0, against, ""},
 		{confirmationDelay - 1, against, ""},
@@ -241,7 +241,7 @@
 		{ejectionMemory, Finding{}, ""},
 	} {
 		now = now.Add(c.after)
-		got := ""
+		got := changeKind("")
 		for _, ch := range vs.update(now, testSettings, map[string]Finding{"a": c.f}, 0) {
 			got = ch.kind
 		}
@@ -438,7 +438,7 @@
 		{true, false, map[string]Outcome{"b": Success, "a": Success}, dispatch.Send},
 	} {
 		p := New(testSettings, "z1", nil)
-		p.ejected["a"], p.probing["a"], p.alternatives["a"] = c.left, c.trying, []string{"b"}
+		p.selection.ejected["a"], p.selection.probing["a"], p.selection.alternatives["a"] = c.left, c.trying, []string{"b"}
 		for server, kind := range c.of {
 			p.Observe(server, 0, kind, 0)
 			p.Observe(server, 0, kind, 0)
@@ -463,7 +463,7 @@
 		{0, well, map[string]bool{"b": true}, 1}, {2 * minReportInterval, well, map[string]bool{"c": true}, -1}, {2 * minReportInterval, well, nil, -1}} {
 		now = now.Add(c.after)
 		c.r.Servers = slices.Clone(c.r.Servers)
-		text, lines := p.dueReport(now, c.r, c.accused, nil, 5), -1
+		text, lines := p.reporter.due(now, c.r, reportingContext{testSettings, c.accused, nil, p.ejections.isEjected, 5}), -1
 		if text != nil {
 			r, err := decode(text)
 			if lines = len(r.Servers); err != nil {
--- a/internal/fleet/outlier/report_store.go
+++ b/internal/fleet/outlier/report_store.go
@@ -2,65 +2,69 @@
 
 import "time"
 
-// reportStore holds the newest report of each observer. The caller holds its mutex.
+const (
+	// maxObservers bounds the reports that are kept, one an observer.
+	maxObservers = 1024
+	// reportMemory is how long a report's number is remembered. Whatever is older is refused by its age.
+	reportMemory = time.Minute
+)
+
+// reportStore keeps the newest report of each observer. It is not safe for use by several goroutines.
 type reportStore struct{ reports map[string]storedReport }
 
+// storedReport is a report as it is kept.
 type storedReport struct {
 	Report
 	expiresAt time.Time // it counts no longer
-	forgetAt  time.Time // its number is no longer remembered: whatever is older is refused by its age
+	forgetAt  time.Time // its number is forgotten
 }
 
-// The board's bounds: one report of maxReport bytes an observer, which memberlist's name tells.
-const (
-	maxObservers = 1024
-	reportMemory = time.Minute
-)
+// observerReport is a report with its observer's name.
+type observerReport struct {
+	observer string
+	Report
+}
+
+func newReportStore() reportStore { return reportStore{reports: map[string]storedReport{}} }
 
-// add joins a report that has come. It is refused where a newer one of its observer is known, where it is older than any may
-// be, and beyond maxObservers.
-func (b *reportStore) add(now time.Time, from string, r Report, life time.Duration) bool {
-	old, known := b.reports[from]
+// add keeps a report that has come, and reports whether it did: not where a newer one of its observer is known, where it is older than any
+// may be, and beyond maxObservers.
+func (s *reportStore) add(now time.Time, observer string, r Report, lifetime time.Duration) bool {
+	previous, known := s.reports[observer]
 	age := max(now.Sub(time.Unix(0, r.SentAt)), 0)
-	if known && !old.before(r) || age > life+maxClockSkew {
+	if known && !previous.before(r) || age > lifetime+maxClockSkew {
 		return false
 	}
-	if !known && len(b.reports) >= maxObservers {
-		for name, e := range b.reports {
-			if now.After(e.forgetAt) {
-				delete(b.reports, name)
-			}
-		}
-		if len(b.reports) >= maxObservers {
-			return false
-		}
+	if !known && !s.makeRoom(now) {
+		return false
 	}
-	b.reports[from] = storedReport{Report: r, expiresAt: now.Add(min(life, life+maxClockSkew-age)), forgetAt: now.Add(reportMemory)}
+	remaining := min(lifetime, lifetime+maxClockSkew-age)
+	s.reports[observer] = storedReport{Report: r, expiresAt: now.Add(remaining), forgetAt: now.Add(reportMemory)}
 	return true
 }
 
-// current are the reports that count now.
-func (b *reportStore) current(now time.Time) (out []observerReport) {
-	for from, e := range b.reports {
-		switch {
-		case now.Before(e.expiresAt):
-			out = append(out, observerReport{from, e.Report})
-		case now.After(e.forgetAt):
-			delete(b.reports, from)
+// makeRoom reports whether there is room for another observer.
+func (s *reportStore) makeRoom(now time.Time) bool {
+	if len(s.reports) < maxObservers {
+		return true
+	}
+	for observer, stored := range s.reports {
+		if now.After(stored.forgetAt) {
+			delete(s.reports, observer)
 		}
 	}
-	return out
+	return len(s.reports) < maxObservers
 }
 
-// complainedAbout are the servers that any voice complains of, or has lost as a primary; or the same of tenants.
-func complainedAbout(voices []observerReport, of func(observerReport) []Observation) map[string]bool {
-	out := map[string]bool{}
-	for _, v := range voices {
-		for _, l := range of(v) {
-			if l.isReportable() {
-				out[l.Server] = true
-			}
+// current returns the reports that count now.
+func (s *reportStore) current(now time.Time) (reports []observerReport) {
+	for observer, stored := range s.reports {
+		switch {
+		case now.Before(stored.expiresAt):
+			reports = append(reports, observerReport{observer, stored.Report})
+		case now.After(stored.forgetAt):
+			delete(s.reports, observer)
 		}
 	}
-	return out
+	return reports
 }
--- a/internal/fleet/outlier/tenants.go
+++ b/internal/fleet/outlier/tenants.go
@@ -1,22 +1,24 @@
 package outlier
 
 import (
+	"cmp"
 	"slices"
 	"strings"
 	"time"
 )
 
-// When a tenant is hot to one observer, and how many it counts.
 const (
-	// hotShare of an observer's requests make a tenant hot to it. What the fleet holds is the weighted median of observers: a
-	// tenant that is hot at a few poolers alone is theirs to limit.
-	hotShare           = 0.5
-	minHotRequests     = 2 * maxRecentAttempts // requests within the span below which shares are chance
-	maxTenants         = 256                   // that an observer counts in half a span; later ones are counted as others
-	maxReportedTenants = 4                     // that it tells of
+	// hotShare is the share of an observer's requests from which a tenant is hot to it. For the fleet the weighted median of observers
+	// counts: a tenant that is hot at a few poolers alone is theirs to limit.
+	hotShare = 0.5
+	// minHotRequests is below how many requests shares are chance.
+	minHotRequests = 2 * maxRecentAttempts
+	// maxTenants bounds the tenants that an observer counts in half an evidenceSpan; later ones are counted as others.
+	maxTenants         = 256
+	maxReportedTenants = 4
 )
 
-// tenantCounts counts requests by tenant over the last half to whole span. The caller holds its mutex.
+// tenantCounts counts requests by tenant over the last half to whole evidenceSpan. It is not safe for use by several goroutines.
 type tenantCounts struct {
 	rotatedAt            time.Time
 	current, previous    map[string]uint32
@@ -24,57 +26,66 @@
 }
 
 // observe counts a request of a tenant.
-func (t *tenantCounts) observe(now time.Time, tenant string) {
-	t.rotate(now)
-	if t.total++; len(t.current) < maxTenants || t.current[tenant] > 0 {
-		t.current[tenant]++
+func (c *tenantCounts) observe(now time.Time, tenant string) {
+	c.rotate(now)
+	c.total++
+	if len(c.current) < maxTenants || c.current[tenant] > 0 {
+		c.current[tenant]++
 	}
 }
 
-func (t *tenantCounts) rotate(now time.Time) {
-	age := now.Sub(t.rotatedAt)
-	if t.current != nil && age < evidenceSpan/2 {
+// rotate begins another half of an evidenceSpan, if the last one is over.
+func (c *tenantCounts) rotate(now time.Time) {
+	age := now.Sub(c.rotatedAt)
+	if c.current != nil && age < evidenceSpan/2 {
 		return
 	}
-	t.previous, t.previousTotal = t.current, t.total
+	c.previous, c.previousTotal = c.current, c.total
 	if age >= evidenceSpan {
-		t.previous, t.previousTotal = nil, 0
+		c.previous, c.previousTotal = nil, 0
 	}
-	t.current, t.total, t.rotatedAt = map[string]uint32{}, 0, now
+	c.current, c.total = map[string]uint32{}, 0
+	c.rotatedAt = now
 }
 
-// observation is a tenant's share of the requests beside others', in attempts as a server's line has them: what is against it is its own part.
-func (t *tenantCounts) observation(tenant string) Observation {
-	all, mine := t.total+t.previousTotal, t.current[tenant]+t.previous[tenant]
-	if all < minHotRequests || mine == all { // one alone is hot to nobody
+// observation returns a tenant's share of the requests in the form of a server's attempts: Failed is its own part.
+func (c *tenantCounts) observation(tenant string) Observation {
+	all, own := c.total+c.previousTotal, c.current[tenant]+c.previous[tenant]
+	if all < minHotRequests || own == all { // a tenant alone is hot to nobody
 		return Observation{Server: tenant}
 	}
-	against := uint32(min(float64(mine)/float64(all)*failureThreshold/hotShare, 1) * maxRecentAttempts)
-	return Observation{Server: tenant, Failed: against, Good: maxRecentAttempts - against}
+	share := float64(own) / float64(all)
+	failed := uint32(min(share*failureThreshold/hotShare, 1) * maxRecentAttempts)
+	return Observation{Server: tenant, Failed: failed, Good: maxRecentAttempts - failed}
 }
 
-// observations are those of hot tenants, and of tenants that others hold to be hot.
-func (t *tenantCounts) observations(now time.Time, accused map[string]bool) (out []Observation) {
-	t.rotate(now)
+// observations returns those of hot tenants, and of tenants that others report as hot.
+func (c *tenantCounts) observations(now time.Time, reported map[string]bool) (observations []Observation) {
+	c.rotate(now)
+	for tenant := range c.candidates(reported) {
+		o := c.observation(tenant)
+		if o.complains() || reported[tenant] && o.weight() > 0 {
+			observations = append(observations, o)
+		}
+	}
+	slices.SortFunc(observations, func(a, b Observation) int {
+		return cmp.Or(cmp.Compare(b.Failed, a.Failed), strings.Compare(a.Server, b.Server))
+	})
+	return observations[:min(len(observations), maxReportedTenants)]
+}
+
+// candidates returns the tenants that have requests here and a name that can be reported, and those that others report.
+func (c *tenantCounts) candidates(reported map[string]bool) map[string]bool {
 	names := map[string]bool{}
-	for _, counts := range []map[string]uint32{t.current, t.previous} {
+	for _, counts := range []map[string]uint32{c.current, c.previous} {
 		for tenant := range counts {
-			names[tenant] = len(tenant) <= maxNameLength && tenant != ""
+			if tenant != "" && len(tenant) <= maxNameLength {
+				names[tenant] = true
+			}
 		}
 	}
-	for tenant := range accused {
+	for tenant := range reported {
 		names[tenant] = true
 	}
-	for tenant, told := range names {
-		if l := t.observation(tenant); told && (l.complains() || accused[tenant] && l.weight() > 0) {
-			out = append(out, l)
-		}
-	}
-	slices.SortFunc(out, func(a, b Observation) int {
-		if a.Failed != b.Failed {
-			return int(b.Failed) - int(a.Failed)
-		}
-		return strings.Compare(a.Server, b.Server)
-	})
-	return out[:min(len(out), maxReportedTenants)]
+	return names
 }
