--- a/internal/pooler/cached_answers_test.go
+++ b/internal/pooler/cached_answers_test.go
@@ -5,9 +5,6 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
-	"threadsail/internal/config"
 	"threadsail/internal/dispatch"
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/lease"
@@ -61,89 +58,24 @@
 // A kept answer is given to other clients on either wire, as the server gave it; on MySQL's not to a client that reads another
 // charset, nor for a prepared statement, nor where the statement did not name its class.
 func TestCachedAnswers(t *testing.T) {
-	for _, wire := range []string{"postgres", "mysql"} {
+	for wire, test := range map[string]struct {
+		keep   func(any) (any, int, bool)
+		answer func(*testing.T, pooler.Addresses)
+	}{"postgres": {postgres.Cacheable, testCachedPostgresAnswers}, "mysql": {mysql.Cacheable, testCachedMySQLAnswers}} {
 		t.Run(wire, func(t *testing.T) {
 			f := standin.NewFleet(t, wire == "mysql", nil, "db1")
 			f.Servers[0].Stamp()
-			cfg, err := config.Load(f.Getenv)
-			if err != nil {
-				t.Fatal(err)
+			guard := &answerCache{kept: map[string]any{}, keep: test.keep}
+			attach := func(front pooler.Frontend) {
+				if front.Name == wire {
+					front.Dispatcher.AddGuard(guard)
+				}
 			}
-			my, err := config.LoadMySQL(f.Getenv, cfg)
+			addrs, terminate, ended, err := launchWith(f.Getenv, nil, fleetOptions(attach, nil))
 			if err != nil {
 				t.Fatal(err)
 			}
-			ready, terminate, ended := make(chan pooler.Addresses, 1), make(chan struct{}), make(chan error, 1)
-			guard := &answerCache{kept: map[string]any{}, keep: postgres.Cacheable}
-			if wire == "mysql" {
-				guard.keep = mysql.Cacheable
-			}
-			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
-				Open: func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-				Attach: func(front pooler.Frontend) {
-					if front.Name == wire {
-						front.Dispatcher.AddGuard(guard)
-					}
-				}}
-			go func() {
-				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addresses) { ready <- a })
-			}()
-			var addrs pooler.Addresses
-			select {
-			case addrs = <-ready:
-			case err := <-ended:
-				t.Fatal(err)
-			}
-			read := standin.Read("any", 2*time.Second)
-			other := standin.Read("any", 2*time.Second) // another request, of the same statement
-			if wire == "postgres" {
-				a, errA := standin.DialPostgres(addrs.Postgres)
-				b, errB := standin.DialPostgres(addrs.Postgres)
-				if errA != nil || errB != nil {
-					t.Fatal(errA, errB)
-				}
-				first, second := a.Do(read), b.Do(other)
-				if !first.Served() || second.Value != first.Value {
-					t.Errorf("%+v, then %+v", first, second)
-				}
-				if third := b.Do(standin.Read("view", 2*time.Second)); third.Value == first.Value {
-					t.Error("another class has the same answer")
-				}
-				if again := a.Do(standin.Read("any", 2*time.Second)); again.Value != first.Value {
-					t.Error("what one session did with it shows in the next")
-				}
-				_, _ = a.Close(), b.Close()
-			} else {
-				a, errA := standin.DialMySQL(addrs.MySQL)
-				b, errB := standin.DialMySQL(addrs.MySQL)
-				if errA != nil || errB != nil {
-					t.Fatal(errA, errB)
-				}
-				plain := func(m *standin.MySQL, text string) (value string) {
-					if err := m.QueryRow(text).Scan(&value); err != nil {
-						t.Fatal(err)
-					}
-					return value
-				}
-				first := plain(a, read)
-				if second := plain(b, other); second != first {
-					t.Errorf("%s, then %s", first, second)
-				}
-				if prepared := b.Do(standin.Read("any", 2*time.Second)); prepared.Value == first {
-					t.Error("a prepared statement has a plain one's answer")
-				}
-				const bare = "SELECT val FROM state WHERE uid = 'u1'"
-				if one, two := plain(a, bare), plain(b, bare); one == two || one == first {
-					t.Error("a statement without a class of its own has another's answer")
-				}
-				if _, err := b.Exec("SET NAMES latin2"); err != nil {
-					t.Fatal(err)
-				}
-				if latin := plain(b, standin.Read("any", 2*time.Second)); latin == first {
-					t.Error("a client of another charset has the same answer")
-				}
-				_, _ = a.Close(), b.Close()
-			}
+			test.answer(t, addrs)
 			close(terminate)
 			if err := <-ended; err != nil {
 				t.Error(err)
@@ -154,3 +86,58 @@
 		})
 	}
 }
+
+// testCachedPostgresAnswers sends requests of the same statement from two clients.
+func testCachedPostgresAnswers(t *testing.T, addrs pooler.Addresses) {
+	a, errA := standin.DialPostgres(addrs.Postgres)
+	b, errB := standin.DialPostgres(addrs.Postgres)
+	if errA != nil || errB != nil {
+		t.Fatal(errA, errB)
+	}
+	read, other := standin.Read("any", 2*time.Second), standin.Read("any", 2*time.Second)
+	first, second := a.Do(read), b.Do(other)
+	if !first.Served() || second.Value != first.Value {
+		t.Errorf("%+v, then %+v", first, second)
+	}
+	if third := b.Do(standin.Read("view", 2*time.Second)); third.Value == first.Value {
+		t.Error("another class has the same answer")
+	}
+	if again := a.Do(standin.Read("any", 2*time.Second)); again.Value != first.Value {
+		t.Error("what one session did with it shows in the next")
+	}
+	_, _ = a.Close(), b.Close()
+}
+
+// testCachedMySQLAnswers sends requests of the same statement from two clients, and of others that must not have its answer.
+func testCachedMySQLAnswers(t *testing.T, addrs pooler.Addresses) {
+	a, errA := standin.DialMySQL(addrs.MySQL)
+	b, errB := standin.DialMySQL(addrs.MySQL)
+	if errA != nil || errB != nil {
+		t.Fatal(errA, errB)
+	}
+	plain := func(m *standin.MySQL, text string) (value string) {
+		if err := m.QueryRow(text).Scan(&value); err != nil {
+			t.Fatal(err)
+		}
+		return value
+	}
+	read, other := standin.Read("any", 2*time.Second), standin.Read("any", 2*time.Second)
+	first := plain(a, read)
+	if second := plain(b, other); second != first {
+		t.Errorf("%s, then %s", first, second)
+	}
+	if prepared := b.Do(standin.Read("any", 2*time.Second)); prepared.Value == first {
+		t.Error("a prepared statement has a plain one's answer")
+	}
+	const bare = "SELECT val FROM state WHERE uid = 'u1'"
+	if one, two := plain(a, bare), plain(b, bare); one == two || one == first {
+		t.Error("a statement without a class of its own has another's answer")
+	}
+	if _, err := b.Exec("SET NAMES latin2"); err != nil {
+		t.Fatal(err)
+	}
+	if latin := plain(b, standin.Read("any", 2*time.Second)); latin == first {
+		t.Error("a client of another charset has the same answer")
+	}
+	_, _ = a.Close(), b.Close()
+}
--- a/internal/pooler/disconnected_clients_test.go
+++ b/internal/pooler/disconnected_clients_test.go
@@ -8,15 +8,14 @@
 	"testing"
 	"time"
 
-	"threadsail/internal/config"
 	"threadsail/internal/dispatch"
 	"threadsail/internal/lab/standin"
 	"threadsail/internal/policy"
 	"threadsail/internal/pooler"
 )
 
-// disconnectPoint calls an act on a front's loop, once, at a moment of a request's way: nothing else is taken in meanwhile, so what happens in it
-// has not been read when the front goes on. Until the act's client has left no connection is made.
+// disconnectPoint calls an act on a frontend's loop, once, at a moment of a request's way: nothing else is taken in meanwhile, so what
+// happens in it has not been read when the frontend goes on. Until the act's client has disconnected no connection is made.
 type disconnectPoint struct {
 	mu   sync.Mutex
 	at   string
@@ -84,30 +83,24 @@
 	}
 }
 
+// disconnectTest is one client that disconnects at a moment of its request's way, or cancels it.
+type disconnectTest struct {
+	fleet  *standin.Fleet
+	at     string // the moment
+	how    string // "close", "reset" or "cancel"
+	point  *disconnectPoint
+	front  pooler.Frontend
+	none   sync.Once
+	down   chan struct{} // closed: the group has no primary any more
+	client rawClient
+	other  standin.Client
+	ids    map[string]bool // of the client's requests
+	before int             // attempts at the moment of the disconnect
+}
+
 func testDisconnectAt(t *testing.T, f *standin.Fleet, at, how string) {
-	w := &disconnectPoint{at: at, came: make(chan struct{})}
-	var front pooler.Frontend
-	var none sync.Once
-	lost := make(chan struct{})
-	a, terminate, ended, err := launchWith(f.Getenv, f.Hup, &pooler.FleetOptions{
-		Config:     &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
-		Open:       func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-		NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter { return w },
-		Attach: func(x pooler.Frontend) {
-			if x.Name != f.Wire() {
-				return
-			}
-			front = x
-			x.Dispatcher.OnOutcome(func(string, int, policy.Result, time.Duration) { w.reached("resends") })
-			x.Dispatcher.OnPrimary(func(kind policy.PrimaryEventKind, _ int, _ string, _ time.Duration) {
-				switch kind {
-				case policy.PrimaryFound:
-					w.reached("held")
-				case policy.PrimaryDown:
-					none.Do(func() { close(lost) })
-				}
-			})
-		}})
+	d := &disconnectTest{fleet: f, at: at, how: how, point: &disconnectPoint{at: at, came: make(chan struct{})}, down: make(chan struct{})}
+	a, terminate, ended, err := launchWith(f.Getenv, f.Hup, fleetOptions(d.attach, func() pooler.Limiter { return d.point }))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,105 +110,144 @@
 			t.Error(err)
 		}
 	}()
-	other, c := dial(t, a), newRawClient(t, a)
-	expectServed(t, other.Do(standin.Read("any", 20*time.Second)))
-	expectServed(t, other.Do(standin.Write("k1", 20*time.Second))) // the primary is known
+	d.other, d.client = dial(t, a), newRawClient(t, a)
+	expectServed(t, d.other.Do(standin.Read("any", 20*time.Second)))
+	expectServed(t, d.other.Do(standin.Write("k1", 20*time.Second))) // the primary is known
+	d.disconnect(t, d.requests())
+	d.expectNoRequests(t)
+	if n := d.attempts(); n != d.before {
+		t.Errorf("%d attempts after the client had gone", n-d.before)
+	}
+	expectServed(t, d.other.Do(standin.Write("k2", 20*time.Second)))
+}
+
+// attach has the point hear of what the dispatcher observes.
+func (d *disconnectTest) attach(front pooler.Frontend) {
+	if front.Name != d.fleet.Wire() {
+		return
+	}
+	d.front = front
+	front.Dispatcher.OnOutcome(func(string, int, policy.Result, time.Duration) { d.point.reached("resends") })
+	front.Dispatcher.OnPrimary(func(kind policy.PrimaryEventKind, _ int, _ string, _ time.Duration) {
+		switch kind {
+		case policy.PrimaryFound:
+			d.point.reached("held")
+		case policy.PrimaryDown:
+			d.none.Do(func() { close(d.down) })
+		}
+	})
+}
+
+// requests sets the servers up for the moment, and returns what the client sends.
+func (d *disconnectTest) requests() []byte {
 	text := standin.Read("any", 20*time.Second)
-	p := f.Servers[0]
-	switch at {
+	switch d.at {
 	case "resends":
-		for _, s := range f.Servers {
+		for _, s := range d.fleet.Servers {
 			s.Do(once(standin.Full))
 		}
 	case "held":
 		text = standin.Write("k", 20*time.Second)
-		p.Set(false, 0)
+		d.fleet.Servers[0].Set(false, 0)
 	}
-	ids := map[string]bool{idOf(text): true}
-	out := packet(c, text)
-	if at == "comes" { // with more behind it, the last of it not whole
+	d.ids = map[string]bool{idOf(text): true}
+	out := packet(d.client, text)
+	if d.at == "comes" { // with more behind it, the last of it not whole
 		for range 20 {
 			more := standin.Read("any", 20*time.Second)
-			ids[idOf(more)] = true
-			out = append(out, packet(c, more)...)
-		}
-		out = append(out, packet(c, strings.Repeat("x", 60<<10))[:30<<10]...)
-	}
-	seen := func() (n int) {
-		for _, s := range f.Servers {
-			for _, one := range s.Seen() {
-				if ids[one.ID] {
-					n++
-				}
-			}
-		}
-		return n
-	}
-	due, sent, before := make(chan struct{}), make(chan struct{}), 0
-	leave := func() error {
-		defer func() { before = seen() }()
-		if how != "cancel" {
-			return standin.Leave(netConnOf(c), how == "reset")
-		}
-		if old, ok := c.(oldMySQLClient); ok {
-			_, err := other.(*standin.MySQL).Exec(fmt.Sprintf("KILL QUERY %d", old.Thread))
-			return err
+			d.ids[idOf(more)] = true
+			out = append(out, packet(d.client, more)...)
 		}
-		return c.(*standin.Postgres).Cancel()
+		out = append(out, packet(d.client, strings.Repeat("x", 60<<10))[:30<<10]...)
 	}
+	return out
+}
+
+// disconnect sends the requests, and has the client disconnect or cancel at the moment.
+func (d *disconnectTest) disconnect(t *testing.T, requests []byte) {
+	w, due, sent := d.point, make(chan struct{}), make(chan struct{})
 	w.mu.Lock()
 	w.act = func() {
 		defer close(due)
-		if <-sent; how != "cancel" {
-			if err := leave(); err != nil {
+		<-sent
+		if d.how != "cancel" {
+			if err := d.leave(); err != nil {
 				t.Error(err)
 			}
 			w.left = true
 		}
 	}
 	w.mu.Unlock()
-	if _, err := c.Write(out); err != nil {
+	if _, err := d.client.Write(requests); err != nil {
 		t.Fatal(err)
 	}
 	close(sent)
-	wait := func(moment chan struct{}) {
-		t.Helper()
-		select {
-		case <-moment:
-		case <-time.After(20 * time.Second):
-			t.Fatal("the moment never comes")
-		}
+	expectMoment(t, w.came)
+	if d.at == "held" {
+		expectMoment(t, d.down)
 	}
-	if wait(w.came); at == "held" {
-		wait(lost)
-	}
-	if how == "cancel" {
-		if at != "held" {
-			wait(due)
+	if d.how == "cancel" {
+		if d.at != "held" {
+			expectMoment(t, due)
 		}
-		if err := leave(); err != nil {
+		if err := d.leave(); err != nil {
 			t.Fatal(err)
 		}
 		w.mu.Lock()
 		w.left = true
 		w.mu.Unlock()
 	}
-	p.Set(true, 0)
-	wait(due)
+	d.fleet.Servers[0].Set(true, 0)
+	expectMoment(t, due)
+}
+
+// expectMoment ends the test unless a moment comes within 20 s.
+func expectMoment(t *testing.T, moment chan struct{}) {
+	t.Helper()
+	select {
+	case <-moment:
+	case <-time.After(20 * time.Second):
+		t.Fatal("the moment never comes")
+	}
+}
+
+// leave has the client disconnect or cancel, and notes how many attempts there have been.
+func (d *disconnectTest) leave() error {
+	defer func() { d.before = d.attempts() }()
+	if d.how != "cancel" {
+		return standin.Leave(netConnOf(d.client), d.how == "reset")
+	}
+	if old, ok := d.client.(oldMySQLClient); ok {
+		_, err := d.other.(*standin.MySQL).Exec(fmt.Sprintf("KILL QUERY %d", old.Thread))
+		return err
+	}
+	return d.client.(*standin.Postgres).Cancel()
+}
+
+// attempts returns how many attempts of the client's requests the servers have seen.
+func (d *disconnectTest) attempts() (n int) {
+	for _, s := range d.fleet.Servers {
+		for _, seen := range s.Seen() {
+			if d.ids[seen.ID] {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// expectNoRequests waits until no request is in flight, for 20 s at most.
+func (d *disconnectTest) expectNoRequests(t *testing.T) {
 	open := make(chan int)
 	for until := time.Now().Add(20 * time.Second); ; {
-		front.Loop.Post(func() { open <- front.Dispatcher.OpenRequests() })
+		d.front.Loop.Post(func() { open <- d.front.Dispatcher.OpenRequests() })
 		if <-open == 0 {
-			break
+			return
 		}
 		if time.Now().After(until) {
 			t.Fatal("the request stays open")
 		}
 	}
-	if n := seen(); n != before {
-		t.Errorf("%d attempts after the client had gone", n-before)
-	}
-	expectServed(t, other.Do(standin.Write("k2", 20*time.Second)))
 }
 
 // Clients that send much at once and go, in order or by a reset, cost nobody else an answer, and leave nothing behind.
--- a/internal/pooler/discovery_agent_test.go
+++ b/internal/pooler/discovery_agent_test.go
@@ -171,65 +171,78 @@
 func TestReadyWithoutAList(t *testing.T) {
 	ends := make(chan struct{})
 	t.Cleanup(func() { close(ends) })
-	trickle := func(first, again string) func(net.Conn) {
-		return func(c net.Conn) {
-			for _, err := io.WriteString(c, first); err == nil; _, err = io.WriteString(c, again) {
-				select {
-				case <-ends:
-					return
-				case <-time.After(time.Millisecond):
-				}
-			}
-		}
-	}
 	for name, answer := range map[string]func(net.Conn){
 		"refused": nil,
 		"silent":  func(net.Conn) { <-ends },
-		"by byte": trickle("HTTP/1.1 200 OK\r\nX: ", "x"),
-		"endless": trickle("HTTP/1.1 200 OK\r\n\r\n"+`{"revision":2,"complete":true,"members":[`, strings.Repeat(" ", 64<<10)),
+		"by byte": trickle(ends, "HTTP/1.1 200 OK\r\nX: ", "x"),
+		"endless": trickle(ends, "HTTP/1.1 200 OK\r\n\r\n"+`{"revision":2,"complete":true,"members":[`, strings.Repeat(" ", 64<<10)),
 	} {
 		for _, how := range []string{"ask", "push"} {
 			for _, wire := range []string{"postgres", "mysql"} {
 				t.Run(name+" "+how+" "+wire, func(t *testing.T) {
 					t.Parallel()
-					ln, err := net.Listen("tcp", "127.0.0.1:0")
-					if err != nil {
-						t.Fatal(err)
-					}
-					t.Cleanup(func() { ln.Close() })
-					if answer == nil {
-						ln.Close()
-					}
-					go func() {
-						for {
-							c, err := ln.Accept()
-							if err != nil {
-								return
-							}
-							go func() { answer(c); c.Close() }()
-						}
-					}()
-					f := standin.NewFleet(t, wire == "mysql", func(s map[string]any) { s["discovery"] = how }, "p", "r")
-					f.Configure("known", map[string]any{"revision": 1, "complete": true, "members": (&agent{fleet: f}).entries()})
-					f.Configure("discovery", ln.Addr().String())
-					if wire == "mysql" {
-						f.Lists(map[string]any{"enabled": true, "mysql": map[string]any{"discovery": ln.Addr().String()}})
-					}
-					began := time.Now()
-					a := poolerProcess(t, f)
-					c := newRawClient(t, a)
-					if err := c.Send(""); err != nil {
-						t.Fatal(err)
-					}
-					if r := c.Receive(); r.Err != nil {
-						t.Errorf("an empty query got %v", r.Err)
-					}
-					expectServed(t, dial(t, a).Do(standin.Write("k", patience)))
-					if d := time.Since(began); d > 5*time.Second { // of the 10 allowed; 0.5 s to wait for an agent, 0.1 s without load
-						t.Errorf("a write was served after %v", d)
-					}
+					testReadyWithoutAList(t, answer, how, wire)
 				})
 			}
 		}
 	}
 }
+
+// trickle answers a call by first, and again and again by more, until ends is closed.
+func trickle(ends chan struct{}, first, more string) func(net.Conn) {
+	return func(c net.Conn) {
+		for _, err := io.WriteString(c, first); err == nil; _, err = io.WriteString(c, more) {
+			select {
+			case <-ends:
+				return
+			case <-time.After(time.Millisecond):
+			}
+		}
+	}
+}
+
+// listServiceOf accepts calls and answers each; nil: it accepts none.
+func listServiceOf(t *testing.T, answer func(net.Conn)) (addr string) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	if answer == nil {
+		_ = ln.Close()
+	}
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() { answer(c); _ = c.Close() }()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// testReadyWithoutAList starts a pooler whose list service answers so, and has it serve.
+func testReadyWithoutAList(t *testing.T, answer func(net.Conn), how, wire string) {
+	service := listServiceOf(t, answer)
+	f := standin.NewFleet(t, wire == "mysql", func(s map[string]any) { s["discovery"] = how }, "p", "r")
+	f.Configure("known", map[string]any{"revision": 1, "complete": true, "members": (&agent{fleet: f}).entries()})
+	f.Configure("discovery", service)
+	if wire == "mysql" {
+		f.Lists(map[string]any{"enabled": true, "mysql": map[string]any{"discovery": service}})
+	}
+	began := time.Now()
+	a := poolerProcess(t, f)
+	c := newRawClient(t, a)
+	if err := c.Send(""); err != nil {
+		t.Fatal(err)
+	}
+	if r := c.Receive(); r.Err != nil {
+		t.Errorf("an empty query got %v", r.Err)
+	}
+	expectServed(t, dial(t, a).Do(standin.Write("k", patience)))
+	if d := time.Since(began); d > 5*time.Second { // of the 10 allowed; 0.5 s to wait for an agent, 0.1 s without load
+		t.Errorf("a write was served after %v", d)
+	}
+}
--- a/internal/pooler/discovery_watcher_clock_test.go
+++ b/internal/pooler/discovery_watcher_clock_test.go
@@ -213,36 +213,42 @@
 	for _, name := range mixed {
 		t.Run(name, func(t *testing.T) {
 			for n := range 120 {
-				rng := rand.New(rand.NewPCG(uint64(n), 1))
-				fleet := []int{1, 5, 80, 300}[n%4]
-				pushed, moved := n%3 == 0, n%5 == 0
-				fault := func() string {
-					if name == "mixed" {
-						return outageFaults[rng.IntN(len(outageFaults))]
-					}
-					return name
-				}
-				length := time.Duration(rng.Int64N(int64(15 * time.Second)))
-				bound := notificationDelay - notificationMargin
-				if pushed {
-					bound = 4 * time.Second
-				}
-				after, told := listDelay(t, fleet, rng.IntN(fleet), pushed, moved, length, rng, fault)
-				if after < 0 || after > bound+time.Millisecond {
-					t.Fatalf("outage %d of %v, %d poolers, pushed %v, moved %v: heard %v after it", n, length, fleet, pushed, moved, after)
-				}
-				if told > length+after {
-					t.Fatalf("outage %d: told at %v, heard at %v", n, told, length+after)
-				}
-				// A service that turns calls down may have had the change for all that time; one that is not there had not.
-				want := length + after
-				if name == "503" || name == "no descriptor" {
-					want = min(want, notificationDelay)
-				}
-				if (name == "503" || name == "no descriptor" || name == "refused" || name == "never up") && !pushed && told != want {
-					t.Fatalf("outage %d: heard at %v, counts as told at %v", n, length+after, told)
-				}
+				testOutage(t, name, n)
 			}
 		})
 	}
 }
+
+// testOutage plays outage n of a kind of fault.
+func testOutage(t *testing.T, name string, n int) {
+	rng := rand.New(rand.NewPCG(uint64(n), 1))
+	fleet := []int{1, 5, 80, 300}[n%4]
+	pushed, moved := n%3 == 0, n%5 == 0
+	fault := func() string {
+		if name == "mixed" {
+			return outageFaults[rng.IntN(len(outageFaults))]
+		}
+		return name
+	}
+	length := time.Duration(rng.Int64N(int64(15 * time.Second)))
+	bound := notificationDelay - notificationMargin
+	if pushed {
+		bound = 4 * time.Second
+	}
+	after, told := listDelay(t, fleet, rng.IntN(fleet), pushed, moved, length, rng, fault)
+	if after < 0 || after > bound+time.Millisecond {
+		t.Fatalf("outage %d of %v, %d poolers, pushed %v, moved %v: heard %v after it", n, length, fleet, pushed, moved, after)
+	}
+	if told > length+after {
+		t.Fatalf("outage %d: told at %v, heard at %v", n, told, length+after)
+	}
+	// A service that turns calls down may have had the change for all that time; one that is not there had not.
+	want := length + after
+	rejected := name == "503" || name == "no descriptor"
+	if rejected {
+		want = min(want, notificationDelay)
+	}
+	if (rejected || name == "refused" || name == "never up") && !pushed && told != want {
+		t.Fatalf("outage %d: heard at %v, counts as told at %v", n, length+after, told)
+	}
+}
--- a/internal/pooler/limiter_test.go
+++ b/internal/pooler/limiter_test.go
@@ -6,12 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
-	"threadsail/internal/config"
 	"threadsail/internal/dispatch"
 	"threadsail/internal/lab/standin"
-	"threadsail/internal/policy"
 	"threadsail/internal/pooler"
 )
 
@@ -50,56 +46,13 @@
 		t.Run(pair.name, func(t *testing.T) {
 			t.Parallel()
 			f := standin.NewMixedFleet(t, pair.mysql, pair.speak, nil, "p", "r", "s")
-			cfg, err := config.Load(f.Getenv)
-			if err != nil {
-				t.Fatal(err)
-			}
-			my, err := config.LoadMySQL(f.Getenv, cfg)
-			if err != nil {
-				t.Fatal(err)
-			}
 			var leave atomic.Int64
-			part := &pooler.FleetOptions{Config: &config.Fleet{Name: "n1", LeaseConfig: config.LeaseConfig{Term: time.Second, MaxClockDrift: 10 * time.Millisecond}, StragglerTimeout: time.Minute},
-				Open: func(pooler.FleetEvents) (pooler.Fleet, error) { return idleFleet{}, nil },
-				NewLimiter: func(func(int) policy.Class, func() policy.Settings) pooler.Limiter {
-					return &scarceLimiter{leave: &leave}
-				}}
-			ready, terminate, ended := make(chan pooler.Addresses, 1), make(chan struct{}), make(chan error, 1)
-			go func() {
-				ended <- pooler.Serve(cfg, my, zerolog.Nop(), pooler.Control{Terminate: terminate, Fleet: part}, func(a pooler.Addresses) { ready <- a })
-			}()
-			var addrs pooler.Addresses
-			select {
-			case addrs = <-ready:
-			case err := <-ended:
+			options := fleetOptions(nil, func() pooler.Limiter { return &scarceLimiter{leave: &leave} })
+			addrs, terminate, ended, err := launchWith(f.Getenv, nil, options)
+			if err != nil {
 				t.Fatal(err)
 			}
-			var clients sync.WaitGroup
-			var good, all atomic.Int64
-			for range 6 {
-				c := dial(t, addrs)
-				clients.Go(func() {
-					for i := range 20 {
-						text := standin.Read("any", patience)
-						if i%5 == 0 {
-							text = standin.Write("", patience)
-						}
-						r := c.Do(text)
-						if all.Add(1); r.Served() {
-							good.Add(1)
-						} else if !r.Refused && !r.Failed {
-							t.Errorf("neither served, refused nor failed: %+v", r)
-						}
-					}
-				})
-			}
-			answered := make(chan struct{})
-			go func() { clients.Wait(); close(answered) }()
-			select {
-			case <-answered:
-			case <-time.After(time.Minute):
-				t.Fatalf("%d of 120 requests are answered", all.Load())
-			}
+			served := sendMany(t, addrs)
 			close(terminate)
 			if err := <-ended; err != nil {
 				t.Error(err)
@@ -111,9 +64,42 @@
 			if int64(came) > leave.Load() || came == 0 {
 				t.Errorf("%d connections came to the servers, %d were let", came, leave.Load())
 			}
-			if good.Load() < 20 {
-				t.Errorf("%d of 120 requests served", good.Load())
+			if served < 20 {
+				t.Errorf("%d of 120 requests served", served)
+			}
+		})
+	}
+}
+
+// sendMany sends 20 requests each from six clients and returns how many were served. It ends the test unless all are answered
+// within a minute.
+func sendMany(t *testing.T, addrs pooler.Addresses) int64 {
+	var clients sync.WaitGroup
+	var good, all atomic.Int64
+	for range 6 {
+		c := dial(t, addrs)
+		clients.Go(func() {
+			for i := range 20 {
+				text := standin.Read("any", patience)
+				if i%5 == 0 {
+					text = standin.Write("", patience)
+				}
+				r := c.Do(text)
+				all.Add(1)
+				if r.Served() {
+					good.Add(1)
+				} else if !r.Refused && !r.Failed {
+					t.Errorf("neither served, refused nor failed: %+v", r)
+				}
 			}
 		})
 	}
+	answered := make(chan struct{})
+	go func() { clients.Wait(); close(answered) }()
+	select {
+	case <-answered:
+	case <-time.After(time.Minute):
+		t.Fatalf("%d of 120 requests are answered", all.Load())
+	}
+	return good.Load()
 }
--- a/internal/pooler/reload_test.go
+++ b/internal/pooler/reload_test.go
@@ -52,27 +52,11 @@
 		expectServed(t, c.Do(standin.Read("any", patience)))
 		close(release)
 		expectServed(t, <-ended) // by its second attempt, as its class allowed when it came
-		came := func() (n int) {
-			for _, s := range f.Servers {
-				n += s.Came()
-			}
-			return n
-		}
 		caps := settings["caps"].(map[string]any)
 		caps["connIdleMs"] = 1
 		f.Reload("settings", settings)
 		expectInfo(t, a, "edge_proxy_config_reloads 2", "edge_proxy_config_reload_errors 0")
-		before := came()
-		for n := 0; n < 4; {
-			if r := c.Do(standin.Read("any", patience)); r.Served() {
-				n++
-			} else if !r.Refused { // as a busy machine's may be
-				t.Fatalf("a read got %+v", r)
-			}
-		}
-		if n := came() - before; n < 4 {
-			t.Errorf("%d new connections for 4 reads, where none is kept for a millisecond", n)
-		}
+		expectNewConnections(t, f, c)
 		wrong := 0
 		if mysql { // whose front serves statements without a comment by a class of reads
 			settings["lanes"] = []any{write, more}
@@ -87,3 +71,25 @@
 		expectServed(t, c.Do(standin.Write("k3", patience)))
 	})
 }
+
+// expectNewConnections has four reads served, each over a new connection to a server.
+func expectNewConnections(t *testing.T, f *standin.Fleet, c standin.Client) {
+	t.Helper()
+	came := func() (n int) {
+		for _, s := range f.Servers {
+			n += s.Came()
+		}
+		return n
+	}
+	before := came()
+	for n := 0; n < 4; {
+		if r := c.Do(standin.Read("any", patience)); r.Served() {
+			n++
+		} else if !r.Refused { // as a busy machine's may be
+			t.Fatalf("a read got %+v", r)
+		}
+	}
+	if n := came() - before; n < 4 {
+		t.Errorf("%d new connections for 4 reads, where none is kept for a millisecond", n)
+	}
+}
--- a/internal/pooler/translate_test.go
+++ b/internal/pooler/translate_test.go
@@ -107,17 +107,20 @@
 	return f, poolerProcess(t, f)
 }
 
-// A client's statements, prepared and plain, with values of every type, come to a PostgreSQL server as it understands them,
-// and its answers to the client as MySQL's.
-func TestTranslatedValues(t *testing.T) {
-	all := standin.Rows{Fields: fields(16, 17, 20, 21, 23, 25, 700, 701, 1082, 1083, 1114, 1184, 1700, 3802, 25),
-		Values: [][][]byte{texts("t", `\x00ff`, "-9223372036854775808", "-7", "42", "Őszi ünnep", "1.5", "2.25", "2026-12-01", "17:00:01",
-			"2026-12-01 17:00:00.25", "2026-12-01 16:00:00+00", "12345678901234567890.10", `{"a": 1}`, "NULL")}, Tag: "SELECT 1"}
-	want := []string{"1", "\x00\xff", "-9223372036854775808", "-7", "42", "Őszi ünnep", "1.5", "2.25", "2026-12-01", "17:00:01",
-		"2026-12-01 17:00:00.25", "2026-12-01 16:00:00", "12345678901234567890.10", `{"a": 1}`, "NULL"}
-	l := &scriptedPostgres{rows: map[string]standin.Rows{
-		"SELECT * FROM lesson": all,
-		`SELECT * FROM lesson WHERE "user" = $1 LIMIT $3 OFFSET $2`: all,
+// lesson is a row with a value of every type that is translated, as PostgreSQL sends it.
+var lesson = standin.Rows{Fields: fields(16, 17, 20, 21, 23, 25, 700, 701, 1082, 1083, 1114, 1184, 1700, 3802, 25),
+	Values: [][][]byte{texts("t", `\x00ff`, "-9223372036854775808", "-7", "42", "Őszi ünnep", "1.5", "2.25", "2026-12-01", "17:00:01",
+		"2026-12-01 17:00:00.25", "2026-12-01 16:00:00+00", "12345678901234567890.10", `{"a": 1}`, "NULL")}, Tag: "SELECT 1"}
+
+// lessonValues is the same row as MySQL's clients read it.
+var lessonValues = []string{"1", "\x00\xff", "-9223372036854775808", "-7", "42", "Őszi ünnep", "1.5", "2.25", "2026-12-01", "17:00:01",
+	"2026-12-01 17:00:00.25", "2026-12-01 16:00:00", "12345678901234567890.10", `{"a": 1}`, "NULL"}
+
+// lessonStatements returns a server that answers the statements of TestTranslatedValues.
+func lessonStatements() *scriptedPostgres {
+	return &scriptedPostgres{rows: map[string]standin.Rows{
+		"SELECT * FROM lesson": lesson,
+		`SELECT * FROM lesson WHERE "user" = $1 LIMIT $3 OFFSET $2`: lesson,
 		`INSERT INTO "lesson" (a) VALUES ($1), ($2) RETURNING "id"`: {Fields: fields(20), Values: [][][]byte{texts("77"), texts("78")}, Tag: "INSERT 0 2"},
 		"UPDATE lesson SET a = $1, b = $2, c = $3, d = $4":          {Tag: "UPDATE 3"},
 		"SELECT nothing FROM lesson":                                {Fields: fields(25), Tag: "SELECT 0"},
@@ -127,48 +130,76 @@
 		"SELECT point FROM lesson":                                  {Fields: fields(600), Values: [][][]byte{texts("(1,2)")}, Tag: "SELECT 1"},
 	}, types: map[string][]uint32{`SELECT * FROM lesson WHERE "user" = $1 LIMIT $3 OFFSET $2`: {25, 20, 20},
 		"UPDATE lesson SET a = $1, b = $2, c = $3, d = $4": {17, 16, 1114, 20}}}
-	_, a := newTranslatingPooler(t, l)
-	db := openMySQL(t, a, nil)
-	scan := func(rows *sql.Rows, err error) (out []string) {
-		t.Helper()
-		if err != nil {
+}
+
+// scanLessons returns the values of all rows.
+func scanLessons(t *testing.T, rows *sql.Rows, err error) (out []string) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = rows.Close() }()
+	for rows.Next() {
+		values, into := make([]sql.NullString, len(lessonValues)), make([]any, len(lessonValues))
+		for i := range values {
+			into[i] = &values[i]
+		}
+		if err := rows.Scan(into...); err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = rows.Close() }()
-		for rows.Next() {
-			values, into := make([]sql.NullString, len(want)), make([]any, len(want))
-			for i := range values {
-				into[i] = &values[i]
-			}
-			if err := rows.Scan(into...); err != nil {
-				t.Fatal(err)
-			}
-			for _, v := range values {
-				if !v.Valid {
-					v.String = "NULL"
-				}
-				out = append(out, v.String)
+		for _, v := range values {
+			if !v.Valid {
+				v.String = "NULL"
 			}
+			out = append(out, v.String)
 		}
-		return out
 	}
-	if d := cmp.Diff(want, scan(db.Query("SELECT * FROM lesson"))); d != "" {
+	return out
+}
+
+// A client's statements, prepared and plain, with values of every type, come to a PostgreSQL server as it understands them,
+// and its answers to the client as MySQL's.
+func TestTranslatedValues(t *testing.T) {
+	l := lessonStatements()
+	_, a := newTranslatingPooler(t, l)
+	db := openMySQL(t, a, nil)
+	testTranslatedRows(t, db, l)
+	testTranslatedWrites(t, db, l)
+	testTranslatedErrors(t, db, l)
+	if err := db.Ping(); err != nil {
+		t.Error(err)
+	}
+}
+
+// testTranslatedRows reads rows by plain and by prepared statements.
+func testTranslatedRows(t *testing.T, db *sql.DB, l *scriptedPostgres) {
+	rows, err := db.Query("SELECT * FROM lesson")
+	if d := cmp.Diff(lessonValues, scanLessons(t, rows, err)); d != "" {
 		t.Error("in text rows:", d)
 	}
 	st, err := db.Prepare("SELECT * FROM lesson WHERE user = ? LIMIT ?, ?")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := scan(st.Query("ő", 10, 5))
+	rows, err = st.Query("ő", 10, 5)
+	got := scanLessons(t, rows, err)
 	for i := range got { // the driver words the fractions of binary rows with six digits
 		got[i] = strings.Replace(strings.TrimSuffix(got[i], ".000000"), ".250000", ".25", 1)
 	}
-	if d := cmp.Diff(want, got); d != "" {
+	if d := cmp.Diff(lessonValues, got); d != "" {
 		t.Error("in binary rows:", d)
 	}
 	if q := l.last(); !strings.HasSuffix(q, `["ő" "10" "5"]`) {
 		t.Error("the server was asked", q)
 	}
+	rows, err = db.Query("SELECT nothing FROM lesson")
+	if got := scanLessons(t, rows, err); len(got) > 0 {
+		t.Error("no rows are", got)
+	}
+}
+
+// testTranslatedWrites writes by prepared statements.
+func testTranslatedWrites(t *testing.T, db *sql.DB, l *scriptedPostgres) {
 	exec := func(text string, args ...any) sql.Result {
 		t.Helper()
 		r, err := db.Exec(text, args...)
@@ -186,9 +217,10 @@
 	if n, _ := r.RowsAffected(); n != 3 || !strings.HasSuffix(l.last(), `["\\x00ff" "1" "2026-12-01 17:00:00" "18446744073709551615"]`) {
 		t.Errorf("%d rows, the server was asked %s", n, l.last())
 	}
-	if got := scan(db.Query("SELECT nothing FROM lesson")); len(got) > 0 {
-		t.Error("no rows are", got)
-	}
+}
+
+// testTranslatedErrors sends what can't be translated, and what the server answers by an error.
+func testTranslatedErrors(t *testing.T, db *sql.DB, l *scriptedPostgres) {
 	for text, code := range map[string]string{"SELECT inf FROM lesson": "1264", "SELECT dup FROM lesson": "1062", "SELECT point FROM lesson": "1235",
 		"SELECT a / 2 FROM lesson": "1235", "SHOW TABLES": "1235", "SELECT GROUP_CONCAT(a) FROM lesson": "1235"} {
 		before := l.last()
@@ -202,37 +234,13 @@
 	if r := standin.FromMySQL(func() error { _, err := db.Exec("SELECT odd FROM lesson /* d=300 */"); return err }()); !r.Refused && !r.Failed {
 		t.Errorf("an unknown error is %+v", r)
 	}
-	if err := db.Ping(); err != nil {
-		t.Error(err)
-	}
 }
 
 // A text of 8 bits a character comes back as it was, over servers that speak UTF-8, on either wire; what is no text, or can't
 // be written for the client, is an error.
 func TestEightBitClients(t *testing.T) {
 	for _, name := range []string{"latin2", "cp1250"} {
-		t.Run(name, func(t *testing.T) {
-			l := &scriptedPostgres{rows: map[string]standin.Rows{
-				"SELECT 'Bőgő és fűz'": {Fields: fields(25), Values: [][][]byte{texts("Bőgő és fűz")}, Tag: "SELECT 1"},
-				"SELECT $1":            {Fields: fields(25), Values: [][][]byte{texts("fűz")}, Tag: "SELECT 1"},
-				"SELECT 'jp'":          {Fields: fields(25), Values: [][][]byte{texts("日本")}, Tag: "SELECT 1"}}}
-			_, a := newTranslatingPooler(t, l)
-			db := openMySQL(t, a, withCharset(t, name))
-			var got string
-			if err := db.QueryRow("SELECT 'B\xf5g\xf5 \xe9s f\xfbz'").Scan(&got); err != nil || got != "B\xf5g\xf5 \xe9s f\xfbz" {
-				t.Errorf("%q, %v", got, err)
-			}
-			st, err := db.Prepare("SELECT ?")
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := st.QueryRow("f\xfbz").Scan(&got); err != nil || got != "f\xfbz" || !strings.HasSuffix(l.last(), `["fűz"]`) {
-				t.Errorf("%q, %v; the server was asked %s", got, err, l.last())
-			}
-			if err := db.QueryRow("SELECT 'jp'").Scan(&got); standin.FromMySQL(err).Code != "1366" {
-				t.Errorf("日本 is %q, %v", got, err)
-			}
-		})
+		t.Run(name, func(t *testing.T) { testEightBitOverPostgres(t, name) })
 	}
 	t.Run("no text", func(t *testing.T) {
 		_, a := newTranslatingPooler(t, &scriptedPostgres{})
@@ -240,26 +248,52 @@
 			t.Error("a sequence that is no UTF-8 passes")
 		}
 	})
-	t.Run("old wire", func(t *testing.T) { // the stand-in repeats what it was asked: it must be UTF-8, and come back as it was
-		f := standin.NewFleet(t, true, nil, "ő")
-		db := openMySQL(t, poolerProcess(t, f), withCharset(t, "latin2"))
-		var got string
-		if err := db.QueryRow("SELECT val FROM state WHERE uid = 'f\xfbz'").Scan(&got); err != nil || got != "from \xf5" {
-			t.Errorf("%q, %v", got, err)
-		}
-		st, err := db.Prepare("SELECT val FROM state WHERE uid = ? AND k = 'f\xfbz'")
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := st.QueryRow("\xf5").Scan(&got); err != nil || got != "from \xf5" {
-			t.Errorf("%q, %v", got, err)
-		}
-		for _, seen := range f.Servers[0].Seen() {
-			if !strings.Contains(seen.Text, "fűz") {
-				t.Errorf("the server was asked %q", seen.Text)
-			}
+	t.Run("old wire", testEightBitOverMySQL)
+}
+
+func testEightBitOverPostgres(t *testing.T, charset string) {
+	l := &scriptedPostgres{rows: map[string]standin.Rows{
+		"SELECT 'Bőgő és fűz'": {Fields: fields(25), Values: [][][]byte{texts("Bőgő és fűz")}, Tag: "SELECT 1"},
+		"SELECT $1":            {Fields: fields(25), Values: [][][]byte{texts("fűz")}, Tag: "SELECT 1"},
+		"SELECT 'jp'":          {Fields: fields(25), Values: [][][]byte{texts("日本")}, Tag: "SELECT 1"}}}
+	_, a := newTranslatingPooler(t, l)
+	db := openMySQL(t, a, withCharset(t, charset))
+	var got string
+	if err := db.QueryRow("SELECT 'B\xf5g\xf5 \xe9s f\xfbz'").Scan(&got); err != nil || got != "B\xf5g\xf5 \xe9s f\xfbz" {
+		t.Errorf("%q, %v", got, err)
+	}
+	st, err := db.Prepare("SELECT ?")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := st.QueryRow("f\xfbz").Scan(&got); err != nil || got != "f\xfbz" || !strings.HasSuffix(l.last(), `["fűz"]`) {
+		t.Errorf("%q, %v; the server was asked %s", got, err, l.last())
+	}
+	if err := db.QueryRow("SELECT 'jp'").Scan(&got); standin.FromMySQL(err).Code != "1366" {
+		t.Errorf("日本 is %q, %v", got, err)
+	}
+}
+
+// testEightBitOverMySQL: the stand-in repeats what it was asked, which must be UTF-8, and come back as it was.
+func testEightBitOverMySQL(t *testing.T) {
+	f := standin.NewFleet(t, true, nil, "ő")
+	db := openMySQL(t, poolerProcess(t, f), withCharset(t, "latin2"))
+	var got string
+	if err := db.QueryRow("SELECT val FROM state WHERE uid = 'f\xfbz'").Scan(&got); err != nil || got != "from \xf5" {
+		t.Errorf("%q, %v", got, err)
+	}
+	st, err := db.Prepare("SELECT val FROM state WHERE uid = ? AND k = 'f\xfbz'")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := st.QueryRow("\xf5").Scan(&got); err != nil || got != "from \xf5" {
+		t.Errorf("%q, %v", got, err)
+	}
+	for _, seen := range f.Servers[0].Seen() {
+		if !strings.Contains(seen.Text, "fűz") {
+			t.Errorf("the server was asked %q", seen.Text)
 		}
-	})
+	}
 }
 
 // The primary moves from the old wire to the new one in the middle of a prepared statement's life, and back: for the client
@@ -368,52 +402,66 @@
 			t.Run(name+", "+pair.name, func(t *testing.T) {
 				t.Parallel()
 				f := standin.NewMixedFleet(t, pair.mysql, pair.speak, nil, "p", "r")
-				c, p := dial(t, poolerProcess(t, f)), f.Servers[0]
-				expectServed(t, c.Do(standin.Write("k0", patience)))
-				try := func(key string, act func(standin.Seen) standin.Act, well func()) (ran int, first, last standin.Result) {
-					var mu sync.Mutex
-					p.Do(func(s standin.Seen) standin.Act {
-						a := act(s)
-						mu.Lock()
-						defer mu.Unlock()
-						if a == standin.Answer || a == standin.Break {
-							ran++
-						}
-						return a
-					})
-					for tries := 1; ; tries++ {
-						last = c.Do(standin.Write(key, 300*time.Millisecond))
-						if tries == 1 {
-							first = last
-							well()
-						}
-						if last.Served() || tries == 20 || !habit(last) {
-							mu.Lock()
-							defer mu.Unlock()
-							return ran, first, last
-						}
-					}
-				}
-				var full atomic.Bool
-				full.Store(true)
-				ran, first, last := try("k1", func(standin.Seen) standin.Act {
-					if full.Load() {
-						return standin.Full
-					}
-					return standin.Answer
-				}, func() { full.Store(false) })
-				if !first.Refused || name == "gives up" && ran > 0 || name != "gives up" && (!last.Served() || ran != 1) {
-					t.Errorf("refused, it ran %d times: first %+v, last %+v", ran, first, last)
-				}
-				ran, first, last = try("", once(standin.Break), func() {})
-				if !first.Failed || ran != 1 || last != first {
-					t.Errorf("broken, it ran %d times: first %+v, last %+v", ran, first, last)
-				}
+				c := &connector{client: dial(t, poolerProcess(t, f)), primary: f.Servers[0], resends: habit}
+				testConnector(t, c, name == "gives up")
 			})
 		}
 	}
 }
 
+// connector is a client that resends what its habit says, 20 times at the most.
+type connector struct {
+	client  standin.Client
+	primary *standin.Server
+	resends func(standin.Result) bool
+}
+
+// write sends a write until it is served or not resent. act is what the primary does with each statement, afterFirst runs after
+// the first answer. ran is how often the primary has run it.
+func (c *connector) write(key string, act func(standin.Seen) standin.Act, afterFirst func()) (ran int, first, last standin.Result) {
+	var mu sync.Mutex
+	c.primary.Do(func(s standin.Seen) standin.Act {
+		a := act(s)
+		mu.Lock()
+		defer mu.Unlock()
+		if a == standin.Answer || a == standin.Break {
+			ran++
+		}
+		return a
+	})
+	for tries := 1; ; tries++ {
+		last = c.client.Do(standin.Write(key, 300*time.Millisecond))
+		if tries == 1 {
+			first = last
+			afterFirst()
+		}
+		if last.Served() || tries == 20 || !c.resends(last) {
+			mu.Lock()
+			defer mu.Unlock()
+			return ran, first, last
+		}
+	}
+}
+
+func testConnector(t *testing.T, c *connector, givesUp bool) {
+	expectServed(t, c.client.Do(standin.Write("k0", patience)))
+	var full atomic.Bool
+	full.Store(true)
+	ran, first, last := c.write("k1", func(standin.Seen) standin.Act {
+		if full.Load() {
+			return standin.Full
+		}
+		return standin.Answer
+	}, func() { full.Store(false) })
+	if !first.Refused || givesUp && ran > 0 || !givesUp && (!last.Served() || ran != 1) {
+		t.Errorf("refused, it ran %d times: first %+v, last %+v", ran, first, last)
+	}
+	ran, first, last = c.write("", once(standin.Break), func() {})
+	if !first.Failed || ran != 1 || last != first {
+		t.Errorf("broken, it ran %d times: first %+v, last %+v", ran, first, last)
+	}
+}
+
 // What newer MySQL servers have renamed reads to an old client as it did: statements, the columns of their answers, numbers of
 // errors; and old clients still get a table's columns by a command of their own.
 func TestRenamed(t *testing.T) {
