--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads, checks and completes all configuration of a pooler: the environment, the file that PROXY_CONFIG names, and the
-// operators' files of the MySQL front, the server lists and the fleet. An error names the file, the line and the key at fault. The
+// operators' files of the MySQL frontend, the server lists and the fleet. An error names the file, the line and the key at fault. The
 // package decides nothing, starts nothing, and reads files only when it is called; what it returns belongs to the caller.
 package config
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,6 @@
 	"threadsail/internal/jsonfile"
 	"threadsail/internal/policy"
 	"threadsail/internal/protocol/discovery"
-	"threadsail/internal/serverlist"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.4:6432","admin":"127.0.0.4:12000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
@@ -197,62 +196,3 @@
 		}
 	})
 }
-
-func TestMySQL(t *testing.T) {
-	text := `{"enabled":true,"listen":"127.0.0.1:3306","inventory":"i.csv","user":"u","reload_ms":50,
-"defaults":{"read":{"class":"r"},"write":{"class":"w","cluster":2}}}`
-	classes := []string{"r", "w"}
-	got, err := parseMySQL([]byte(text), classes, false)
-	want := &MySQL{Listen: "127.0.0.1:3306", Inventory: "i.csv", User: "u", ReadDefault: StatementDefault{"r", 0}, WriteDefault: StatementDefault{"w", 2},
-		ReloadInterval: 50 * time.Millisecond, ProbeTimeout: defaultProbeTimeout, Postgres: Postgres{User: "u", Database: "core"}}
-	if d := cmp.Diff(want, got); d != "" || err != nil {
-		t.Error(err, d)
-	}
-	for key, change := range map[string][2]string{
-		"listen": {"127.0.0.1:3306", ":x"}, "inventory": {"i.csv", ""}, "user": {`"u"`, `""`},
-		"defaults.read.class": {`"r"`, `"q"`}, "defaults.write.cluster": {`"cluster":2`, `"cluster":-2`}, "reload_ms": {"50", "-50"},
-		"colour": {`"user"`, `"colour"`},
-	} {
-		if _, err := parseMySQL([]byte(strings.Replace(text, change[0], change[1], 1)), classes, false); err == nil ||
-			!strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
-		}
-	}
-	if off, err := parseMySQL([]byte(`{"enabled":false}`), classes, false); off != nil || err != nil {
-		t.Error(off, err)
-	}
-	path := filepath.Join(t.TempDir(), "missing.json")
-	if _, err := LoadMySQL(func(string) string { return path }, &Config{ServerLists: defaultServerLists()}); err == nil {
-		t.Error("a file that is named but missing passes")
-	}
-	if shipped, err := os.ReadFile("../../" + MySQLFile); err != nil {
-		t.Error(err)
-	} else if off, err := parseMySQL(shipped, nil, false); off != nil || err != nil {
-		t.Error("the shipped file is not off, or wrong:", err)
-	}
-}
-
-func TestLists(t *testing.T) {
-	text := `{"enabled":true,"postgres":{"file":"a.csv"},"mysql":{"discovery":"127.0.0.1:1"},"state":"s","seal":"required",
-"settle_ms":0,"settle_removal_ms":10,"hold_ms":0,"hold_share":0.5,"keep":2,"poll_ms":50}`
-	got, err := parseServerLists([]byte(text))
-	want := &ServerLists{Postgres: ListSource{File: "a.csv"}, MySQL: ListSource{DiscoveryAddr: "127.0.0.1:1"}, ArchiveDir: "s",
-		PollInterval: 50 * time.Millisecond, Policy: serverlist.Policy{RemovalSettleTime: 10 * time.Millisecond, MaxLossShare: 0.5, RequireSeal: true, MaxGenerations: 2}}
-	if d := cmp.Diff(want, got); d != "" || err != nil {
-		t.Error(err, d)
-	}
-	for key, change := range map[string][2]string{
-		"postgres: file and": {`"file":"a.csv"`, `"file":"a.csv","discovery":"127.0.0.1:1"`}, "mysql.discovery": {"127.0.0.1:1", "x"},
-		"seal": {"required", "maybe"}, "settle_ms": {`"settle_ms":0`, `"settle_ms":-1`}, "hold_share": {"0.5", "1.5"}, "hold_shar": {"hold_share", "hold_shar"},
-		"keep": {`"keep":2`, `"keep":0`}, "poll_ms": {"50", "5"}, "follows": {`50}`, `50}{}`}, "state": {`"s"`, `7`},
-	} {
-		if _, err := parseServerLists([]byte(strings.Replace(text, change[0], change[1], 1))); err == nil || !strings.Contains(strings.ToLower(err.Error()), key) {
-			t.Errorf("%s: %v", key, err)
-		}
-	}
-	if shipped, err := os.ReadFile("../../" + ServerListsFile); err != nil {
-		t.Error(err)
-	} else if off, err := parseServerLists(shipped); cmp.Diff(defaultServerLists(), off) != "" || err != nil {
-		t.Error("the shipped file is not off, or wrong:", err)
-	}
-}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,7 +13,7 @@
 	"threadsail/internal/protocol/discovery"
 )
 
-// FleetFile is where the file of the poolers' own fleet lies unless PROXY_FLEET names another.
+// FleetFile is the path of the fleet's file unless PROXY_FLEET names another.
 const FleetFile = "deploy/fleet.json"
 
 // Fleet is how this pooler takes part in the fleet of poolers.
@@ -27,7 +27,7 @@
 	// on can be used without a call of this pooler's own.
 	SharedAddresses  bool
 	Journal          JournalConfig
-	StragglerTimeout time.Duration // as duty.Lists.Bound
+	StragglerTimeout time.Duration // after which a pooler that follows the fleet polls the list of servers by itself
 	Outliers         OutlierConfig
 	Purges           PurgeConfig
 	Shards           ShardConfig
@@ -37,35 +37,35 @@
 	Distribution DistributionConfig
 }
 
-// GossipConfig is how this pooler and others reach each other.
+// GossipConfig is how this pooler and the fleet's other poolers reach each other.
 type GossipConfig struct {
-	Listen    string // for other poolers, TCP and UDP; an IP address and a port
-	Advertise string // where others reach it; empty: as Listen
-	Peers     []Peer // some others, for a start
+	Listen    string // IP address and port for other poolers, TCP and UDP
+	Advertise string // address at which others reach this pooler; empty: Listen
+	Peers     []Peer // some other poolers, to join the fleet by
 }
 
-// LeaseConfig is the times of leases.
+// LeaseConfig has the times of the fleet's leases.
 type LeaseConfig struct {
 	Term            time.Duration // of a lease
-	MaxClockDrift   time.Duration // the most by which two monotonic clocks differ over a term
-	ElectionTimeout time.Duration // timeout after which a voter stands for election
+	MaxClockDrift   time.Duration // by which two monotonic clocks may differ over a term
+	ElectionTimeout time.Duration // after which a voter that hears no leader stands for election
 }
 
-// RevisionConfig is what this pooler runs, and what it tells the fleet to require.
+// RevisionConfig is the revision of this pooler's files, and what this pooler proposes that the fleet requires.
 type RevisionConfig struct {
-	ConfigRevision    uint64 // of this pooler's files, as the operators count it; 0: they don't
-	MinConfigRevision uint64 // the least revision that may take writes
-	MinBuild          string // the least version that may take writes, such as v1.4.0; empty: any
+	ConfigRevision    uint64 // of this pooler's files, as its operators count them; 0: they do not
+	MinConfigRevision uint64 // with which a pooler may take writes
+	MinBuild          string // version, such as v1.4.0, with which a pooler may take writes; empty: any
 }
 
-// JournalConfig is the pooler's journal of acts; File empty: it keeps none.
+// JournalConfig is the pooler's journal for audits; without a File it keeps none.
 type JournalConfig struct {
 	File       string
 	MaxBytes   int64 // of one file, before it is rotated
-	MaxRotated int   // rotated files
+	MaxRotated int   // rotated files that are kept
 }
 
-// ReplicaConfig is the pooler's copy of the fleet's documents; Dir empty: it is kept in memory alone.
+// ReplicaConfig is the pooler's replica of the fleet's documents; without a Dir it is kept in memory alone.
 type ReplicaConfig struct {
 	Dir string `json:"dir"`
 }
@@ -76,15 +76,15 @@
 	Addr string `json:"addr"`
 }
 
-// VoterConfig is what a voter of the consensus needs; Listen empty: this pooler is none.
+// VoterConfig is what a voter of the consensus needs; without Listen this pooler is none.
 type VoterConfig struct {
-	Listen string `json:"listen"`
-	Dir    string `json:"dir"`
-	Join   bool   `json:"join"` // it joins voters that there are already
+	Listen string `json:"listen"` // IP address and port for the fleet's poolers
+	Dir    string `json:"dir"`    // of its log
+	Join   bool   `json:"join"`   // it joins voters that are running already
 }
 
-// FleetEnabled tells whether the file of the fleet asks for its parts, and reads nothing else of it: a pooler without those
-// parts must start whatever keys a newer build has there.
+// FleetEnabled tells whether the fleet's file turns the fleet on, and reads nothing else of it: a program without a fleet must start
+// whatever keys a newer build has there.
 func FleetEnabled(getenv func(string) string) (bool, error) {
 	path, text, err := readFleetFile(getenv)
 	if text == nil {
@@ -99,7 +99,7 @@
 	return file.Enabled, nil
 }
 
-// readFleetFile reads the file of the fleet; nil without an error: there is none.
+// readFleetFile reads the fleet's file; nil without an error: there is none.
 func readFleetFile(getenv func(string) string) (path string, text []byte, err error) {
 	path = firstSet(getenv("PROXY_FLEET"), FleetFile)
 	text, err = os.ReadFile(path)
@@ -112,8 +112,8 @@
 	return path, text, nil
 }
 
-// LoadFleet reads the file of the fleet. Without the file, or with "enabled" false, the pooler is on its own: nil. An error
-// names the file, the line and the key.
+// LoadFleet reads the fleet's file. Without the file, or with "enabled" false, it returns nil: the pooler is on its own. An error names
+// the file, the line and the key.
 func LoadFleet(getenv func(string) string, cfg *Config) (*Fleet, error) {
 	path, text, err := readFleetFile(getenv)
 	if text == nil {
@@ -129,7 +129,7 @@
 	return f, nil
 }
 
-// knownClusters tells the clusters of the list that the pooler starts with; nil: it starts with none.
+// knownClusters returns a function that tells whether a cluster is in the list that the pooler starts with; nil: it starts with none.
 func knownClusters(cfg *Config) func(cluster int) bool {
 	if !cfg.KnownServers.Complete || len(cfg.KnownServers.Members) == 0 {
 		return nil
--- a/internal/config/fleet_check.go
+++ b/internal/config/fleet_check.go
@@ -26,7 +26,7 @@
 	maxRotated      = 100
 )
 
-// checks returns what is wrong with the keys that stand by themselves in the file, in the order in which they are told.
+// checks returns a check for each key that needs no other package, in the order in which mistakes are reported.
 func (f *Fleet) checks() []keyCheck {
 	return []keyCheck{
 		{"name", f.checkName()},
@@ -38,9 +38,9 @@
 		{"journal", f.Journal.check()},
 		{"least_build", f.checkMinBuild()},
 		{"least_config", f.checkMinConfigRevision()},
-		{"straggler_ms", within("straggler_ms", f.StragglerTimeout, 4*f.Term, maxStragglerTimeout)}, // three terms may pass until it calls by itself
+		{"straggler_ms", within("straggler_ms", f.StragglerTimeout, 4*f.Term, maxStragglerTimeout)}, // three terms may pass until a pooler polls by itself
 		{"term_ms", within("term_ms", f.Term, MinTerm, maxTerm)},
-		{"drift_ms", within("drift_ms", f.MaxClockDrift, minClockDrift, f.Term/4)}, // a holder acts for two thirds of its term at the least
+		{"drift_ms", within("drift_ms", f.MaxClockDrift, minClockDrift, f.Term/4)}, // a lease is used for two thirds of its term at least
 		{"election_ms", within("election_ms", f.ElectionTimeout, minElectionTimeout, f.Term)},
 	}
 }
--- a/internal/config/fleet_distribution.go
+++ b/internal/config/fleet_distribution.go
@@ -12,8 +12,8 @@
 	maxRegion       = 128 // bytes of a region's name
 )
 
-// DistributionConfig is how the fleet's documents and words reach this pooler. Without Distributors each pooler knows each other one,
-// by gossip.
+// DistributionConfig is how the fleet's documents and announcements reach this pooler: by streams from distributors, or, if none are
+// named, by gossip among all poolers.
 type DistributionConfig struct {
 	Listen       string        `json:"listen"` // of this pooler's streams, if it is a distributor; empty: it is none
 	Region       string        `json:"region"`
--- a/internal/config/fleet_file.go
+++ b/internal/config/fleet_form.go
@@ -13,13 +13,13 @@
 const (
 	DefaultTerm       = 3 * time.Second
 	defaultClockDrift = 100 * time.Millisecond // 3% of the term: far more than two monotonic clocks differ by
-	defaultJournalMB  = 8                      // some 40,000 acts
+	defaultJournalMB  = 8                      // some 40,000 records
 	defaultMaxRotated = 4
 	stragglerTerms    = 10 // the default of straggler_ms, in terms
 	electionsOfTerm   = 3  // the default of election_ms is a term's part of so many
 )
 
-// fleetForm is the form of the file of the fleet.
+// fleetForm is the form of the fleet's file. Where key and field differ, the key is an operators' setting that keeps its name.
 type fleetForm struct {
 	Enabled         bool                         `json:"enabled"`
 	Name            string                       `json:"name"`
@@ -47,14 +47,14 @@
 	Journal         journalForm                  `json:"journal"`
 }
 
-// journalForm is the form of the journal's object in the file of the fleet.
+// journalForm is the form of the object "journal".
 type journalForm struct {
 	File  string  `json:"file"`
 	MaxMB float64 `json:"max_mb"`
 	Keep  *int    `json:"keep"`
 }
 
-// parseFleet returns the fleet's part; nil without an error: it is off. Errors are *jsonfile.Mistake. name is the pooler's own, for a
+// parseFleet returns the fleet's part; nil without an error: it is off. Errors are *jsonfile.OffsetError. name is the pooler's own, for a
 // file that gives none; clusters tells which clusters there are, and nil that nobody knows yet.
 func parseFleet(text []byte, name string, clusters func(cluster int) bool) (*Fleet, error) {
 	var file fleetForm
@@ -69,7 +69,7 @@
 	if f.Outliers, err = file.Verdicts.outliers(); err != nil {
 		return nil, placeWithin(text, err)
 	}
-	if f.Limits, err = parseLimits(file.Limits); err != nil {
+	if f.Limits, err = ParseLimits(file.Limits); err != nil {
 		return nil, placeInside(text, file.Limits, err)
 	}
 	book := calendar.Book{Calendars: file.Calendars, Sites: file.Sites}
--- a/internal/config/fleet_limits.go
+++ b/internal/config/fleet_limits.go
@@ -11,14 +11,20 @@
 	"threadsail/internal/jsonfile"
 )
 
-// What a limit can be on.
+// LimitTarget is what a limit bounds.
+type LimitTarget string
+
+// The targets of limits.
 const (
-	LimitRequests    = "requests"    // taken in from clients
-	LimitConnections = "connections" // new ones, with their handshakes, at each server by itself
-	LimitCold        = "cold"        // attempts sent to each server by itself while it warms, at full warmth
-	LimitProbes      = "probes"      // at each server by itself
+	LimitRequests    LimitTarget = "requests"    // accepted from clients
+	LimitConnections LimitTarget = "connections" // new ones, with their handshakes, at each server by itself
+	LimitCold        LimitTarget = "cold"        // attempts sent to each server by itself during its slow start, at full capacity
+	LimitProbes      LimitTarget = "probes"      // at each server by itself
 )
 
+var limitTargets = []LimitTarget{LimitRequests, LimitConnections, LimitCold, LimitProbes}
+
+// Bounds of limits, and a default.
 const (
 	maxLimits      = 64
 	maxLimitName   = 64 // bytes
@@ -29,47 +35,40 @@
 	maxReserve     = 0.95
 )
 
-// Limit holds for all poolers of a fleet together.
+// Limit bounds what all poolers of a fleet do together.
 type Limit struct {
-	Name   string `json:"name"`
-	Target string `json:"on"`
-	// Class is, of requests, the one class that it is on; empty: all, together.
-	Class string `json:"class,omitempty"`
-	// Tenants: of requests, each tenant has the limit to itself; else all have it together.
-	Tenants bool `json:"tenants,omitempty"`
-	// Rate is units a second, and Burst as many above it at once.
-	Rate  float64 `json:"rate"`
-	Burst float64 `json:"burst"`
-	// Reserve is the share of Rate that is set aside in equal parts for poolers that hold no slice.
-	Reserve float64 `json:"reserve"`
+	Name    string      `json:"name"`
+	Target  LimitTarget `json:"on"`
+	Class   string      `json:"class,omitempty"`   // LimitRequests: the one class that is bounded; empty: all classes together
+	Tenants bool        `json:"tenants,omitempty"` // LimitRequests: each tenant has the limit for itself
+	Rate    float64     `json:"rate"`              // a second
+	Burst   float64     `json:"burst"`             // that may come at once, above the rate
+	Reserve float64     `json:"reserve"`           // share of Rate that is set aside, in equal parts, for poolers without a quota
 }
 
-// Limits is a whole set. Of two, the one with the higher revision holds.
+// Limits is the set of a fleet's limits. Of two sets the one with the higher revision holds.
 type Limits struct {
 	Revision uint64  `json:"revision"`
 	List     []Limit `json:"list"`
 }
 
-// OnTarget is the set's first limit on something.
-func (l Limits) OnTarget(what string) (Limit, bool) {
-	i := slices.IndexFunc(l.List, func(l Limit) bool { return l.Target == what })
+// OnTarget returns the set's first limit on a target.
+func (l Limits) OnTarget(target LimitTarget) (Limit, bool) {
+	i := slices.IndexFunc(l.List, func(l Limit) bool { return l.Target == target })
 	if i < 0 {
 		return Limit{}, false
 	}
 	return l.List[i], true
 }
 
-// ParseLimits reads a set as the fleet passes it on: checked as the operators' file is.
-func ParseLimits(text []byte) (Limits, error) { return parseLimits(text) }
-
 // limitSetForm is the form of a set; each limit is decoded by itself, so that an error can name it.
 type limitSetForm struct {
 	Revision uint64            `json:"revision"`
 	List     []json.RawMessage `json:"list"`
 }
 
-// parseLimits is ParseLimits. Errors are *jsonfile.Mistake at an offset of the text.
-func parseLimits(text []byte) (Limits, error) {
+// ParseLimits reads a set of limits, of the operators' file or of another pooler. Errors are *jsonfile.OffsetError.
+func ParseLimits(text []byte) (Limits, error) {
 	if len(text) == 0 {
 		return Limits{}, nil
 	}
@@ -78,22 +77,23 @@
 		return Limits{}, withKey(err, 0, "limits")
 	}
 	out := Limits{Revision: file.Revision}
-	at := int64(0) // behind the limits that were read
+	offset := int64(0) // behind the limits that were read
 	for i, raw := range file.List {
-		at += int64(max(bytes.Index(text[at:], raw), 0))
+		offset += int64(max(bytes.Index(text[offset:], raw), 0))
 		limit, err := parseLimit(raw)
 		if err != nil {
-			return Limits{}, withKey(err, at, fmt.Sprintf("limits.list[%d]", i))
+			return Limits{}, withKey(err, offset, fmt.Sprintf("limits.list[%d]", i))
 		}
 		out.List = append(out.List, limit)
 		if key, err := checkLimit(out.List, i); err != nil {
-			return Limits{}, jsonfile.At(at+max(jsonfile.FindKey(raw, key), 0), fmt.Errorf("limits.list[%d].%s: %w", i, key, err))
+			err = fmt.Errorf("limits.list[%d].%s: %w", i, key, err)
+			return Limits{}, jsonfile.At(offset+max(jsonfile.FindKey(raw, key), 0), err)
 		}
-		at += int64(len(raw))
+		offset += int64(len(raw))
 	}
 	switch {
 	case len(out.List) > maxLimits:
-		return Limits{}, jsonfile.At(at, fmt.Errorf("limits.list: %d are more than %d", len(out.List), maxLimits))
+		return Limits{}, jsonfile.At(offset, fmt.Errorf("limits.list: %d are more than %d", len(out.List), maxLimits))
 	case len(out.List) > 0 && out.Revision == 0:
 		return Limits{}, jsonfile.At(0, errNoLimitsRevision)
 	}
@@ -107,21 +107,21 @@
 	return l, jsonfile.DecodeValue(text, &l)
 }
 
-// withKey puts a key before a mistake's text, and moves it by the offset of the value that it is in.
+// withKey puts a key before an error's text, and moves the error by the offset of the key's value.
 func withKey(err error, offset int64, key string) error {
-	var mistake *jsonfile.OffsetError
-	if errors.As(err, &mistake) {
-		offset += mistake.Offset
-		err = mistake.Err
+	var at *jsonfile.OffsetError
+	if errors.As(err, &at) {
+		offset += at.Offset
+		err = at.Err
 	}
 	return jsonfile.At(offset, fmt.Errorf("%s: %w", key, err))
 }
 
-// placeInside moves a mistake of a value by where the value stands in the file's text.
+// placeInside moves an error about a value by the value's offset in the file's text.
 func placeInside(text, value []byte, err error) error {
-	var mistake *jsonfile.OffsetError
-	if errors.As(err, &mistake) {
-		return jsonfile.At(int64(bytes.Index(text, value))+mistake.Offset, mistake.Err)
+	var at *jsonfile.OffsetError
+	if errors.As(err, &at) {
+		return jsonfile.At(int64(bytes.Index(text, value))+at.Offset, at.Err)
 	}
 	return err
 }
@@ -158,7 +158,7 @@
 
 func (l Limit) checkTarget(before []Limit) error {
 	switch {
-	case !slices.Contains([]string{LimitRequests, LimitConnections, LimitCold, LimitProbes}, l.Target):
+	case !slices.Contains(limitTargets, l.Target):
 		return fmt.Errorf("%q is none of requests, connections, cold, probes", l.Target)
 	case l.Target == LimitRequests:
 		return nil
--- a/internal/config/fleet_verdicts.go
+++ b/internal/config/fleet_outliers.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Defaults of the fleet's verdicts.
+// Defaults of outlier detection.
 const (
-	defaultMinObservers    = 3 // one that lies and one with a bad link convict nobody
+	defaultMinObservers    = 3 // one that lies and one with a bad link eject no server
 	defaultMinZones        = 2
 	defaultMaxEjectedShare = 0.5 // Envoy's panic threshold, from the other side
 	defaultEjectionTime    = 5 * time.Second
 )
 
-// OutlierConfig is how the fleet finds bad servers out together; Enabled false: each pooler goes by its own evidence.
+// OutlierConfig is how the fleet detects bad servers together; unless Enabled, each pooler goes by its own observations.
 type OutlierConfig struct {
 	Enabled         bool
-	MinObservers    int           // poolers that must complain of a server
-	MinZones        int           // zones that these must be in
-	MaxEjectedShare float64       // of a group's members that may be left at once
-	EjectionTime    time.Duration // of a first verdict
+	MinObservers    int           // poolers that must report a server
+	MinZones        int           // zones in which these poolers must be
+	MaxEjectedShare float64       // of a group's members that may be ejected at once, above 0 and up to 0.9
+	EjectionTime    time.Duration // of a first ejection
 }
 
-// outlierForm is the form of the verdicts' object in the file of the fleet.
+// outlierForm is the form of the object "verdicts".
 type outlierForm struct {
 	Enabled   bool     `json:"enabled"`
 	Observers *int     `json:"observers"`
@@ -31,7 +31,7 @@
 	TermMs    float64  `json:"term_ms"`
 }
 
-// Bounds of the fleet's verdicts.
+// Bounds of outlier detection.
 const (
 	minObservers    = 2
 	maxObservers    = 100
--- a/internal/config/fleet_purges.go
+++ b/internal/config/fleet_purges.go
@@ -22,20 +22,20 @@
 	maxCluster = 1 << 16
 )
 
-// PurgeConfig is what empties this pooler's cache of answers, and what the cache is; Site empty: there is none of it.
+// PurgeConfig is this pooler's cache of answers, and what purges it; without a Site there is no cache.
 type PurgeConfig struct {
-	Site       string // this pooler's
-	CacheBytes int64  // bytes
-	Classes    []string
+	Site       string // that this pooler is at
+	CacheBytes int64
+	Classes    []string // whose answers are cached
 
-	// What this file proposes to the fleet: a plan of a Revision above 0, and orders by hand.
+	// What this file proposes to the fleet: a plan of closing times, if its Revision is above 0, and orders.
 	Revision                     uint64
 	Guard, MaxReplicaAge, Settle time.Duration // as purge.Bounds
 	Calendars                    calendar.Book
 	Orders                       []PurgeOrder
 }
 
-// PurgeOrder is a purge that the operators order by hand.
+// PurgeOrder is a purge that operators order.
 type PurgeOrder struct {
 	Name    string    `json:"name"`
 	Issued  time.Time `json:"issued"`
@@ -43,7 +43,7 @@
 	Cluster *int      `json:"cluster"` // nil: all
 }
 
-// purgeForm is the form of the purges' object in the file of the fleet.
+// purgeForm is the form of the object "purges".
 type purgeForm struct {
 	Site      string       `json:"site"`
 	Revision  uint64       `json:"revision"`
@@ -112,13 +112,13 @@
 		{"site", unless(p.Site == "" || journal != "", "it needs journal.file: a purge that is not noted would be noted again after a restart")},
 		{"revision", unless(p.Revision == 0 || len(p.Calendars.Sites) > 0, "a plan without sites")},
 		{"clock_ms", within("clock_ms", p.Guard, minGuard, maxGuard)},
-		{"confirm_ms", within("confirm_ms", p.MaxReplicaAge, term, maxMaxReplicaAge)}, // copies are confirmed three times a term
+		{"confirm_ms", within("confirm_ms", p.MaxReplicaAge, term, maxMaxReplicaAge)}, // replicas are confirmed three times a term
 		{"settle_ms", within("settle_ms", p.Settle, 0, maxSettle)},
 		{"answers_mb", unless(p.CacheBytes >= minCacheBytes && p.CacheBytes <= maxCacheBytes, "%d bytes are not from 64 KiB to 256 MiB", p.CacheBytes)},
 	}
 }
 
-// checkOrders checks the orders by hand.
+// checkOrders checks the orders.
 func (p *PurgeConfig) checkOrders() error {
 	seen := map[string]bool{}
 	for i, o := range p.Orders {
--- a/internal/config/fleet_shards.go
+++ b/internal/config/fleet_shards.go
@@ -12,23 +12,23 @@
 // Defaults of the shard map.
 const (
 	defaultMaxPrepared = 10 * time.Minute // operators look after a move that hangs; until then it only needs its leases
-	fencedTerms        = 3                // a fence lasts one term and the drift with a router lost, and one more with the holder lost
+	fencedTerms        = 3                // a fence lasts one term and the drift with a router lost, and one more with the coordinator lost
 	maxMaxPrepared     = 24 * time.Hour
 	maxMaxFenced       = time.Hour
 	maxRanges          = 500 // of one document with its moves
 )
 
-// ShardConfig is the map of keys to clusters that this file proposes to the fleet; Ranges empty: there is none of it.
+// ShardConfig is the map of keys to clusters that this file proposes to the fleet; without Ranges it proposes none.
 type ShardConfig struct {
-	Ranges                 []keyrange.Range // the first map, until the stewards have one
+	Ranges                 []keyrange.Range // the first map, until the voters have one
 	Epoch                  uint64           // of that map
-	CopierURL              string           // URL that acts of copying are posted to; empty: this pooler takes no moves on
-	MaxPrepared, MaxFenced time.Duration    // as shardmap.Holder
+	CopierURL              string           // to which instructions to copy are posted; empty: this pooler coordinates no moves
+	MaxPrepared, MaxFenced time.Duration    // as shardmap.Coordinator
 	Moves                  []ShardMove
-	RetiredProcesses       []string // processes that have stopped for good, as the log names them
+	RetiredProcesses       []string // that have stopped for good, named as in the log
 }
 
-// ShardMove is a move that the operators order.
+// ShardMove orders to move a range of keys from one cluster to another.
 type ShardMove struct {
 	Name   string `json:"name"`
 	From   string `json:"from"`
@@ -38,7 +38,7 @@
 	Undo   bool   `json:"undo"`
 }
 
-// shardForm is the form of the shard map's object in the file of the fleet.
+// shardForm is the form of the object "shards".
 type shardForm struct {
 	Ranges     []keyrange.Range `json:"ranges"`
 	Epoch      uint64           `json:"epoch"`
--- a/internal/config/mysql.go
+++ b/internal/config/mysql.go
@@ -12,7 +12,7 @@
 	"threadsail/internal/translate"
 )
 
-// MySQLFile is where the file of the MySQL front lies unless PROXY_MYSQL names another.
+// MySQLFile is the path of the MySQL frontend's file unless PROXY_MYSQL names another.
 const MySQLFile = "deploy/mysql.json"
 
 const (
@@ -20,30 +20,30 @@
 	defaultProbeTimeout = 250 * time.Millisecond
 )
 
-// StatementDefault is what a statement without a comment counts as.
+// StatementDefault is the class and the cluster of a statement that names none in a comment.
 type StatementDefault struct {
 	Class   string `json:"class"`
 	Cluster int    `json:"cluster"`
 }
 
-// MySQL configures the MySQL front.
+// MySQL configures the MySQL frontend.
 type MySQL struct {
-	Path                      string // that names all this
+	Path                      string // of the file
 	Listen                    string
 	Inventory                 string
 	User, Password            string // at the servers
 	Database                  string // at the servers, where the client names none
-	ClientUser                string // what clients must log in with; empty: anybody may
+	ClientUser                string // with which clients must log in; empty: any will do
 	ClientPassword            string
 	Heartbeat                 string // a query for a replica's position, Unix time in milliseconds; empty: positions are unknown
 	ReadDefault, WriteDefault StatementDefault
-	ReloadInterval            time.Duration // how often the inventory is looked at without being told
+	ReloadInterval            time.Duration // between two looks at an inventory that is not reported to have changed
 	ProbeTimeout              time.Duration
 	Postgres                  Postgres
 	Translate                 translate.Options
 }
 
-// Postgres is how PostgreSQL servers behind the MySQL front are reached. User, password and database are as at MySQL's servers where
+// Postgres is how PostgreSQL servers behind the MySQL frontend are reached. User, password and database are as at MySQL's servers where
 // they are empty.
 type Postgres struct {
 	User      string `json:"user"`
@@ -52,7 +52,7 @@
 	Heartbeat string `json:"heartbeat"` // as MySQL.Heartbeat
 }
 
-// LoadMySQL reads the file of the MySQL front. Without the file, or with "enabled" false, the front is off: nil.
+// LoadMySQL reads the MySQL frontend's file. Without the file, or with "enabled" false, it returns nil: the frontend is off.
 func LoadMySQL(getenv func(string) string, cfg *Config) (*MySQL, error) {
 	path := firstSet(getenv("PROXY_MYSQL"), MySQLFile)
 	text, err := os.ReadFile(path)
@@ -72,7 +72,7 @@
 	return m, nil
 }
 
-// CheckClasses tells what the front would lack if the settings named these classes.
+// CheckClasses returns an error if the defaults name a class that is not among these of the settings.
 func (m *MySQL) CheckClasses(classes []string) error {
 	for _, d := range []struct {
 		key string
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// mysqlForm is the form of the file of the MySQL front.
+// mysqlForm is the form of the MySQL frontend's file.
 type mysqlForm struct {
 	Enabled        bool              `json:"enabled"`
 	Listen         string            `json:"listen"`
@@ -115,7 +115,7 @@
 	Write StatementDefault `json:"write"`
 }
 
-// parseMySQL reads the text; nil without an error: the front is off. listed tells that the servers are named elsewhere, so that no
+// parseMySQL returns nil without an error if the frontend is off. listed tells that the list of servers comes from elsewhere, so that no
 // inventory is needed.
 func parseMySQL(text []byte, classes []string, listed bool) (*MySQL, error) {
 	var file mysqlForm
@@ -125,7 +125,7 @@
 	if !file.Enabled {
 		return nil, nil
 	}
-	m := file.front()
+	m := file.frontend()
 	if err := address("listen", m.Listen); err != nil {
 		return nil, err
 	}
@@ -143,8 +143,8 @@
 // defaultPostgresDatabase is the database at PostgreSQL's servers where the file names none.
 const defaultPostgresDatabase = "core"
 
-// front fills in defaults.
-func (f *mysqlForm) front() *MySQL {
+// frontend fills in defaults.
+func (f *mysqlForm) frontend() *MySQL {
 	m := &MySQL{
 		Listen:         f.Listen,
 		Inventory:      f.Inventory,
--- a/internal/config/settings.go
+++ b/internal/config/policy_settings.go
@@ -10,11 +10,11 @@
 	"threadsail/internal/policy"
 )
 
-// The words of the settings, and what they stand for.
+// The values that keys of the settings may have, and what each stands for.
 var (
 	staleReadWords = map[string]policy.StaleReadHandling{
-		"":       0,
-		"none":   0,
+		"":       policy.StaleReadAnswered,
+		"none":   policy.StaleReadAnswered,
 		"bounce": policy.StaleReadRejected,
 		"await":  policy.StaleReadWaits,
 	}
@@ -38,19 +38,31 @@
 	}
 )
 
-// PolicySettings puts the facts into the module's words, for the pooler and for the simulator's adapter.
+// PolicySettings returns the settings in the policy's own form, for the pooler and for the simulator's adapter. Errors begin with the
+// path of the key.
 func PolicySettings(f *SettingsFile) (policy.Settings, error) {
 	s := policy.Settings{
-		Poolers: f.Balancers, PoolerIndex: f.Me, Zone: f.Zone, PollList: f.Discovery == "ask", EventInterval: Milliseconds(f.TickMs),
-		StaleReadWait: Milliseconds(f.FamilyInfo.WaitMs), PositionEpoch: Milliseconds(f.FamilyInfo.BaseTimeMs),
-		TrackSessions: f.FamilyInfo.Tokens == "kept",
-		ProbesAllowed: f.Caps.Probing, CancelAllowed: f.Caps.MayCancel, HedgingAllowed: f.Caps.SecondCopies,
-		RetryAfterSupported: f.Caps.RetryAfter, MaxAttempts: f.Caps.MaxAttempts,
-		MaxRetryAfter:   Milliseconds(f.Caps.MaxRetryAfterMs),
-		MaxPollInterval: Milliseconds(f.Contract.MustAskInMs), IgnoreRemoval: f.Contract.OnlyDrainingBinds,
-		DrainGracePeriod: Milliseconds(f.Contract.DrainGraceMs), SlowStartCapacity: f.Contract.ColdFrom,
-		SlowStartDuration: Milliseconds(f.Contract.ColdMs),
-		OverloadFactor:    f.Contract.OverloadFactor, OverloadInterval: Milliseconds(f.Contract.OverloadForMs),
+		Poolers:             f.Balancers,
+		PoolerIndex:         f.Me,
+		Zone:                f.Zone,
+		PollList:            f.Discovery == "ask",
+		EventInterval:       Milliseconds(f.TickMs),
+		StaleReadWait:       Milliseconds(f.FamilyInfo.WaitMs),
+		PositionEpoch:       Milliseconds(f.FamilyInfo.BaseTimeMs),
+		TrackSessions:       f.FamilyInfo.Tokens == "kept",
+		ProbesAllowed:       f.Caps.Probing,
+		CancelAllowed:       f.Caps.MayCancel,
+		HedgingAllowed:      f.Caps.SecondCopies,
+		RetryAfterSupported: f.Caps.RetryAfter,
+		MaxAttempts:         f.Caps.MaxAttempts,
+		MaxRetryAfter:       Milliseconds(f.Caps.MaxRetryAfterMs),
+		MaxPollInterval:     Milliseconds(f.Contract.MustAskInMs),
+		IgnoreRemoval:       f.Contract.OnlyDrainingBinds,
+		DrainGracePeriod:    Milliseconds(f.Contract.DrainGraceMs),
+		SlowStartCapacity:   f.Contract.ColdFrom,
+		SlowStartDuration:   Milliseconds(f.Contract.ColdMs),
+		OverloadFactor:      f.Contract.OverloadFactor,
+		OverloadInterval:    Milliseconds(f.Contract.OverloadForMs),
 	}
 	staleReads, err := jsonfile.EnumValue("settings.familyInfo.behind", f.FamilyInfo.Behind, staleReadWords)
 	if err != nil {
@@ -62,7 +74,7 @@
 	}
 	if f.Report.How != "none" {
 		for _, name := range f.Report.Fields {
-			s.RolesReported = s.RolesReported || name == "x1"
+			s.RolesReported = s.RolesReported || name == roleField
 		}
 	}
 	for i, l := range f.Lanes {
@@ -75,7 +87,7 @@
 	return s, nil
 }
 
-// checkWords checks the words whose meaning is a boolean: one that is not known must not be taken for the other.
+// checkWords checks the values that stand for a boolean: one that is not known must not pass for false.
 func (f *SettingsFile) checkWords() error {
 	for _, w := range []struct {
 		key, word string
@@ -94,8 +106,14 @@
 
 // policyClass returns the policy's class for the lane of an index.
 func policyClass(f *SettingsFile, i int, l ClassSettings) (c policy.Class, err error) {
-	c = policy.Class{Name: l.Name, LatencyObjective: Milliseconds(l.AimMs), TotalTimeout: Milliseconds(l.HardLimitMs), PriorityWeight: l.Worth,
-		LateWeightFraction: l.LateWorth, DedupWindow: Milliseconds(l.WindowMs)}
+	c = policy.Class{
+		Name:               l.Name,
+		LatencyObjective:   Milliseconds(l.AimMs),
+		TotalTimeout:       Milliseconds(l.HardLimitMs),
+		PriorityWeight:     l.Worth,
+		LateWeightFraction: l.LateWorth,
+		DedupWindow:        Milliseconds(l.WindowMs),
+	}
 	lane := fmt.Sprintf("lanes[%d]", i)
 	if c.Idempotency, err = jsonfile.EnumValue(lane+".semantics", l.Semantics, idempotencyWords); err != nil {
 		return c, err
@@ -112,8 +130,8 @@
 	return c, err
 }
 
-// Milliseconds turns milliseconds, which count microseconds, into a duration.
+// Milliseconds returns a number of milliseconds as a duration, rounded to microseconds.
 func Milliseconds(v float64) time.Duration {
-	const most = float64(1 << 52)
-	return time.Duration(math.Round(max(min(v*1000, most), -most))) * time.Microsecond
+	const maxMicroseconds = float64(1 << 52) // which a float64 still holds exactly
+	return time.Duration(math.Round(max(min(v*1000, maxMicroseconds), -maxMicroseconds))) * time.Microsecond
 }
--- a/internal/config/lists.go
+++ b/internal/config/server_lists.go
@@ -12,19 +12,19 @@
 	"threadsail/internal/translate"
 )
 
-// ServerListsFile is where the file of the server lists lies unless PROXY_MEMBERSHIP names another.
+// ServerListsFile is the path of the file of the server lists unless PROXY_MEMBERSHIP names another.
 const ServerListsFile = "deploy/membership.json"
 
-// ServerLists says where the fronts have their servers from, and how careful they are with files.
+// ServerLists is where the frontends have their lists of servers from, and how careful they are with files.
 type ServerLists struct {
 	Postgres, MySQL ListSource
-	ArchiveDir      string        // the folder where good generations are kept; empty: none
-	PollInterval    time.Duration // how often a file is looked at without being told
+	ArchiveDir      string        // folder in which accepted generations are kept; empty: none
+	PollInterval    time.Duration // between two looks at a file that is not reported to have changed
 	Policy          serverlist.Policy
 	MySQLServers    MySQLServers
 }
 
-// MySQLServers is how MySQL servers that the PostgreSQL front's file names are reached.
+// MySQLServers is how MySQL servers that are in the list of the PostgreSQL frontend are reached.
 type MySQLServers struct {
 	User      string         `json:"user"`
 	Password  string         `json:"password"`
@@ -33,14 +33,14 @@
 	Echo      translate.Echo `json:"echo"`      // what RETURNING can be answered from
 }
 
-// ListSource is where a front has its list of servers from: a file, or a list service. With neither, PostgreSQL's is that of
-// PROXY_CONFIG's discovery, and MySQL's the inventory that the MySQL front's own file names.
+// ListSource is where a frontend has its list of servers from: a file, or a list service. With neither, the PostgreSQL frontend uses
+// the list service of PROXY_CONFIG's file, and the MySQL frontend the inventory that its own file names.
 type ListSource struct {
 	File          string `json:"file"`
-	DiscoveryAddr string `json:"discovery"` // address, host:port
+	DiscoveryAddr string `json:"discovery"` // host:port
 }
 
-// defaultServerLists is what holds without a file.
+// defaultServerLists returns what holds without a file.
 func defaultServerLists() *ServerLists {
 	return &ServerLists{PollInterval: 5 * time.Second, Policy: serverlist.Policy{SettleTime: time.Second, RemovalSettleTime: 2 * time.Second,
 		HoldTime: time.Minute, MaxLossShare: 0.34, MaxGenerations: 8}}
@@ -111,7 +111,7 @@
 	return l, l.setShareAndKeep(&file)
 }
 
-// check checks the source of the front whose key is given.
+// check checks the source at a key.
 func (s ListSource) check(key string) error {
 	if s.File != "" && s.DiscoveryAddr != "" {
 		return fmt.Errorf("%s: file and discovery are both set", key)
--- a/internal/fleet/quota/bucket.go
+++ b/internal/fleet/quota/bucket.go
@@ -36,7 +36,7 @@
 }
 
 // isPaced reports whether a limit is on something that comes as a herd after a failure. Not all poolers may have a token at hand then.
-func isPaced(on string) bool { return on != config.LimitRequests }
+func isPaced(target config.LimitTarget) bool { return target != config.LimitRequests }
 
 func newBucket(l config.Limit, fleetSize int, now time.Time) *bucket {
 	b := &bucket{limit: l, levelAt: now}
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -15,8 +15,8 @@
 
 func TestNames(t *testing.T) {
 	goldentest.CheckNames(t, map[string]string{"quota": string(LeaseName), "limits/set": Document, "quota/holder": topicLeader, "quota/ask": topicRequest,
-		"quota/grant": topicGrant, "requests": config.LimitRequests, "connections": config.LimitConnections, "cold": config.LimitCold,
-		"probes": config.LimitProbes})
+		"quota/grant": topicGrant, "requests": string(config.LimitRequests), "connections": string(config.LimitConnections), "cold": string(config.LimitCold),
+		"probes": string(config.LimitProbes)})
 }
 
 // The set of limits is a document that any build of the fleet may have written.
--- a/internal/jsonfile/enum.go
+++ b/internal/jsonfile/enum.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// EnumValue returns what a word stands for. An error names the key and the word, if it is none of words.
-func EnumValue[T any](key, word string, words map[string]T) (T, error) {
-	value, ok := words[word]
+// EnumValue returns what the text at a key stands for. If it is none of values, the error names the key and the text.
+func EnumValue[T any](key, text string, values map[string]T) (T, error) {
+	value, ok := values[text]
 	if !ok {
-		return value, fmt.Errorf("%s: unknown word %q", key, word)
+		return value, fmt.Errorf("%s: unknown word %q", key, text)
 	}
 	return value, nil
 }
--- a/internal/jsonfile/jsonfile.go
+++ b/internal/jsonfile/jsonfile.go
@@ -15,7 +15,7 @@
 var errTrailingText = errors.New("text follows the object")
 
 // Decode reads the one object of a file's text into a struct. An unknown key, and text behind the object, are errors. Errors are
-// *Mistake.
+// *OffsetError.
 func Decode(text []byte, into any) error {
 	dec, err := decode(text, into)
 	if err == nil && dec.More() {
@@ -39,7 +39,7 @@
 	return dec, nil
 }
 
-// Describe words a decoder's error by the key that it is about, where the decoder knows that key.
+// Describe returns a decoder's error in words that name the key, where the decoder knows it.
 func Describe(err error) error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
--- a/internal/jsonfile/place.go
+++ b/internal/jsonfile/place.go
@@ -16,7 +16,7 @@
 	Err    error
 }
 
-// At returns a Mistake at an offset.
+// At returns an OffsetError.
 func At(offset int64, err error) *OffsetError { return &OffsetError{Offset: offset, Err: err} }
 
 func (m *OffsetError) Error() string { return m.Err.Error() }
@@ -41,7 +41,7 @@
 // Unwrap returns the error without its file and line.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Locate names the file and line of an error in a file's text. The line of an error that is no *Mistake is that of the key with which
+// Locate names the file and line of an error in a file's text. The line of an error that is no *OffsetError is that of the key with which
 // its own text begins, or of the last part of the key's path that the file has.
 func Locate(file string, text []byte, err error) error {
 	var mistake *OffsetError
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -103,7 +103,7 @@
 	return s, nil
 }
 
-// parse reads a scenario's text. An error that has a place other than the first line is a *jsonfile.Mistake.
+// parse reads a scenario's text. An error that has a place other than the first line is a *jsonfile.OffsetError.
 func parse(text []byte) (Scenario, error) {
 	var form form
 	if err := jsonfile.DecodeValue(text, &form); err != nil {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -52,7 +52,7 @@
 	ReportTime   time.Duration // how long those take
 }
 
-// Fleet is how the poolers of a scenario know each other; Stewards 0: they don't.
+// Fleet is how the poolers of a scenario work together; without Voters each is on its own.
 type Fleet struct {
 	Voters          int           // the first so many poolers are the voters of the consensus
 	Distributors    int           // the first so many bring what all share, the voters among them; 0: by gossip
@@ -68,8 +68,8 @@
 	Shards          Shards
 }
 
-// Shards is the rows that a scenario's clients write and read by key, in a map of as many ranges as there are groups; Keys 0: they ask
-// for one row, and there is no map.
+// Shards is the rows that a scenario's clients write and read by key, in a map of as many ranges as there are groups; without Keys
+// clients use one row, and there is no map.
 type Shards struct {
 	Keys    int
 	Lenient bool // servers take writes of any epoch: routers alone keep order
@@ -79,15 +79,15 @@
 // MoveFault is a fault that meets a move in a state.
 type MoveFault struct {
 	Move        int    // the first is 1
-	On          string // "prepared", or the act that servers are being told
+	On          string // "prepared", or the instruction that servers are receiving
 	Act         faults.Act
 	Coordinator bool  // the fault meets whoever carries the move out,
 	Poolers     []int // or these
 	Duration    time.Duration
 }
 
-// Purges is how the poolers of a scenario keep answers, and purge them; Sites 0: they don't. Poolers are dealt to sites in turn. Reads
-// ask for a row of Rows, some more often than others.
+// Purges is how the poolers of a scenario cache answers, and purge them; without Sites they cache none. Poolers are assigned to sites
+// in turn. Reads are of a row of Rows, some rows more often than others.
 type Purges struct {
 	Sites, Rows                  int
 	Guard, MaxReplicaAge, Settle time.Duration // as config.PurgesPart
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -10,10 +10,10 @@
 	"threadsail/internal/lab/faults"
 )
 
-// The words of a step's "poolers" that name whoever has a role when the step comes.
+// The values of a step's "poolers" that name whichever pooler has a role when the step comes.
 const (
-	holderWord = "holder" // who holds the lease of the discovery leader
-	dealerWord = "dealer" // who allocates the fleet's limits
+	holderWord = "holder" // the discovery leader
+	dealerWord = "dealer" // the allocator of the fleet's limits
 )
 
 type stepForm struct {
@@ -26,7 +26,7 @@
 	JitterMs float64 `json:"jitter_ms"`
 }
 
-// plan reads the steps, which stand in the file's text. Errors are *jsonfile.Mistake at their step.
+// plan reads the steps, which stand in the file's text. Errors are *jsonfile.OffsetError at their step.
 func (s *Scenario) plan(text []byte, raw []json.RawMessage, picks *picker) (*faults.Plan, error) {
 	offsets := stepOffsets(text)
 	offsets = append(offsets, make([]int64, max(0, len(raw)-len(offsets)))...)
