--- a/cmd/threadsail/inventory.go
+++ b/cmd/threadsail/inventory.go
@@ -176,7 +176,7 @@
 
 // kept reads the generations of a wire, the newest last.
 func (c *inventoryCmd) kept(s streams, state string) ([]*serverlist.Generation, error) {
-	a, err := archive.Existing(state, c.Wire)
+	a, err := archive.OpenExisting(state, c.Wire)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 	}
-	names, _ := a.names()
+	names, _ := a.fileNames()
 	path := filepath.Join(dir, names[1])
 	whole, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/archive/stored_test.go
+++ b/internal/archive/stored_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Check(t, filepath.Join("state", "mysql", name), written)
-	old, err := Existing(filepath.Join("testdata", "state"), "mysql")
+	old, err := OpenExisting(filepath.Join("testdata", "state"), "mysql")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,15 +15,15 @@
 	"threadsail/internal/protocol/discovery"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.4:6432","admin":"127.0.0.4:12000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.4:6432","admin":"127.0.0.4:12000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":512},"known":{"revision":41,"complete":true,"members":[]},
 "settings":{"zones":["a"],"caps":{"maxOpen":7,"connIdleMs":9000},"report":{"how":"probe","fields":["x0"]},
 "familyInfo":{"classRead":["mutate"]},"lanes":[{"name":"w","semantics":"guarded","hardLimitMs":3000}]}}`
 
-func none(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
 func TestParse(t *testing.T) {
-	got, err := parse([]byte(good), none)
+	got, err := parse([]byte(validConfig), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,26 +56,26 @@
 		"classRead: 2":    {`["mutate"]`, `["mutate","mutate"]`},
 		"maxOpen":         {`"maxOpen":7`, `"maxOpen":-7`},
 		"lanes.name":      {`"name":"w"`, `"name":5`},
-		"unexpected end":  {good[len(good)-1:], ""},
+		"unexpected end":  {validConfig[len(validConfig)-1:], ""},
 		"DrainGrace":      {`"zones":["a"]`, `"contract":{"drainGraceMs":-1}`},
 		"report.how":      {`"how":"probe"`, `"how":7`},
 		"familyInfo.behi": {`"familyInfo":{`, `"familyInfo":{"behind":"sleeps",`},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
+		text := strings.Replace(validConfig, change[0], change[1], 1)
 		if key == "unexpected end" {
-			text = good[:len(good)-1]
+			text = validConfig[:len(validConfig)-1]
 		}
-		if _, err := parse([]byte(text), none); err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(key)) {
+		if _, err := parse([]byte(text), noEnvironment); err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(key)) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
 	for _, fd := range []string{"x", "-1", "2"} {
 		getenv := func(name string) string { return map[string]string{"PROXY_FD": fd}[name] }
-		if _, err := parse([]byte(good), getenv); err == nil || !strings.Contains(err.Error(), "PROXY_FD") {
+		if _, err := parse([]byte(validConfig), getenv); err == nil || !strings.Contains(err.Error(), "PROXY_FD") {
 			t.Errorf("%s: %v", fd, err)
 		}
 	}
-	if _, err := Load(none); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
+	if _, err := Load(noEnvironment); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
 		t.Error(err)
 	}
 }
@@ -83,7 +83,7 @@
 // What a file has wrong is named by file, line and key; what it lacks, by the line of what should hold it.
 func TestFilesNameTheLine(t *testing.T) {
 	dir := t.TempDir()
-	files := map[string]string{"PROXY_CONFIG": good, "PROXY_MEMBERSHIP": "{\n\"enabled\":true,\n\"keep\":2}",
+	files := map[string]string{"PROXY_CONFIG": validConfig, "PROXY_MEMBERSHIP": "{\n\"enabled\":true,\n\"keep\":2}",
 		"PROXY_MYSQL": "{\"enabled\":true,\"listen\":\"127.0.0.1:1\",\"inventory\":\"i\",\n\"user\":\"u\",\"defaults\":{\n\"read\":{\"class\":\"w\"},\"write\":{\"class\":\"w\"}}}"}
 	getenv := func(name string) string {
 		if files[name] == "" {
@@ -136,7 +136,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"PROXY_CONFIG": path, "PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "127.0.0.9:2"}
 	getenv := func(name string) string { return env[name] }
-	whole := strings.Replace(good, `"maxOpen":7`, `"maxOpen":7,"maxAttempts":6`, 1)
+	whole := strings.Replace(validConfig, `"maxOpen":7`, `"maxOpen":7,"maxAttempts":6`, 1)
 	write := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -189,7 +189,7 @@
 }
 
 func FuzzShape(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfig))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s := jsonfile.ShapeOf(text); missingKey(s, s) != nil {
 			t.Errorf("%q is not within itself", text)
--- a/internal/fleet/shardmap/document.go
+++ b/internal/fleet/shardmap/document.go
@@ -44,13 +44,13 @@
 
 // Home returns the cluster of a key; ok is false if there is no map.
 func (d Document) Home(key string) (cluster int, ok bool) {
-	return keyrange.Home(d.Ranges, key)
+	return keyrange.ClusterOf(d.Ranges, key)
 }
 
 // activeMoveOf returns the move before its switch that a key is in.
 func (d Document) activeMoveOf(key string) (Move, bool) {
 	for _, m := range d.Moves {
-		if m.State.beforeSwitch() && m.Range.Holds(key) {
+		if m.State.beforeSwitch() && m.Range.Contains(key) {
 			return m, true
 		}
 	}
@@ -59,7 +59,7 @@
 
 // movedSince reports whether a key has changed its home after an epoch. A request is far shorter than maxFinishedMoves moves.
 func (d Document) movedSince(key string, epoch uint64) bool {
-	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.SwitchEpoch > epoch && m.Range.Holds(key) })
+	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.SwitchEpoch > epoch && m.Range.Contains(key) })
 }
 
 // Move returns the move of a name.
@@ -146,7 +146,7 @@
 	m.SinceEpoch = d.Epoch
 	if next == Switched {
 		m.SwitchEpoch = d.Epoch
-		d.Ranges = keyrange.Place(d.Ranges, m.Range)
+		d.Ranges = keyrange.Assign(d.Ranges, m.Range)
 	}
 	return d
 }
--- a/internal/fleet/shardmap/document_test.go
+++ b/internal/fleet/shardmap/document_test.go
@@ -24,7 +24,7 @@
 				var err error
 				if d, err = d.Begin(o); err == nil {
 					for _, k := range keys[1:] {
-						if home, _ := d.Home(k); o.Range.Holds(k) && home != o.Source {
+						if home, _ := d.Home(k); o.Range.Contains(k) && home != o.Source {
 							t.Fatalf("%v begins though %q is at home in %d", o, k, home)
 						}
 					}
@@ -44,12 +44,12 @@
 			for _, k := range keys[1:] {
 				was, _ := before.Home(k)
 				is, _ := d.Home(k)
-				if switched.Holds(k) && is != switched.Cluster || !switched.Holds(k) && is != was {
+				if switched.Contains(k) && is != switched.Cluster || !switched.Contains(k) && is != was {
 					t.Fatalf("%q went from %d to %d by %v", k, was, is, switched)
 				}
 				active := 0
 				for _, m := range d.Moves {
-					if m.State.beforeSwitch() && m.Range.Holds(k) {
+					if m.State.beforeSwitch() && m.Range.Contains(k) {
 						active++
 					}
 				}
--- a/internal/fleet/shardmap/router.go
+++ b/internal/fleet/shardmap/router.go
@@ -219,7 +219,7 @@
 		case !time.Now().Before(w.deadline):
 			w.abandoned = true
 			delete(r.writes, w)
-		case w.sent && in.Holds(w.Key):
+		case w.sent && in.Contains(w.Key):
 			found = true
 		}
 	}
--- a/internal/lab/standin/shards.go
+++ b/internal/lab/standin/shards.go
@@ -99,17 +99,17 @@
 // take puts another cluster's rows of a range in the place of those here.
 func (c *cell) take(in shardmap.Range, from *cell) {
 	for k := range c.rows {
-		if in.Holds(k) {
+		if in.Contains(k) {
 			delete(c.rows, k)
 		}
 	}
 	for k, v := range from.rows {
-		if in.Holds(k) {
+		if in.Contains(k) {
 			c.rows[k] = v
 		}
 	}
 	for id, k := range from.ran {
-		if in.Holds(k) {
+		if in.Contains(k) {
 			c.ran[id] = k
 		}
 	}
@@ -118,7 +118,7 @@
 // turnsAway tells whether a write of an epoch is too old for its key.
 func (c *cell) turnsAway(key string, epoch uint64) bool {
 	for n := len(c.fences) - 1; n >= 0; n-- {
-		if f := c.fences[n]; f.in.Holds(key) {
+		if f := c.fences[n]; f.in.Contains(key) {
 			return f.shut || epoch < f.least
 		}
 	}
