--- a/cmd/simulator-adapter/adapter.go
+++ b/cmd/simulator-adapter/adapter.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
 	}
-	i := &instance{number: number, reply: &a.reply, positionEpoch: settings.PositionEpoch, reportFields: file.Report.Fields}
+	i := &instance{number: number, reply: &a.reply, positionEpoch: settings.PositionEpoch, reportFields: file.Health.Fields}
 	i.router, err = policy.New(settings, start.Seed, i)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", number, err)
--- a/internal/config/config_form.go
+++ b/internal/config/config_form.go
@@ -141,22 +141,22 @@
 	if err := notNegative("settings", reflect.ValueOf(*facts)); err != nil {
 		return err
 	}
-	if share := facts.Contract.ColdFrom; share > 1 {
+	if share := facts.Policy.SlowStartCapacity; share > 1 {
 		return fmt.Errorf("settings.contract.coldFrom: %v is no share from 0 to 1", share)
 	}
 	if err := c.Settings.Validate(); err != nil {
 		return err
 	}
-	if n := len(facts.FamilyInfo.ClassRead); n > 0 && n != len(facts.Lanes) {
-		return fmt.Errorf("settings.familyInfo.classRead: %d words for %d lanes", n, len(facts.Lanes))
+	if n := len(facts.Replication.Access); n > 0 && n != len(facts.Classes) {
+		return fmt.Errorf("settings.familyInfo.classRead: %d words for %d lanes", n, len(facts.Classes))
 	}
 	c.Zones = facts.Zones
 	c.ServerConnections = ServerConnections{
-		MaxConnections: firstSet(facts.Caps.MaxOpen, defaultMaxOpen),
-		IdleTimeout:    firstSet(Milliseconds(facts.Caps.ConnIdleMs), defaultConnIdle),
-		ConnectTimeout: firstSet(Milliseconds(facts.Caps.ConnectTimeoutMs), defaultConnectTimeout),
+		MaxConnections: firstSet(facts.Capabilities.MaxConnections, defaultMaxOpen),
+		IdleTimeout:    firstSet(Milliseconds(facts.Capabilities.IdleTimeoutMs), defaultConnIdle),
+		ConnectTimeout: firstSet(Milliseconds(facts.Capabilities.ConnectTimeoutMs), defaultConnectTimeout),
 	}
-	c.HealthReported = facts.Report.How != "none" && len(facts.Report.Fields) > 0
+	c.HealthReported = facts.Health.How != "none" && len(facts.Health.Fields) > 0
 	return nil
 }
 
--- a/internal/config/fleet_form.go
+++ b/internal/config/fleet_form.go
@@ -21,37 +21,37 @@
 
 // fleetForm is the form of the fleet's file. Where key and field differ, the key is an operators' setting that keeps its name.
 type fleetForm struct {
-	Enabled         bool                         `json:"enabled"`
-	Name            string                       `json:"name"`
-	Listen          string                       `json:"listen"`
-	Advertise       string                       `json:"advertise"`
-	Peers           []Peer                       `json:"peers"`
-	Stewards        []Peer                       `json:"stewards"`
-	Steward         VoterConfig                  `json:"steward"`
-	TermMs          float64                      `json:"term_ms"`
-	DriftMs         float64                      `json:"drift_ms"`
-	ElectionMs      float64                      `json:"election_ms"`
-	SharedAddresses bool                         `json:"shared_addresses"`
-	StragglerMs     float64                      `json:"straggler_ms"`
-	LeastBuild      string                       `json:"least_build"`
-	ConfigRevision  uint64                       `json:"config_revision"`
-	LeastConfig     uint64                       `json:"least_config"`
-	Verdicts        outlierForm                  `json:"verdicts"`
-	Purges          purgeForm                    `json:"purges"`
-	Shards          shardForm                    `json:"shards"`
-	Limits          json.RawMessage              `json:"limits"`
-	Calendars       map[string]calendar.Calendar `json:"calendars"`
-	Sites           map[string]calendar.Site     `json:"sites"`
-	Shared          ReplicaConfig                `json:"shared"`
-	Distribution    DistributionConfig           `json:"distribution"`
-	Journal         journalForm                  `json:"journal"`
+	Enabled            bool                         `json:"enabled"`
+	Name               string                       `json:"name"`
+	Listen             string                       `json:"listen"`
+	Advertise          string                       `json:"advertise"`
+	Peers              []Peer                       `json:"peers"`
+	Voters             []Peer                       `json:"stewards"`
+	Voter              VoterConfig                  `json:"steward"`
+	TermMs             float64                      `json:"term_ms"`
+	MaxClockDriftMs    float64                      `json:"drift_ms"`
+	ElectionTimeoutMs  float64                      `json:"election_ms"`
+	SharedAddresses    bool                         `json:"shared_addresses"`
+	StragglerTimeoutMs float64                      `json:"straggler_ms"`
+	MinBuild           string                       `json:"least_build"`
+	ConfigRevision     uint64                       `json:"config_revision"`
+	MinConfigRevision  uint64                       `json:"least_config"`
+	Outliers           outlierForm                  `json:"verdicts"`
+	Purges             purgeForm                    `json:"purges"`
+	Shards             shardForm                    `json:"shards"`
+	Limits             json.RawMessage              `json:"limits"`
+	Calendars          map[string]calendar.Calendar `json:"calendars"`
+	Sites              map[string]calendar.Site     `json:"sites"`
+	Replica            ReplicaConfig                `json:"shared"`
+	Distribution       DistributionConfig           `json:"distribution"`
+	Journal            journalForm                  `json:"journal"`
 }
 
 // journalForm is the form of the object "journal".
 type journalForm struct {
-	File  string  `json:"file"`
-	MaxMB float64 `json:"max_mb"`
-	Keep  *int    `json:"keep"`
+	File       string  `json:"file"`
+	MaxMB      float64 `json:"max_mb"`
+	MaxRotated *int    `json:"keep"`
 }
 
 // parseFleet returns the fleet's part; nil without an error: it is off. Errors are *jsonfile.OffsetError. name is the pooler's own, for a
@@ -66,7 +66,7 @@
 	}
 	f := file.fleet(name)
 	var err error
-	if f.Outliers, err = file.Verdicts.outliers(); err != nil {
+	if f.Outliers, err = file.Outliers.outliers(); err != nil {
 		return nil, placeWithin(text, err)
 	}
 	if f.Limits, err = ParseLimits(file.Limits); err != nil {
@@ -93,25 +93,25 @@
 	f := &Fleet{
 		Name:            firstSet(file.Name, name),
 		GossipConfig:    GossipConfig{Listen: file.Listen, Advertise: file.Advertise, Peers: file.Peers},
-		Voters:          file.Stewards,
-		Voter:           file.Steward,
+		Voters:          file.Voters,
+		Voter:           file.Voter,
 		SharedAddresses: file.SharedAddresses,
 		Journal:         file.Journal.journal(),
-		RevisionConfig:  RevisionConfig{ConfigRevision: file.ConfigRevision, MinConfigRevision: file.LeastConfig, MinBuild: file.LeastBuild},
-		Replica:         file.Shared,
+		RevisionConfig:  RevisionConfig{ConfigRevision: file.ConfigRevision, MinConfigRevision: file.MinConfigRevision, MinBuild: file.MinBuild},
+		Replica:         file.Replica,
 		Distribution:    file.Distribution,
 	}
 	f.Term = firstSet(Milliseconds(file.TermMs), DefaultTerm)
-	f.MaxClockDrift = firstSet(Milliseconds(file.DriftMs), defaultClockDrift)
-	f.ElectionTimeout = firstSet(Milliseconds(file.ElectionMs), f.Term/electionsOfTerm)
-	f.StragglerTimeout = firstSet(Milliseconds(file.StragglerMs), stragglerTerms*f.Term)
+	f.MaxClockDrift = firstSet(Milliseconds(file.MaxClockDriftMs), defaultClockDrift)
+	f.ElectionTimeout = firstSet(Milliseconds(file.ElectionTimeoutMs), f.Term/electionsOfTerm)
+	f.StragglerTimeout = firstSet(Milliseconds(file.StragglerTimeoutMs), stragglerTerms*f.Term)
 	return f
 }
 
 func (file *journalForm) journal() JournalConfig {
 	p := JournalConfig{File: file.File, MaxBytes: int64(firstSet(file.MaxMB, defaultJournalMB) * (1 << 20)), MaxRotated: defaultMaxRotated}
-	if file.Keep != nil {
-		p.MaxRotated = *file.Keep
+	if file.MaxRotated != nil {
+		p.MaxRotated = *file.MaxRotated
 	}
 	return p
 }
--- a/internal/config/fleet_outliers.go
+++ b/internal/config/fleet_outliers.go
@@ -24,11 +24,11 @@
 
 // outlierForm is the form of the object "verdicts".
 type outlierForm struct {
-	Enabled   bool     `json:"enabled"`
-	Observers *int     `json:"observers"`
-	Rooms     *int     `json:"rooms"`
-	Share     *float64 `json:"share"`
-	TermMs    float64  `json:"term_ms"`
+	Enabled         bool     `json:"enabled"`
+	MinObservers    *int     `json:"observers"`
+	MinZones        *int     `json:"rooms"`
+	MaxEjectedShare *float64 `json:"share"`
+	EjectionTimeMs  float64  `json:"term_ms"`
 }
 
 // Bounds of outlier detection.
@@ -47,16 +47,16 @@
 		MinObservers:    defaultMinObservers,
 		MinZones:        defaultMinZones,
 		MaxEjectedShare: defaultMaxEjectedShare,
-		EjectionTime:    firstSet(Milliseconds(f.TermMs), defaultEjectionTime),
+		EjectionTime:    firstSet(Milliseconds(f.EjectionTimeMs), defaultEjectionTime),
 	}
-	if f.Observers != nil {
-		p.MinObservers = *f.Observers
+	if f.MinObservers != nil {
+		p.MinObservers = *f.MinObservers
 	}
-	if f.Rooms != nil {
-		p.MinZones = *f.Rooms
+	if f.MinZones != nil {
+		p.MinZones = *f.MinZones
 	}
-	if f.Share != nil {
-		p.MaxEjectedShare = *f.Share
+	if f.MaxEjectedShare != nil {
+		p.MaxEjectedShare = *f.MaxEjectedShare
 	}
 	switch {
 	case p.MinObservers < minObservers || p.MinObservers > maxObservers:
--- a/internal/config/fleet_purges.go
+++ b/internal/config/fleet_purges.go
@@ -45,25 +45,25 @@
 
 // purgeForm is the form of the object "purges".
 type purgeForm struct {
-	Site      string       `json:"site"`
-	Revision  uint64       `json:"revision"`
-	ClockMs   float64      `json:"clock_ms"`
-	ConfirmMs float64      `json:"confirm_ms"`
-	SettleMs  *float64     `json:"settle_ms"`
-	AnswersMB float64      `json:"answers_mb"`
-	Classes   []string     `json:"classes"`
-	Orders    []PurgeOrder `json:"orders"`
+	Site            string       `json:"site"`
+	Revision        uint64       `json:"revision"`
+	GuardMs         float64      `json:"clock_ms"`
+	MaxReplicaAgeMs float64      `json:"confirm_ms"`
+	SettleMs        *float64     `json:"settle_ms"`
+	CacheMB         float64      `json:"answers_mb"`
+	Classes         []string     `json:"classes"`
+	Orders          []PurgeOrder `json:"orders"`
 }
 
 // purges fills in defaults and checks the part. Errors have the path of their key.
 func (f purgeForm) purges(book calendar.Book, journal string, term time.Duration) (PurgeConfig, error) {
 	p := PurgeConfig{
 		Site:          f.Site,
-		CacheBytes:    int64(firstSet(f.AnswersMB, defaultCacheMB) * (1 << 20)),
+		CacheBytes:    int64(firstSet(f.CacheMB, defaultCacheMB) * (1 << 20)),
 		Classes:       f.Classes,
 		Revision:      f.Revision,
-		Guard:         firstSet(Milliseconds(f.ClockMs), DefaultPurgeGuard),
-		MaxReplicaAge: firstSet(Milliseconds(f.ConfirmMs), max(DefaultMaxReplicaAge, 3*term)),
+		Guard:         firstSet(Milliseconds(f.GuardMs), DefaultPurgeGuard),
+		MaxReplicaAge: firstSet(Milliseconds(f.MaxReplicaAgeMs), max(DefaultMaxReplicaAge, 3*term)),
 		Settle:        defaultSettle,
 		Calendars:     book,
 		Orders:        f.Orders,
--- a/internal/config/fleet_shards.go
+++ b/internal/config/fleet_shards.go
@@ -40,13 +40,13 @@
 
 // shardForm is the form of the object "shards".
 type shardForm struct {
-	Ranges     []keyrange.Range `json:"ranges"`
-	Epoch      uint64           `json:"epoch"`
-	Copier     string           `json:"copier"`
-	PreparedMs float64          `json:"prepared_ms"`
-	FencedMs   float64          `json:"fenced_ms"`
-	Moves      []ShardMove      `json:"moves"`
-	Retired    []string         `json:"retired"`
+	Ranges           []keyrange.Range `json:"ranges"`
+	Epoch            uint64           `json:"epoch"`
+	CopierURL        string           `json:"copier"`
+	MaxPreparedMs    float64          `json:"prepared_ms"`
+	MaxFencedMs      float64          `json:"fenced_ms"`
+	Moves            []ShardMove      `json:"moves"`
+	RetiredProcesses []string         `json:"retired"`
 }
 
 // shards fills in defaults and checks the part. Errors have the path of their key. known tells the clusters that there are; nil: nobody
@@ -55,11 +55,11 @@
 	p := ShardConfig{
 		Ranges:           f.Ranges,
 		Epoch:            f.Epoch,
-		CopierURL:        f.Copier,
-		MaxPrepared:      firstSet(Milliseconds(f.PreparedMs), defaultMaxPrepared),
-		MaxFenced:        firstSet(Milliseconds(f.FencedMs), fencedTerms*term),
+		CopierURL:        f.CopierURL,
+		MaxPrepared:      firstSet(Milliseconds(f.MaxPreparedMs), defaultMaxPrepared),
+		MaxFenced:        firstSet(Milliseconds(f.MaxFencedMs), fencedTerms*term),
 		Moves:            f.Moves,
-		RetiredProcesses: f.Retired,
+		RetiredProcesses: f.RetiredProcesses,
 	}
 	if known == nil {
 		known = func(cluster int) bool { return cluster >= 0 }
--- a/internal/config/policy_settings.go
+++ b/internal/config/policy_settings.go
@@ -12,24 +12,24 @@
 
 // The values that keys of the settings may have, and what each stands for.
 var (
-	staleReadWords = map[string]policy.StaleReadHandling{
+	staleReadValues = map[string]policy.StaleReadHandling{
 		"":       policy.StaleReadAnswered,
 		"none":   policy.StaleReadAnswered,
 		"bounce": policy.StaleReadRejected,
 		"await":  policy.StaleReadWaits,
 	}
-	idempotencyWords = map[string]policy.Idempotency{
+	idempotencyValues = map[string]policy.Idempotency{
 		"free":        policy.Idempotent,
 		"guarded":     policy.IdempotentByKey,
 		"single_shot": policy.NotIdempotent,
 	}
-	dedupScopeWords = map[string]policy.DedupScope{
+	dedupScopeValues = map[string]policy.DedupScope{
 		"all":  policy.DedupEverywhere,
 		"zone": policy.DedupInZone,
 		"":     policy.DedupInGroup,
 		"cell": policy.DedupInGroup,
 	}
-	accessWords = map[string]policy.Access{
+	accessValues = map[string]policy.Access{
 		"eventual":  policy.ReadAny,
 		"lag_bound": policy.ReadBounded,
 		"causal":    policy.ReadSession,
@@ -42,42 +42,42 @@
 // path of the key.
 func PolicySettings(f *SettingsFile) (policy.Settings, error) {
 	s := policy.Settings{
-		Poolers:             f.Balancers,
-		PoolerIndex:         f.Me,
+		Poolers:             f.Poolers,
+		PoolerIndex:         f.PoolerIndex,
 		Zone:                f.Zone,
 		PollList:            f.Discovery == "ask",
-		EventInterval:       Milliseconds(f.TickMs),
-		StaleReadWait:       Milliseconds(f.FamilyInfo.WaitMs),
-		PositionEpoch:       Milliseconds(f.FamilyInfo.BaseTimeMs),
-		TrackSessions:       f.FamilyInfo.Tokens == "kept",
-		ProbesAllowed:       f.Caps.Probing,
-		CancelAllowed:       f.Caps.MayCancel,
-		HedgingAllowed:      f.Caps.SecondCopies,
-		RetryAfterSupported: f.Caps.RetryAfter,
-		MaxAttempts:         f.Caps.MaxAttempts,
-		MaxRetryAfter:       Milliseconds(f.Caps.MaxRetryAfterMs),
-		MaxPollInterval:     Milliseconds(f.Contract.MustAskInMs),
-		IgnoreRemoval:       f.Contract.OnlyDrainingBinds,
-		DrainGracePeriod:    Milliseconds(f.Contract.DrainGraceMs),
-		SlowStartCapacity:   f.Contract.ColdFrom,
-		SlowStartDuration:   Milliseconds(f.Contract.ColdMs),
-		OverloadFactor:      f.Contract.OverloadFactor,
-		OverloadInterval:    Milliseconds(f.Contract.OverloadForMs),
+		EventInterval:       Milliseconds(f.EventIntervalMs),
+		StaleReadWait:       Milliseconds(f.Replication.StaleReadWaitMs),
+		PositionEpoch:       Milliseconds(f.Replication.PositionEpochMs),
+		TrackSessions:       f.Replication.SessionPositions == "kept",
+		ProbesAllowed:       f.Capabilities.Probes,
+		CancelAllowed:       f.Capabilities.Cancel,
+		HedgingAllowed:      f.Capabilities.Hedging,
+		RetryAfterSupported: f.Capabilities.RetryAfter,
+		MaxAttempts:         f.Capabilities.MaxAttempts,
+		MaxRetryAfter:       Milliseconds(f.Capabilities.MaxRetryAfterMs),
+		MaxPollInterval:     Milliseconds(f.Policy.MaxPollIntervalMs),
+		IgnoreRemoval:       f.Policy.IgnoreRemoval,
+		DrainGracePeriod:    Milliseconds(f.Policy.DrainGraceMs),
+		SlowStartCapacity:   f.Policy.SlowStartCapacity,
+		SlowStartDuration:   Milliseconds(f.Policy.SlowStartMs),
+		OverloadFactor:      f.Policy.OverloadFactor,
+		OverloadInterval:    Milliseconds(f.Policy.OverloadIntervalMs),
 	}
-	staleReads, err := jsonfile.EnumValue("settings.familyInfo.behind", f.FamilyInfo.Behind, staleReadWords)
+	staleReads, err := jsonfile.EnumValue("settings.familyInfo.behind", f.Replication.StaleReads, staleReadValues)
 	if err != nil {
 		return s, err
 	}
 	s.StaleReads = staleReads
-	if err := f.checkWords(); err != nil {
+	if err := f.checkValues(); err != nil {
 		return s, err
 	}
-	if f.Report.How != "none" {
-		for _, name := range f.Report.Fields {
+	if f.Health.How != "none" {
+		for _, name := range f.Health.Fields {
 			s.RolesReported = s.RolesReported || name == roleField
 		}
 	}
-	for i, l := range f.Lanes {
+	for i, l := range f.Classes {
 		c, err := policyClass(f, i, l)
 		if err != nil {
 			return s, fmt.Errorf("settings.%w", err)
@@ -87,15 +87,15 @@
 	return s, nil
 }
 
-// checkWords checks the values that stand for a boolean: one that is not known must not pass for false.
-func (f *SettingsFile) checkWords() error {
+// checkValues checks the values that stand for a boolean: one that is not known must not pass for false.
+func (f *SettingsFile) checkValues() error {
 	for _, w := range []struct {
 		key, word string
 		known     []string
 	}{
 		{"discovery", f.Discovery, []string{"", "ask", "push"}},
-		{"report.how", f.Report.How, []string{"", "none", "probe", "answers"}},
-		{"familyInfo.tokens", f.FamilyInfo.Tokens, []string{"", "brought", "kept"}},
+		{"report.how", f.Health.How, []string{"", "none", "probe", "answers"}},
+		{"familyInfo.tokens", f.Replication.SessionPositions, []string{"", "brought", "kept"}},
 	} {
 		if !slices.Contains(w.known, w.word) {
 			return fmt.Errorf("settings.%s: unknown word %q", w.key, w.word)
@@ -108,24 +108,24 @@
 func policyClass(f *SettingsFile, i int, l ClassSettings) (c policy.Class, err error) {
 	c = policy.Class{
 		Name:               l.Name,
-		LatencyObjective:   Milliseconds(l.AimMs),
-		TotalTimeout:       Milliseconds(l.HardLimitMs),
-		PriorityWeight:     l.Worth,
-		LateWeightFraction: l.LateWorth,
-		DedupWindow:        Milliseconds(l.WindowMs),
+		LatencyObjective:   Milliseconds(l.LatencyObjectiveMs),
+		TotalTimeout:       Milliseconds(l.TotalTimeoutMs),
+		PriorityWeight:     l.PriorityWeight,
+		LateWeightFraction: l.LateWeightFraction,
+		DedupWindow:        Milliseconds(l.DedupWindowMs),
 	}
 	lane := fmt.Sprintf("lanes[%d]", i)
-	if c.Idempotency, err = jsonfile.EnumValue(lane+".semantics", l.Semantics, idempotencyWords); err != nil {
+	if c.Idempotency, err = jsonfile.EnumValue(lane+".semantics", l.Idempotency, idempotencyValues); err != nil {
 		return c, err
 	}
-	if c.DedupScope, err = jsonfile.EnumValue(lane+".group", l.Group, dedupScopeWords); err != nil {
+	if c.DedupScope, err = jsonfile.EnumValue(lane+".group", l.DedupScope, dedupScopeValues); err != nil {
 		return c, err
 	}
-	if i < len(f.FamilyInfo.LagAllowedMs) {
-		c.MaxStaleness = Milliseconds(f.FamilyInfo.LagAllowedMs[i])
+	if i < len(f.Replication.MaxStalenessMs) {
+		c.MaxStaleness = Milliseconds(f.Replication.MaxStalenessMs[i])
 	}
-	if i < len(f.FamilyInfo.ClassRead) {
-		c.Access, err = jsonfile.EnumValue(fmt.Sprintf("familyInfo.classRead[%d]", i), f.FamilyInfo.ClassRead[i], accessWords)
+	if i < len(f.Replication.Access) {
+		c.Access, err = jsonfile.EnumValue(fmt.Sprintf("familyInfo.classRead[%d]", i), f.Replication.Access[i], accessValues)
 	}
 	return c, err
 }
--- a/internal/config/server_lists.go
+++ b/internal/config/server_lists.go
@@ -61,18 +61,18 @@
 
 // serverListsForm is the form of the file of the server lists.
 type serverListsForm struct {
-	Enabled         bool         `json:"enabled"`
-	Postgres        ListSource   `json:"postgres"`
-	MySQL           ListSource   `json:"mySQL"`
-	State           string       `json:"state"`
-	Seal            string       `json:"seal"`
-	SettleMs        *float64     `json:"settle_ms"`
-	SettleRemovalMs *float64     `json:"settle_removal_ms"`
-	HoldMs          *float64     `json:"hold_ms"`
-	HoldShare       *float64     `json:"hold_share"`
-	Keep            *int         `json:"keep"`
-	PollMs          *float64     `json:"poll_ms"`
-	MySQLServers    MySQLServers `json:"mysql_servers"`
+	Enabled             bool         `json:"enabled"`
+	Postgres            ListSource   `json:"postgres"`
+	MySQL               ListSource   `json:"mySQL"`
+	ArchiveDir          string       `json:"state"`
+	Seal                string       `json:"seal"`
+	SettleTimeMs        *float64     `json:"settle_ms"`
+	RemovalSettleTimeMs *float64     `json:"settle_removal_ms"`
+	HoldTimeMs          *float64     `json:"hold_ms"`
+	MaxLossShare        *float64     `json:"hold_share"`
+	MaxGenerations      *int         `json:"keep"`
+	PollIntervalMs      *float64     `json:"poll_ms"`
+	MySQLServers        MySQLServers `json:"mysql_servers"`
 }
 
 // Bounds of the file of the server lists.
@@ -91,7 +91,7 @@
 	if !file.Enabled {
 		return l, nil
 	}
-	l.Postgres, l.MySQL, l.ArchiveDir, l.MySQLServers = file.Postgres, file.MySQL, file.State, file.MySQLServers
+	l.Postgres, l.MySQL, l.ArchiveDir, l.MySQLServers = file.Postgres, file.MySQL, file.ArchiveDir, file.MySQLServers
 	if err := l.Postgres.check("postgres"); err != nil {
 		return nil, err
 	}
@@ -136,10 +136,10 @@
 		least float64
 		to    *time.Duration
 	}{
-		{"settle_ms", file.SettleMs, 0, &l.Policy.SettleTime},
-		{"settle_removal_ms", file.SettleRemovalMs, 0, &l.Policy.RemovalSettleTime},
-		{"hold_ms", file.HoldMs, 0, &l.Policy.HoldTime},
-		{"poll_ms", file.PollMs, minPollMs, &l.PollInterval},
+		{"settle_ms", file.SettleTimeMs, 0, &l.Policy.SettleTime},
+		{"settle_removal_ms", file.RemovalSettleTimeMs, 0, &l.Policy.RemovalSettleTime},
+		{"hold_ms", file.HoldTimeMs, 0, &l.Policy.HoldTime},
+		{"poll_ms", file.PollIntervalMs, minPollMs, &l.PollInterval},
 	} {
 		if k.value == nil {
 			continue
@@ -153,13 +153,13 @@
 }
 
 func (l *ServerLists) setShareAndKeep(file *serverListsForm) error {
-	if share := file.HoldShare; share != nil {
+	if share := file.MaxLossShare; share != nil {
 		if *share < 0 || *share > 1 {
 			return fmt.Errorf("hold_share: %v is not from 0 to 1", *share)
 		}
 		l.Policy.MaxLossShare = *share
 	}
-	if keep := file.Keep; keep != nil {
+	if keep := file.MaxGenerations; keep != nil {
 		if *keep < 1 || *keep > maxGenerations {
 			return fmt.Errorf("keep: %d is not from 1 to %d", *keep, maxGenerations)
 		}
--- a/internal/config/settings_file.go
+++ b/internal/config/settings_file.go
@@ -13,18 +13,18 @@
 // without regard to case; the tags begin with a capital because Config.Digest is of the text that they give. Names that end in Ms are
 // in milliseconds.
 type SettingsFile struct {
-	Balancers  int                 `json:"Balancers"` // poolers of the fleet
-	Me         int                 `json:"Me"`        // this pooler's number among them, from 0
-	Zone       int                 `json:"Zone"`      // this pooler's zone, by its place in Zones
-	Discovery  string              `json:"Discovery"` // "ask": the list of servers is polled; "push": it is streamed
-	TickMs     float64             `json:"TickMs"`    // shortest span between two events of the host
-	Caps       CapabilitySettings  `json:"Caps"`
-	Contract   PolicyFigures       `json:"Contract"`
-	FamilyInfo ReplicationSettings `json:"FamilyInfo"`
-	Lanes      []ClassSettings     `json:"Lanes"` // classes of requests
-	Zones      []string            `json:"Zones"`
-	Clients    ClientSettings      `json:"Clients"`
-	Report     HealthSettings      `json:"Report"`
+	Poolers         int                 `json:"Balancers"` // poolers of the fleet
+	PoolerIndex     int                 `json:"Me"`        // this pooler's number among them, from 0
+	Zone            int                 `json:"Zone"`      // this pooler's zone, by its place in Zones
+	Discovery       string              `json:"Discovery"` // "ask": the list of servers is polled; "push": it is streamed
+	EventIntervalMs float64             `json:"TickMs"`    // shortest span between two events of the host
+	Capabilities    CapabilitySettings  `json:"Caps"`
+	Policy          PolicyTimes         `json:"Contract"`
+	Replication     ReplicationSettings `json:"FamilyInfo"`
+	Classes         []ClassSettings     `json:"Lanes"` // classes of requests
+	Zones           []string            `json:"Zones"`
+	Clients         ClientSettings      `json:"Clients"`
+	Health          HealthSettings      `json:"Report"`
 }
 
 // ClientSettings is what clients do.
@@ -43,51 +43,51 @@
 
 // CapabilitySettings is what the site allows.
 type CapabilitySettings struct {
-	ConnIdleMs       float64 `json:"ConnIdleMs"` // after which an unused connection is closed
+	IdleTimeoutMs    float64 `json:"ConnIdleMs"` // after which an unused connection is closed
 	ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
-	MaxOpen          int     `json:"MaxOpen"`     // connections to servers
+	MaxConnections   int     `json:"MaxOpen"`     // connections to servers
 	MaxAttempts      int     `json:"MaxAttempts"` // of one request
 	MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
-	MayCancel        bool    `json:"MayCancel"`    // an attempt that has begun
-	MayTell          bool    `json:"MayTell"`      // poolers may send each other messages
-	Probing          bool    `json:"Probing"`      // servers may be probed
+	Cancel           bool    `json:"MayCancel"`    // an attempt that has begun
+	Messages         bool    `json:"MayTell"`      // poolers may send each other messages
+	Probes           bool    `json:"Probing"`      // servers may be probed
 	RetryAfter       bool    `json:"RetryAfter"`   // clients heed a time after which to retry
-	SecondCopies     bool    `json:"SecondCopies"` // hedged attempts are allowed
+	Hedging          bool    `json:"SecondCopies"` // hedged attempts are allowed
 }
 
-// PolicyFigures are the times and thresholds of the load-balancing policy.
-type PolicyFigures struct {
-	AnswerSlackMs     float64 `json:"AnswerSlackMs"`     // after a client's deadline, in which an answer still counts
-	MustAskInMs       float64 `json:"MustAskInMs"`       // longest span between two polls of the list of servers
-	ColdFrom          float64 `json:"ColdFrom"`          // share of its capacity, from 0 to 1, that a server has at its start
-	ColdMs            float64 `json:"ColdMs"`            // span from a server's start until it has its full capacity
-	DrainGraceMs      float64 `json:"DrainGraceMs"`      // for which a draining or removed primary still takes writes
-	OverloadFactor    float64 `json:"OverloadFactor"`    // a server in slow start fails under this multiple of its present capacity,
-	OverloadForMs     float64 `json:"OverloadForMs"`     // sent to it over this span
-	OnlyDrainingBinds bool    `json:"OnlyDrainingBinds"` // a server removed from the list stays in use unless it was listed as draining
+// PolicyTimes are the times and thresholds of the load-balancing policy.
+type PolicyTimes struct {
+	AnswerSlackMs      float64 `json:"AnswerSlackMs"`     // after a client's deadline, in which an answer still counts
+	MaxPollIntervalMs  float64 `json:"MustAskInMs"`       // longest span between two polls of the list of servers
+	SlowStartCapacity  float64 `json:"ColdFrom"`          // share of its capacity, from 0 to 1, that a server has at its start
+	SlowStartMs        float64 `json:"ColdMs"`            // span from a server's start until it has its full capacity
+	DrainGraceMs       float64 `json:"DrainGraceMs"`      // for which a draining or removed primary still takes writes
+	OverloadFactor     float64 `json:"OverloadFactor"`    // a server in slow start fails under this multiple of its present capacity,
+	OverloadIntervalMs float64 `json:"OverloadForMs"`     // sent to it over this span
+	IgnoreRemoval      bool    `json:"OnlyDrainingBinds"` // a server removed from the list stays in use unless it was listed as draining
 }
 
 // ReplicationSettings describes replicated groups of servers.
 type ReplicationSettings struct {
-	BaseTimeMs   float64   `json:"BaseTimeMs"`   // time from which replication positions count
-	Behind       string    `json:"Behind"`       // what a replica does with a read that it is too far behind for: "none", "bounce" or "await"
-	ClassRead    []string  `json:"ClassRead"`    // by class, what its requests read: see accessWords
-	LagAllowedMs []float64 `json:"LagAllowedMs"` // by class, how stale its reads may be
-	ShowsRole    string    `json:"ShowsRole"`    // how the list of servers follows a change of primary
-	Tokens       string    `json:"Tokens"`       // who keeps a session's position: "brought" by the client, or "kept" by the pooler
-	WaitMs       float64   `json:"WaitMs"`       // for which a replica that awaits its position waits
+	PositionEpochMs  float64   `json:"BaseTimeMs"`   // time from which replication positions count
+	StaleReads       string    `json:"Behind"`       // what a replica does with a read that it is too far behind for: "none", "bounce" or "await"
+	Access           []string  `json:"ClassRead"`    // by class, what its requests read: see accessValues
+	MaxStalenessMs   []float64 `json:"LagAllowedMs"` // by class, how stale its reads may be
+	ListedRole       string    `json:"ShowsRole"`    // how the list of servers follows a change of primary
+	SessionPositions string    `json:"Tokens"`       // who keeps a session's position: "brought" by the client, or "kept" by the pooler
+	StaleReadWaitMs  float64   `json:"WaitMs"`       // for which a replica that awaits its position waits
 }
 
 // ClassSettings is a class of requests.
 type ClassSettings struct {
-	Name        string  `json:"Name"`
-	Semantics   string  `json:"Semantics"`   // whether a request may run twice: "free", "guarded" by its key, or "single_shot"
-	Group       string  `json:"Group"`       // where a key guards a request: "all", "zone" or "cell"
-	AimMs       float64 `json:"AimMs"`       // latency objective
-	HardLimitMs float64 `json:"HardLimitMs"` // total timeout
-	LateWorth   float64 `json:"LateWorth"`   // share of Worth that an answer after the objective is worth
-	Worth       float64 `json:"Worth"`       // priority weight
-	WindowMs    float64 `json:"WindowMs"`    // for which a key guards
+	Name               string  `json:"Name"`
+	Idempotency        string  `json:"Semantics"` // whether a request may run twice: "free", "guarded" by its key, or "single_shot"
+	DedupScope         string  `json:"Group"`     // where a key guards a request: "all", "zone" or "cell"
+	LatencyObjectiveMs float64 `json:"AimMs"`
+	TotalTimeoutMs     float64 `json:"HardLimitMs"` // over all attempts
+	LateWeightFraction float64 `json:"LateWorth"`   // share of PriorityWeight that an answer after the objective has
+	PriorityWeight     float64 `json:"Worth"`       // value of an answer, in a unit that the classes share
+	DedupWindowMs      float64 `json:"WindowMs"`    // for which a key guards
 }
 
 // ParseSettings reads the text of a settings object.
@@ -101,7 +101,7 @@
 
 // digest is the same at all poolers of a fleet that have the same settings: it leaves out the pooler's own number and zone.
 func (f SettingsFile) digest() string {
-	f.Me, f.Zone = 0, 0
+	f.PoolerIndex, f.Zone = 0, 0
 	text, err := json.Marshal(f)
 	if err != nil {
 		panic(err) // they were read from JSON
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -14,14 +14,14 @@
 
 // Most that a scenario may ask for on one machine; the laboratory's design note tells how the bounds were found.
 const (
-	maxPoolers      = 400
-	maxServers      = 120
-	maxLength       = 10 * time.Minute
-	maxZones        = 9
-	maxRelayed      = 32 // poolers with relays between them: each pair takes two, of two sockets
-	maxUsualClients = 16 // of a pooler
-	maxHotClients   = 64 // of a hot pooler
-	maxKeys         = 1000
+	maxPoolers    = 400
+	maxServers    = 120
+	maxLength     = 10 * time.Minute
+	maxZones      = 9
+	maxRelayed    = 32 // poolers with relays between them: each pair takes two, of two sockets
+	maxClients    = 16 // of a pooler
+	maxHotClients = 64 // of a hot pooler
+	maxKeys       = 1000
 )
 
 const (
@@ -42,8 +42,8 @@
 		return fmt.Errorf("machines: %d is not from 0 to the number of poolers", s.Machines)
 	case s.Length <= 0 || s.Length > maxLength:
 		return fmt.Errorf("length_ms: %v is not above 0 and within %v", s.Length, maxLength)
-	case s.Clients < 0 || s.Clients > maxUsualClients:
-		return fmt.Errorf("clients: %d is not from 0 to %d", s.Clients, maxUsualClients)
+	case s.Clients < 0 || s.Clients > maxClients:
+		return fmt.Errorf("clients: %d is not from 0 to %d", s.Clients, maxClients)
 	case s.WriteShare < 0 || s.WriteShare > 1:
 		return fmt.Errorf("writes: %v is no share from 0 to 1", s.WriteShare)
 	case s.ThinkTime < minRest || s.Timeout < minTimeout:
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -11,57 +11,57 @@
 
 // Defaults for what a file leaves out.
 const (
-	defaultRestMs     = 50
-	defaultPatienceMs = 2000
-	defaultBoundMs    = 800
+	defaultThinkTimeMs    = 50
+	defaultTimeoutMs      = 2000
+	defaultMaxStalenessMs = 800
 )
 
 // form is the form of a scenario file.
 type form struct {
-	Poolers    int               `json:"poolers"`
-	Servers    int               `json:"servers"`
-	Groups     int               `json:"groups"`
-	Roles      bool              `json:"roles"`
-	Direct     bool              `json:"direct"`
-	Machines   int               `json:"machines"`
-	Clients    *int              `json:"clients"` // 0: idle poolers
-	Hot        string            `json:"hot"`
-	HotClients int               `json:"hot_clients"`
-	LengthMs   float64           `json:"length_ms"`
-	Seed       uint64            `json:"seed"`
-	RestMs     float64           `json:"rest_ms"`
-	Writes     float64           `json:"writes"`
-	PatienceMs float64           `json:"patience_ms"`
-	WorkMs     float64           `json:"work_ms"`
-	Fleet      fleetForm         `json:"fleet"`
-	Push       bool              `json:"push"`
-	Unkeyed    bool              `json:"unkeyed"`
-	GraceMs    float64           `json:"grace_ms"`
-	Log        logForm           `json:"log"`
-	Steps      []json.RawMessage `json:"steps"`
+	Poolers            int               `json:"poolers"`
+	Servers            int               `json:"servers"`
+	Groups             int               `json:"groups"`
+	RolesListed        bool              `json:"roles"`
+	Direct             bool              `json:"direct"`
+	Machines           int               `json:"machines"`
+	Clients            *int              `json:"clients"` // 0: idle poolers
+	Hot                string            `json:"hot"`
+	HotClients         int               `json:"hot_clients"`
+	LengthMs           float64           `json:"length_ms"`
+	Seed               uint64            `json:"seed"`
+	ThinkTimeMs        float64           `json:"rest_ms"`
+	WriteShare         float64           `json:"writes"`
+	TimeoutMs          float64           `json:"patience_ms"`
+	ServiceTimeMs      float64           `json:"work_ms"`
+	Fleet              fleetForm         `json:"fleet"`
+	PushLists          bool              `json:"push"`
+	Unkeyed            bool              `json:"unkeyed"`
+	DrainGracePeriodMs float64           `json:"grace_ms"`
+	Log                logForm           `json:"log"`
+	Steps              []json.RawMessage `json:"steps"`
 }
 
 type fleetForm struct {
-	Stewards        int             `json:"stewards"`
+	Voters          int             `json:"stewards"`
 	Distributors    int             `json:"distributors"`
 	Regions         int             `json:"regions"`
 	TermMs          float64         `json:"term_ms"`
 	Relays          bool            `json:"relays"`
 	SharedAddresses bool            `json:"shared_addresses"`
-	LeastBuild      string          `json:"least_build"`
+	MinBuild        string          `json:"least_build"`
 	Zones           int             `json:"zones"`
-	Verdicts        bool            `json:"verdicts"`
+	Outliers        bool            `json:"verdicts"`
 	Limits          json.RawMessage `json:"limits"`
 	Purges          purgesForm      `json:"purges"`
 	Shards          shardsForm      `json:"shards"`
 }
 
 type purgesForm struct {
-	Sites     int     `json:"sites"`
-	Rows      int     `json:"rows"`
-	ClockMs   float64 `json:"clock_ms"`
-	ConfirmMs float64 `json:"confirm_ms"`
-	SettleMs  float64 `json:"settle_ms"`
+	Sites           int     `json:"sites"`
+	Rows            int     `json:"rows"`
+	GuardMs         float64 `json:"clock_ms"`
+	MaxReplicaAgeMs float64 `json:"confirm_ms"`
+	SettleMs        float64 `json:"settle_ms"`
 }
 
 type shardsForm struct {
@@ -79,10 +79,10 @@
 }
 
 type logForm struct {
-	WaitMs   float64 `json:"wait_ms"`
-	BoundMs  float64 `json:"bound_ms"`
-	Reports  float64 `json:"reports"`
-	ReportMs float64 `json:"report_ms"`
+	MaxWaitMs      float64 `json:"wait_ms"`
+	MaxStalenessMs float64 `json:"bound_ms"`
+	ReportShare    float64 `json:"reports"`
+	ReportTimeMs   float64 `json:"report_ms"`
 }
 
 // Load reads a scenario file. An error names the file, the line and the key.
@@ -136,21 +136,21 @@
 func (f *form) scenario() Scenario {
 	s := Scenario{
 		Size:             Size{Poolers: f.Poolers, Servers: f.Servers, Groups: orDefault(f.Groups, 1)},
-		RolesListed:      f.Roles,
+		RolesListed:      f.RolesListed,
 		Direct:           f.Direct,
 		Length:           milliseconds(f.LengthMs),
 		Seed:             f.Seed,
-		Traffic:          Traffic{Clients: 1, ThinkTime: milliseconds(orDefault(f.RestMs, defaultRestMs)), WriteShare: f.Writes, Timeout: milliseconds(orDefault(f.PatienceMs, defaultPatienceMs))},
-		ServiceTime:      milliseconds(f.WorkMs),
+		Traffic:          Traffic{Clients: 1, ThinkTime: milliseconds(orDefault(f.ThinkTimeMs, defaultThinkTimeMs)), WriteShare: f.WriteShare, Timeout: milliseconds(orDefault(f.TimeoutMs, defaultTimeoutMs))},
+		ServiceTime:      milliseconds(f.ServiceTimeMs),
 		Machines:         f.Machines,
-		PushLists:        f.Push,
-		DrainGracePeriod: milliseconds(f.GraceMs),
+		PushLists:        f.PushLists,
+		DrainGracePeriod: milliseconds(f.DrainGracePeriodMs),
 		Unkeyed:          f.Unkeyed,
 		ReplicationLog: ReplicationLog{
-			MaxWait:      milliseconds(f.Log.WaitMs),
-			MaxStaleness: milliseconds(orDefault(f.Log.BoundMs, defaultBoundMs)),
-			ReportShare:  f.Log.Reports,
-			ReportTime:   milliseconds(f.Log.ReportMs),
+			MaxWait:      milliseconds(f.Log.MaxWaitMs),
+			MaxStaleness: milliseconds(orDefault(f.Log.MaxStalenessMs, defaultMaxStalenessMs)),
+			ReportShare:  f.Log.ReportShare,
+			ReportTime:   milliseconds(f.Log.ReportTimeMs),
 		},
 	}
 	if f.Clients != nil {
@@ -162,20 +162,20 @@
 // fleet takes over all of the fleet but its limits and shards, and fills in defaults.
 func (f *fleetForm) fleet() Fleet {
 	return Fleet{
-		Voters:          f.Stewards,
+		Voters:          f.Voters,
 		Distributors:    f.Distributors,
 		Regions:         f.Regions,
 		Term:            orDefault(milliseconds(f.TermMs), config.DefaultTerm),
 		Relays:          f.Relays,
 		SharedAddresses: f.SharedAddresses,
-		MinBuild:        f.LeastBuild,
+		MinBuild:        f.MinBuild,
 		Zones:           f.Zones,
-		Outliers:        f.Verdicts,
+		Outliers:        f.Outliers,
 		Purges: Purges{
 			Sites:         f.Purges.Sites,
 			Rows:          orDefault(f.Purges.Rows, 1),
-			Guard:         orDefault(milliseconds(f.Purges.ClockMs), config.DefaultPurgeGuard),
-			MaxReplicaAge: orDefault(milliseconds(f.Purges.ConfirmMs), config.DefaultMaxReplicaAge),
+			Guard:         orDefault(milliseconds(f.Purges.GuardMs), config.DefaultPurgeGuard),
+			MaxReplicaAge: orDefault(milliseconds(f.Purges.MaxReplicaAgeMs), config.DefaultMaxReplicaAge),
 			Settle:        milliseconds(f.Purges.SettleMs),
 		},
 	}
--- a/internal/lab/scenario/steps.go
+++ b/internal/lab/scenario/steps.go
@@ -12,8 +12,8 @@
 
 // The values of a step's "poolers" that name whichever pooler has a role when the step comes.
 const (
-	holderWord = "holder" // the discovery leader
-	dealerWord = "dealer" // the allocator of the fleet's limits
+	leaderValue    = "holder" // the discovery leader
+	allocatorValue = "dealer" // the allocator of the fleet's limits
 )
 
 type stepForm struct {
@@ -63,8 +63,8 @@
 	step := faults.Step{
 		At:     milliseconds(form.AtMs),
 		Act:    faults.Act(form.Act),
-		Holder: form.Poolers == holderWord,
-		Dealer: form.Poolers == dealerWord,
+		Holder: form.Poolers == leaderValue,
+		Dealer: form.Poolers == allocatorValue,
 		For:    milliseconds(form.ForMs),
 		Delay:  milliseconds(form.DelayMs),
 		Jitter: milliseconds(form.JitterMs),
