--- a/internal/pooler/list_file.go
+++ b/internal/pooler/list_file.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	list := &List{Servers: servers, Terminated: file.Ended}
+	list := &List{Servers: servers, Terminated: file.EndsInNewline}
 	if file.Seal != nil {
 		list.Sealed = true
 		list.ConfirmedDigest = file.Seal.Confirms
--- a/internal/protocol/inventory/csv.go
+++ b/internal/protocol/inventory/csv.go
@@ -15,7 +15,7 @@
 // empty, as spreadsheets pad rows.
 func parseCSV(text string, p *serverlist.ListError) (rows []serverlist.Row) {
 	r := csv.NewReader(strings.NewReader(text))
-	r.Comma, r.Comment, r.FieldsPerRecord, r.ReuseRecord = separator(text), '#', -1, true
+	r.Comma, r.Comment, r.FieldsPerRecord, r.ReuseRecord = detectSeparator(text), '#', -1, true
 	var head []serverlist.Field
 	seen := map[serverlist.Field]bool{}
 	for {
@@ -36,7 +36,7 @@
 		}
 		line, _ := r.FieldPos(0)
 		if head == nil {
-			head = header(cells, line, seen, p)
+			head = parseHeader(cells, line, seen, p)
 			continue
 		}
 		for len(cells) > len(head) && cells[len(cells)-1] == "" {
@@ -66,14 +66,14 @@
 	return rows
 }
 
-// header finds out what the columns hold; Fields stands for one with neither title nor use.
-func header(cells []string, line int, seen map[serverlist.Field]bool, p *serverlist.ListError) []serverlist.Field {
+// parseHeader finds out what the columns hold; Fields stands for one with neither title nor use.
+func parseHeader(cells []string, line int, seen map[serverlist.Field]bool, p *serverlist.ListError) []serverlist.Field {
 	for len(cells) > 1 && cells[len(cells)-1] == "" {
 		cells = cells[:len(cells)-1]
 	}
 	head := make([]serverlist.Field, len(cells))
 	for i, title := range cells {
-		f, ok := fields[strings.ToLower(title)]
+		f, ok := fieldsByName[strings.ToLower(title)]
 		switch {
 		case !ok:
 			p.Add(line, "header", "unknown column %.40q, expected name, host, port, zone, cluster, state, weight, wire or version", title)
@@ -87,8 +87,8 @@
 	return head
 }
 
-// separator is the one of the three that stands most often in the first line with content.
-func separator(text string) rune {
+// detectSeparator is the one of the three that stands most often in the first line with content.
+func detectSeparator(text string) rune {
 	for line := range strings.Lines(text) {
 		if line = strings.TrimSpace(line); strings.Trim(line, ",;\t") == "" || line[0] == '#' {
 			continue
--- a/internal/protocol/inventory/inventory.go
+++ b/internal/protocol/inventory/inventory.go
@@ -36,9 +36,9 @@
 
 // File is what a file holds.
 type File struct {
-	Rows  []serverlist.Row
-	Seal  *Seal // nil: it has none
-	Ended bool  // its last line has an end
+	Rows          []serverlist.Row
+	Seal          *Seal // nil: it has none
+	EndsInNewline bool  // its last line has an end
 }
 
 // Parse reads a file. portVariable is the variable that holds the server's port in Ansible's inventories, where hosts have
@@ -49,10 +49,10 @@
 		p.Add(0, "", "the file holds more than %d bytes", MaxBytes)
 		return nil, p.Err()
 	}
-	f := &File{Ended: bytes.HasSuffix(text, []byte("\n"))}
+	f := &File{EndsInNewline: bytes.HasSuffix(text, []byte("\n"))}
 	body, seal := cutSeal(text, &p)
 	f.Seal = seal
-	if readable(body, &p); len(p.Problems) == 0 {
+	if checkEncoding(body, &p); len(p.Problems) == 0 {
 		body = bytes.TrimPrefix(body, []byte("\ufeff"))
 		if form == YAML {
 			f.Rows = parseYAML(body, portVariable, &p)
@@ -60,8 +60,8 @@
 			f.Rows = parseCSV(string(body), &p)
 		}
 	}
-	if seal != nil && len(p.Problems) == 0 && seal.Rows != len(f.Rows) {
-		p.Add(0, "", "the seal counts %d servers, and there are %d", seal.Rows, len(f.Rows))
+	if seal != nil && len(p.Problems) == 0 && seal.Servers != len(f.Rows) {
+		p.Add(0, "", "the seal counts %d servers, and there are %d", seal.Servers, len(f.Rows))
 	}
 	if err := p.Err(); err != nil {
 		return nil, err
@@ -69,8 +69,8 @@
 	return f, nil
 }
 
-// readable finds the line where a text is no UTF-8, as spreadsheets may write it in other character sets.
-func readable(text []byte, p *serverlist.ListError) {
+// checkEncoding finds the line where a text is no UTF-8, as spreadsheets may write it in other character sets.
+func checkEncoding(text []byte, p *serverlist.ListError) {
 	if bytes.HasPrefix(text, []byte("\xff\xfe")) || bytes.HasPrefix(text, []byte("\xfe\xff")) {
 		p.Add(1, "text", "UTF-16, expected UTF-8")
 		return
@@ -88,6 +88,6 @@
 	}
 }
 
-var fields = map[string]serverlist.Field{"name": serverlist.FieldName, "host": serverlist.FieldHost, "port": serverlist.FieldPort,
+var fieldsByName = map[string]serverlist.Field{"name": serverlist.FieldName, "host": serverlist.FieldHost, "port": serverlist.FieldPort,
 	"zone": serverlist.FieldZone, "room": serverlist.FieldZone, "cluster": serverlist.FieldCluster, "state": serverlist.FieldState,
 	"weight": serverlist.FieldWeight, "wire": serverlist.FieldWire, "version": serverlist.FieldVersion, "ansible_host": serverlist.FieldHost}
--- a/internal/protocol/inventory/seal.go
+++ b/internal/protocol/inventory/seal.go
@@ -14,22 +14,22 @@
 // Seal is the last line of a file that proves the file whole: how many servers it lists, and a digest of all that stands
 // above. It guards against what is cut, mixed or half written, not against forgery.
 type Seal struct {
-	Rows     int
-	Digest   string // SHA-256 of the text above, hexadecimal
+	Servers  int
+	SHA256   string // SHA-256 of the text above, hexadecimal
 	Confirms string // digest of the list in force that a removal was compared with; empty: none
 }
 
-const sealMark = "# threadsail-seal "
+const sealPrefix = "# threadsail-seal "
 
 func (s Seal) line() string {
-	text := fmt.Sprintf("%sv1 rows=%d sha256=%s", sealMark, s.Rows, s.Digest)
+	text := fmt.Sprintf("%sv1 rows=%d sha256=%s", sealPrefix, s.Servers, s.SHA256)
 	if s.Confirms != "" {
 		text += " confirms=" + s.Confirms
 	}
 	return text + "\n"
 }
 
-func digest(body []byte) string {
+func sha256Hex(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
@@ -37,9 +37,9 @@
 // cutSeal parts a text from its seal. A line that is meant to be a seal and is none is a problem: the file may be cut.
 func cutSeal(text []byte, p *serverlist.ListError) ([]byte, *Seal) {
 	at := -1
-	if bytes.HasPrefix(text, []byte(sealMark)) {
+	if bytes.HasPrefix(text, []byte(sealPrefix)) {
 		at = 0
-	} else if i := bytes.Index(text, []byte("\n"+sealMark)); i >= 0 {
+	} else if i := bytes.Index(text, []byte("\n"+sealPrefix)); i >= 0 {
 		at = i + 1
 	}
 	if at < 0 {
@@ -53,15 +53,15 @@
 		return body, nil
 	}
 	s := &Seal{}
-	for i, w := range strings.Fields(strings.TrimPrefix(strings.TrimRight(words, "\r,;\t "), sealMark)) {
+	for i, w := range strings.Fields(strings.TrimPrefix(strings.TrimRight(words, "\r,;\t "), sealPrefix)) {
 		name, value, _ := strings.Cut(w, "=")
 		var err error
 		switch {
 		case i == 0 && w == "v1":
 		case name == "rows":
-			s.Rows, err = strconv.Atoi(value)
+			s.Servers, err = strconv.Atoi(value)
 		case name == "sha256":
-			s.Digest = value
+			s.SHA256 = value
 		case name == "confirms" && len(value) == 16:
 			s.Confirms = value
 		default:
@@ -72,7 +72,7 @@
 			return body, nil
 		}
 	}
-	if s.Digest != digest(body) {
+	if s.SHA256 != sha256Hex(body) {
 		p.Add(line, "seal", "does not fit the text above it, expected a file that is whole and unchanged since it was sealed")
 		return body, nil
 	}
@@ -81,14 +81,14 @@
 
 // AppendSeal seals a text that lists so many servers; a seal that it has is replaced.
 func AppendSeal(text []byte, rows int, confirms string) []byte {
-	if i := bytes.Index(text, []byte("\n"+sealMark)); i >= 0 {
+	if i := bytes.Index(text, []byte("\n"+sealPrefix)); i >= 0 {
 		text = text[:i+1]
 	}
 	body := bytes.Clone(text)
 	if len(body) > 0 && body[len(body)-1] != '\n' {
 		body = append(body, '\n')
 	}
-	return append(body, Seal{Rows: rows, Digest: digest(body), Confirms: confirms}.line()...)
+	return append(body, Seal{Servers: rows, SHA256: sha256Hex(body), Confirms: confirms}.line()...)
 }
 
 // Unsealed is a text without its seal line, whether that fits or not.
--- a/internal/protocol/inventory/stored_test.go
+++ b/internal/protocol/inventory/stored_test.go
@@ -59,7 +59,7 @@
 		}
 		goldentest.Check(t, name+".problems", []byte(strings.ReplaceAll(err.Error(), "; ", "\n")+"\n"))
 	}
-	goldentest.Check(t, "columns.txt", goldentest.Lines(slices.Collect(maps.Keys(fields))))
+	goldentest.Check(t, "columns.txt", goldentest.Lines(slices.Collect(maps.Keys(fieldsByName))))
 }
 
 // A seal that an earlier build has put below a file still holds, and is written with the same bytes.
--- a/internal/protocol/inventory/yaml.go
+++ b/internal/protocol/inventory/yaml.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	maxDepth = 16      // of groups
-	maxVisit = 1 << 19 // nodes and hosts, aliases followed: a few lines of nested anchors can stand for billions
-	own      = maxDepth + 1
+	maxDepth   = 16      // of groups
+	maxVisited = 1 << 19 // nodes and hosts, aliases followed: a few lines of nested anchors can stand for billions
+	ownDepth   = maxDepth + 1
 )
 
 // parseYAML walks Ansible's layout: groups with hosts, vars and children. A host's own variables go before those of its
@@ -41,13 +41,13 @@
 		p.Add(yamlLine(err), "yaml", "%s", strings.TrimPrefix(err.Error(), "yaml: "))
 		return nil
 	}
-	w := &walk{p: p, portVariable: portVariable, byName: map[string]*host{}}
-	w.groups(doc.Content[0], "inventory", nil, 0)
-	if w.visits > maxVisit {
+	w := &yamlReader{problems: p, portVariable: portVariable, hostsByName: map[string]*yamlHost{}}
+	w.readGroups(doc.Content[0], "inventory", nil, 0)
+	if w.visited > maxVisited {
 		p.Add(1, "yaml", "too large once its aliases are followed")
 	}
-	rows := make([]serverlist.Row, 0, len(w.order))
-	for _, h := range w.order {
+	rows := make([]serverlist.Row, 0, len(w.hosts))
+	for _, h := range w.hosts {
 		rows = append(rows, h.row)
 	}
 	return rows
@@ -61,78 +61,78 @@
 	return line
 }
 
-// host is one that has been listed, maybe in several groups.
-type host struct {
+// yamlHost is one that has been listed, maybe in several groups.
+type yamlHost struct {
 	row   serverlist.Row
 	depth [serverlist.FieldCount]int // of the group that each value came from, or own
 }
 
-type walk struct {
-	p            *serverlist.ListError
+type yamlReader struct {
+	problems     *serverlist.ListError
 	portVariable string
-	byName       map[string]*host
-	order        []*host
-	visits       int
+	hostsByName  map[string]*yamlHost
+	hosts        []*yamlHost
+	visited      int
 }
 
-// scope is the variables of the groups around a host, the outermost first.
-type scope []*yaml.Node
+// groupVariables is the variables of the groups around a host, the outermost first.
+type groupVariables []*yaml.Node
 
-func (w *walk) groups(n *yaml.Node, field string, vars scope, depth int) {
+func (w *yamlReader) readGroups(n *yaml.Node, field string, vars groupVariables, depth int) {
 	if depth > maxDepth {
-		w.p.Add(n.Line, field, "groups are nested more than %d deep", maxDepth)
+		w.problems.Add(n.Line, field, "groups are nested more than %d deep", maxDepth)
 		return
 	}
-	w.pairs(n, field, func(_ int, name string, group *yaml.Node) {
+	w.eachPair(n, field, func(_ int, name string, group *yaml.Node) {
 		inner := vars
-		w.pairs(group, name, func(_ int, key string, v *yaml.Node) {
+		w.eachPair(group, name, func(_ int, key string, v *yaml.Node) {
 			if key == "vars" {
 				inner = append(slices.Clone(vars), v)
 			}
 		})
-		w.pairs(group, name, func(line int, key string, v *yaml.Node) {
+		w.eachPair(group, name, func(line int, key string, v *yaml.Node) {
 			switch key {
 			case "vars":
 			case "children":
-				w.groups(v, name+".children", inner, depth+1)
+				w.readGroups(v, name+".children", inner, depth+1)
 			case "hosts":
-				w.pairs(v, name+".hosts", func(line int, pattern string, own *yaml.Node) {
-					names, err := expand(pattern)
+				w.eachPair(v, name+".hosts", func(line int, pattern string, own *yaml.Node) {
+					names, err := expandPattern(pattern)
 					if err != nil {
-						w.p.Add(line, name+".hosts", "%v", err)
+						w.problems.Add(line, name+".hosts", "%v", err)
 					}
 					for _, h := range names {
-						if w.visits > maxVisit {
+						if w.visited > maxVisited {
 							return
 						}
-						w.host(h, line, own, inner)
+						w.readHost(h, line, own, inner)
 					}
 				})
 			default:
-				w.p.Add(line, name+"."+key, "unknown, expected hosts, vars or children")
+				w.problems.Add(line, name+"."+key, "unknown, expected hosts, vars or children")
 			}
 		})
 	})
 }
 
-func (w *walk) host(name string, line int, vars *yaml.Node, outer scope) {
-	w.visits++
-	h := w.byName[name]
+func (w *yamlReader) readHost(name string, line int, vars *yaml.Node, outer groupVariables) {
+	w.visited++
+	h := w.hostsByName[name]
 	if h == nil {
-		h = &host{row: serverlist.Row{Line: line}}
+		h = &yamlHost{row: serverlist.Row{Line: line}}
 		h.row.Values[serverlist.FieldName] = name
-		w.byName[name] = h
-		w.order = append(w.order, h)
+		w.hostsByName[name] = h
+		w.hosts = append(w.hosts, h)
 	}
 	for depth, v := range outer {
-		w.variables(h, name, v, depth)
+		w.readVariables(h, name, v, depth)
 	}
-	w.variables(h, name, vars, own)
+	w.readVariables(h, name, vars, ownDepth)
 }
 
-func (w *walk) variables(h *host, name string, vars *yaml.Node, depth int) {
-	w.pairs(vars, name, func(line int, key string, v *yaml.Node) {
-		f, known := fields[key]
+func (w *yamlReader) readVariables(h *yamlHost, name string, vars *yaml.Node, depth int) {
+	w.eachPair(vars, name, func(line int, key string, v *yaml.Node) {
+		f, known := fieldsByName[key]
 		if key == w.portVariable {
 			f, known = serverlist.FieldPort, true
 		}
@@ -144,18 +144,18 @@
 		}
 		switch {
 		case v.Kind != yaml.ScalarNode:
-			w.p.Add(line, key, "a list or mapping, expected a plain value")
+			w.problems.Add(line, key, "a list or mapping, expected a plain value")
 		case strings.Contains(v.Value, "{{"):
-			w.p.Add(line, key, "%.40q, expected a plain value and no template", v.Value)
+			w.problems.Add(line, key, "%.40q, expected a plain value and no template", v.Value)
 		default:
 			h.row.Values[f], h.row.Lines[f], h.depth[f] = strings.TrimSpace(v.Value), line, depth
 		}
 	})
 }
 
-// pairs goes through a mapping, what it merges in (<<) first; an empty value counts as an empty mapping.
-func (w *walk) pairs(n *yaml.Node, field string, each func(line int, key string, v *yaml.Node)) {
-	if w.visits++; w.visits > maxVisit {
+// eachPair goes through a mapping, what it merges in (<<) first; an empty value counts as an empty mapping.
+func (w *yamlReader) eachPair(n *yaml.Node, field string, each func(line int, key string, v *yaml.Node)) {
+	if w.visited++; w.visited > maxVisited {
 		return
 	}
 	if n.Kind == yaml.AliasNode {
@@ -165,7 +165,7 @@
 		return
 	}
 	if n.Kind != yaml.MappingNode {
-		w.p.Add(n.Line, field, "no mapping, expected one of names to values")
+		w.problems.Add(n.Line, field, "no mapping, expected one of names to values")
 		return
 	}
 	lines := make(map[string]int, len(n.Content)/2)
@@ -173,23 +173,23 @@
 		if k, v := n.Content[i], n.Content[i+1]; k.Tag == "!!merge" {
 			if v.Kind == yaml.SequenceNode {
 				for j := len(v.Content) - 1; j >= 0; j-- { // the first one wins
-					w.pairs(v.Content[j], field, each)
+					w.eachPair(v.Content[j], field, each)
 				}
 			} else {
-				w.pairs(v, field, each)
+				w.eachPair(v, field, each)
 			}
 		}
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, v := n.Content[i], n.Content[i+1]
-		if w.visits > maxVisit {
+		if w.visited > maxVisited {
 			return
 		}
 		if k.Tag == "!!merge" {
 			continue
 		}
 		if first, twice := lines[k.Value]; twice {
-			w.p.Add(k.Line, field, "%.80q is listed twice, first on line %d", k.Value, first)
+			w.problems.Add(k.Line, field, "%.80q is listed twice, first on line %d", k.Value, first)
 			continue
 		}
 		lines[k.Value] = k.Line
@@ -197,8 +197,8 @@
 	}
 }
 
-// expand lists the hosts that a pattern with ranges stands for: [01:12], [1:9:2], [a:f].
-func expand(pattern string) ([]string, error) {
+// expandPattern lists the hosts that a pattern with ranges stands for: [01:12], [1:9:2], [a:f].
+func expandPattern(pattern string) ([]string, error) {
 	open := strings.IndexByte(pattern, '[')
 	if open < 0 || strings.Contains(pattern, "::") { // an address of IP version 6
 		return []string{pattern}, nil
@@ -216,11 +216,11 @@
 			return nil, fmt.Errorf("%.80q, expected a step of 1 or more", pattern)
 		}
 	}
-	items, err := between(parts[0], parts[1], step)
+	items, err := expandRange(parts[0], parts[1], step)
 	if err != nil {
 		return nil, fmt.Errorf("%.80q, %w", pattern, err)
 	}
-	tails, err := expand(tail)
+	tails, err := expandPattern(tail)
 	if err != nil {
 		return nil, err
 	}
@@ -236,7 +236,7 @@
 	return out, nil
 }
 
-func between(from, to string, step int) (out []string, err error) {
+func expandRange(from, to string, step int) (out []string, err error) {
 	letter := func(s string) bool { return len(s) == 1 && (s[0]|0x20 >= 'a' && s[0]|0x20 <= 'z') }
 	if letter(from) && letter(to) && from <= to {
 		for c := int(from[0]); c <= int(to[0]); c += step {
--- a/internal/serverlist/truncated_test.go
+++ b/internal/serverlist/truncated_test.go
@@ -43,7 +43,7 @@
 	f, err := inventory.Parse(form, "mysql_port", []byte(text))
 	if err == nil {
 		c.Servers, err = serverlist.Check(f.Rows, serverlist.Constraints{DefaultPort: 3306})
-		c.Sealed, c.EndsInNewline = f.Seal != nil, f.Ended
+		c.Sealed, c.EndsInNewline = f.Seal != nil, f.EndsInNewline
 	}
 	c.Err = err
 	return c, err == nil
