--- a/internal/protocol/inventory/inventory.go
+++ b/internal/protocol/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads and writes the list of servers as configuration tools keep it: CSV as spreadsheets export it, and
-// YAML in the layout of Ansible's inventories. It turns bytes into rows; what a row may hold is membership's to check.
+// Package inventory reads and writes lists of servers as configuration tools keep them: CSV as spreadsheets export it, and YAML in the
+// layout of Ansible's inventories. It turns bytes into rows, and does no I/O; package serverlist checks what the rows hold.
 package inventory
 
 import (
@@ -11,7 +11,7 @@
 	"threadsail/internal/serverlist"
 )
 
-// Form is how a file is written.
+// Form is the form of a file.
 type Form uint8
 
 // The forms.
@@ -20,7 +20,9 @@
 	YAML
 )
 
-// FormOf tells a file's form by the ending of its name.
+var errUnknownForm = errors.New("the name ends in none of .csv, .tsv, .yaml and .yml")
+
+// FormOf returns the form of a file by the end of its name.
 func FormOf(name string) (Form, error) {
 	switch {
 	case strings.HasSuffix(name, ".csv"), strings.HasSuffix(name, ".tsv"):
@@ -28,7 +30,7 @@
 	case strings.HasSuffix(name, ".yaml"), strings.HasSuffix(name, ".yml"):
 		return YAML, nil
 	}
-	return CSV, errors.New("the name ends in none of .csv, .tsv, .yaml and .yml")
+	return CSV, errUnknownForm
 }
 
 // MaxBytes is the size of the largest file that is read: some 10,000 servers take 0.6 MB.
@@ -37,42 +39,61 @@
 // File is what a file holds.
 type File struct {
 	Rows          []serverlist.Row
-	Seal          *Seal // nil: it has none
-	EndsInNewline bool  // its last line has an end
+	Seal          *Seal // nil: there is none
+	EndsInNewline bool
+}
+
+// fieldsByName are the names of columns and variables, and the field that each sets.
+var fieldsByName = map[string]serverlist.Field{
+	"name":         serverlist.FieldName,
+	"host":         serverlist.FieldHost,
+	"ansible_host": serverlist.FieldHost,
+	"port":         serverlist.FieldPort,
+	"zone":         serverlist.FieldZone,
+	"room":         serverlist.FieldZone,
+	"cluster":      serverlist.FieldCluster,
+	"state":        serverlist.FieldState,
+	"weight":       serverlist.FieldWeight,
+	"wire":         serverlist.FieldWire,
+	"version":      serverlist.FieldVersion,
 }
 
-// Parse reads a file. portVariable is the variable that holds the server's port in Ansible's inventories, where hosts have
-// ports for several purposes; "port" means it too. The error lists all that is wrong, as *membership.Problems.
+const byteOrderMark = "\ufeff"
+
+// Parse reads a file. portVariable is a variable that sets a server's port beside "port", for inventories whose hosts have ports for
+// several purposes. The error is a *serverlist.ListError with all that is wrong.
 func Parse(form Form, portVariable string, text []byte) (*File, error) {
-	var p serverlist.ListError
+	var problems serverlist.ListError
 	if len(text) > MaxBytes {
-		p.Add(0, "", "the file holds more than %d bytes", MaxBytes)
-		return nil, p.Err()
+		problems.Add(0, "", "the file holds more than %d bytes", MaxBytes)
+		return nil, problems.Err()
 	}
-	f := &File{EndsInNewline: bytes.HasSuffix(text, []byte("\n"))}
-	body, seal := cutSeal(text, &p)
-	f.Seal = seal
-	if checkEncoding(body, &p); len(p.Problems) == 0 {
-		body = bytes.TrimPrefix(body, []byte("\ufeff"))
-		if form == YAML {
-			f.Rows = parseYAML(body, portVariable, &p)
-		} else {
-			f.Rows = parseCSV(string(body), &p)
-		}
+	body, seal := cutSeal(text, &problems)
+	file := &File{Seal: seal, EndsInNewline: bytes.HasSuffix(text, []byte("\n"))}
+	checkEncoding(body, &problems)
+	if len(problems.Problems) == 0 {
+		file.Rows = parseRows(form, portVariable, bytes.TrimPrefix(body, []byte(byteOrderMark)), &problems)
 	}
-	if seal != nil && len(p.Problems) == 0 && seal.Servers != len(f.Rows) {
-		p.Add(0, "", "the seal counts %d servers, and there are %d", seal.Servers, len(f.Rows))
+	if seal != nil && len(problems.Problems) == 0 && seal.Servers != len(file.Rows) {
+		problems.Add(0, "", "the seal counts %d servers, and there are %d", seal.Servers, len(file.Rows))
 	}
-	if err := p.Err(); err != nil {
+	if err := problems.Err(); err != nil {
 		return nil, err
 	}
-	return f, nil
+	return file, nil
 }
 
-// checkEncoding finds the line where a text is no UTF-8, as spreadsheets may write it in other character sets.
-func checkEncoding(text []byte, p *serverlist.ListError) {
+func parseRows(form Form, portVariable string, body []byte, problems *serverlist.ListError) []serverlist.Row {
+	if form == YAML {
+		return parseYAML(body, portVariable, problems)
+	}
+	return parseCSV(string(body), problems)
+}
+
+// checkEncoding reports the lines that are not UTF-8: spreadsheets may write other character sets.
+func checkEncoding(text []byte, problems *serverlist.ListError) {
 	if bytes.HasPrefix(text, []byte("\xff\xfe")) || bytes.HasPrefix(text, []byte("\xfe\xff")) {
-		p.Add(1, "text", "UTF-16, expected UTF-8")
+		problems.Add(1, "text", "UTF-16, expected UTF-8")
 		return
 	}
 	if utf8.Valid(text) && bytes.IndexByte(text, 0) < 0 {
@@ -81,13 +102,9 @@
 	for i, line := range bytes.Split(text, []byte("\n")) {
 		switch {
 		case !utf8.Valid(line):
-			p.Add(i+1, "text", "no UTF-8, expected a file saved as UTF-8")
+			problems.Add(i+1, "text", "no UTF-8, expected a file saved as UTF-8")
 		case bytes.IndexByte(line, 0) >= 0:
-			p.Add(i+1, "text", "a zero byte, expected text")
+			problems.Add(i+1, "text", "a zero byte, expected text")
 		}
 	}
 }
-
-var fieldsByName = map[string]serverlist.Field{"name": serverlist.FieldName, "host": serverlist.FieldHost, "port": serverlist.FieldPort,
-	"zone": serverlist.FieldZone, "room": serverlist.FieldZone, "cluster": serverlist.FieldCluster, "state": serverlist.FieldState,
-	"weight": serverlist.FieldWeight, "wire": serverlist.FieldWire, "version": serverlist.FieldVersion, "ansible_host": serverlist.FieldHost}
--- a/internal/protocol/inventory/yaml.go
+++ b/internal/protocol/inventory/yaml.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strconv"
 	"strings"
 
 	"go.yaml.in/yaml/v3"
@@ -15,251 +14,226 @@
 )
 
 const (
-	maxDepth   = 16      // of groups
-	maxVisited = 1 << 19 // nodes and hosts, aliases followed: a few lines of nested anchors can stand for billions
-	ownDepth   = maxDepth + 1
+	maxDepth   = 16           // of nested groups
+	ownDepth   = maxDepth + 1 // of a host's own variables
+	maxVisited = 1 << 19      // nodes and hosts, aliases followed: a few lines of nested anchors can stand for billions
 )
 
-// parseYAML walks Ansible's layout: groups with hosts, vars and children. A host's own variables go before those of its
-// groups, an inner group's before an outer one's, and of two groups as deep the later one's. Variables of other tools are
-// skipped. Host patterns with ranges, as db[01:12] or rack[a:c], stand for each host in them.
-func parseYAML(text []byte, portVariable string, p *serverlist.ListError) []serverlist.Row {
+// parseYAML reads Ansible's layout: groups with hosts, vars and children. A host's own variables take precedence over those of its
+// groups, an inner group's over an outer one's, and of two groups at one depth the later one's. Variables of other tools are skipped.
+// Host patterns with ranges, such as db[01:12] or rack[a:c], stand for each host in them.
+func parseYAML(text []byte, portVariable string, problems *serverlist.ListError) []serverlist.Row {
+	document := onlyDocument(text, problems)
+	if document == nil {
+		return nil
+	}
+	r := &yamlReader{problems: problems, portVariable: portVariable, hostsByName: map[string]*yamlHost{}}
+	r.readGroups(document, "inventory", nil, 0)
+	if r.visited > maxVisited {
+		problems.Add(1, "yaml", "too large once its aliases are followed")
+	}
+	rows := make([]serverlist.Row, 0, len(r.hosts))
+	for _, h := range r.hosts {
+		rows = append(rows, h.row)
+	}
+	return rows
+}
+
+// onlyDocument returns the content of the one document that a text must hold, or reports what is wrong.
+func onlyDocument(text []byte, problems *serverlist.ListError) *yaml.Node {
 	dec := yaml.NewDecoder(bytes.NewReader(text))
-	var doc yaml.Node
-	if err := dec.Decode(&doc); errors.Is(err, io.EOF) {
-		p.Add(1, "yaml", "empty, expected groups of hosts")
+	var first, second yaml.Node
+	switch err := dec.Decode(&first); {
+	case errors.Is(err, io.EOF):
+		problems.Add(1, "yaml", "empty, expected groups of hosts")
 		return nil
-	} else if err != nil {
-		p.Add(yamlLine(err), "yaml", "%s", strings.TrimPrefix(err.Error(), "yaml: "))
+	case err != nil:
+		addSyntaxError(problems, err)
 		return nil
 	}
-	var second yaml.Node
-	if err := dec.Decode(&second); err == nil {
-		p.Add(second.Line, "yaml", "a second document, expected one")
+	switch err := dec.Decode(&second); {
+	case err == nil:
+		problems.Add(second.Line, "yaml", "a second document, expected one")
 		return nil
-	} else if !errors.Is(err, io.EOF) {
-		p.Add(yamlLine(err), "yaml", "%s", strings.TrimPrefix(err.Error(), "yaml: "))
+	case !errors.Is(err, io.EOF):
+		addSyntaxError(problems, err)
 		return nil
 	}
-	w := &yamlReader{problems: p, portVariable: portVariable, hostsByName: map[string]*yamlHost{}}
-	w.readGroups(doc.Content[0], "inventory", nil, 0)
-	if w.visited > maxVisited {
-		p.Add(1, "yaml", "too large once its aliases are followed")
-	}
-	rows := make([]serverlist.Row, 0, len(w.hosts))
-	for _, h := range w.hosts {
-		rows = append(rows, h.row)
-	}
-	return rows
+	return first.Content[0]
 }
 
-func yamlLine(err error) int {
+// addSyntaxError reports an error of the YAML decoder, whose text has the line.
+func addSyntaxError(problems *serverlist.ListError, err error) {
 	line := 1
 	if _, rest, ok := strings.Cut(err.Error(), "line "); ok {
 		_, _ = fmt.Sscanf(rest, "%d", &line)
 	}
-	return line
+	problems.Add(line, "yaml", "%s", strings.TrimPrefix(err.Error(), "yaml: "))
 }
 
-// yamlHost is one that has been listed, maybe in several groups.
+// yamlHost is a host that is listed, maybe in several groups.
 type yamlHost struct {
 	row   serverlist.Row
-	depth [serverlist.FieldCount]int // of the group that each value came from, or own
+	depth [serverlist.FieldCount]int // of the group that each value comes from, or ownDepth
 }
 
+// yamlReader reads the groups of one document.
 type yamlReader struct {
 	problems     *serverlist.ListError
 	portVariable string
 	hostsByName  map[string]*yamlHost
-	hosts        []*yamlHost
-	visited      int
+	hosts        []*yamlHost // in the order of their first mention
+	visited      int         // nodes and hosts
 }
 
-// groupVariables is the variables of the groups around a host, the outermost first.
+// groupVariables are the variables of the groups around a host, the outermost first.
 type groupVariables []*yaml.Node
 
-func (w *yamlReader) readGroups(n *yaml.Node, field string, vars groupVariables, depth int) {
+// readGroups reads a mapping of names to groups. field names it in problems.
+func (r *yamlReader) readGroups(groups *yaml.Node, field string, outer groupVariables, depth int) {
 	if depth > maxDepth {
-		w.problems.Add(n.Line, field, "groups are nested more than %d deep", maxDepth)
+		r.problems.Add(groups.Line, field, "groups are nested more than %d deep", maxDepth)
 		return
 	}
-	w.eachPair(n, field, func(_ int, name string, group *yaml.Node) {
-		inner := vars
-		w.eachPair(group, name, func(_ int, key string, v *yaml.Node) {
-			if key == "vars" {
-				inner = append(slices.Clone(vars), v)
-			}
-		})
-		w.eachPair(group, name, func(line int, key string, v *yaml.Node) {
-			switch key {
-			case "vars":
-			case "children":
-				w.readGroups(v, name+".children", inner, depth+1)
-			case "hosts":
-				w.eachPair(v, name+".hosts", func(line int, pattern string, own *yaml.Node) {
-					names, err := expandPattern(pattern)
-					if err != nil {
-						w.problems.Add(line, name+".hosts", "%v", err)
-					}
-					for _, h := range names {
-						if w.visited > maxVisited {
-							return
-						}
-						w.readHost(h, line, own, inner)
-					}
-				})
-			default:
-				w.problems.Add(line, name+"."+key, "unknown, expected hosts, vars or children")
+	r.eachPair(groups, field, func(_ int, name string, group *yaml.Node) {
+		r.readGroup(name, group, r.withVariables(name, group, outer), depth)
+	})
+}
+
+// withVariables adds a group's own variables, wherever they stand in it, to those of the groups around it.
+func (r *yamlReader) withVariables(name string, group *yaml.Node, outer groupVariables) groupVariables {
+	variables := outer
+	r.eachPair(group, name, func(_ int, key string, value *yaml.Node) {
+		if key == "vars" {
+			variables = append(slices.Clone(outer), value)
+		}
+	})
+	return variables
+}
+
+// readGroup reads the hosts and children of a group.
+func (r *yamlReader) readGroup(name string, group *yaml.Node, variables groupVariables, depth int) {
+	r.eachPair(group, name, func(line int, key string, value *yaml.Node) {
+		switch key {
+		case "vars":
+		case "children":
+			r.readGroups(value, name+".children", variables, depth+1)
+		case "hosts":
+			r.readHosts(name+".hosts", value, variables)
+		default:
+			r.problems.Add(line, name+"."+key, "unknown, expected hosts, vars or children")
+		}
+	})
+}
+
+// readHosts reads a mapping of host patterns to the hosts' own variables.
+func (r *yamlReader) readHosts(field string, hosts *yaml.Node, outer groupVariables) {
+	r.eachPair(hosts, field, func(line int, pattern string, variables *yaml.Node) {
+		names, err := expandPattern(pattern)
+		if err != nil {
+			r.problems.Add(line, field, "%v", err)
+		}
+		for _, name := range names {
+			if r.visited > maxVisited {
+				return
 			}
-		})
+			r.readHost(name, line, variables, outer)
+		}
 	})
 }
 
-func (w *yamlReader) readHost(name string, line int, vars *yaml.Node, outer groupVariables) {
-	w.visited++
-	h := w.hostsByName[name]
+func (r *yamlReader) readHost(name string, line int, variables *yaml.Node, outer groupVariables) {
+	r.visited++
+	h := r.hostsByName[name]
 	if h == nil {
 		h = &yamlHost{row: serverlist.Row{Line: line}}
 		h.row.Values[serverlist.FieldName] = name
-		w.hostsByName[name] = h
-		w.hosts = append(w.hosts, h)
+		r.hostsByName[name] = h
+		r.hosts = append(r.hosts, h)
 	}
 	for depth, v := range outer {
-		w.readVariables(h, name, v, depth)
+		r.readVariables(h, name, v, depth)
 	}
-	w.readVariables(h, name, vars, ownDepth)
+	r.readVariables(h, name, variables, ownDepth)
 }
 
-func (w *yamlReader) readVariables(h *yamlHost, name string, vars *yaml.Node, depth int) {
-	w.eachPair(vars, name, func(line int, key string, v *yaml.Node) {
-		f, known := fieldsByName[key]
-		if key == w.portVariable {
-			f, known = serverlist.FieldPort, true
+// readVariables sets the fields of a host for which no variable of a greater depth stands.
+func (r *yamlReader) readVariables(h *yamlHost, name string, variables *yaml.Node, depth int) {
+	r.eachPair(variables, name, func(line int, key string, value *yaml.Node) {
+		field, known := fieldsByName[key]
+		if key == r.portVariable {
+			field, known = serverlist.FieldPort, true
 		}
-		if !known || f == serverlist.FieldName || depth < h.depth[f] {
+		if !known || field == serverlist.FieldName || depth < h.depth[field] {
 			return
 		}
-		if v.Kind == yaml.AliasNode {
-			v = v.Alias
+		if value.Kind == yaml.AliasNode {
+			value = value.Alias
 		}
 		switch {
-		case v.Kind != yaml.ScalarNode:
-			w.problems.Add(line, key, "a list or mapping, expected a plain value")
-		case strings.Contains(v.Value, "{{"):
-			w.problems.Add(line, key, "%.40q, expected a plain value and no template", v.Value)
+		case value.Kind != yaml.ScalarNode:
+			r.problems.Add(line, key, "a list or mapping, expected a plain value")
+		case strings.Contains(value.Value, "{{"):
+			r.problems.Add(line, key, "%.40q, expected a plain value and no template", value.Value)
 		default:
-			h.row.Values[f], h.row.Lines[f], h.depth[f] = strings.TrimSpace(v.Value), line, depth
+			h.row.Values[field] = strings.TrimSpace(value.Value)
+			h.row.Lines[field] = line
+			h.depth[field] = depth
 		}
 	})
 }
 
-// eachPair goes through a mapping, what it merges in (<<) first; an empty value counts as an empty mapping.
-func (w *yamlReader) eachPair(n *yaml.Node, field string, each func(line int, key string, v *yaml.Node)) {
-	if w.visited++; w.visited > maxVisited {
+const mergeTag = "!!merge" // of the key <<
+
+// eachPair calls a function for each pair of a mapping, those that it merges in first. An empty value counts as an empty mapping.
+func (r *yamlReader) eachPair(node *yaml.Node, field string, each func(line int, key string, value *yaml.Node)) {
+	r.visited++
+	if r.visited > maxVisited {
 		return
 	}
-	if n.Kind == yaml.AliasNode {
-		n = n.Alias
+	if node.Kind == yaml.AliasNode {
+		node = node.Alias
 	}
-	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
+	if node.Kind == yaml.ScalarNode && node.Tag == "!!null" {
 		return
 	}
-	if n.Kind != yaml.MappingNode {
-		w.problems.Add(n.Line, field, "no mapping, expected one of names to values")
+	if node.Kind != yaml.MappingNode {
+		r.problems.Add(node.Line, field, "no mapping, expected one of names to values")
 		return
 	}
-	lines := make(map[string]int, len(n.Content)/2)
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		if k, v := n.Content[i], n.Content[i+1]; k.Tag == "!!merge" {
-			if v.Kind == yaml.SequenceNode {
-				for j := len(v.Content) - 1; j >= 0; j-- { // the first one wins
-					w.eachPair(v.Content[j], field, each)
-				}
-			} else {
-				w.eachPair(v, field, each)
-			}
-		}
-	}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		k, v := n.Content[i], n.Content[i+1]
-		if w.visited > maxVisited {
+	r.eachMerged(node, field, each)
+	lines := make(map[string]int, len(node.Content)/2)
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		key, value := node.Content[i], node.Content[i+1]
+		if r.visited > maxVisited {
 			return
 		}
-		if k.Tag == "!!merge" {
+		if key.Tag == mergeTag {
 			continue
 		}
-		if first, twice := lines[k.Value]; twice {
-			w.problems.Add(k.Line, field, "%.80q is listed twice, first on line %d", k.Value, first)
+		if first, listed := lines[key.Value]; listed {
+			r.problems.Add(key.Line, field, "%.80q is listed twice, first on line %d", key.Value, first)
 			continue
 		}
-		lines[k.Value] = k.Line
-		each(k.Line, k.Value, v)
+		lines[key.Value] = key.Line
+		each(key.Line, key.Value, value)
 	}
 }
 
-// expandPattern lists the hosts that a pattern with ranges stands for: [01:12], [1:9:2], [a:f].
-func expandPattern(pattern string) ([]string, error) {
-	open := strings.IndexByte(pattern, '[')
-	if open < 0 || strings.Contains(pattern, "::") { // an address of IP version 6
-		return []string{pattern}, nil
-	}
-	head, rest := pattern[:open], pattern[open+1:]
-	inside, tail, closed := strings.Cut(rest, "]")
-	parts := strings.Split(inside, ":")
-	if !closed || len(parts) < 2 || len(parts) > 3 {
-		return nil, fmt.Errorf("%.80q, expected a range like [01:12] or [a:f]", pattern)
-	}
-	step := 1
-	if len(parts) == 3 {
-		var err error
-		if step, err = strconv.Atoi(parts[2]); err != nil || step < 1 {
-			return nil, fmt.Errorf("%.80q, expected a step of 1 or more", pattern)
+// eachMerged calls a function for each pair of the mappings that a mapping merges in. Of several the first takes precedence, so that it
+// comes last.
+func (r *yamlReader) eachMerged(node *yaml.Node, field string, each func(line int, key string, value *yaml.Node)) {
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		key, value := node.Content[i], node.Content[i+1]
+		if key.Tag != mergeTag {
+			continue
 		}
-	}
-	items, err := expandRange(parts[0], parts[1], step)
-	if err != nil {
-		return nil, fmt.Errorf("%.80q, %w", pattern, err)
-	}
-	tails, err := expandPattern(tail)
-	if err != nil {
-		return nil, err
-	}
-	if len(items)*len(tails) > serverlist.MaxServers {
-		return nil, fmt.Errorf("%.80q stands for more than %d hosts", pattern, serverlist.MaxServers)
-	}
-	out := make([]string, 0, len(items)*len(tails))
-	for _, i := range items {
-		for _, t := range tails {
-			out = append(out, head+i+t)
+		if value.Kind != yaml.SequenceNode {
+			r.eachPair(value, field, each)
+			continue
 		}
-	}
-	return out, nil
-}
-
-func expandRange(from, to string, step int) (out []string, err error) {
-	letter := func(s string) bool { return len(s) == 1 && (s[0]|0x20 >= 'a' && s[0]|0x20 <= 'z') }
-	if letter(from) && letter(to) && from <= to {
-		for c := int(from[0]); c <= int(to[0]); c += step {
-			out = append(out, string(rune(c)))
+		for _, merged := range slices.Backward(value.Content) {
+			r.eachPair(merged, field, each)
 		}
-		return out, nil
-	}
-	a, err1 := strconv.ParseUint(from, 10, 31)
-	b, err2 := strconv.ParseUint(to, 10, 31)
-	width := 0
-	if strings.HasPrefix(from, "0") {
-		width = len(from)
-	}
-	switch {
-	case err1 != nil || err2 != nil || a > b:
-		return nil, errors.New("expected a range that goes up")
-	case width > 1 && len(to) != width:
-		return nil, errors.New("expected both ends of the range to be as long")
-	case b-a >= serverlist.MaxServers:
-		return nil, fmt.Errorf("stands for more than %d hosts", serverlist.MaxServers)
-	}
-	for n := a; n <= b; n += uint64(step) {
-		out = append(out, fmt.Sprintf("%0*d", width, n))
 	}
-	return out, nil
 }
