--- a/internal/capacity/constants.go
+++ b/internal/capacity/constants.go
@@ -35,7 +35,7 @@
 	"consensus.idleTimeout":               60,
 	"consensus.maxConnections":            2048,
 	"outlier.maxObservers":                1024,
-	"outlier.maxReport":                   1000,
+	"outlier.maxReportSize":               1000,
 	"outlier.maxServers":                  512,
 	"outlier.maxReportInterval":           5,
 }
