--- a/internal/calendar/golden_test.go
+++ b/internal/calendar/golden_test.go
@@ -7,7 +7,7 @@
 	"threadsail/internal/goldentest"
 )
 
-// Calendars are part of the operators' files and of the purge plan that the stewards keep.
+// Calendars are part of the operators' files and of the purge plan that the voters keep.
 func TestStoredForms(t *testing.T) {
 	goldentest.CheckJSONOf(t, "book.json", goldentest.Filled[Book](t))
 	goldentest.CheckJSONOf(t, "plan.json", goldentest.Filled[Plan](t))
