--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -49,7 +49,7 @@
 		{"restarts and replacements", digits(g.Faults.RestartsPerDay) + " a day", fmt.Sprintf("one in %s; %d in the worst minute, %s", quantity(day/g.Faults.RestartsPerDay, "s"), g.Faults.RestartsAtOnce, quantity(float64(g.Faults.RestartsAtOnce)/60, "1/s"))},
 		{"racks or switches", digits(g.Faults.RacksPerWeek) + " a week", fmt.Sprintf("%d poolers at once (machines a rack: %d, poolers a machine: %d; assumed)", g.InRack(), g.Assumed.HostsPerRack, g.Assumed.PoolersPerHost)},
 		{"zones", digits(g.Faults.ZonesPerYear) + " a year", fmt.Sprintf("%d poolers and %d databases at once", g.InZone(g.Poolers), g.InZone(g.Databases))},
-		{"regions apart", "now and then", quantity(g.Faults.Apart/60, "min") + " each time"},
+		{"regions partitioned", "now and then", quantity(g.Faults.Apart/60, "min") + " each time"},
 	}}
 }
 
@@ -152,7 +152,7 @@
 	}
 	unit := r[0].Unit
 	if r[0].Last.Plays == 1 {
-		return fmt.Sprintf("%s (one play) at %s", quantity(median, unit), digits(float64(r[0].Last.Size)))
+		return fmt.Sprintf("%s (one run) at %s", quantity(median, unit), digits(float64(r[0].Last.Size)))
 	}
 	return fmt.Sprintf("%s (%s to %s) at %s", quantity(median, unit), quantity(least, unit), quantity(most, unit), digits(float64(r[0].Last.Size)))
 }
@@ -254,20 +254,20 @@
 	fleet := fmt.Sprintf("_fleet_%d", g.Poolers)
 	for _, w := range []struct{ what, phase, kind, figure, per string }{
 		{"memory without clients", "empty", "pooler", "rss", "pooler"},
-		{"memory with resting clients", "resting", "pooler", "rss", "client"},
-		{"processor with resting clients", "resting", "pooler", "cpu", "client"},
+		{"memory with idle clients", "resting", "pooler", "rss", "client"},
+		{"processor with idle clients", "resting", "pooler", "cpu", "client"},
 		{"memory with a request of each open", "busy", "pooler", "rss", "client"},
 		{"memory with a list", "rest", "pooler", "rss", "server"},
 		{"processor at rest with a list", "rest", "pooler", "cpu", "server"},
 		{"processor with reads of 100 clients, so many a second", fmt.Sprintf("reads_100_clients_%d_servers", g.Databases), "pooler", "cpu", "statement"},
 		{"processor with writes of 100 clients, so many a second", fmt.Sprintf("writes_100_clients_%d_servers", g.Databases), "pooler", "cpu", "statement"},
-		{"bytes of a whole list", "startup", "pooler", "list_bytes", "server"},
+		{"bytes of a complete list", "startup", "pooler", "list_bytes", "server"},
 		{"processor time of a start", "startup", "pooler", "cpu", "server"},
-		{"until a start has taken a whole list", "startup", "pooler", "list_taken", "server"},
-		{"processor time of a whole list told again", "whole_list", "pooler", "cpu", "server"},
-		{"until a whole list is taken", "whole_list", "pooler", "list_taken", "server"},
+		{"until a start has applied a complete list", "startup", "pooler", "list_taken", "server"},
+		{"processor time of a complete list sent again", "whole_list", "pooler", "cpu", "server"},
+		{"until a complete list is applied", "whole_list", "pooler", "list_taken", "server"},
 		{"processor time of a change of one server", "delta", "pooler", "cpu", "server"},
-		{"until a change of one server is taken", "delta", "pooler", "list_taken", "server"},
+		{"until a change of one server is applied", "delta", "pooler", "list_taken", "server"},
 		{"pings of primaries, seconds after use (the next are due after `policy.primaryPingInterval` × poolers)", "rest" + fleet, "pooler", "pings", "group"},
 		{"processor at rest with all groups used once", "rest" + fleet, "pooler", "cpu", "group"},
 		{"memory with all groups used once", "rest" + fleet, "pooler", "rss", "group"},
@@ -351,7 +351,7 @@
 
 // lines are the slopes that the other tables hold, as they were fitted.
 func (g *page) lines() Table {
-	t := Table{Name: "slopes", Head: []string{"slope", "line", "growth", "least size: median (spread)", "largest size: median (spread)", "plays", "at the plan's size", "run"}}
+	t := Table{Name: "slopes", Head: []string{"slope", "line", "growth", "least size: median (spread)", "largest size: median (spread)", "runs", "at the plan's size", "run"}}
 	for _, k := range slices.SortedFunc(maps.Keys(g.used), func(a, b Key) int { return cmp.Compare(a.String(), b.String()) }) {
 		s := g.slopes[k]
 		r := reading{s}
