--- a/deploy/membership.cue
+++ b/deploy/membership.cue
@@ -1,14 +1,14 @@
-// What deploy/membership.json may hold. The pooler checks the same by itself; this is for editors, and for checks before a
+// The schema of deploy/membership.json. The pooler checks the same by itself; this is for editors, and for checks before a
 // file is rolled out: go run ./cmd/threadsail-lab schema deploy/membership.json
 #File: {
-	// Without it, or with false, all else is without effect.
+	// Without it, or with false, all other keys have no effect.
 	enabled?: bool
 
-	// Where each front has its servers from; empty both, from where it had them without this file.
+	// Where each frontend gets its servers from; with both keys empty, from where it gets them without this file.
 	postgres?: #Source
 	mysql?:    #Source
 
-	// How MySQL servers that the PostgreSQL front's file names are reached; echo: by table, columns stored just as written.
+	// How the MySQL servers in the PostgreSQL frontend's file are reached; echo: by table, columns stored just as written.
 	mysql_servers?: {
 		user?:      string
 		password?:  string
@@ -17,16 +17,16 @@
 		echo?: [string]: [...string]
 	}
 
-	// The folder where good generations are kept; empty: none.
+	// The directory where valid generations are kept; empty: none.
 	state?: string
 
-	// required: unsealed files are turned down.
+	// required: unsealed files are rejected.
 	seal?: "" | "optional" | "required"
 
-	settle_ms?:         >=0 & <=1e9 // an unsealed change must have stood unchanged for so long
-	settle_removal_ms?: >=0 & <=1e9 // and so long if it takes a server away
-	hold_ms?:           >=0 & <=1e9 // a change that takes too much away; 0: until it is confirmed
-	hold_share?:        >=0 & <=1   // of a cluster's ready servers: more than that is too much
+	settle_ms?:         >=0 & <=1e9 // how long an unsealed change must have stayed unchanged
+	settle_removal_ms?: >=0 & <=1e9 // the same, if it removes a server
+	hold_ms?:           >=0 & <=1e9 // how long a change that removes many servers is held; 0: until it is confirmed
+	hold_share?:        >=0 & <=1   // of a cluster's ready servers: a change that removes more than this removes many
 	keep?:              int & >=1 & <=1000
 	poll_ms?:           >=10 & <=1e9
 }
