--- a/internal/capacity/tables.go
+++ b/internal/capacity/tables.go
@@ -293,6 +293,12 @@
 	return t
 }
 
+// roleTerms are the roles of records by the terms of the code; records keep the names that they were written with.
+var roleTerms = map[string]string{"steward": "voter", "leader": "leading voter", "holder": "discovery leader", "dealer": "allocator"}
+
+// roleTerm returns the term for a record's role.
+func roleTerm(role string) string { return cmp.Or(roleTerms[role], role) }
+
 // measured is what each role was measured to take, at the plan's size.
 func (g *page) measured() Table {
 	t := Table{Name: "measured", Head: []string{"role", "mechanism", "while", "messages in", "messages out", "bytes in", "bytes out", "processor", "memory", "descriptors", "seen up to"}}
@@ -305,7 +311,7 @@
 	for _, role := range slices.Sorted(maps.Keys(roles)) {
 		for _, m := range mechanisms {
 			for _, phase := range phases {
-				row, most := []string{role, m, phase}, 0
+				row, most := []string{roleTerm(role), m, phase}, 0
 				for _, figure := range []string{"messages_in", "messages_out", "bytes_in", "bytes_out", "cpu", "rss", "descriptors"} {
 					r := g.pick(m, phase, role, figure)
 					row = append(row, r.value(g.n))
@@ -325,7 +331,7 @@
 	return t
 }
 
-// kinds is what an ordinary pooler's bytes are made of, and a leader's and a holder's.
+// kinds is what the bytes of an ordinary pooler are made of, and those of the leading voter and the discovery leader.
 func (g *page) kinds() Table {
 	t := Table{Name: "kinds", Head: []string{"role", "mechanism", "while", "kind of message", "bytes out", "growth", "seen"}}
 	for _, of := range [][2]string{{"pooler", "rest"}, {"pooler", "change"}, {"pooler", "restart"}, {"leader", "rest"}, {"holder", "rest"}} {
@@ -339,7 +345,7 @@
 			size := func(kind string) float64 { v, _ := found[kind].at(g.n); return v }
 			for _, kind := range slices.SortedFunc(maps.Keys(found), func(a, b string) int { return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a, b)) }) {
 				r := found[kind]
-				t.Rows = append(t.Rows, []string{of[0], m, of[1], kind, r.value(g.n), string(r.growth()), r.seen()})
+				t.Rows = append(t.Rows, []string{roleTerm(of[0]), m, of[1], kind, r.value(g.n), string(r.growth()), r.seen()})
 			}
 		}
 	}
