--- a/internal/fleet/audit/record.go
+++ b/internal/fleet/audit/record.go
@@ -40,7 +40,7 @@
 	RecordsDropped  Act = "dropped"       // Seq: acts that could not be written here, since the record before
 )
 
-// QuotasAllocated: Token; this pooler deals the fleet's limits from now on.
+// QuotasAllocated is the act of a pooler that allocates the fleet's quotas from now on; its record has the Token.
 const QuotasAllocated Act = "limits-dealt"
 
 // MustBeRecorded tells whether the act must be in the journal once: one that a full disk turns down is written when there is room again.
@@ -116,25 +116,27 @@
 	return r, frameHeaderSize + size, nil
 }
 
-// Problem is a place in a journal that could not be read.
-type Problem struct {
+// DamageError is a place in a journal that could not be read.
+type DamageError struct {
 	File   string
 	Offset int64
 	Err    error
 }
 
-func (p Problem) Error() string { return fmt.Sprintf("%s: at byte %d: %v", p.File, p.Offset, p.Err) }
+func (p DamageError) Error() string {
+	return fmt.Sprintf("%s: at byte %d: %v", p.File, p.Offset, p.Err)
+}
 
 // Unwrap is the cause, ErrTorn, ErrCorrupt or ErrForeign.
-func (p Problem) Unwrap() error { return p.Err }
+func (p DamageError) Unwrap() error { return p.Err }
 
 // Parse reads a whole journal's text: its records, and a problem for each place that can't be read. What comes behind a
 // corrupt record is read where its length leads to another record; where framing is lost, reading ends.
-func Parse(file string, b []byte) (records []Record, problems []Problem) {
+func Parse(file string, b []byte) (records []Record, problems []DamageError) {
 	for at := 0; at < len(b); {
 		r, n, err := Next(b[at:])
 		if err != nil {
-			problems = append(problems, Problem{file, int64(at), err})
+			problems = append(problems, DamageError{file, int64(at), err})
 			if n == 0 {
 				break
 			}
