--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -29,6 +29,9 @@
 
 // Attempt queues an attempt at a server.
 func (p *policyActions) Attempt(id, server uint32, timeout time.Duration) {
+	if o := p.requests.open[id]; o != nil {
+		o.queuedAttempts++
+	}
 	p.actions.add(sendAttempt{request: id, server: server, timeout: timeout, chosenAt: p.loop.Now()})
 }
 
@@ -81,6 +84,7 @@
 
 func (a sendAttempt) carryOut(d *Dispatcher) {
 	if o := d.requests.open[a.request]; o != nil {
+		o.queuedAttempts--
 		o.startAttempt(a.server, a.timeout, a.chosenAt)
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"threadsail/internal/policy"
@@ -103,6 +104,32 @@
 	}
 }
 
+// The policy counts an attempt against its server until it hears of its end, also where the client has left before the attempt
+// was started: else the server would have less room for good, and be taken for silent.
+func TestAttemptOfDisconnectedClientEnds(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d, b := startDispatcher(t)
+		r, w := submit(d, b, 20*time.Second) // the primary is known from now on
+		onLoop(d, func() { w.Done(AttemptResult{Result: policy.OK}) })
+		<-r.ended
+		onLoop(d, func() {
+			request := &Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: 20 * time.Second,
+				Reply: fakeReplier{make(chan string, 2)}}
+			d.Submit(request).ClientDisconnected()
+		})
+		time.Sleep(10 * time.Second)
+		synctest.Wait()
+		onLoop(d, func() {
+			if n := d.OpenRequests(); n != 0 || len(b.calls) != 0 {
+				t.Errorf("%d requests open and %d attempts sent, want none", n, len(b.calls))
+			}
+			if d.router.Avoids(d.servers.ids["s"]) {
+				t.Error("the server is ejected for an attempt that was never sent")
+			}
+		})
+	})
+}
+
 // An outcome after the time-out must not count twice, nor an answer reach a client that has had its own.
 func TestLateOutcomeIsIgnored(t *testing.T) {
 	d, b := startDispatcher(t)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -52,6 +52,7 @@
 	ended           bool // the final answer is given or under way, or the client has disconnected
 	mayHaveExecuted bool // an attempt may have run
 	attemptCount    int
+	queuedAttempts  int              // attempts that the policy has asked for and that have not been started yet
 	inFlight        map[int]*attempt // by their numbers, in the order of the sends
 	failedServers   []uint32         // servers that have answered with an error; only with an OutcomeObserver
 }
@@ -113,9 +114,10 @@
 	return o.ended
 }
 
-// removeIfSettled drops the request once it has ended and no attempt of it is in flight.
+// removeIfSettled drops the request once it has ended and no attempt of it is queued or in flight. The policy counts an attempt
+// against its server from the choice on, until it hears of its end.
 func (o *OpenRequest) removeIfSettled() {
-	if o.ended && len(o.inFlight) == 0 {
+	if o.ended && o.queuedAttempts == 0 && len(o.inFlight) == 0 {
 		delete(o.dispatcher.requests.open, o.id)
 	}
 }
