--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -82,26 +82,28 @@
 // The policy stops sending before a drain's grace period ends; an attempt that still waits for its connection then would be
 // written too late, and must not be.
 func TestAttemptNotAllowedAfterGracePeriod(t *testing.T) {
-	d, b := startDispatcher(t)
-	r, w := submit(d, b, 400*time.Millisecond)
-	fits := make(chan bool)
-	ask := func() bool {
-		d.loop.Post(func() { fits <- w.StillAllowed() })
-		return <-fits
-	}
-	if !ask() {
-		t.Error("a new attempt is not allowed")
-	}
-	d.loop.Post(func() { d.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}) })
-	for ask() {
-		if len(r.ended) > 0 {
-			t.Fatal("the attempt is allowed for all its time")
+	synctest.Test(t, func(t *testing.T) {
+		d, b := startDispatcher(t)
+		r, w := submit(d, b, 400*time.Millisecond)
+		allowed := func() (is bool) {
+			onLoop(d, func() { is = w.StillAllowed() })
+			return is
 		}
-	}
-	d.loop.Post(func() { w.Done(AttemptResult{Result: policy.Misdirected}) })
-	if end := <-r.ended; end != "refused" {
-		t.Errorf("a write that was never sent was %s", end)
-	}
+		if !allowed() {
+			t.Error("a new attempt is not allowed")
+		}
+		onLoop(d, func() { d.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}) })
+		for allowed() {
+			if len(r.ended) > 0 {
+				t.Fatal("the attempt is allowed for all its time")
+			}
+			time.Sleep(time.Millisecond)
+		}
+		d.loop.Post(func() { w.Done(AttemptResult{Result: policy.Misdirected}) })
+		if end := <-r.ended; end != "refused" {
+			t.Errorf("a write that was never sent was %s", end)
+		}
+	})
 }
 
 // The policy counts an attempt against its server until it hears of its end, also where the client has left before the attempt
