--- a/internal/transport/direct.go
+++ b/internal/transport/direct.go
@@ -10,36 +10,31 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"github.com/cloudwego/netpoll"
 )
 
-// chunkSize is read at once from a connection that has left netpoll, and so many pieces ahead of the loop.
 const (
-	chunkSize      = 32 << 10
-	maxChunksAhead = 2
-
-	lingerTimeout  = 500 * time.Millisecond
-	maxLingerBytes = 1 << 20
+	chunkSize      = 32 << 10 // bytes that are read at once
+	maxChunksAhead = 2        // chunks that may be read ahead of the loop
 )
 
 var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// direct is the socket of a connection that has left netpoll for Go's own poller: a goroutine of its own reads it, only as
-// fast as the loop takes in, and not at all while it is paused. netpoll reads whatever comes.
+// direct is the socket of a connection on Go's own poller, after a handover from netpoll. A goroutine of its own (read) reads as
+// fast as the loop takes in, and not at all while the socket is paused. After close or reset that goroutine closes the
+// descriptor and gives it back to the budget.
 type direct struct {
 	conn       *Conn
 	budget     *Budget
 	tcp        *net.TCPConn
 	raw        syscall.RawConn
-	readTokens chan struct{} // leave to read a piece
-	done       chan struct{} // closed at the end
-	reading    atomic.Int32  // 1 while bytes may have been read that unheard does not count yet
-	paused     bool          // on the loop, as what follows
-	heldTokens int           // leaves kept back meanwhile
+	readTokens chan struct{} // each token allows the goroutine to read one chunk
+	done       chan struct{} // closed by close and reset
+	reading    atomic.Int32  // 1 while bytes may have been read that Conn.undelivered does not count yet
+	paused     bool          // used on the loop only, as heldTokens is
+	heldTokens int           // tokens kept back while the socket is paused
 }
 
-// newDirect takes over a copy of a descriptor.
+// newDirect returns a socket on a copy of the descriptor. The caller starts its read.
 func newDirect(c *Conn, budget *Budget, fd int) (*direct, error) {
 	copied, err := syscall.Dup(fd)
 	if err != nil {
@@ -51,7 +46,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &direct{conn: c, budget: budget, tcp: std.(*net.TCPConn), readTokens: make(chan struct{}, maxChunksAhead), done: make(chan struct{})}
+	s := &direct{
+		conn:       c,
+		budget:     budget,
+		tcp:        std.(*net.TCPConn),
+		readTokens: make(chan struct{}, maxChunksAhead),
+		done:       make(chan struct{}),
+	}
 	s.raw, err = s.tcp.SyscallConn()
 	for range maxChunksAhead {
 		s.readTokens <- struct{}{}
@@ -69,7 +70,7 @@
 	return err
 }
 
-// close ends sending; the rest is up to linger.
+// close ends sending; linger does the rest.
 func (s *direct) close() {
 	close(s.done)
 	s.withDescriptor(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
@@ -84,20 +85,21 @@
 	_ = s.tcp.Close() // linger closes it again
 }
 
-// linger throws away what a peer still sends, for a while, and then resets the connection. Closed outright it would leave
-// a peer that is kept waiting to wait on, for nobody tells it of room or of the end; reset at once it would take what the
-// peer has not read yet.
+// linger discards what the peer still sends, for lingerTimeout and maxLingerBytes at most, and then resets the connection. An
+// outright close would leave a peer that waits for room waiting, as nothing tells it of room or of the end; an immediate reset
+// would discard what the peer has not read yet.
 func (s *direct) linger() {
 	defer s.budget.release()
 	defer func() { _ = s.tcp.Close() }() // after a reset it is closed already
-	p := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(p)
-	for n := 0; n < maxLingerBytes; {
-		m, err := s.tcp.Read(p[:])
+	chunk := chunks.Get().(*[chunkSize]byte)
+	defer chunks.Put(chunk)
+	for discarded := 0; discarded < maxLingerBytes; {
+		n, err := s.tcp.Read(chunk[:])
 		if errors.Is(err, io.EOF) {
 			return
 		}
-		if n += m; err != nil {
+		discarded += n
+		if err != nil {
 			break
 		}
 	}
@@ -105,7 +107,8 @@
 }
 
 func (s *direct) setPaused(on bool) {
-	if s.paused = on; on {
+	s.paused = on
+	if on {
 		return
 	}
 	for ; s.heldTokens > 0; s.heldTokens-- {
@@ -115,7 +118,8 @@
 
 func (s *direct) unreadBytes() int { return int(s.reading.Load()) }
 
-// read takes pieces off until the end. A buffer is held only while there is something in it: many connections are idle.
+// read reads chunks and posts them to the loop until the connection ends. It is the socket's own goroutine. It holds a buffer
+// only while there are bytes in it, as many connections are idle.
 func (s *direct) read() {
 	defer s.linger()
 	for {
@@ -124,7 +128,7 @@
 		case <-s.done:
 			return
 		}
-		p, n, err := s.readChunk()
+		chunk, n, err := s.readChunk()
 		if err != nil {
 			s.conn.loop.Post(s.conn.handlePeerClose)
 			<-s.done
@@ -132,81 +136,38 @@
 		}
 		at := s.conn.loop.Now()
 		s.conn.loop.Post(func() {
-			s.conn.deliver(at, p[:n])
-			chunks.Put(p)
-			if s.paused {
-				s.heldTokens++
-			} else {
-				s.readTokens <- struct{}{}
-			}
+			s.conn.deliver(at, chunk[:n])
+			chunks.Put(chunk)
+			s.returnToken()
 		})
 	}
 }
 
-func (s *direct) readChunk() (p *[chunkSize]byte, n int, err error) {
+// returnToken allows the next chunk to be read, or keeps the token back while the socket is paused. It runs on the loop.
+func (s *direct) returnToken() {
+	if s.paused {
+		s.heldTokens++
+		return
+	}
+	s.readTokens <- struct{}{}
+}
+
+// readChunk waits for bytes and reads them into a chunk.
+func (s *direct) readChunk() (chunk *[chunkSize]byte, n int, err error) {
 	closed := s.raw.Read(func(fd uintptr) bool {
-		p = chunks.Get().(*[chunkSize]byte)
+		chunk = chunks.Get().(*[chunkSize]byte)
 		s.reading.Store(1)
 		defer s.reading.Store(0)
-		if n, err = syscall.Read(int(fd), p[:]); n > 0 {
+		n, err = syscall.Read(int(fd), chunk[:])
+		if n > 0 {
 			s.conn.undelivered.Add(int64(n))
 			return true
 		}
-		if chunks.Put(p); err == nil {
+		chunks.Put(chunk)
+		if err == nil {
 			err = io.EOF
 		}
-		return err != syscall.EAGAIN
+		return err != syscall.EAGAIN // the poller calls again once there is input
 	})
-	return p, n, cmp.Or(closed, err)
-}
-
-// pollerBarrier lets others wait until netpoll's one poller has been through all it had fetched: it is a listener whose descriptor
-// is a pipe, so its Accept runs on the poller, between connections.
-type pollerBarrier struct {
-	once            sync.Once
-	readFD, writeFD int
-	mu              sync.Mutex
-	waiting         []chan struct{}
-}
-
-var barrier pollerBarrier
-
-func (b *pollerBarrier) start() {
-	var fds [2]int
-	if err := syscall.Pipe2(fds[:], syscall.O_NONBLOCK|syscall.O_CLOEXEC); err != nil {
-		panic(err) // at the first long answer, and only without descriptors: spareFiles are for this
-	}
-	b.readFD, b.writeFD = fds[0], fds[1]
-	events, err := netpoll.NewEventLoop(nil)
-	if err != nil {
-		panic(err)
-	}
-	go func() { _ = events.Serve(b) }()
+	return chunk, n, cmp.Or(closed, err)
 }
-
-// wait waits until what the poller was at is over. It must not be called on the poller.
-func (b *pollerBarrier) wait() {
-	b.once.Do(b.start)
-	done := make(chan struct{})
-	b.mu.Lock()
-	b.waiting = append(b.waiting, done)
-	b.mu.Unlock()
-	_, _ = syscall.Write(b.writeFD, []byte{1}) // a full pipe rings as well
-	<-done
-}
-
-func (b *pollerBarrier) Accept() (net.Conn, error) {
-	var buf [64]byte
-	_, _ = syscall.Read(b.readFD, buf[:])
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, done := range b.waiting {
-		close(done)
-	}
-	b.waiting = nil
-	return nil, nil
-}
-
-func (b *pollerBarrier) Close() error   { return nil }
-func (b *pollerBarrier) Addr() net.Addr { return &net.TCPAddr{} }
-func (b *pollerBarrier) Fd() int        { return b.readFD }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -2,44 +2,47 @@
 
 import (
 	"io"
+	"slices"
 	"time"
 )
 
-// reuseDelay passes between an answer and the next request on its connection.
+// reuseDelay is the least time between an answer and the next request on its connection.
 const reuseDelay = 5 * time.Millisecond
 
-// Pool keeps idle connections to peers for reuse, the last used first.
+// Pool keeps idle connections by their peer's address for reuse. The connection that was used last is reused first. All its
+// methods must be called on the loop of its connections.
 type Pool struct {
 	idleTimeout time.Duration
 	maxIdle     int
-	count       int
-	idle        map[string][]*idleConn
+	count       int                    // of all connections in idle
+	idle        map[string][]*idleConn // by address; those of an address in the order in which they were put
 }
 
+// idleConn is a connection in the pool.
 type idleConn struct {
 	conn  *Conn
-	state any
+	state any // what its protocol knows of it
 	since time.Duration
 }
 
-// idleHandler sees to a connection while nobody uses it: a word from the peer, or its close, ends it.
+// idleHandler is the handler of a connection in the pool. Bytes of the peer, or its close, end the connection.
 type idleHandler struct {
 	pool *Pool
 	addr string
 	idle *idleConn
 }
 
-// NewPool keeps at most most connections, none idle for longer than idleFor.
-func NewPool(idleFor time.Duration, most int) *Pool {
-	return &Pool{idleTimeout: idleFor, maxIdle: most, idle: map[string][]*idleConn{}}
+// NewPool returns a pool that keeps at most maxIdle connections, each for idleTimeout at most.
+func NewPool(idleTimeout time.Duration, maxIdle int) *Pool {
+	return &Pool{idleTimeout: idleTimeout, maxIdle: maxIdle, idle: map[string][]*idleConn{}}
 }
 
-// SetIdleTimeout sets for how long connections are kept idle from now on.
-func (p *Pool) SetIdleTimeout(idleFor time.Duration) { p.idleTimeout = idleFor }
+// SetIdleTimeout sets for how long connections are kept, those in the pool included.
+func (p *Pool) SetIdleTimeout(idleTimeout time.Duration) { p.idleTimeout = idleTimeout }
 
-// Put gives a connection back, with what its protocol knows of it.
+// Put gives a connection to the pool, with what its protocol knows of it. The pool closes a connection that it cannot keep.
 func (p *Pool) Put(addr string, c *Conn, state any) {
-	// An answer can overtake the news that its request is written: only bytes that are still queued speak against reuse.
+	// An answer may overtake the event that its request is written, so only queued bytes speak against reuse.
 	if c.closed || c.peerClosed || len(c.unsent) > 0 {
 		c.Close()
 		return
@@ -51,88 +54,90 @@
 		c.Close()
 		return
 	}
-	i := &idleConn{conn: c, state: state, since: c.loop.Now()}
-	c.SetHandler(idleHandler{p, addr, i})
-	p.idle[addr] = append(p.idle[addr], i)
+	idle := &idleConn{conn: c, state: state, since: c.loop.Now()}
+	c.SetHandler(idleHandler{p, addr, idle})
+	p.idle[addr] = append(p.idle[addr], idle)
 	p.count++
 }
 
-// Get takes a connection, or returns nil. The caller sets its handler. What a peer sends right behind an answer would be
-// taken for the next one: a connection rests for a moment first, and must have stayed quiet.
+// Get takes a connection to addr and its state from the pool, or returns nil. The caller sets its handler. Bytes that a peer
+// sends right behind an answer would be taken for the next answer: so a connection rests for reuseDelay first, and is closed
+// unless the peer was quiet.
 func (p *Pool) Get(addr string, now time.Duration) (*Conn, any) {
-	l := p.idle[addr]
-	for n := len(l) - 1; n >= 0; n-- {
-		i := l[n]
-		if now-i.since >= p.idleTimeout { // so are all that are left
+	for _, idle := range slices.Backward(p.idle[addr]) {
+		if now-idle.since >= p.idleTimeout { // so are all that were put before
 			break
 		}
-		if now-i.since < reuseDelay || !i.conn.Written() { // its answer came before its request had gone out whole
+		if now-idle.since < reuseDelay || !idle.conn.Written() { // its answer came before its request was written
 			continue
 		}
-		p.remove(addr, i)
-		if i.conn.Quiet() {
-			return i.conn, i.state
+		p.remove(addr, idle)
+		if idle.conn.Quiet() {
+			return idle.conn, idle.state
 		}
-		i.conn.Close()
+		idle.conn.Close()
 	}
 	return nil, nil
 }
 
-// CloseIdle closes all idle connections to a peer.
+// CloseIdle closes all connections in the pool to addr.
 func (p *Pool) CloseIdle(addr string) {
-	for _, i := range p.idle[addr] {
+	for _, idle := range p.idle[addr] {
 		p.count--
-		i.conn.Close()
+		idle.conn.Close()
 	}
 	delete(p.idle, addr)
 }
 
-// Sweep closes what has been idle for too long.
+// Sweep closes the connections that have been idle for longer than the idle timeout.
 func (p *Pool) Sweep(now time.Duration) {
-	for addr, l := range p.idle {
-		for len(l) > 0 && now-l[0].since >= p.idleTimeout {
-			l[0].conn.Close()
-			p.remove(addr, l[0])
-			l = p.idle[addr]
+	for addr, connections := range p.idle {
+		for len(connections) > 0 && now-connections[0].since >= p.idleTimeout {
+			connections[0].conn.Close()
+			p.remove(addr, connections[0])
+			connections = p.idle[addr]
 		}
 	}
 }
 
-// CloseOldest closes the connection that has been idle longest, to make room for a dial elsewhere.
+// CloseOldest closes the connection that has been idle longest, to make room for a dial elsewhere, and reports whether there
+// was one.
 func (p *Pool) CloseOldest() bool {
 	var oldest *idleConn
-	at := ""
-	for addr, l := range p.idle {
-		if oldest == nil || l[0].since < oldest.since {
-			oldest, at = l[0], addr
+	oldestAddr := ""
+	for addr, connections := range p.idle {
+		if oldest == nil || connections[0].since < oldest.since {
+			oldest = connections[0]
+			oldestAddr = addr
 		}
 	}
 	if oldest == nil {
 		return false
 	}
 	oldest.conn.Close()
-	p.remove(at, oldest)
+	p.remove(oldestAddr, oldest)
 	return true
 }
 
-func (p *Pool) remove(addr string, i *idleConn) {
-	l := p.idle[addr]
-	for n, x := range l {
-		if x == i {
-			p.count--
-			if l = append(l[:n:n], l[n+1:]...); len(l) == 0 {
-				delete(p.idle, addr)
-			} else {
-				p.idle[addr] = l
-			}
-			return
-		}
+// remove takes a connection out of the pool, if it is in it. It leaves the slices that callers iterate over unchanged.
+func (p *Pool) remove(addr string, idle *idleConn) {
+	connections := p.idle[addr]
+	i := slices.Index(connections, idle)
+	if i < 0 {
+		return
+	}
+	p.count--
+	if len(connections) == 1 {
+		delete(p.idle, addr)
+		return
 	}
+	p.idle[addr] = slices.Concat(connections[:i], connections[i+1:])
 }
 
+// Closed takes the connection out of the pool.
 func (h idleHandler) Closed(error) { h.pool.remove(h.addr, h.idle) }
 
-// Data on an idle connection is out of turn: what follows could be taken for another request's answer.
+// Data closes the connection: bytes out of turn could be taken for another request's answer.
 func (h idleHandler) Data(time.Duration, []byte) {
 	h.idle.conn.Close()
 	h.Closed(io.ErrUnexpectedEOF)
