--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -58,7 +58,7 @@
 		{"notifying the poolers of it", "poolers that use the group", fmt.Sprintf("today all: %s datagrams each, %s a day", digits(n-1), digits((n-1)*g.PrimaryChanges.PerDay)), "`fleet.Coordinator` (`AnnouncePrimary`)", "no limit found", "distribution carries it (first, built)"},
 		{fmt.Sprintf("watching %s databases", digits(float64(g.Databases))), "none stated", fmt.Sprintf("primaries alone: %s pings a second for %s groups, %s a pooler, and only of groups that a pooler used in the last %s (`policy.primaryPingInterval` × poolers); replicas by the results of requests",
 			digits(float64(g.Groups())/c("policy.primaryPingInterval")), digits(float64(g.Groups())), digits(float64(g.Groups())/c("policy.primaryPingInterval")/n), quantity(c("policy.primaryPingInterval")*n, "s")), "`internal/policy` (ping)", "no pooler watches an idle group", "fifth: groups assigned to watchers"},
-		{"the size of a complete list", quantity(c("discovery.maxText"), "B") + " (`discovery.maxText`)", g.listSize(), "`internal/protocol/discovery`", "see what gives way first", "ninth: larger lists, applied by difference"},
+		{"the size of a complete list", quantity(c("discovery.maxListBytes"), "B") + " (`discovery.maxListBytes`)", g.listSize(), "`internal/protocol/discovery`", "see what gives way first", "ninth: larger lists, applied by difference"},
 		{"complete lists at start and at return", "the 2 KB a second", g.lists(), "`fleet.Coordinator` (`SendList`), `discovery.List`", g.listsUntil(), "distribution's resource of lists: complete at a start, deltas after it (first, built)"},
 		{"complete documents at start and at return", "the 2 KB a second", fmt.Sprintf("up to %s a pooler (`replication.MaxTotalSize`), %s for all; at %s restarts a day %s a second for all", quantity(c("replication.MaxTotalSize"), "B"), quantity(c("replication.MaxTotalSize")*n, "B"),
 			digits(g.Faults.RestartsPerDay), quantity(c("replication.MaxTotalSize")*g.Faults.RestartsPerDay/day, "B")), "`internal/fleet/replication` (`Replicator.catchUp`), replica on disk", "sufficient while documents are few", "distribution: deltas from the replica on disk (first, built)"},
@@ -131,11 +131,11 @@
 		line(b.name+", by its list at rest", g.of("rest", "pooler", b.figures[0], "server"), b.limit, "databases", float64(g.Databases))
 	}
 	line("bytes, if each change is a complete list", g.of("startup", "pooler", "list_bytes", "server"), g.Control.Bytes*day/g.ConfigChanges.PerDay, "databases", float64(g.Databases))
-	if n, text, ok := g.of("startup", "pooler", "list_bytes", "server").until(c("discovery.maxText"), "databases"); ok {
-		all = append(all, limit{"a complete list's text, with names as short as the laboratory's", "`discovery.maxText`", n, text, float64(g.Databases)})
+	if n, text, ok := g.of("startup", "pooler", "list_bytes", "server").until(c("discovery.maxListBytes"), "databases"); ok {
+		all = append(all, limit{"a complete list's text, with names as short as the laboratory's", "`discovery.maxListBytes`", n, text, float64(g.Databases)})
 	}
 	if r, ok := g.longNames(); ok {
-		all = append(all, databases("a complete list's text, with names of 32 bytes", "`discovery.maxText`, "+longNames, math.Floor(c("discovery.maxText")/r.Median*float64(r.Size))))
+		all = append(all, databases("a complete list's text, with names of 32 bytes", "`discovery.maxListBytes`, "+longNames, math.Floor(c("discovery.maxListBytes")/r.Median*float64(r.Size))))
 	}
 	slices.SortStableFunc(all, func(a, b limit) int { return cmp.Compare(a.size/a.plan, b.size/b.plan) })
 	t := Table{Name: "first", Head: []string{"what gives way", "at", "of the plan's", "by"}}
@@ -162,7 +162,7 @@
 
 // listSize is how far the plan's list is from the largest that is taken.
 func (g *page) listSize() string {
-	text := fmt.Sprintf("a server may take %s; %s with names as short as the laboratory's", quantity(c("discovery.maxText")/float64(g.Databases), "B"), g.of("startup", "pooler", "list_bytes", "server").value(float64(g.Databases)))
+	text := fmt.Sprintf("a server may take %s; %s with names as short as the laboratory's", quantity(c("discovery.maxListBytes")/float64(g.Databases), "B"), g.of("startup", "pooler", "list_bytes", "server").value(float64(g.Databases)))
 	if r, ok := g.longNames(); ok {
 		text += fmt.Sprintf("; names of 32 bytes take %s a server (%s at %s, %s), and a longer list is rejected as a whole", quantity(r.Median/float64(r.Size), "B"), quantity(r.Median, "B"), digits(float64(r.Size)), longNames)
 	}
@@ -314,6 +314,6 @@
 		{"sixth", "each pooler uses a few databases of a group, and few groups have all poolers", "connections at a database", "by the database's own limit; a primary holds " + g.of(fmt.Sprintf("tenth_of_groups_fleet_%d", g.Poolers), "derived", "connections_primary", "pooler").value(n) + " where each pooler uses a tenth of the groups", "half: homes by `internal/rendezvous`, not the connections"},
 		{"seventh", "a document a site for purges", "one document for all", "by sites: " + NotMeasured, "missing; purges are off as shipped"},
 		{"eighth", "journals merged by region", "reading all at one place", NotMeasured, "missing"},
-		{"ninth", "larger lists from the discovery service, and a pooler that applies only what has changed of one", "the bound of a list; a complete list is decoded at each change of it", quantity(c("discovery.maxText"), "B") + " (`discovery.maxText`)", "missing"},
+		{"ninth", "larger lists from the discovery service, and a pooler that applies only what has changed of one", "the bound of a list; a complete list is decoded at each change of it", quantity(c("discovery.maxListBytes"), "B") + " (`discovery.maxListBytes`)", "missing"},
 	}}
 }
--- a/internal/capacity/constants.go
+++ b/internal/capacity/constants.go
@@ -7,7 +7,7 @@
 	"config.defaultMaxRotated":            4,
 	"config.DefaultTerm":                  3,
 	"config.MaxVoters":                    7,
-	"discovery.maxText":                   1 << 20,
+	"discovery.maxListBytes":              1 << 20,
 	"discoveryleader.fetchSpacing":        0.005,
 	"fleet.maxListTransfers":              8,
 	"serverlist.MaxServers":               1 << 14,
--- a/internal/pooler/discovery_watcher.go
+++ b/internal/pooler/discovery_watcher.go
@@ -218,9 +218,9 @@
 // Data takes in what the list service sends.
 func (w *watcher) Data(at time.Duration, b []byte) {
 	stream := w.call.stream
-	begun, emptyLines := stream.Begun(), stream.Empty()
+	begun, emptyLines := stream.InList(), stream.EmptyLines()
 	lists, err := stream.Feed(b)
-	w.observeActivity(at, begun, len(lists) > 0, stream.Empty() > emptyLines)
+	w.observeActivity(at, begun, len(lists) > 0, stream.EmptyLines() > emptyLines)
 	notifiedAt := w.notifiedAt(at)
 	for _, list := range lists {
 		w.receive(list, notifiedAt)
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -86,8 +86,8 @@
 		"no length, cut":  {in: openHead + full + drain[:len(drain)-3], want: []List{one}}, // what follows looks like its end, or is a reset
 		"other encoding":  {in: "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n" + full, bad: true},
 		"long chunk":      {in: okHead + fmt.Sprintf("%x\r\n%s..", len(full), full) + chunk(drain), want: []List{one}, bad: true},
-		"endless list":    {in: openHead + full + `{"revision":` + strings.Repeat(" ", maxText), want: []List{one}, bad: true},
-		"endless head":    {in: okHead[:len(okHead)-2] + "X: " + strings.Repeat("x", maxHead), bad: true},
+		"endless list":    {in: openHead + full + `{"revision":` + strings.Repeat(" ", maxListBytes), want: []List{one}, bad: true},
+		"endless head":    {in: okHead[:len(okHead)-2] + "X: " + strings.Repeat("x", maxHeadBytes), bad: true},
 		"bad list":        {in: okHead + chunk("{]\n"), bad: true},
 	} {
 		whole := &Stream{}
@@ -126,7 +126,7 @@
 			rest, err = parts.Feed(b[cut:])
 			got = append(got, rest...)
 		}
-		if d := cmp.Diff(want, got); d != "" || (bad != nil) != (err != nil) || bad == nil && whole.Empty() != parts.Empty() {
+		if d := cmp.Diff(want, got); d != "" || (bad != nil) != (err != nil) || bad == nil && whole.EmptyLines() != parts.EmptyLines() {
 			t.Errorf("cut at %d: %v, %v %s", cut, err, bad, d)
 		}
 	})
--- a/internal/protocol/discovery/list.go
+++ b/internal/protocol/discovery/list.go
@@ -1,15 +1,35 @@
+// Package discovery reads the watch of a list service: HTTP/1.1 answers, chunked or not, that hold one JSON list after the other, each on
+// a line of its own or indented over many. A list counts from its last bracket on, however the answer ends after it: where a body has no
+// length, a reset looks like its end. The package has no sockets: bytes come in, lists come out.
 package discovery
 
 import (
-	"encoding/json"
 	"slices"
 	"time"
 
 	"threadsail/internal/policy"
 )
 
-// With is the whole list after a further one: a change puts its entries in place of those of the same name and drops those
-// that are gone; a complete one takes the place of all.
+// Member is one server of a list.
+type Member struct {
+	Name    string // the same at all poolers
+	Addr    string // host:port
+	Zone    string
+	Group   int
+	State   policy.MemberState
+	Primary bool
+	Started time.Duration // since the Unix epoch; 0: long ago
+}
+
+// List is the whole list, or what has changed.
+type List struct {
+	Revision uint64
+	Complete bool
+	Members  []Member
+}
+
+// With returns the whole list after a later one. A change replaces the members of the same names, and drops those that are removed; a
+// complete list replaces all.
 func (l List) With(next List) List {
 	if next.Complete {
 		return next
@@ -24,11 +44,11 @@
 	return out
 }
 
-// At is the list with each server at the address that here knows it by: host_port may vary from pooler to pooler. known
-// tells whether here knows all of them.
-func (l List) At(here List) (at List, known bool) {
+// At returns the list with each member at the address that it has in another list, for addresses may vary from pooler to pooler. known
+// tells whether the other list has all members.
+func (l List) At(other List) (at List, known bool) {
 	addrs := map[string]string{}
-	for _, m := range here.Members {
+	for _, m := range other.Members {
 		addrs[m.Name] = m.Addr
 	}
 	at = l
@@ -40,34 +60,3 @@
 	}
 	return at, true
 }
-
-// Format writes the list in the list service's own words, which ParseList reads.
-func (l List) Format() []byte {
-	type member struct {
-		ID       string  `json:"id"`
-		HostPort string  `json:"host_port"`
-		Locality string  `json:"locality"`
-		Cell     int     `json:"cell"`
-		Phase    string  `json:"phase"`
-		Recovery string  `json:"recovery,omitempty"`
-		UpSince  float64 `json:"up_since_ms"`
-	}
-	out := struct {
-		Revision uint64   `json:"revision"`
-		Complete bool     `json:"complete"`
-		Members  []member `json:"members"`
-	}{l.Revision, l.Complete, make([]member, 0, len(l.Members))}
-	for _, m := range l.Members {
-		e := member{ID: m.Name, HostPort: m.Addr, Locality: m.Zone, Cell: m.Group, UpSince: float64(m.Started.Round(time.Millisecond) / time.Millisecond),
-			Phase: map[policy.MemberState]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}[m.State]}
-		if m.Primary {
-			e.Recovery = "off"
-		}
-		out.Members = append(out.Members, e)
-	}
-	text, err := json.Marshal(out)
-	if err != nil {
-		panic(err) // strings and numbers
-	}
-	return text
-}
