--- a/internal/pooler/file_watcher.go
+++ b/internal/pooler/file_watcher.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	k.gate = serverlist.NewGate(lists.Policy, history...)
-	state := watchfile.Steady(k.path, inventory.MaxBytes, startReadInterval)
+	state := watchfile.ReadStable(k.path, inventory.MaxBytes, startReadInterval)
 	decision := k.gate.Offer(k.loop.Now(), k.candidate(state))
 	current := k.gate.Current()
 	if current == nil {
@@ -105,7 +105,7 @@
 		case <-k.quit:
 		}
 	}
-	options := watchfile.Options{Path: path, Poll: lists.PollInterval, Max: inventory.MaxBytes, Log: messageLogger(k.log)}
+	options := watchfile.Options{Path: path, PollInterval: lists.PollInterval, MaxBytes: inventory.MaxBytes, Log: messageLogger(k.log)}
 	k.watcher = watchfile.Watch(options, known, onState)
 }
 
@@ -164,7 +164,7 @@
 
 // candidate returns what the file holds, checked, or why it can't be used.
 func (k *fileWatcher) candidate(state watchfile.State) serverlist.Candidate {
-	candidate := serverlist.Candidate{Source: k.path, ContentHash: state.Content, Err: state.Err}
+	candidate := serverlist.Candidate{Source: k.path, ContentHash: state.ContentHash, Err: state.Err}
 	if candidate.Err != nil {
 		return candidate
 	}
--- a/internal/watchfile/watchfile.go
+++ b/internal/watchfile/watchfile.go
@@ -21,37 +21,37 @@
 const Descriptors = 3
 
 const (
-	gather   = 2 * time.Millisecond  // events that come together are looked after together
-	between  = time.Millisecond      // two reads
-	unsteady = 20 * time.Millisecond // until the next look, where two reads have differed
+	eventDelay    = 2 * time.Millisecond  // events that come together are looked after together
+	rereadDelay   = time.Millisecond      // two reads
+	unstableDelay = 20 * time.Millisecond // until the next look, where two reads have differed
 )
 
 // State is what a file holds.
 type State struct {
-	Text    []byte
-	Content uint64 // a hash of Text, never 0; 0: it can't be read
-	Err     error
+	Text        []byte
+	ContentHash uint64 // a hash of Text, never 0; 0: it can't be read
+	Err         error
 }
 
 // Options say what to watch.
 type Options struct {
-	Path     string
-	Poll     time.Duration // how often to look without being told
-	Max      int64         // bytes; a larger file can't be read
-	NoEvents bool          // look only
-	Log      func(string)
+	Path         string
+	PollInterval time.Duration // how often to look without being told
+	MaxBytes     int64         // bytes; a larger file can't be read
+	NoEvents     bool          // look only
+	Log          func(string)
 }
 
 // Watcher watches one file. Its goroutine is its own, and ends with Close.
 type Watcher struct {
-	opt     Options
-	deliver func(State)
-	fs      *fsnotify.Watcher // nil: no events are to be had
-	target  string            // the folder that the link leads to; empty: that of the path itself
-	look    chan struct{}
-	quit    chan struct{}
-	done    sync.WaitGroup
-	last    State
+	options      Options
+	deliver      func(State)
+	notifier     *fsnotify.Watcher // nil: no events are to be had
+	linkedFolder string            // the folder that the link leads to; empty: that of the path itself
+	checks       chan struct{}
+	closing      chan struct{}
+	done         sync.WaitGroup
+	last         State
 }
 
 // Read reads a file once. Folders, pipes and other things that are no file are an error, and are not waited for.
@@ -73,16 +73,16 @@
 	if err != nil {
 		return State{Err: err}
 	}
-	return State{Text: text, Content: max(xxhash.Sum64(text), 1)}
+	return State{Text: text, ContentHash: max(xxhash.Sum64(text), 1)}
 }
 
-// Steady reads a file until two reads in a row, so far apart, give the same; after some tries it gives up.
-func Steady(path string, most int64, apart time.Duration) State {
+// ReadStable reads a file until two reads in a row, so far apart, give the same; after some tries it gives up.
+func ReadStable(path string, most int64, apart time.Duration) State {
 	s := Read(path, most)
 	for range 50 {
 		time.Sleep(apart)
 		next := Read(path, most)
-		if same(s, next) {
+		if sameState(s, next) {
 			return next
 		}
 		s = next
@@ -90,63 +90,63 @@
 	return State{Err: fmt.Errorf("%s changes all the time", path)}
 }
 
-func same(a, b State) bool {
-	return a.Content == b.Content && (a.Err == nil) == (b.Err == nil) && (a.Err == nil || a.Err.Error() == b.Err.Error())
+func sameState(a, b State) bool {
+	return a.ContentHash == b.ContentHash && (a.Err == nil) == (b.Err == nil) && (a.Err == nil || a.Err.Error() == b.Err.Error())
 }
 
 // Watch begins to watch. known is what the caller has read already: only what differs from it is delivered, on the
 // watcher's own goroutine.
 func Watch(opt Options, known State, deliver func(State)) *Watcher {
-	w := &Watcher{opt: opt, deliver: deliver, look: make(chan struct{}, 1), quit: make(chan struct{}), last: known}
+	w := &Watcher{options: opt, deliver: deliver, checks: make(chan struct{}, 1), closing: make(chan struct{}), last: known}
 	if !opt.NoEvents {
 		fs, err := fsnotify.NewWatcher()
 		if err != nil {
-			opt.Log(fmt.Sprintf("%s: no events, it is looked at every %v: %v", opt.Path, opt.Poll, err))
+			opt.Log(fmt.Sprintf("%s: no events, it is looked at every %v: %v", opt.Path, opt.PollInterval, err))
 		}
-		w.fs = fs
+		w.notifier = fs
 	}
-	w.follow()
+	w.watchFolders()
 	w.done.Add(1)
 	go w.run()
-	w.Look() // it may have changed since it was read
+	w.Check() // it may have changed since it was read
 	return w
 }
 
-// Look has the file looked at soon.
-func (w *Watcher) Look() {
+// Check has the file looked at soon.
+func (w *Watcher) Check() {
 	select {
-	case w.look <- struct{}{}:
+	case w.checks <- struct{}{}:
 	default:
 	}
 }
 
 // Close ends the watch, and waits until nothing is delivered any more.
 func (w *Watcher) Close() {
-	close(w.quit)
+	close(w.closing)
 	w.done.Wait()
-	if w.fs != nil {
+	if w.notifier != nil {
 		// The kernel takes seconds for it on a busy machine, and a process that ends here has less.
-		go func() { _ = w.fs.Close() }()
+		go func() { _ = w.notifier.Close() }()
 	}
 }
 
-// follow watches the folder of the path and, behind a link, that of its target: what replaces a file, or a link, is an
+// watchFolders watches the folder of the path and, behind a link, that of its target: what replaces a file, or a link, is an
 // event of the folder. A folder that was made anew is watched again.
-func (w *Watcher) follow() {
-	if w.fs == nil {
+func (w *Watcher) watchFolders() {
+	if w.notifier == nil {
 		return
 	}
-	dir := filepath.Dir(w.opt.Path)
-	_ = w.fs.Add(dir) // a folder that is not there yet: the looks go on
+	dir := filepath.Dir(w.options.Path)
+	_ = w.notifier.Add(dir) // a folder that is not there yet: the looks go on
 	target := ""
-	if resolved, err := filepath.EvalSymlinks(w.opt.Path); err == nil && filepath.Dir(resolved) != dir {
+	if resolved, err := filepath.EvalSymlinks(w.options.Path); err == nil && filepath.Dir(resolved) != dir {
 		target = filepath.Dir(resolved)
 	}
-	if target != w.target && w.target != "" {
-		_ = w.fs.Remove(w.target)
+	if target != w.linkedFolder && w.linkedFolder != "" {
+		_ = w.notifier.Remove(w.linkedFolder)
 	}
-	if w.target = target; target != "" {
-		_ = w.fs.Add(target)
+	if w.linkedFolder = target; target != "" {
+		_ = w.notifier.Add(target)
 	}
 }
 
@@ -154,10 +154,10 @@
 	defer w.done.Done()
 	var events chan fsnotify.Event
 	var failures chan error
-	if w.fs != nil {
-		events, failures = w.fs.Events, w.fs.Errors
+	if w.notifier != nil {
+		events, failures = w.notifier.Events, w.notifier.Errors
 	}
-	poll := time.NewTicker(w.opt.Poll)
+	poll := time.NewTicker(w.options.PollInterval)
 	defer poll.Stop()
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
@@ -170,37 +170,37 @@
 	}
 	for {
 		select {
-		case <-w.quit:
+		case <-w.closing:
 			return
 		case <-events:
-			soon(gather)
+			soon(eventDelay)
 		case <-failures: //nolint:errcheck // whatever it is, events may have been lost
-			soon(gather)
-		case <-w.look:
+			soon(eventDelay)
+		case <-w.checks:
 			soon(0)
 		case <-poll.C:
-			w.follow()
+			w.watchFolders()
 			soon(0)
 		case <-due.C:
-			if waiting = false; !w.take() {
-				soon(unsteady)
+			if waiting = false; !w.deliverChange() {
+				soon(unstableDelay)
 			}
 		}
 	}
 }
 
-// take delivers what the file holds if that is new; false: it is being written.
-func (w *Watcher) take() (steady bool) {
-	s := Read(w.opt.Path, w.opt.Max)
-	if same(s, w.last) {
+// deliverChange delivers what the file holds if that is new; false: it is being written.
+func (w *Watcher) deliverChange() (steady bool) {
+	s := Read(w.options.Path, w.options.MaxBytes)
+	if sameState(s, w.last) {
 		return true
 	}
-	time.Sleep(between)
-	if again := Read(w.opt.Path, w.opt.Max); !same(s, again) {
+	time.Sleep(rereadDelay)
+	if again := Read(w.options.Path, w.options.MaxBytes); !sameState(s, again) {
 		return false
 	}
-	w.last = State{Content: s.Content, Err: s.Err} // the hash is enough to compare
-	w.follow()
+	w.last = State{ContentHash: s.ContentHash, Err: s.Err} // the hash is enough to compare
+	w.watchFolders()
 	w.deliver(s)
 	return true
 }
--- a/internal/watchfile/watchfile_test.go
+++ b/internal/watchfile/watchfile_test.go
@@ -75,11 +75,11 @@
 				} else {
 					write(t, path, "one")
 				}
-				opt := Options{Path: path, Poll: time.Hour, Max: 100, Log: func(text string) { t.Error(text) }}
+				opt := Options{Path: path, PollInterval: time.Hour, MaxBytes: 100, Log: func(text string) { t.Error(text) }}
 				if by == "looks" {
-					opt.Poll, opt.NoEvents = 5*time.Millisecond, true
+					opt.PollInterval, opt.NoEvents = 5*time.Millisecond, true
 				}
-				known := Steady(path, 100, time.Millisecond)
+				known := ReadStable(path, 100, time.Millisecond)
 				if string(known.Text) != "one" {
 					t.Fatalf("at first it holds %q, %v", known.Text, known.Err)
 				}
@@ -117,7 +117,7 @@
 	}
 	fill("one")
 	got := make(chan State, 100)
-	w := Watch(Options{Path: path, Poll: 5 * time.Millisecond, Max: 100, Log: func(string) {}}, Read(path, 100), func(s State) { got <- s })
+	w := Watch(Options{Path: path, PollInterval: 5 * time.Millisecond, MaxBytes: 100, Log: func(string) {}}, Read(path, 100), func(s State) { got <- s })
 	defer w.Close()
 	if err := os.Rename(dir, dir+".old"); err != nil {
 		t.Fatal(err)
