--- a/docs/citations_test.go
+++ b/docs/citations_test.go
@@ -27,6 +27,8 @@
 	aPath = regexp.MustCompile(`^(?:internal|cmd|deploy|docs|tools)(?:/[A-Za-z0-9._-]+)*$`)
 	// aName is PACKAGE.NAME or PACKAGE.TYPE.MEMBER; a key of a section that has a package's name looks alike, see settings.
 	aName = regexp.MustCompile(`^([a-z]+)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)(?:\(\))?$`)
+	// aTest is the name of a test; one with … behind it is the beginning of several names.
+	aTest = regexp.MustCompile(`\b(Test[A-Z]\w*)(?:$|[^\w…])`)
 	// fileEndings tell a file's name from a package's member.
 	fileEndings = regexp.MustCompile(`\.(?:go|md|json|toml|yaml|yml|csv|cue|txt|mod|sum|sh)$`)
 )
@@ -68,6 +70,70 @@
 	}
 }
 
+// TestNamedTestsExist finds tests that a page names and no package has.
+func TestNamedTestsExist(t *testing.T) {
+	const root = ".."
+	tests := declaredTests(t, root)
+	named := 0
+	for _, page := range pages {
+		text, err := os.ReadFile(filepath.Join(root, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, match := range aTest.FindAllStringSubmatch(string(text), -1) {
+			named++
+			if !tests[match[1]] {
+				t.Errorf("%s: no package has %s", page, match[1])
+			}
+		}
+	}
+	if named == 0 {
+		t.Error("no page names a test: has the form of their names changed?")
+	}
+}
+
+// declaredTests returns the names of the tests below root.
+func declaredTests(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	tests := map[string]bool{}
+	eachFile(t, root, func(path string, file *ast.File) {
+		if !strings.HasSuffix(path, "_test.go") {
+			return
+		}
+		for _, d := range file.Decls {
+			if function, ok := d.(*ast.FuncDecl); ok && function.Recv == nil {
+				tests[function.Name.Name] = true
+			}
+		}
+	})
+	return tests
+}
+
+// eachFile calls visit with each Go file below root, parsed.
+func eachFile(t *testing.T, root string, visit func(path string, file *ast.File)) {
+	t.Helper()
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (entry.Name() == ".git" || entry.Name() == "testdata" || entry.Name() == "journal") {
+			return fs.SkipDir
+		}
+		if !strings.HasSuffix(path, ".go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		visit(path, file)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
 // TestCitationsAreFound holds the patterns to examples.
 func TestCitationsAreFound(t *testing.T) {
 	for span, want := range map[string][2]bool{ // is a path, is a name
@@ -98,19 +164,9 @@
 func parseTree(t *testing.T, root string) sourceTree {
 	t.Helper()
 	tree := sourceTree{map[string]map[string]bool{}, newSettings()}
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() && (entry.Name() == ".git" || entry.Name() == "testdata" || entry.Name() == "journal") {
-			return fs.SkipDir
-		}
-		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
+	eachFile(t, root, func(path string, file *ast.File) {
+		if strings.HasSuffix(path, "_test.go") {
+			return
 		}
 		names := tree.declared[file.Name.Name]
 		if names == nil {
@@ -121,11 +177,7 @@
 		for _, d := range file.Decls {
 			addDeclaration(names, d)
 		}
-		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
 	return tree
 }
 
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"go/ast"
-	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -76,29 +74,19 @@
 func stringLiterals(t *testing.T, root string) []string {
 	t.Helper()
 	var literals []string
-	for _, folder := range []string{"internal", "cmd"} {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ fs.DirEntry, err error) error {
-			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-				return err
-			}
-			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-			if err != nil {
-				return err
-			}
-			ast.Inspect(file, func(n ast.Node) bool {
-				if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
-					if text, err := strconv.Unquote(literal.Value); err == nil {
-						literals = append(literals, text)
-					}
+	eachFile(t, root, func(path string, file *ast.File) {
+		if strings.HasSuffix(path, "_test.go") {
+			return
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+				if text, err := strconv.Unquote(literal.Value); err == nil {
+					literals = append(literals, text)
 				}
-				return true
-			})
-			return nil
+			}
+			return true
 		})
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
+	})
 	return literals
 }
 
