--- a/internal/fleet/audit/audit_test.go
+++ b/internal/fleet/audit/audit_test.go
@@ -48,9 +48,9 @@
 			t.Fatal(err)
 		}
 		text, _ := os.ReadFile(path)
-		got, problems := Parse(path, text)
-		if d := cmp.Diff(append(want, record(9)), got); d != "" || len(problems) > 0 {
-			t.Errorf("cut at %d: %s %v", cut, d, problems)
+		got, damage := Parse(path, text)
+		if d := cmp.Diff(append(want, record(9)), got); d != "" || len(damage) > 0 {
+			t.Errorf("cut at %d: %s %v", cut, d, damage)
 		}
 	}
 }
@@ -84,15 +84,15 @@
 	}
 	for name, want := range map[string][]Record{path + ".1": {record(1), record(2)}, path: {record(4)}} {
 		text, _ := os.ReadFile(name)
-		got, problems := Parse(name, text)
-		if d := cmp.Diff(want, got); d != "" || len(problems) > 0 {
-			t.Errorf("%s: %s %v", name, d, problems)
+		got, damage := Parse(name, text)
+		if d := cmp.Diff(want, got); d != "" || len(damage) > 0 {
+			t.Errorf("%s: %s %v", name, d, damage)
 		}
 	}
 }
 
-// Problems name file and place, and the rest is still read.
-func TestProblems(t *testing.T) {
+// Damage names the file and the place, and the rest is still read.
+func TestDamage(t *testing.T) {
 	var b []byte
 	for i := range 3 {
 		b, _ = Append(b, record(i))
@@ -113,10 +113,10 @@
 		{"foreign", []byte("{\"a\": 1}\n{\"b\": 2}\n"), 0, "j: at byte 0: no journal"},
 		{"empty", nil, 0, ""},
 	} {
-		got, problems := Parse("j", c.text)
+		got, damage := Parse("j", c.text)
 		said := ""
-		if len(problems) > 0 {
-			said = problems[0].Error()
+		if len(damage) > 0 {
+			said = damage[0].Error()
 		}
 		if len(got) != c.read || c.want == "" && said != "" || !strings.Contains(said, c.want) {
 			t.Errorf("%s: %d records, %q; want %d, %q", c.name, len(got), said, c.read, c.want)
@@ -153,9 +153,9 @@
 	var at []int64
 	for _, name := range []string{path + ".2", path + ".1", path} {
 		text, err := os.ReadFile(name)
-		records, problems := Parse(name, text)
-		if err != nil || len(problems) > 0 {
-			t.Errorf("%s: %v %v", name, err, problems)
+		records, damage := Parse(name, text)
+		if err != nil || len(damage) > 0 {
+			t.Errorf("%s: %v %v", name, err, damage)
 		}
 		for _, r := range records {
 			at = append(at, r.At)
@@ -173,7 +173,7 @@
 	f.Add(b[:len(b)-3])
 	f.Add([]byte("text"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		records, problems := Parse("f", b)
+		records, damage := Parse("f", b)
 		var again []byte
 		for _, r := range records {
 			next, err := Append(again, r)
@@ -185,7 +185,7 @@
 		if got, bad := Parse("f", again); len(bad) > 0 || cmp.Diff(records, got, cmpopts.EquateEmpty()) != "" {
 			t.Fatalf("records do not survive: %v", bad)
 		}
-		for _, p := range problems {
+		for _, p := range damage {
 			if p.Offset < 0 || p.Offset >= int64(len(b)) {
 				t.Fatalf("a problem at %d of %d", p.Offset, len(b))
 			}
