--- a/internal/fleet/distribution/wire_test.go
+++ b/internal/fleet/distribution/wire_test.go
@@ -176,6 +176,17 @@
 	return newScript(d.t, conn)
 }
 
+// waitFor fails unless something holds soon.
+func (d *scriptedDistributor) waitFor(what string, holds func() bool) {
+	d.t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			_, all := d.Summary()
+			d.t.Fatalf("%s: got %d poolers, %d streams and the summary %+v", what, d.Size(), d.StreamCount(), all)
+		}
+	}
+}
+
 // welcomeLink plays the beginning of the link.
 func (d *scriptedDistributor) welcomeLink() {
 	d.link.receive("link_hello")
@@ -239,13 +250,26 @@
 	other.send("holds", frameOf(10, `{"all":true,"came":["pooler-2","pooler-3"]}`))
 	other.send("holds_went", frameOf(10, `{"went":["pooler-3"]}`))
 	other.send("live_of_a_distributor", frameOf(4, `{"poolers":1,"behind":1,"oldest":8,"builds":{"1.4":1},"configs":{"c0ffee":1}}`))
-	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+	d.waitFor("the other's poolers", func() bool {
 		_, all := d.Summary()
-		if all.Poolers == 1 && all.Lagging == 1 && all.OldestVersion == 8 && d.Size() == 3 {
-			return
-		}
-		if time.Now().After(deadline) {
-			t.Fatalf("got %d poolers and the summary %+v", d.Size(), all)
-		}
-	}
+		return all.Poolers == 1 && all.Lagging == 1 && all.OldestVersion == 8 && d.Size() == 3
+	})
+}
+
+// A pooler that arrives at another distributor has left this one, even if its stream is still open. A new link's complete holdings say
+// nothing of when a pooler arrived, and end no stream.
+func TestMovedPoolerIsDisconnected(t *testing.T) {
+	d := newScriptedDistributor(t)
+	d.welcomeLink()
+	messages := receiveOn(d, "quota/ask")
+	pooler := d.welcomePooler()
+	other := d.connect()
+	other.send("hello_of_a_distributor", frameOf(1, `{"protocol":1,"name":"distributor-2","region":"south","distributor":true,"status":{}}`))
+	other.receive("distributor_welcome")
+	_, _ = other.conn.Write(frameOf(10, `{"all":true,"came":["pooler-1"]}`))
+	d.waitFor("complete holdings", func() bool { return d.Size() == 4 })
+	pooler.send("message_to_distributor", frameOf(8, nameOf("distributor-1"), nameOf("pooler-1"), nameOf("quota/ask"), "body 1"))
+	requireMessages(t, messages, "quota/ask pooler-1 body 1")
+	_, _ = other.conn.Write(frameOf(10, `{"came":["pooler-1"]}`))
+	d.waitFor("the old stream's end", func() bool { return d.StreamCount() == 0 })
 }
