--- a/internal/jsonfile/place.go
+++ b/internal/jsonfile/location.go
@@ -16,13 +16,13 @@
 	Err    error
 }
 
-// At returns an OffsetError.
+// At returns err with an offset in a text.
 func At(offset int64, err error) *OffsetError { return &OffsetError{Offset: offset, Err: err} }
 
-func (m *OffsetError) Error() string { return m.Err.Error() }
+func (e *OffsetError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error without its place.
-func (m *OffsetError) Unwrap() error { return m.Err }
+// Unwrap returns the error without the offset.
+func (e *OffsetError) Unwrap() error { return e.Err }
 
 // Error is an error in a file.
 type Error struct {
@@ -44,39 +44,43 @@
 // Locate names the file and line of an error in a file's text. The line of an error that is no *OffsetError is that of the key with which
 // its own text begins, or of the last part of the key's path that the file has.
 func Locate(file string, text []byte, err error) error {
-	var mistake *OffsetError
-	if errors.As(err, &mistake) {
-		if mistake.Offset == 0 {
-			return &Error{File: file, Err: err}
-		}
-		return &Error{File: file, Line: lineAt(text, mistake.Offset), Err: err}
+	var offset int64
+	var at *OffsetError
+	if errors.As(err, &at) {
+		offset = at.Offset
+	} else {
+		key, _, _ := strings.Cut(err.Error(), ": ")
+		offset = OffsetOf(text, splitPath(key))
 	}
-	key, _, _ := strings.Cut(err.Error(), ": ")
-	offset := OffsetOf(text, strings.FieldsFunc(key, func(r rune) bool { return strings.ContainsRune(".[]", r) }))
 	if offset == 0 {
 		return &Error{File: file, Err: err}
 	}
 	return &Error{File: file, Line: lineAt(text, offset), Err: err}
 }
 
-// LocateFrom is Locate for an error whose line is the first one where it has no other place.
+// LocateFrom is Locate for a file whose errors without an offset are about the file as a whole, which begins on line 1.
 func LocateFrom(file string, text []byte, err error) error {
-	offset := int64(0)
-	var mistake *OffsetError
-	if errors.As(err, &mistake) {
-		offset = mistake.Offset
+	var offset int64
+	var at *OffsetError
+	if errors.As(err, &at) {
+		offset = at.Offset
 	}
 	return &Error{File: file, Line: lineAt(text, offset), Err: err}
 }
 
-// lineAt is the line of an offset, which may lie outside of the text.
+// splitPath returns the parts of a path such as "settings.lanes[0].name".
+func splitPath(path string) []string {
+	return strings.FieldsFunc(path, func(r rune) bool { return strings.ContainsRune(".[]", r) })
+}
+
+// lineAt returns the line of an offset, which may lie outside of the text.
 func lineAt(text []byte, offset int64) int {
 	offset = min(max(offset, 0), int64(len(text)))
 	return 1 + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// OffsetOf is where a path's key begins in a text that is known to be JSON, or the last of its keys that is there. Keys match without
-// regard to case; an element of an array is named by its index. 0: not even the first key is there.
+// OffsetOf returns the offset of the value at a path in a text that is known to be JSON, or of the last key of the path that the text
+// has; 0: it does not have the first one. Keys match without regard to case; an element of an array is named by its index.
 func OffsetOf(text []byte, path []string) (offset int64) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	for _, key := range path {
@@ -109,10 +113,10 @@
 	return false
 }
 
-// FindKey is where a key first stands in a text, at any depth; below 0: nowhere.
+// FindKey returns the offset at which a key first stands in a text, at any depth; below 0: the text does not have it.
 func FindKey(text []byte, key string) int64 { return int64(bytes.Index(text, []byte(`"`+key+`"`))) }
 
-// FindKeyWithin is where a key first stands behind an object's key, or where the object's key stands if there is none.
+// FindKeyWithin returns the offset at which a key first stands behind an object's key, or that of the object's key if it does not.
 func FindKeyWithin(text []byte, object, key string) int64 {
 	at := FindKey(text, object)
 	if at < 0 {
