--- a/internal/capacity/claims.go
+++ b/internal/capacity/claims.go
@@ -7,8 +7,10 @@
 	"slices"
 )
 
-// What the code says of the size that is coming where no record does: bounds by its constants, and which mechanism carries what.
+// The tables of the planned size that rest on the code: bounds by its constants where no record has a measurement, and which mechanism
+// carries what.
 
+// roles lists what each role holds, its bound at the planned size, and the packages that carry it.
 func (g *page) roles() Table {
 	n, term := g.n, c("config.DefaultTerm")
 	pull := c("gossip.pushPullInterval") * (math.Ceil(math.Log2(n)-5) + 1)
