--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -50,6 +50,11 @@
 	actions      actionQueue
 	drainReserve drainReserve
 
+	extensions
+}
+
+// extensions is what the pooler and its fleet have added before the loop runs.
+type extensions struct {
 	connectionGate   ConnectionGate // nil: none
 	guards           []Guard
 	primaryObservers []PrimaryObserver
