--- a/internal/pooler/cached_answers_test.go
+++ b/internal/pooler/cached_answers_test.go
@@ -55,7 +55,7 @@
 func (idleFleet) Status() admin.FleetStatus                              { return admin.FleetStatus{} }
 func (idleFleet) Close()                                                 {}
 
-// A kept answer is given to other clients on either wire, as the server gave it; on MySQL's not to a client that reads another
+// A kept answer is given to other clients over either protocol, as the server gave it; on MySQL's not to a client that reads another
 // charset, nor for a prepared statement, nor where the statement did not name its class.
 func TestCachedAnswers(t *testing.T) {
 	for wire, test := range map[string]struct {
--- a/internal/pooler/fleet_test.go
+++ b/internal/pooler/fleet_test.go
@@ -23,7 +23,7 @@
 	return admin.FleetStatus{DocumentsVersion: 7, DocumentsAge: -1, ReplicaWriteFailing: true}
 }
 
-// What a full disk keeps from being written is told at the operators' door, and the pooler goes on; a part without which it must
+// What a full disk keeps from being written is told at the admin server, and the pooler goes on; a part without which it must
 // not serve ends it in order, with the part's error.
 func TestFleetStatusAtTheAdminServer(t *testing.T) {
 	f := standin.NewFleet(t, false, nil, "db1")
--- a/internal/pooler/limiter_test.go
+++ b/internal/pooler/limiter_test.go
@@ -11,7 +11,7 @@
 	"threadsail/internal/pooler"
 )
 
-// scarceLimiter lets a connection be made every 40 ms, and sends every fourth attempt elsewhere. It is one front's, on its loop.
+// scarceLimiter lets a connection be made every 40 ms, and sends every fourth attempt elsewhere. It is one frontend's, on its loop.
 type scarceLimiter struct {
 	next  time.Duration
 	sends int
@@ -39,7 +39,7 @@
 }
 func (m *scarceLimiter) MayProbe(time.Duration, string) bool { return true }
 
-// Under limits that bind, on every pair of wires, no connection is made without leave, every request is answered, and
+// Under limits that bind, on every pair of protocols, no connection is made without leave, every request is answered, and
 // many are served.
 func TestLimiter(t *testing.T) {
 	for _, pair := range pairs {
--- a/internal/pooler/shutdown_test.go
+++ b/internal/pooler/shutdown_test.go
@@ -64,7 +64,7 @@
 	return c, c.SetDeadline(time.Now().Add(20 * time.Second))
 }
 
-// testRestart runs a test of a planned restart on both wires.
+// testRestart runs a test of a planned restart on both protocols.
 func testRestart(t *testing.T, test func(t *testing.T, f *standin.Fleet, a pooler.Addresses, terminate chan struct{}, ended chan error)) {
 	for _, wire := range []string{"postgres", "mysql"} {
 		t.Run(wire, func(t *testing.T) {
