--- a/internal/fleet/audit/audit_test.go
+++ b/internal/fleet/audit/audit_test.go
@@ -236,3 +236,24 @@
 		t.Errorf("moments: %+v", rep.VersionCounts)
 	}
 }
+
+// An instance that begins when others have a newer list is a straggler once it has been without that for the grace since it
+// began, not for the time before.
+func TestStragglerIsJudgedFromItsBeginning(t *testing.T) {
+	s := int64(time.Second)
+	list := func(at int64, instance string, act Act, sequence uint64) Record {
+		return Record{At: at * s, Instance: instance, Build: "b1", Config: "c1", Act: act, Token: 5, Sequence: sequence}
+	}
+	started := func(at int64, instance string) Record {
+		return Record{At: at * s, Instance: instance, Build: "b1", Config: "c1", Act: Started}
+	}
+	rep := Merge([]Record{
+		started(0, "a/1"), list(1, "a/1", ListAnnounced, 1), list(10, "a/1", ListAnnounced, 2),
+		started(13, "b/2"), list(17, "b/2", ListApplied, 2),
+		started(14, "c/2"), list(20, "c/2", ListApplied, 2),
+	}, Limits{Grace: 5 * time.Second})
+	want := []Straggler{{"c/2", "list", 10 * s, 20 * s, "5.1", "5.2"}}
+	if d := cmp.Diff(want, rep.Stragglers); d != "" {
+		t.Error(d)
+	}
+}
