--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -173,8 +173,27 @@
 	Node    int // -1: the leader
 }
 
-// play runs a fleet for so long with the faults, and returns how an invariant was violated, if one was.
-func play(seed uint64, size int, length time.Duration, faults []fault) (err error) {
+// dayStep is the step of a day: in each, tokens are taken and the rates in force are summed.
+const dayStep = 20 * time.Millisecond
+
+// day is a fleet that takes tokens of the first two limits while faults come and go.
+type day struct {
+	*world
+	length time.Duration
+	faults []fault
+	heals  []scheduledHeal
+	excess [2]float64 // by limit: tokens that were taken above its rate
+	wanted [2]float64 // by limit: rates in force at poolers with wants, as of the last step
+}
+
+// scheduledHeal heals a fault at a time of the day.
+type scheduledHeal struct {
+	at   time.Duration
+	heal func() // nil: done
+}
+
+// play runs a fleet for a time with the faults, and returns how an invariant was violated, if one was.
+func play(seed uint64, size int, length time.Duration, faults []fault) error {
 	w := &world{network: bustest.New(seed), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(seed, 7))}
 	w.network.SetDelay(2*time.Millisecond, 4*time.Millisecond)
 	for i := range size {
@@ -183,74 +202,118 @@
 	for _, n := range w.nodes {
 		w.start(n)
 	}
-	defer w.running.Wait()
-	defer func() {
-		for _, n := range w.nodes {
-			if n.component != nil {
-				w.kill(n)
+	d := &day{world: w, length: length, faults: faults}
+	defer d.end()
+	for now := time.Duration(0); now < length; now += dayStep {
+		d.injectAndHeal(now)
+		d.changeDemand(now)
+		for i := range d.excess {
+			if err := d.takeTokens(now, i); err != nil {
+				return err
 			}
 		}
-	}()
-	const step = 20 * time.Millisecond
-	var excess, wanted [2]float64
-	var undo []func()
-	var undoAt []time.Duration
-	for now := time.Duration(0); now < length; now += step {
-		for _, f := range faults {
-			if f.At/step == now/step {
-				heal := w.inject(f)
-				undo, undoAt = append(undo, heal), append(undoAt, now+f.For)
-			}
+		time.Sleep(dayStep)
+		synctest.Wait()
+	}
+	return d.checkUsage()
+}
+
+// end kills all poolers and waits for them.
+func (d *day) end() {
+	for _, n := range d.nodes {
+		if n.component != nil {
+			d.kill(n)
 		}
-		for i, at := range undoAt {
-			if undo[i] != nil && now >= at {
-				undo[i]()
-				undo[i] = nil
-			}
+	}
+	d.running.Wait()
+}
+
+// injectAndHeal injects the faults that begin in a step, and heals those that are over.
+func (d *day) injectAndHeal(now time.Duration) {
+	for _, f := range d.faults {
+		if f.At/dayStep == now/dayStep {
+			d.heals = append(d.heals, scheduledHeal{at: now + f.For, heal: d.inject(f)})
 		}
-		if now%(2*time.Second) == 0 && now <= length-3*term {
-			for _, n := range w.nodes {
-				n.demand = [2]int{w.rng.IntN(4) * w.rng.IntN(6), w.rng.IntN(2)}
-			}
-			w.nodes[w.rng.IntN(size)].demand = [2]int{30, 10}
-		}
-		rates := [2]float64{}
-		wanted = [2]float64{}
-		for i, l := range limits.List[:2] {
-			got := 0
-			for _, n := range w.nodes {
-				if n.component == nil {
-					continue
-				}
-				for range n.demand[i] {
-					if _, ok := n.component.Take(l, "k", 1); ok {
-						got++
-					}
-				}
-				n.component.Client.mu.Lock()
-				if b := n.component.buckets[l.Name+"/k"]; b != nil {
-					rates[i] += b.rate(time.Now())
-					if n.demand[i] > 0 {
-						wanted[i] += b.rate(time.Now())
-					}
-				}
-				n.component.Client.mu.Unlock()
-			}
-			if rates[i] > l.Rate*(1+1e-9) {
-				return fmt.Errorf("at %v %s: rates of %.2f a second are in force, the limit is %v", now, l.Name, rates[i], l.Rate)
-			}
-			excess[i] = max(0, excess[i]-l.Rate*step.Seconds()) + float64(got)
-			started := float64(w.restarts) * max(1, l.Burst*l.Reserve/float64(size))
-			if most := l.Burst + float64(size) + started + l.Rate*step.Seconds(); excess[i] > most+1e-6 {
-				return fmt.Errorf("at %v %s: %.2f over its rate were taken, the bound is %.2f", now, l.Name, excess[i], most)
-			}
+	}
+	for i, scheduled := range d.heals {
+		if scheduled.heal != nil && now >= scheduled.at {
+			scheduled.heal()
+			d.heals[i].heal = nil
+		}
+	}
+}
+
+// changeDemand changes what the poolers want, each two seconds up to three terms before the end.
+func (d *day) changeDemand(now time.Duration) {
+	if now%(2*time.Second) != 0 || now > d.length-3*term {
+		return
+	}
+	for _, n := range d.nodes {
+		n.demand = [2]int{d.rng.IntN(4) * d.rng.IntN(6), d.rng.IntN(2)}
+	}
+	d.nodes[d.rng.IntN(len(d.nodes))].demand = [2]int{30, 10}
+}
+
+// takeTokens takes tokens of the ith limit at all poolers, and holds the rates in force and what was taken against the bounds.
+func (d *day) takeTokens(now time.Duration, i int) error {
+	l := limits.List[i]
+	taken := 0
+	rates := 0.0
+	d.wanted[i] = 0
+	for _, n := range d.nodes {
+		if n.component == nil {
+			continue
+		}
+		taken += n.take(l, n.demand[i])
+		rate := n.rateInForce(l)
+		rates += rate
+		if n.demand[i] > 0 {
+			d.wanted[i] += rate
 		}
-		time.Sleep(step)
-		synctest.Wait()
 	}
-	for i, l := range limits.List[:2] { // all is healed, and wants have stood for three terms
-		if least := 0.95 * (1 - l.Reserve) * l.Rate; size > 2 && wanted[i] < least {
-			return fmt.Errorf("%s: those with wants may take %.1f of %v a second: more than the reserve is unused", l.Name, wanted[i], l.Rate)
+	if rates > l.Rate*(1+1e-9) {
+		return fmt.Errorf("at %v %s: rates of %.2f a second are in force, the limit is %v", now, l.Name, rates, l.Rate)
+	}
+	d.excess[i] = max(0, d.excess[i]-l.Rate*dayStep.Seconds()) + float64(taken)
+	size := float64(len(d.nodes))
+	started := float64(d.restarts) * max(1, l.Burst*l.Reserve/size)
+	if most := l.Burst + size + started + l.Rate*dayStep.Seconds(); d.excess[i] > most+1e-6 {
+		return fmt.Errorf("at %v %s: %.2f over its rate were taken, the bound is %.2f", now, l.Name, d.excess[i], most)
+	}
+	return nil
+}
+
+// take tries to take tokens of a limit, and returns how many were taken.
+func (n *node) take(l config.Limit, wants int) int {
+	taken := 0
+	for range wants {
+		if _, ok := n.component.Take(l, "k", 1); ok {
+			taken++
+		}
+	}
+	return taken
+}
+
+// rateInForce returns the rate of a limit that is in force at a pooler.
+func (n *node) rateInForce(l config.Limit) float64 {
+	n.component.Client.mu.Lock()
+	defer n.component.Client.mu.Unlock()
+	b := n.component.buckets[bucketKey(l, "k")]
+	if b == nil {
+		return 0
+	}
+	return b.rate(time.Now())
+}
+
+// checkUsage checks that most of each limit is used, once all faults are healed and wants have stood for three terms.
+func (d *day) checkUsage() error {
+	if len(d.nodes) <= 2 {
+		return nil
+	}
+	for i, wanted := range d.wanted {
+		l := limits.List[i]
+		if least := 0.95 * (1 - l.Reserve) * l.Rate; wanted < least {
+			return fmt.Errorf("%s: those with wants may take %.1f of %v a second: more than the reserve is unused", l.Name, wanted, l.Rate)
 		}
 	}
 	return nil
@@ -267,25 +330,9 @@
 		w.network.SetIsolated(n.name, true)
 		return func() { w.network.SetIsolated(n.name, false) }
 	case "half":
-		var left, right []string
-		for i, n := range w.nodes {
-			if i%2 == 0 {
-				left = append(left, n.name)
-			} else {
-				right = append(right, n.name)
-			}
-		}
-		w.network.SetCut(left, right, true)
-		return func() { w.network.SetCut(left, right, false) }
-	case "one way": // it hears nobody
-		for _, o := range w.nodes {
-			w.network.SetOneWayCut(o.name, n.name, true)
-		}
-		return func() {
-			for _, o := range w.nodes {
-				w.network.SetOneWayCut(o.name, n.name, false)
-			}
-		}
+		return w.cutInHalves()
+	case "one way": // it receives nothing
+		return w.cutIncoming(n)
 	case "no voters":
 		voters := n.voters
 		voters.SetPartitioned(true)
@@ -314,6 +361,28 @@
 	}
 }
 
+// cutInHalves cuts every second pooler off from the others.
+func (w *world) cutInHalves() (heal func()) {
+	var halves [2][]string
+	for i, n := range w.nodes {
+		halves[i%2] = append(halves[i%2], n.name)
+	}
+	w.network.SetCut(halves[0], halves[1], true)
+	return func() { w.network.SetCut(halves[0], halves[1], false) }
+}
+
+// cutIncoming cuts the links from all others to a pooler.
+func (w *world) cutIncoming(n *node) (heal func()) {
+	for _, other := range w.nodes {
+		w.network.SetOneWayCut(other.name, n.name, true)
+	}
+	return func() {
+		for _, other := range w.nodes {
+			w.network.SetOneWayCut(other.name, n.name, false)
+		}
+	}
+}
+
 var faultKinds = []string{"cut", "half", "one way", "no voters", "stall", "slow", "loss", "kill"}
 
 func testBound(t *testing.T, size, most int) {
--- a/internal/fleet/replication/delta_test.go
+++ b/internal/fleet/replication/delta_test.go
@@ -10,27 +10,38 @@
 	"threadsail/internal/fleet/lease"
 )
 
+// drawSnapshots returns the snapshots before and after each of some drawn writes.
+func drawSnapshots(t *rapid.T) []Snapshot {
+	var table DocumentTable
+	snapshots := []Snapshot{table.Snapshot()}
+	for i := range uint64(rapid.IntRange(1, 30).Draw(t, "writes")) {
+		key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
+		w := Write{Key: key, ExpectedVersion: table.Get(key).Version, Value: []byte(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value"))}
+		if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
+			w.Value = nil
+		}
+		if _, err := table.Apply(w, 2*i+2, &lease.Lessor{}); err != nil {
+			t.Fatal(err)
+		}
+		snapshots = append(snapshots, table.Snapshot())
+	}
+	return snapshots
+}
+
+// sameSnapshot reports whether two snapshots have one version and the same documents.
+func sameSnapshot(a, b Snapshot) bool {
+	bothEmpty := len(a.Documents) == 0 && len(b.Documents) == 0
+	return a.Version == b.Version && (bothEmpty || reflect.DeepEqual(a.Documents, b.Documents))
+}
+
 // Of any history of writes, the delta from one version to a later one makes the later one of every version between, and is refused
 // for all others.
 func TestDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var table DocumentTable
-		snapshots := []Snapshot{table.Snapshot()}
-		for i := range uint64(rapid.IntRange(1, 30).Draw(t, "writes")) {
-			key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
-			w := Write{Key: key, ExpectedVersion: table.Get(key).Version, Value: []byte(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "value"))}
-			if rapid.IntRange(0, 2).Draw(t, "delete") == 0 {
-				w.Value = nil
-			}
-			if _, err := table.Apply(w, 2*i+2, &lease.Lessor{}); err != nil {
-				t.Fatal(err)
-			}
-			snapshots = append(snapshots, table.Snapshot())
-		}
-		drawIndex := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
+		snapshots := drawSnapshots(t)
 		last := len(snapshots) - 1
-		from := drawIndex("from", 0, last-1)
-		to := drawIndex("to", from+1, last)
+		from := rapid.IntRange(0, last-1).Draw(t, "from")
+		to := rapid.IntRange(from+1, last).Draw(t, "to")
 		d, ok := diffSnapshots(snapshots[from], snapshots[to])
 		text, err := json.Marshal(d)
 		var decoded Delta
@@ -45,7 +56,7 @@
 			if between := i >= from && i < to; ok != between {
 				t.Fatalf("from %d to %d, on %d: %v", from, to, i, ok)
 			}
-			if want := snapshots[to]; ok && (got.Version != want.Version || len(got.Documents) != len(want.Documents) || len(want.Documents) > 0 && !reflect.DeepEqual(got.Documents, want.Documents)) {
+			if want := snapshots[to]; ok && !sameSnapshot(got, want) {
 				t.Fatalf("from %d to %d, on %d: %v, want %v", from, to, i, got, want)
 			}
 		}
--- a/internal/fleet/replication/leadership_test.go
+++ b/internal/fleet/replication/leadership_test.go
@@ -16,6 +16,98 @@
 	"threadsail/internal/fleet/replication/replicationtest"
 )
 
+const (
+	campaignTerm  = 3 * time.Second
+	campaignDrift = 100 * time.Millisecond
+	// leaderlessBound is for how long there may be no leader while all poolers can ask: the lost leader's term and drift, the wait of the
+	// next with its jitter, and two requests that fail.
+	leaderlessBound = 2*campaignTerm + 2*campaignDrift + campaignTerm/2
+)
+
+// campaigner is a pooler that campaigns for the lease.
+type campaigner struct {
+	*replicationtest.Client
+	replication.Leadership
+	end         context.CancelFunc
+	partitioned bool
+}
+
+// campaign is some poolers that campaign for one lease, and what was seen of it.
+type campaign struct {
+	t                  *testing.T
+	cluster            *replicationtest.Cluster
+	poolers            []*campaigner
+	starts             int
+	lastToken          uint64
+	withoutLeaderSince time.Time
+}
+
+// start starts a pooler's process.
+func (c *campaign) start(i int) *campaigner {
+	c.starts++
+	client := c.cluster.Client(fmt.Sprint("n", i, "/", c.starts)) // a restarted pooler does not own what its predecessor held
+	ctx, end := context.WithCancel(c.t.Context())
+	options := replication.CandidateOptions{LeaseTerm: campaignTerm, MaxClockDrift: campaignDrift, JitterFraction: float64(i) / 3}
+	return &campaigner{Client: client, end: end, Leadership: client.Campaign(ctx, "d", options)}
+}
+
+// inject injects a fault: below 3 a cut or its heal, below 6 two lost answers, below 9 a restart; of the pooler by the remainder.
+func (c *campaign) inject(fault int) {
+	i := fault % 3
+	if fault < 9 {
+		c.withoutLeaderSince = time.Now() // the bound counts from the last fault: further faults may put a new leader off
+	}
+	switch fault / 3 {
+	case 0:
+		c.poolers[i].partitioned = !c.poolers[i].partitioned
+		c.poolers[i].SetPartitioned(c.poolers[i].partitioned)
+	case 1:
+		c.poolers[i].LoseAnswers(2)
+	case 2:
+		c.poolers[i].end()
+		c.poolers[i] = c.start(i)
+	}
+}
+
+// check checks that no two poolers lead, that tokens grow, and that there is a leader within the bound.
+func (c *campaign) check() {
+	leading := 0
+	for _, p := range c.poolers {
+		token, until, ok := p.Token()
+		if !ok {
+			continue
+		}
+		leading++
+		if token < c.lastToken || !until.After(time.Now()) {
+			c.t.Errorf("token %d after token %d, until %v", token, c.lastToken, until)
+		}
+		c.lastToken = token
+	}
+	if leading > 1 {
+		c.t.Errorf("%d poolers lead at once", leading)
+	}
+	if leading == 1 || slices.ContainsFunc(c.poolers, func(p *campaigner) bool { return p.partitioned }) {
+		c.withoutLeaderSince = time.Now()
+	}
+	if time.Since(c.withoutLeaderSince) > leaderlessBound {
+		c.t.Errorf("nobody has led for %v", time.Since(c.withoutLeaderSince))
+	}
+}
+
+// finish ends all poolers, and checks that none leads afterwards.
+func (c *campaign) finish() {
+	for _, p := range c.poolers {
+		p.SetPartitioned(false)
+		p.end()
+	}
+	time.Sleep(2 * campaignTerm)
+	for _, p := range c.poolers {
+		if _, _, ok := p.Token(); ok {
+			c.t.Error("a pooler that has ended leads")
+		}
+	}
+}
+
 // Poolers campaign for one lease while their links to the voters are cut, answers are lost and poolers end: no two lead at once,
 // tokens grow, and while all can ask, some pooler leads again within the bound of docs/shared.md.
 func TestCampaign(t *testing.T) {
@@ -23,77 +115,19 @@
 		faults := rapid.SliceOfN(rapid.IntRange(0, 14), 30, 30).Draw(rt, "faults") // from 9 on: no fault
 		faults = append(faults, 9, 9, 9, 9, 9, 9)                                  // long enough for the bound after the last fault
 		synctest.Test(t, func(t *testing.T) {
-			const term, drift = 3 * time.Second, 100 * time.Millisecond
-			cluster := replicationtest.New(drift)
-			type pooler struct {
-				*replicationtest.Client
-				replication.Leadership
-				end         context.CancelFunc
-				partitioned bool
-			}
-			var poolers []*pooler
-			starts := 0
-			start := func(i int) *pooler {
-				starts++
-				c := cluster.Client(fmt.Sprint("n", i, "/", starts)) // a restarted pooler does not own what its predecessor held
-				ctx, end := context.WithCancel(t.Context())
-				return &pooler{Client: c, end: end, Leadership: c.Campaign(ctx, "d", replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: float64(i) / 3})}
-			}
+			c := &campaign{t: t, cluster: replicationtest.New(campaignDrift), withoutLeaderSince: time.Now()}
 			for i := range 3 {
-				poolers = append(poolers, start(i))
+				c.poolers = append(c.poolers, c.start(i))
 			}
-			var last uint64
-			withoutLeaderSince := time.Now()
-			for _, x := range faults {
-				i := x % 3
-				if x < 9 {
-					withoutLeaderSince = time.Now() // the bound counts from the last fault: further faults may put a new leader off
-				}
-				switch x / 3 {
-				case 0:
-					poolers[i].partitioned = !poolers[i].partitioned
-					poolers[i].SetPartitioned(poolers[i].partitioned)
-				case 1:
-					poolers[i].LoseAnswers(2)
-				case 2:
-					poolers[i].end()
-					poolers[i] = start(i)
-				}
+			for _, fault := range faults {
+				c.inject(fault)
 				for range 20 {
 					time.Sleep(73 * time.Millisecond)
 					synctest.Wait()
-					leading := 0
-					for _, p := range poolers {
-						if token, until, ok := p.Token(); ok {
-							leading++
-							if token < last || !until.After(time.Now()) {
-								t.Errorf("token %d after token %d, until %v", token, last, until)
-							}
-							last = token
-						}
-					}
-					if leading > 1 {
-						t.Errorf("%d poolers lead at once", leading)
-					}
-					if leading == 1 || slices.ContainsFunc(poolers, func(p *pooler) bool { return p.partitioned }) {
-						withoutLeaderSince = time.Now()
-					}
-					// The lost leader's term and drift, the wait of the next with its jitter, and two requests that fail.
-					if bound := 2*term + 2*drift + term/2; time.Since(withoutLeaderSince) > bound {
-						t.Errorf("nobody has led for %v", time.Since(withoutLeaderSince))
-					}
-				}
-			}
-			for _, p := range poolers {
-				p.SetPartitioned(false)
-				p.end()
-			}
-			time.Sleep(2 * term)
-			for _, p := range poolers {
-				if _, _, ok := p.Token(); ok {
-					t.Error("a pooler that has ended leads")
+					c.check()
 				}
 			}
+			c.finish()
 		})
 	})
 }
