--- a/internal/fleet/purge/component_test.go
+++ b/internal/fleet/purge/component_test.go
@@ -212,40 +212,56 @@
 
 // violations returns what went wrong: cached answers from before a purge that was over, and purges that an edge recorded twice or not
 // at all.
-func (w *world) violations() (found []string) {
+func (w *world) violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
+	var found []string
 	for _, e := range w.edges {
-		purges := w.purges(e.site)
-		for _, g := range w.answers {
-			for _, p := range purges {
-				if g.edge == e && g.cached && p.At <= g.at && g.dataAt < p.At && (p.Cluster == AllClusters || p.Cluster == g.cluster) {
-					found = append(found, fmt.Sprintf("%s: an answer as of %v at %v, behind %s", e.name, time.Unix(0, g.dataAt).UTC(), time.Unix(0, g.at).UTC(), p.ID))
-				}
-			}
-		}
-		h, err := ReadHistory(e.journal, 1)
+		found = append(found, w.staleAnswers(e)...)
+		history, err := ReadHistory(e.journal, 1)
 		if err != nil {
 			found = append(found, err.Error())
 		}
-		count := map[string]int{}
-		for _, id := range h.Fired {
-			if count[id]++; count[id] > 1 {
-				found = append(found, fmt.Sprintf("%s: %s was recorded twice", e.name, id))
+		found = append(found, w.misrecorded(e, history)...)
+	}
+	return found
+}
+
+// staleAnswers returns the cached answers of an edge from before a purge that was over. The caller holds the mutex.
+func (w *world) staleAnswers(e *testEdge) []string {
+	var found []string
+	for _, p := range w.purges(e.site) {
+		for _, a := range w.answers {
+			concerned := a.edge == e && a.cached && (p.Cluster == AllClusters || p.Cluster == a.cluster)
+			if concerned && p.At <= a.at && a.dataAt < p.At {
+				found = append(found, fmt.Sprintf("%s: an answer as of %v at %v, behind %s", e.name, time.Unix(0, a.dataAt).UTC(), time.Unix(0, a.at).UTC(), p.ID))
 			}
 		}
-		plan, orders, _ := parseDocuments(w.view.List(keyPrefix))
-		if plan == nil || e.end == nil {
-			continue
-		}
-		t, err := newTimetable(e.site, plan, orders)
-		if err != nil {
-			w.t.Fatal(err)
+	}
+	return found
+}
+
+// misrecorded returns the purges that an edge recorded twice, or not at all though it runs. The caller holds the mutex.
+func (w *world) misrecorded(e *testEdge, h History) []string {
+	var found []string
+	recorded := map[string]int{}
+	for _, id := range h.Fired {
+		recorded[id]++
+		if recorded[id] > 1 {
+			found = append(found, fmt.Sprintf("%s: %s was recorded twice", e.name, id))
 		}
-		for _, p := range t.Between(e.startedAt-1, time.Now().Add(-2*time.Second).UnixNano()) {
-			if count[p.ID] == 0 {
-				found = append(found, fmt.Sprintf("%s: %s was never recorded", e.name, p.ID))
-			}
+	}
+	plan, orders, _ := parseDocuments(w.view.List(keyPrefix))
+	if plan == nil || e.end == nil {
+		return found
+	}
+	timetable, err := newTimetable(e.site, plan, orders)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	for _, p := range timetable.Between(e.startedAt-1, time.Now().Add(-2*time.Second).UnixNano()) {
+		if recorded[p.ID] == 0 {
+			found = append(found, fmt.Sprintf("%s: %s was never recorded", e.name, p.ID))
 		}
 	}
 	return found
@@ -276,6 +292,109 @@
 			Sites: map[string]calendar.Site{"a": {Zone: "UTC", Calendar: "c"}, "b": {Zone: "UTC", Calendar: "c"}}}}
 }
 
+// scenario is five edges of two sites and what their operators want, driven by drawn numbers.
+type scenario struct {
+	*world
+	revision uint64
+	orders   []RequestedOrder
+	proposal Proposal // of all operators' files
+}
+
+// newScenario starts the edges. The majority's clocks are within a sixth of a guard; the last edge's is anywhere.
+func newScenario(t *testing.T, numbers []int) *scenario {
+	s := &scenario{world: newWorld(t, "a", "a", "a", "b", "b"), revision: 1}
+	s.proposal = s.newProposal(numbers[0])
+	for i, e := range s.edges {
+		skew := time.Duration(numbers[i+1]%201-100) * bounds.Guard / 600
+		if i == 4 {
+			skew *= time.Duration(1 << (numbers[7] % 12))
+		}
+		e.skew.Store(int64(skew))
+		e.start(s.proposal)
+	}
+	return s
+}
+
+// newProposal returns a proposal of the present revision and orders.
+func (s *scenario) newProposal(n int) Proposal { return closing(s.revision, 1+n%4, s.orders...) }
+
+// request sends requests to all edges for a time.
+func (s *scenario) request(d time.Duration, n int) {
+	for end := time.Now().Add(d); time.Now().Before(end); n++ {
+		for _, e := range s.edges {
+			e.request(n%2, time.Duration(n*37%200)*time.Millisecond, time.Duration(n*61%1500)*time.Millisecond, time.Duration(n*83%200)*time.Millisecond)
+		}
+		time.Sleep(time.Duration(100+n*29%200) * time.Millisecond)
+	}
+}
+
+// act does the ith of the drawn acts, to an edge by its number.
+func (s *scenario) act(i, act, n int) {
+	e := s.edges[n%len(s.edges)]
+	switch {
+	case act < 20:
+		e.setIsolated(!e.isolated)
+	case act < 30:
+		e.stop()
+		if e.isolated {
+			e.view = e.view.Restart()
+		}
+		e.start(s.proposal)
+	case act < 36:
+		e.stop()
+	case act < 44:
+		if e.end == nil {
+			e.start(s.proposal)
+		}
+	case act < 48:
+		s.revision++
+		s.proposal = s.newProposal(n / 8)
+		e.propose(s.proposal)
+	case act < 56:
+		s.orders = append(s.orders, drawnOrder(fmt.Sprint("o", i), n))
+		s.proposal.Orders = s.orders
+		e.propose(s.proposal)
+	case act < 64:
+		s.edges[4].skew.Add(int64(time.Duration(n%2001-1000) * time.Millisecond * time.Duration(1<<(n/2048%10)) / 16))
+	}
+}
+
+// propose replaces the operators' file of an edge that runs.
+func (e *testEdge) propose(p Proposal) {
+	if e.end != nil {
+		e.component.Propose(p)
+	}
+}
+
+// drawnOrder returns an order for a site or all, and a cluster or all, by a drawn number.
+func drawnOrder(name string, n int) RequestedOrder {
+	o := RequestedOrder{Name: name, Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
+	if n/32%2 == 0 {
+		cluster := n / 64 % 2
+		o.Cluster = &cluster
+	}
+	return o
+}
+
+// heal heals all faults.
+func (s *scenario) heal() {
+	for _, e := range s.edges {
+		e.setIsolated(false)
+		if e.end == nil {
+			e.start(s.proposal)
+		}
+	}
+	s.edges[4].skew.Store(0)
+}
+
+// stop stops all edges, and waits for what is still in flight.
+func (s *scenario) stop() {
+	for _, e := range s.edges {
+		e.stop()
+	}
+	time.Sleep(10 * time.Second)
+}
+
 // Five edges of two sites, one of them with a clock that is anywhere and steps; cuts, restarts while cut off, plans changed around their
 // closes, orders, and requests in flight across all of that. No cached answer is from before a purge that was over, and each edge records
 // each purge once.
@@ -283,90 +402,26 @@
 	runs, shares := 0, 0.0
 	rapid.Check(t, func(rt *rapid.T) {
 		acts := rapid.SliceOfN(rapid.IntRange(0, 99), 5, 30).Draw(rt, "acts")
-		how := rapid.SliceOfN(rapid.IntRange(0, 1<<16), len(acts)+8, len(acts)+8).Draw(rt, "how")
-		var faults []string
+		numbers := rapid.SliceOfN(rapid.IntRange(0, 1<<16), len(acts)+8, len(acts)+8).Draw(rt, "how")
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, "a", "a", "a", "b", "b")
-			minute := func(n int) int { return 1 + n%4 }
-			revision, orders := uint64(1), []RequestedOrder(nil)
-			proposal := func(n int) Proposal { return closing(revision, minute(n), orders...) }
-			now := proposal(how[0])
-			for i, e := range w.edges {
-				skew := time.Duration(how[i+1]%201-100) * bounds.Guard / 600 // the majority within a sixth of a guard
-				if i == 4 {
-					skew *= time.Duration(1 << (how[7] % 12))
-				}
-				e.skew.Store(int64(skew))
-				e.start(now)
-			}
-			request := func(d time.Duration, n int) {
-				for end := time.Now().Add(d); time.Now().Before(end); n++ {
-					for _, e := range w.edges {
-						e.request(n%2, time.Duration(n*37%200)*time.Millisecond, time.Duration(n*61%1500)*time.Millisecond, time.Duration(n*83%200)*time.Millisecond)
-					}
-					time.Sleep(time.Duration(100+n*29%200) * time.Millisecond)
-				}
-			}
-			request(8*time.Second, 0)
+			s := newScenario(t, numbers)
+			s.request(8*time.Second, 0)
 			for i, act := range acts {
-				n := how[i+8]
-				e := w.edges[n%len(w.edges)]
-				switch {
-				case act < 20:
-					e.setIsolated(!e.isolated)
-				case act < 30:
-					e.stop()
-					if e.isolated {
-						e.view = e.view.Restart()
-					}
-					e.start(now)
-				case act < 36:
-					e.stop()
-				case act < 44:
-					if e.end == nil {
-						e.start(now)
-					}
-				case act < 48:
-					revision++
-					now = proposal(n / 8)
-					if e.end != nil {
-						e.component.Propose(now)
-					}
-				case act < 56:
-					o := RequestedOrder{Name: fmt.Sprint("o", i), Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
-					if n/32%2 == 0 {
-						c := n / 64 % 2
-						o.Cluster = &c
-					}
-					orders = append(orders, o)
-					now.Orders = orders
-					if e.end != nil {
-						e.component.Propose(now)
-					}
-				case act < 64:
-					w.edges[4].skew.Add(int64(time.Duration(n%2001-1000) * time.Millisecond * time.Duration(1<<(n/2048%10)) / 16))
-				}
-				request(time.Duration(n%4000)*time.Millisecond, n)
-			}
-			for _, e := range w.edges {
-				e.setIsolated(false)
-				if e.end == nil {
-					e.start(now)
-				}
+				n := numbers[i+8]
+				s.act(i, act, n)
+				s.request(time.Duration(n%4000)*time.Millisecond, n)
 			}
-			w.edges[4].skew.Store(0)
-			request(15*time.Second, 1)
+			s.heal()
+			s.request(15*time.Second, 1)
 			synctest.Wait()
-			faults = w.violations()
+			violations = s.violations()
 			runs++
-			shares += w.hitRate()
-			for _, e := range w.edges {
-				e.stop()
-			}
-			time.Sleep(10 * time.Second) // what is still in flight ends
+			shares += s.hitRate()
+			s.stop()
 		})
-		if len(faults) > 0 {
-			rt.Fatal(strings.Join(faults[:min(len(faults), 5)], "\n"))
+		if len(violations) > 0 {
+			rt.Fatal(strings.Join(violations[:min(len(violations), 5)], "\n"))
 		}
 	})
 	if mean := shares / float64(max(runs, 1)); mean < 0.1 {
--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -265,57 +265,82 @@
 	}
 }
 
-// A plan takes effect a reach later; until then, and for whoever comes late, the one before it holds.
-func TestPlansOneAfterAnother(t *testing.T) {
-	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).UnixNano()
-	doc := func(w *documentWrite) []replication.Document {
-		return []replication.Document{{Key: w.key, Version: 1, Value: w.value}}
-	}
-	first, _, err := closing(1, 10).nextWrite(nil, now)
-	if err != nil || first == nil || first.expectedVersion != 0 {
-		t.Fatalf("%+v %v", first, err)
+// stored returns the documents that a write leaves.
+func stored(w *documentWrite) []replication.Document {
+	return []replication.Document{{Key: w.key, Version: 1, Value: w.value}}
+}
+
+// mustWrite returns the next write of a proposal.
+func mustWrite(t *testing.T, p Proposal, documents []replication.Document, now int64) *documentWrite {
+	t.Helper()
+	w, _, err := p.nextWrite(documents, now)
+	if err != nil || w == nil {
+		t.Fatalf("%+v %v: want a write", w, err)
 	}
-	if w, _, err := closing(1, 10).nextWrite(doc(first), now); w != nil || err != nil {
+	return w
+}
+
+// planTestStart is when the plans of these tests are written.
+var planTestStart = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).UnixNano()
+
+// A plan is written once; another plan of its revision is refused, and a newer one waits until it is in force.
+func TestPlanIsWrittenOnce(t *testing.T) {
+	now := planTestStart
+	first := mustWrite(t, closing(1, 10), nil, now)
+	if first.expectedVersion != 0 {
+		t.Fatalf("%+v", first)
+	}
+	if w, _, err := closing(1, 10).nextWrite(stored(first), now); w != nil || err != nil {
 		t.Errorf("written twice: %+v %v", w, err)
 	}
-	if _, _, err := closing(1, 11).nextWrite(doc(first), now); !errors.Is(err, errConflictingPlan) {
+	if _, _, err := closing(1, 11).nextWrite(stored(first), now); !errors.Is(err, errConflictingPlan) {
 		t.Errorf("two plans of one revision: %v", err)
 	}
-	if w, again, _ := closing(2, 11).nextWrite(doc(first), now); w != nil || again <= 0 {
+	if w, again, _ := closing(2, 11).nextWrite(stored(first), now); w != nil || again <= 0 {
 		t.Error("a plan takes the place of one that is not in force yet")
 	}
+}
+
+// A plan takes effect a reach later; until then, and for an edge that learns of it late, the plan before it holds.
+func TestPlansOneAfterAnother(t *testing.T) {
+	now := planTestStart
 	later := now + int64(time.Hour)
-	second, _, err := closing(2, 70).nextWrite(doc(first), later)
-	if err == nil && second == nil {
-		t.Fatal("a newer plan is not written")
-	}
+	first := mustWrite(t, closing(1, 10), nil, now)
+	second := mustWrite(t, closing(2, 70), stored(first), later)
 	var plan Plan
-	if err = json.Unmarshal(second.value, &plan); err != nil {
+	if err := json.Unmarshal(second.value, &plan); err != nil {
 		t.Fatal(err)
 	}
 	if plan.EffectiveAt != later+int64(bounds.reach()) || plan.Previous == nil || plan.Previous.Previous != nil || second.expectedVersion != 1 {
 		t.Errorf("%+v", plan)
 	}
-	table, err := newTimetable("a", &plan, nil)
+	timetable, err := newTimetable("a", &plan, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var ids []string
-	for _, e := range table.Between(now, now+int64(2*time.Hour)) {
+	for _, e := range timetable.Between(now, now+int64(2*time.Hour)) {
 		ids = append(ids, e.ID)
 	}
 	if want := []string{"plan 1", "close a 2026-12-02 00:10", "plan 2", "close a 2026-12-02 01:10"}; !slices.Equal(ids, want) {
 		t.Errorf("%q, want %q", ids, want)
 	}
-	wish := RequestedOrder{Name: "w", Issued: time.Unix(0, later)}
-	if w, _, _ := closing(1, 10, wish).nextWrite(doc(second), later); w == nil || w.key != orderPrefix+"w" {
+}
+
+// An order is written while it is fresh, and deleted when it is remembered no longer.
+func TestOrderIsWrittenWhileFresh(t *testing.T) {
+	later := planTestStart + int64(time.Hour)
+	first := mustWrite(t, closing(1, 10), nil, planTestStart)
+	plan := mustWrite(t, closing(2, 70), stored(first), later)
+	requested := RequestedOrder{Name: "w", Issued: time.Unix(0, later)}
+	if w, _, _ := closing(1, 10, requested).nextWrite(stored(plan), later); w == nil || w.key != orderPrefix+"w" {
 		t.Errorf("an order is not written: %+v", w)
 	}
-	if w, _, _ := closing(1, 10, wish).nextWrite(doc(second), later+int64(orderFreshness)+1); w != nil {
+	if w, _, _ := closing(1, 10, requested).nextWrite(stored(plan), later+int64(orderFreshness)+1); w != nil {
 		t.Errorf("an old order is written: %+v", w)
 	}
 	old := replication.Document{Key: orderPrefix + "w", Version: 7, Value: []byte(`{"name":"w","at":1}`)}
-	if w, _, _ := closing(1, 10, wish).nextWrite(append(doc(second), old), later); w == nil || w.value != nil || w.expectedVersion != 7 {
+	if w, _, _ := closing(1, 10, requested).nextWrite(append(stored(plan), old), later); w == nil || w.value != nil || w.expectedVersion != 7 {
 		t.Errorf("an order of long ago stays: %+v", w)
 	}
 }
--- a/internal/fleet/shardmap/component_test.go
+++ b/internal/fleet/shardmap/component_test.go
@@ -161,6 +161,26 @@
 
 var moveToOne = Order{Name: "first", Range: Range{From: "a", To: "c", Cluster: 1}, Source: 0}
 
+// checkWrites writes at all routers while the move to the first target is in a state: to the old home before the fence, to the new home
+// once the move is done, and anywhere or nowhere in between.
+func (f *fleet) checkWrites(state State) {
+	f.t.Helper()
+	for i, p := range f.poolers {
+		home := p.write("b")
+		wrongHome := home != 0 && (state == Prepared || state == Copying) || home != 1 && state == Done
+		switch {
+		case state == Fenced || state == Switched && home < 0: // not all routers know yet
+		case home < 0:
+			f.t.Errorf("%s: router %d is refused", state, i)
+		case wrongHome:
+			f.t.Errorf("%s: router %d writes to %d", state, i, home)
+		}
+		if got := p.write("d"); got != 0 {
+			f.t.Errorf("another range: %d", got)
+		}
+	}
+}
+
 // Without faults a move goes through all states, no router is refused before the fence or after the switch, and the fence lasts for a
 // few messages.
 func TestMoveWithoutFaults(t *testing.T) {
@@ -174,19 +194,7 @@
 		var fenced time.Duration
 		f.waitFor(10*term, "the move is done", func() bool {
 			state := f.state("first")
-			for i, p := range f.poolers {
-				home := p.write("b")
-				switch {
-				case state == Fenced || state == Switched && home < 0: // not all routers know yet
-				case home < 0:
-					t.Errorf("%s: router %d is refused", state, i)
-				case home != 0 && (state == Prepared || state == Copying) || home != 1 && state == Done:
-					t.Errorf("%s: router %d writes to %d", state, i, home)
-				}
-				if got := p.write("d"); got != 0 {
-					t.Errorf("another range: %d", got)
-				}
-			}
+			f.checkWrites(state)
 			if state == Fenced {
 				fenced += time.Millisecond
 			}
--- a/internal/fleet/shardmap/document_test.go
+++ b/internal/fleet/shardmap/document_test.go
@@ -8,54 +8,79 @@
 	"threadsail/internal/keyrange"
 )
 
+// documentKeys are the keys at which ranges begin and end; "" is the end of all keys.
+var documentKeys = []string{"", "a", "b", "c", "d", "e"}
+
+// noRange holds no key.
+var noRange = Range{From: "-", To: "-"}
+
+// drawStep returns the document after a drawn step, and the range that it has switched; noRange if none.
+func drawStep(t *rapid.T, d Document) (next Document, switched Range) {
+	switch n := rapid.IntRange(0, 3).Draw(t, "act"); {
+	case n == 0 || len(d.Moves) == 0:
+		return drawBegin(t, d), noRange
+	case n == 1:
+		return d.Undo(rapid.SampledFrom(d.Moves).Draw(t, "move").Name, "not wanted"), noRange
+	}
+	m := rapid.SampledFrom(d.Moves).Draw(t, "move")
+	if m.State == Fenced {
+		return d.Advance(m.Name), m.Range
+	}
+	return d.Advance(m.Name), noRange
+}
+
+// drawBegin returns the document after a drawn order, which begins only if all of its keys are at home in its source.
+func drawBegin(t *rapid.T, d Document) Document {
+	o := Order{Name: rapid.StringMatching("m[0-9]").Draw(t, "name"), Source: rapid.IntRange(0, 2).Draw(t, "source"),
+		Range: Range{From: rapid.SampledFrom(documentKeys).Draw(t, "from"), To: rapid.SampledFrom(documentKeys).Draw(t, "to"), Cluster: rapid.IntRange(0, 2).Draw(t, "target")}}
+	next, err := d.Begin(o)
+	if err != nil {
+		return next
+	}
+	for _, key := range documentKeys[1:] {
+		if home, _ := next.Home(key); o.Range.Contains(key) && home != o.Source {
+			t.Fatalf("%v begins though %q is at home in %d", o, key, home)
+		}
+	}
+	return next
+}
+
+// checkKey checks that a key's home has changed by a switch alone, and that the key is in one active move at most.
+func checkKey(t *rapid.T, key string, before, after Document, switched Range) {
+	was, _ := before.Home(key)
+	is, _ := after.Home(key)
+	want := was
+	if switched.Contains(key) {
+		want = switched.Cluster
+	}
+	if is != want {
+		t.Fatalf("%q went from %d to %d by %v", key, was, is, switched)
+	}
+	active := 0
+	for _, m := range after.Moves {
+		if m.State.beforeSwitch() && m.Range.Contains(key) {
+			active++
+		}
+	}
+	if active > 1 {
+		t.Fatalf("%q is in two moves: %v", key, after.Moves)
+	}
+}
+
 // Whatever moves are begun, advanced and undone, the map holds every key once, a key's home changes by switches alone, no key is in two
 // active moves, and each step has an epoch of its own.
 func TestDocumentInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keys := []string{"", "a", "b", "c", "d", "e"}
 		d := Document{Epoch: 1, Ranges: []Range{{To: "c"}, {From: "c", Cluster: 1}}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			before := d
-			switched := Range{From: "-", To: "-"}
-			switch n := rapid.IntRange(0, 3).Draw(t, "act"); {
-			case n == 0 || len(d.Moves) == 0:
-				o := Order{Name: rapid.StringMatching("m[0-9]").Draw(t, "name"), Source: rapid.IntRange(0, 2).Draw(t, "source"),
-					Range: Range{From: rapid.SampledFrom(keys).Draw(t, "from"), To: rapid.SampledFrom(keys).Draw(t, "to"), Cluster: rapid.IntRange(0, 2).Draw(t, "target")}}
-				var err error
-				if d, err = d.Begin(o); err == nil {
-					for _, k := range keys[1:] {
-						if home, _ := d.Home(k); o.Range.Contains(k) && home != o.Source {
-							t.Fatalf("%v begins though %q is at home in %d", o, k, home)
-						}
-					}
-				}
-			case n == 1:
-				d = d.Undo(rapid.SampledFrom(d.Moves).Draw(t, "move").Name, "not wanted")
-			default:
-				m := rapid.SampledFrom(d.Moves).Draw(t, "move")
-				if m.State == Fenced {
-					switched = m.Range
-				}
-				d = d.Advance(m.Name)
-			}
+			var switched Range
+			d, switched = drawStep(t, d)
 			if at, err := keyrange.Check(d.Ranges, func(int) bool { return true }); err != nil {
 				t.Fatalf("%d: %v", at, err)
 			}
-			for _, k := range keys[1:] {
-				was, _ := before.Home(k)
-				is, _ := d.Home(k)
-				if switched.Contains(k) && is != switched.Cluster || !switched.Contains(k) && is != was {
-					t.Fatalf("%q went from %d to %d by %v", k, was, is, switched)
-				}
-				active := 0
-				for _, m := range d.Moves {
-					if m.State.beforeSwitch() && m.Range.Contains(k) {
-						active++
-					}
-				}
-				if active > 1 {
-					t.Fatalf("%q is in two moves: %v", k, d.Moves)
-				}
+			for _, key := range documentKeys[1:] {
+				checkKey(t, key, before, d, switched)
 			}
 			if string(before.encode()) != string(d.encode()) && d.Epoch != before.Epoch+1 {
 				t.Fatalf("epoch %d after %d", d.Epoch, before.Epoch)
--- a/internal/fleet/shardmap/model_test.go
+++ b/internal/fleet/shardmap/model_test.go
@@ -339,9 +339,9 @@
 	return ""
 }
 
-// play plays one small history, and returns the violation of an invariant that it ends in; "": none.
-func play(pick func(int) int, disabled disabledRules, steps int) (fault string, w *world) {
-	w = &world{disabled: disabled, pick: pick, leader: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), seen: make([]int, 2)}
+// newWorld returns a world of two routers that have enrolled, and two candidates of which the first leads.
+func newWorld(pick func(int) int, disabled disabledRules) *world {
+	w := &world{disabled: disabled, pick: pick, leader: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), seen: make([]int, 2)}
 	w.log = []documents{{version: 1, doc: Document{Epoch: 1, Ranges: []Range{{Cluster: 0}}}, routers: map[string]string{}}}
 	for range 2 {
 		w.candidates = append(w.candidates, &candidate{coordinator: Coordinator{Term: term, MaxClockDrift: w.assumedDrift(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: disabled}})
@@ -355,35 +355,49 @@
 	w.win(0)
 	w.decide(0)
 	w.carryOut(0)
-	work := func(k int) { // the leader does its work without a fault
-		if w.leader >= 0 {
-			k = w.leader
-		}
-		w.win(k)
-		w.decide(k)
-		w.carryOut(k)
-		if len(w.instructions) > 0 {
-			w.perform(len(w.instructions) - 1)
-		}
+	return w
+}
+
+// leaderOr returns the candidate that leads, or the kth if none does.
+func (w *world) leaderOr(k int) int {
+	if w.leader >= 0 {
+		return w.leader
 	}
-	follow := func(i, k int) { // a router follows the documents without a fault
-		w.seen[i] = len(w.log) - 1
-		w.apply(i)
-		if w.leader >= 0 {
-			k = w.leader
-		}
-		w.exchange(i, k)
+	return k
+}
+
+// work makes the leader do its work without a fault.
+func (w *world) work(k int) {
+	k = w.leaderOr(k)
+	w.win(k)
+	w.decide(k)
+	w.carryOut(k)
+	if len(w.instructions) > 0 {
+		w.perform(len(w.instructions) - 1)
 	}
-	for range w.pick(3) { // begin later: known to all, or fenced and known to none
-		follow(0, 0)
-		follow(1, 0)
-		work(0)
-		work(0)
-	}
-	acts := []struct {
-		weight int
-		do     func(i, k int)
-	}{
+}
+
+// follow makes a router follow the documents, and exchange a request and its grant, without a fault.
+func (w *world) follow(i, k int) {
+	w.seen[i] = len(w.log) - 1
+	w.apply(i)
+	w.exchange(i, w.leaderOr(k))
+}
+
+// weightedAct is what may happen next, to a router i and a candidate k, and how often in comparison with others.
+type weightedAct struct {
+	weight int
+	do     func(i, k int)
+}
+
+// acts returns what may happen.
+func (w *world) acts() []weightedAct {
+	return slices.Concat(w.candidateActs(), w.messageActs(), w.routerActs(), w.writeActs())
+}
+
+// candidateActs returns the acts of time and of candidates.
+func (w *world) candidateActs() []weightedAct {
+	return []weightedAct{
 		{4, func(int, int) {
 			time.Sleep(oneOf(w, []time.Duration{term / 10, term / 3, term, 2 * term}))
 		}},
@@ -397,7 +411,7 @@
 				w.win(k)
 			}
 		}},
-		{14, func(_, k int) { work(k) }},
+		{14, func(_, k int) { w.work(k) }},
 		{1, func(_, k int) { w.decide(k) }},
 		{1, func(_, k int) { w.carryOut(k) }},
 		{1, func(int, int) {
@@ -405,17 +419,19 @@
 				w.perform(w.pick(len(w.instructions)))
 			}
 		}},
-		{12, follow},
+	}
+}
+
+// messageActs returns the acts of messages between routers and candidates.
+func (w *world) messageActs() []weightedAct {
+	return []weightedAct{
+		{12, w.follow},
 		{4, func(i, k int) {
 			if w.leader >= 0 && w.pick(2) == 0 {
 				k = w.leader
 			}
 			w.exchange(i, k)
 		}},
-		{1, func(i, _ int) {
-			w.seen[i] = w.between(w.seen[i], len(w.log)-1)
-			w.apply(i)
-		}},
 		{2, func(i, _ int) {
 			if a, _, ok := w.routers[i].NextRequest(); ok {
 				w.requests = append(w.requests, a)
@@ -433,6 +449,16 @@
 				w.routers[i].ApplyGrant(w.grants[max(0, len(w.grants)-1-w.pick(4))])
 			}
 		}},
+	}
+}
+
+// routerActs returns the acts of routers alone.
+func (w *world) routerActs() []weightedAct {
+	return []weightedAct{
+		{1, func(i, _ int) {
+			w.seen[i] = w.between(w.seen[i], len(w.log)-1)
+			w.apply(i)
+		}},
 		{1, func(i, _ int) {
 			w.start(i, w.between(max(0, len(w.log)-5), len(w.log)-1))
 			w.logf("%s starts from version %d", w.routers[i].Instance, w.log[w.seen[i]].version)
@@ -442,6 +468,12 @@
 				w.enroll(i)
 			}
 		}},
+	}
+}
+
+// writeActs returns the acts of writes.
+func (w *world) writeActs() []weightedAct {
+	return []weightedAct{
 		{6, func(i, _ int) { // a write without a fault
 			if c := w.beginWrite(i); c != nil {
 				w.send(c)
@@ -468,17 +500,30 @@
 			}
 		}},
 	}
-	var deck []int
-	for n, a := range acts {
-		for range a.weight {
+}
+
+// play plays one small history, and returns the violation of an invariant that it ends in; "": none.
+func play(pick func(int) int, disabled disabledRules, steps int) (violation string, w *world) {
+	w = newWorld(pick, disabled)
+	for range w.pick(3) { // begin later: known to all, or fenced and known to none
+		w.follow(0, 0)
+		w.follow(1, 0)
+		w.work(0)
+		w.work(0)
+	}
+	acts := w.acts()
+	var deck []int // each act as often as its weight
+	for n, act := range acts {
+		for range act.weight {
 			deck = append(deck, n)
 		}
 	}
 	for range steps {
-		i, k := w.pick(2), w.pick(2)
+		i := w.pick(2)
+		k := w.pick(2)
 		acts[oneOf(w, deck)].do(i, k)
-		if fault := w.violated(); fault != "" {
-			return fault, w
+		if violation := w.violated(); violation != "" {
+			return violation, w
 		}
 	}
 	return "", w
