--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -121,7 +121,7 @@
 		Role:        result.Role,
 		HasPosition: result.HasPosition,
 		Position:    result.Position,
-		Status:      result.Report,
+		Status:      result.Status,
 	})
 	o.removeIfSettled()
 }
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -38,7 +38,7 @@
 	Role        policy.Role
 	HasPosition bool
 	Position    time.Duration
-	Report      policy.ServerStatus
+	Status      policy.ServerStatus
 	Broken      bool // the connection had come up, and broke
 }
 
--- a/internal/dispatch/connection_gate_test.go
+++ b/internal/dispatch/connection_gate_test.go
@@ -35,7 +35,7 @@
 		defer close(done)
 		d.AddGuard(g)
 		d.SetConnectionGate(g)
-		d.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Ready, Started: 7 * time.Second}})
+		d.ApplyList(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Ready, StartedAt: 7 * time.Second}})
 		if g.started["s"] != 7*time.Second {
 			t.Errorf("starts: %v", g.started)
 		}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -84,8 +84,8 @@
 	return d, nil
 }
 
-// Retune puts new settings in force. Requests that are open keep their class. Settings that are invalid change nothing.
-func (d *Dispatcher) Retune(settings policy.Settings, maxOpen int, probeTimeout time.Duration) error {
+// UpdateSettings puts new settings in force. Requests that are open keep their class. Settings that are invalid change nothing.
+func (d *Dispatcher) UpdateSettings(settings policy.Settings, maxOpen int, probeTimeout time.Duration) error {
 	if err := settings.Validate(); err != nil {
 		return err
 	}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -31,7 +31,7 @@
 }
 
 func (b *fakeBackend) Probe(_ string, done func(AttemptResult)) Call {
-	b.loop.Post(func() { done(AttemptResult{Result: policy.OK, Report: b.status}) })
+	b.loop.Post(func() { done(AttemptResult{Result: policy.OK, Status: b.status}) })
 	return &fakeCall{aborted: make(chan struct{})}
 }
 
@@ -41,7 +41,7 @@
 
 func (r fakeReplier) ClientDisconnected() bool { return false }
 func (r fakeReplier) Serve(any)                { r.ended <- "served" }
-func (r fakeReplier) Refuse(time.Duration)     { r.ended <- "refused" }
+func (r fakeReplier) Reject(time.Duration)     { r.ended <- "refused" }
 func (r fakeReplier) Fail()                    { r.ended <- "failed" }
 
 func startDispatcher(t *testing.T) (*Dispatcher, *fakeBackend) {
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.ApplyList(policy.ListFull, []Member{{Name: "s", Addr: "s", State: policy.Ready}})
+	d.ApplyList(policy.ListFull, []Member{{Name: "s", Address: "s", State: policy.Ready}})
 	ended := make(chan struct{})
 	go func() { loop.Run(); close(ended) }()
 	t.Cleanup(func() { loop.Stop(); <-ended })
@@ -92,7 +92,7 @@
 		if !allowed() {
 			t.Error("a new attempt is not allowed")
 		}
-		onLoop(d, func() { d.ApplyList(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}) })
+		onLoop(d, func() { d.ApplyList(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Draining}}) })
 		for allowed() {
 			if len(r.ended) > 0 {
 				t.Fatal("the attempt is allowed for all its time")
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	member := func(name string) []Member { return []Member{{Name: name, Addr: name, State: policy.Ready}} }
+	member := func(name string) []Member { return []Member{{Name: name, Address: name, State: policy.Ready}} }
 	if n := known(func() { d.ApplyList(policy.ListFull, member("a")); due() }); n != 4 {
 		t.Errorf("%d names and addresses while an attempt is out", n)
 	}
@@ -192,12 +192,12 @@
 	done := make(chan struct{})
 	d.loop.Post(func() {
 		defer close(done)
-		if err := d.Retune(set("x", -1, false), 1, 0); err == nil || d.classes.numbers["w"] != 0 || len(d.classes.numbers) != 1 ||
+		if err := d.UpdateSettings(set("x", -1, false), 1, 0); err == nil || d.classes.numbers["w"] != 0 || len(d.classes.numbers) != 1 ||
 			d.admission.maxOpen != 9 {
 			t.Errorf("%v: classes %v, %d open at most", err, d.classes.numbers, d.admission.maxOpen)
 		}
 		for _, drainOnly := range []bool{true, false} {
-			if err := d.Retune(set("w", 6, drainOnly), 1, 0); err != nil {
+			if err := d.UpdateSettings(set("w", 6, drainOnly), 1, 0); err != nil {
 				t.Error(err)
 			}
 			if drainOnly {
@@ -222,7 +222,7 @@
 	}
 	list := make([]Member, 10000)
 	for i := range list {
-		list[i] = Member{Name: fmt.Sprint("db", i), Addr: fmt.Sprint("10.0.0.1:", i), Group: i / 10, State: policy.Ready, Weight: 1}
+		list[i] = Member{Name: fmt.Sprint("db", i), Address: fmt.Sprint("10.0.0.1:", i), Group: i / 10, State: policy.Ready, Weight: 1}
 	}
 	d.ApplyList(policy.ListFull, list)
 	b.Run("one", func(b *testing.B) {
--- a/internal/dispatch/drain_reserve_test.go
+++ b/internal/dispatch/drain_reserve_test.go
@@ -44,7 +44,7 @@
 func allowedAfterDrain(d *Dispatcher, w *fakeCall, late time.Duration) bool {
 	fits := make(chan bool)
 	d.loop.Post(func() {
-		d.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Addr: "s", State: policy.Draining}}, d.loop.Now()-late)
+		d.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Draining}}, d.loop.Now()-late)
 		fits <- w.StillAllowed()
 	})
 	return <-fits
@@ -67,7 +67,7 @@
 				set := d.Settings()
 				set.DrainGracePeriod = time.Minute
 				retuned := make(chan error)
-				d.loop.Post(func() { retuned <- d.Retune(set, d.admission.maxOpen, d.probeTimeout) })
+				d.loop.Post(func() { retuned <- d.UpdateSettings(set, d.admission.maxOpen, d.probeTimeout) })
 				if err := <-retuned; err != nil {
 					t.Fatal(err)
 				}
--- a/internal/dispatch/final_answer.go
+++ b/internal/dispatch/final_answer.go
@@ -27,7 +27,7 @@
 	case a.answer.Served:
 		a.reply.Serve(a.answer.Answer)
 	case a.answer.Rejected:
-		a.reply.Refuse(a.retryAfter)
+		a.reply.Reject(a.retryAfter)
 	default:
 		a.reply.Fail()
 	}
--- a/internal/dispatch/health_check.go
+++ b/internal/dispatch/health_check.go
@@ -48,5 +48,5 @@
 	h.ended = true
 	h.timeout.Stop()
 	h.dispatcher.router.HandleProbeResult(h.dispatcher.loop.Now(),
-		policy.ProbeResult{Server: h.server, Result: result.Result, Status: result.Report})
+		policy.ProbeResult{Server: h.server, Result: result.Result, Status: result.Status})
 }
--- a/internal/dispatch/list.go
+++ b/internal/dispatch/list.go
@@ -8,12 +8,12 @@
 
 // Member is one server of a list.
 type Member struct {
-	Name, Addr  string
-	Zone, Group int
-	State       policy.MemberState
-	Primary     bool
-	Started     time.Duration // Unix time of its last start; 0: long ago
-	Weight      int           // as policy.Member.ReadWeight
+	Name, Address string
+	Zone, Group   int
+	State         policy.MemberState
+	Primary       bool
+	StartedAt     time.Duration // Unix time of its last start; 0: long ago
+	Weight        int           // as policy.Member.ReadWeight
 }
 
 // ApplyList hands the policy a list that counts as announced now.
@@ -36,7 +36,7 @@
 		named[id] = true
 		d.registerMember(id, member)
 		entries = append(entries, policy.Member{ID: id, Zone: member.Zone, Group: member.Group, State: member.State,
-			Primary: member.Primary, StartedAt: member.Started, ReadWeight: member.Weight})
+			Primary: member.Primary, StartedAt: member.StartedAt, ReadWeight: member.Weight})
 	}
 	if kind == policy.ListFull || kind == policy.ListCached {
 		d.removeOmitted(named)
@@ -51,7 +51,7 @@
 	}
 	d.servers.list(id, member)
 	if d.connectionGate != nil {
-		d.connectionGate.ServerListed(member.Name, member.Started)
+		d.connectionGate.ServerListed(member.Name, member.StartedAt)
 	}
 }
 
--- a/internal/dispatch/outcome_test.go
+++ b/internal/dispatch/outcome_test.go
@@ -57,8 +57,8 @@
 	})
 	want("given up", fmt.Sprint("s", policy.Cancelled))
 	on(func() {
-		d.ApplyList(policy.ListDelta, []Member{{Name: "t", Addr: "t", Group: 3, State: policy.Ready},
-			{Name: "s", Addr: "s", State: policy.Draining}})
+		d.ApplyList(policy.ListDelta, []Member{{Name: "t", Address: "t", Group: 3, State: policy.Ready},
+			{Name: "s", Address: "s", State: policy.Draining}})
 		if got := fmt.Sprint(d.ReadyMembers()); got != "map[3:[t]]" {
 			t.Errorf("ready: %s", got)
 		}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -16,8 +16,8 @@
 	ClientDisconnected() bool
 	// Serve passes on an answer of the backend or of a guard.
 	Serve(answer any)
-	// Refuse says that nothing may have run and the client may retry, after the given time if there is one.
-	Refuse(after time.Duration)
+	// Reject says that nothing may have run and the client may retry, after the given time if there is one.
+	Reject(after time.Duration)
 	// Fail promises nothing: the request may have run.
 	Fail()
 }
--- a/internal/dispatch/server_registry.go
+++ b/internal/dispatch/server_registry.go
@@ -80,7 +80,7 @@
 func (s *serverRegistry) list(id uint32, member Member) {
 	s.listed[id] = true
 	s.knownGroups[member.Group] = true
-	s.addresses[id] = member.Addr
+	s.addresses[id] = member.Address
 	delete(s.removedAt, id)
 	delete(s.readyGroups, id)
 	if member.State == policy.Ready {
--- a/internal/pooler/discovery_watcher.go
+++ b/internal/pooler/discovery_watcher.go
@@ -274,13 +274,13 @@
 	members := make([]dispatch.Member, len(list.Members))
 	for i, m := range list.Members {
 		members[i] = dispatch.Member{
-			Name:    m.Name,
-			Addr:    m.Addr,
-			Zone:    zoneIndex(zoneIndexes, m.Zone),
-			Group:   m.Group,
-			State:   m.State,
-			Primary: m.Primary,
-			Started: m.Started,
+			Name:      m.Name,
+			Address:   m.Addr,
+			Zone:      zoneIndex(zoneIndexes, m.Zone),
+			Group:     m.Group,
+			State:     m.State,
+			Primary:   m.Primary,
+			StartedAt: m.Started,
 		}
 	}
 	return members
--- a/internal/pooler/file_watcher.go
+++ b/internal/pooler/file_watcher.go
@@ -272,12 +272,12 @@
 			weight = policy.NoReads
 		}
 		members = append(members, dispatch.Member{
-			Name:   server.Key(),
-			Addr:   server.Addr,
-			Zone:   zoneIndex(k.zoneIndexes, server.Zone),
-			Group:  server.Cluster,
-			State:  server.State,
-			Weight: weight,
+			Name:    server.Key(),
+			Address: server.Addr,
+			Zone:    zoneIndex(k.zoneIndexes, server.Zone),
+			Group:   server.Cluster,
+			State:   server.State,
+			Weight:  weight,
 		})
 	}
 	return members
--- a/internal/pooler/frontend/request_test.go
+++ b/internal/pooler/frontend/request_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dispatcher.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Addr: "127.0.0.1:1", Group: 1, State: policy.Ready}})
+	dispatcher.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Address: "127.0.0.1:1", Group: 1, State: policy.Ready}})
 	return NewClients(dispatcher, connlimit.New(loop, 9, 1<<20))
 }
 
--- a/internal/pooler/mysql/exchange.go
+++ b/internal/pooler/mysql/exchange.go
@@ -206,7 +206,7 @@
 // handleProbeAnswer takes in the answer to one query of a probe; true: another one follows.
 func (x *exchange) handleProbeAnswer() bool {
 	value, ok := mysql.TextColumn(x.answer.Row)
-	if !x.Result.Report.HasRole {
+	if !x.Result.Status.HasRole {
 		if x.answer.Err != nil || !ok {
 			return false
 		}
--- a/internal/pooler/mysql/session.go
+++ b/internal/pooler/mysql/session.go
@@ -138,8 +138,8 @@
 	s.answer(packets)
 }
 
-// Refuse tells the client that nothing has run, and when to come again.
-func (s *session) Refuse(after time.Duration) {
+// Reject tells the client that nothing has run, and when to come again.
+func (s *session) Reject(after time.Duration) {
 	text := rejectedText
 	if after > 0 {
 		text += fmt.Sprintf("; retry after %d ms", (after+time.Millisecond-1)/time.Millisecond)
--- a/internal/pooler/postgres/backend.go
+++ b/internal/pooler/postgres/backend.go
@@ -41,7 +41,7 @@
 	return upstream.StartProbe(start, func(r dispatch.AttemptResult) {
 		if row, ok := r.Answer.([]byte); ok && b.Reports {
 			if report := loadReport(row); report.HasPosition || report.HasRole {
-				r.Report = report
+				r.Status = report
 			}
 		}
 		done(r)
--- a/internal/pooler/postgres/query.go
+++ b/internal/pooler/postgres/query.go
@@ -185,7 +185,7 @@
 	case "lsn_ms":
 		x.Result.Position, x.Result.HasPosition = protocol.Position(value)
 	case "health":
-		x.Result.Report = protocol.Report(value)
+		x.Result.Status = protocol.Report(value)
 	}
 	return ok
 }
--- a/internal/pooler/postgres/relay_test.go
+++ b/internal/pooler/postgres/relay_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Addr: server.Addr, State: policy.Ready}})
+	core.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Address: server.Addr, State: policy.Ready}})
 	front, err := Listen(func(accept func(*transport.Conn)) (*transport.Listener, error) {
 		return transport.Listen(loop, budget, "127.0.0.1:0", accept)
 	}, core, connlimit.New(loop, 100, 1<<20), func(string, int) error { return nil })
--- a/internal/pooler/postgres/slot.go
+++ b/internal/pooler/postgres/slot.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Refuse tells the client that nothing has run, and when to come again.
-func (w *slot) Refuse(after time.Duration) { w.complete(pgwire.AppendRefusal(nil, after)) }
+// Reject tells the client that nothing has run, and when to come again.
+func (w *slot) Reject(after time.Duration) { w.complete(pgwire.AppendRefusal(nil, after)) }
 
 // Fail tells the client that its query may have run.
 func (w *slot) Fail() { w.complete(appendFailure(nil)) }
--- a/internal/pooler/translating/answer.go
+++ b/internal/pooler/translating/answer.go
@@ -93,7 +93,7 @@
 
 // finishAnswer takes in a complete answer. A probe of a replica goes on with the heartbeat. over: the exchange has ended.
 func (x *exchange) finishAnswer(last bool) (over bool) {
-	roleKnown := x.IsProbe && x.Result.Report.HasRole
+	roleKnown := x.IsProbe && x.Result.Status.HasRole
 	if x.answer.errorCode != "" && !roleKnown {
 		return x.finishWithError(last)
 	}
@@ -188,7 +188,7 @@
 	if rows := x.answer.rows; len(rows) == 1 && len(rows[0]) == 1 {
 		value = string(rows[0][0])
 	}
-	if !x.Result.Report.HasRole {
+	if !x.Result.Status.HasRole {
 		if value != "t" && value != "f" {
 			return false
 		}
--- a/internal/pooler/upstream/conversation.go
+++ b/internal/pooler/upstream/conversation.go
@@ -84,7 +84,7 @@
 // ReportRole enters the role that a probe has found. It returns whether the heartbeat query is to follow, which tells a replica's
 // position.
 func (c *Conversation) ReportRole(primary bool) (heartbeatFollows bool) {
-	report := &c.Result.Report
+	report := &c.Result.Status
 	report.HasRole = true
 	report.RoleIsCurrent = true
 	report.IsPrimary = primary
@@ -93,5 +93,5 @@
 
 // ReportPosition enters the position that the heartbeat query has found.
 func (c *Conversation) ReportPosition(value string) {
-	c.Result.Report.Position, c.Result.Report.HasPosition = protocol.Position(value)
+	c.Result.Status.Position, c.Result.Status.HasPosition = protocol.Position(value)
 }
--- a/internal/pooler/worker_mysql.go
+++ b/internal/pooler/worker_mysql.go
@@ -70,7 +70,7 @@
 func (w *worker) applyMySQLConfig(cfg *config.Config, mysqlConfig *config.MySQL) {
 	w.updateConnectors(cfg, mysqlConfig.ProbeTimeout)
 	settings := w.source.adjustSettings(probedSettings(cfg.Settings))
-	if err := w.dispatcher.Retune(settings, cfg.MaxConnections, mysqlConfig.ProbeTimeout); err != nil {
+	if err := w.dispatcher.UpdateSettings(settings, cfg.MaxConnections, mysqlConfig.ProbeTimeout); err != nil {
 		w.log.Error().Err(err).Msg("reload")
 	}
 	w.source.applyConfig(withMySQLPollInterval(cfg, mysqlConfig), mysqlSource(cfg, mysqlConfig))
--- a/internal/pooler/worker_postgres.go
+++ b/internal/pooler/worker_postgres.go
@@ -93,7 +93,7 @@
 func (w *worker) applyPostgresConfig(cfg *config.Config, own *postgres.Backend) {
 	own.Reports = cfg.HealthReported
 	w.updateConnectors(cfg, cfg.ConnectTimeout)
-	if err := w.dispatcher.Retune(w.source.adjustSettings(cfg.Settings), cfg.MaxConnections, cfg.ConnectTimeout); err != nil {
+	if err := w.dispatcher.UpdateSettings(w.source.adjustSettings(cfg.Settings), cfg.MaxConnections, cfg.ConnectTimeout); err != nil {
 		w.log.Error().Err(err).Msg("reload")
 	}
 	w.source.applyConfig(cfg, postgresSource(cfg))
