--- /dev/null
+++ b/internal/fleet/quota/world_test.go
@@ -0,0 +1,139 @@
+package quota
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"threadsail/internal/fleet"
+	"threadsail/internal/fleet/audit"
+	"threadsail/internal/fleet/bus"
+	"threadsail/internal/fleet/bus/bustest"
+	"threadsail/internal/fleet/lease"
+	"threadsail/internal/fleet/replication"
+	"threadsail/internal/fleet/replication/replicationtest"
+)
+
+// stallableBus is the bus of a process that can be stalled: what it was about to send is sent once it resumes, and what arrives
+// waits. Its clock is slow by skew over a term.
+type stallableBus struct {
+	*bustest.Bus
+	skew      time.Duration
+	sentBytes *atomic.Int64
+
+	mu      sync.Mutex
+	resumed chan struct{} // closed when the process resumes; nil: it runs
+}
+
+func (s *stallableBus) stall() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.resumed == nil {
+		s.resumed = make(chan struct{})
+	}
+}
+
+func (s *stallableBus) resume() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.resumed != nil {
+		close(s.resumed)
+		s.resumed = nil
+	}
+}
+
+func (s *stallableBus) waitUntilRunning() {
+	s.mu.Lock()
+	resumed := s.resumed
+	s.mu.Unlock()
+	if resumed != nil {
+		<-resumed
+	}
+}
+
+func (s *stallableBus) Send(ctx context.Context, to, topic string, body []byte) error {
+	s.waitUntilRunning()
+	s.sentBytes.Add(int64(len(body)))
+	return s.Bus.Send(context.WithoutCancel(ctx), to, topic, body)
+}
+
+func (s *stallableBus) Handle(topic string, f func(string, []byte)) {
+	s.Bus.Handle(topic, func(from string, body []byte) {
+		s.waitUntilRunning()
+		var g Grant
+		if topic == topicGrant && json.Unmarshal(body, &g) == nil {
+			g.Term += s.skew
+			body, _ = json.Marshal(g)
+		}
+		f(from, body)
+	})
+}
+
+// node is one pooler. component is that of its running process; nil: none runs.
+type node struct {
+	name      string
+	bus       *stallableBus
+	component *Component
+	voters    *replicationtest.Client
+	end       context.CancelFunc
+	starts    int
+	demand    [2]int // tokens of each limit that are wanted in a step
+}
+
+// world is a fleet within a synctest bubble.
+type world struct {
+	network   *bustest.Network
+	cluster   *replicationtest.Cluster
+	nodes     []*node
+	rng       *rand.Rand
+	running   sync.WaitGroup
+	restarts  int // of processes
+	sentBytes atomic.Int64
+}
+
+func (w *world) start(n *node) {
+	n.starts++
+	instance := fmt.Sprint(n.name, "/", n.starts)
+	n.bus = &stallableBus{Bus: w.network.Join(n.name), skew: time.Duration(w.rng.Int64N(int64(drift))), sentBytes: &w.sentBytes}
+	n.voters = w.cluster.Client(instance)
+	n.component = New(Options{Instance: instance, Term: term, Drift: drift, FleetSize: len(w.nodes), Limits: limits})
+	ctx, cancel := context.WithCancel(context.Background())
+	n.end = cancel
+	voters, jitter := n.voters, w.rng.Float64()
+	runtime := fleet.Runtime{Bus: n.bus, View: w.cluster.View(), Store: voters, Log: zerolog.Nop(), Audit: func(audit.Record) {},
+		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
+			return voters.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: jitter})
+		}}
+	component := n.component
+	w.running.Go(func() { _ = component.Run(ctx, runtime) })
+}
+
+func (w *world) kill(n *node) {
+	n.end()
+	n.bus.resume()
+	n.bus.Stop()
+	n.component = nil
+}
+
+// leader returns the pooler that allocates, or the first.
+func (w *world) leader() *node {
+	for _, n := range w.nodes {
+		if n.component != nil {
+			n.component.mu.Lock()
+			leads := n.component.allocating
+			n.component.mu.Unlock()
+			if leads {
+				return n
+			}
+		}
+	}
+	return w.nodes[0]
+}
+
+var _ bus.Bus = (*stallableBus)(nil)
