--- a/cmd/threadsail/lean_test.go
+++ b/cmd/threadsail/lean_test.go
@@ -14,7 +14,8 @@
 	}
 	for pkg := range strings.Lines(string(out)) {
 		pkg = strings.TrimSpace(pkg)
-		for _, heavy := range []string{"github.com/hashicorp/", "go.etcd.io/", "github.com/maypok86/otter", "threadsail/internal/fleet/consensus", "threadsail/internal/fleet/gossip",
+		for _, heavy := range []string{"github.com/hashicorp/", "go.etcd.io/", "github.com/maypok86/otter", "go.uber.org/goleak",
+			"threadsail/internal/fleet/consensus", "threadsail/internal/fleet/gossip",
 			"threadsail/internal/fleet/distribution", "threadsail/internal/capacity"} {
 			if strings.HasPrefix(pkg, heavy) {
 				t.Errorf("it is linked with %s", pkg)
