--- a/internal/lab/drains.go
+++ b/internal/lab/drains.go
@@ -17,10 +17,11 @@
 
 // Drained is a server that the lists said drains, and what came to it after the grace.
 type Drained struct {
-	Server  string
-	At, For time.Duration // from the clients' beginning; For 0: to the end
-	Late    int           // statements later than the grace and drainSlack after the news
-	Last    time.Duration // after the news, of all
+	Server string        `json:"Server"`
+	At     time.Duration `json:"At"`   // from the clients' beginning; For 0: to the end
+	For    time.Duration `json:"For"`  // from the clients' beginning; For 0: to the end
+	Late   int           `json:"Late"` // statements later than the grace and drainSlack after the news
+	Last   time.Duration `json:"Last"` // after the news, of all
 }
 
 // settle puts what a scenario says of the deployment into the poolers' settings.
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -21,29 +21,34 @@
 
 // Request is one request as its client saw it.
 type Request struct {
-	Pooler        int
-	Began, Ended  time.Time
-	Outcome       Outcome
-	Write, Keyed  bool
-	Cause         string // of Broken and Failed, as the client was told
-	Made          int64  // of a served read: when its stand-in made the answer, Unix ns; 0: it did not say
-	WhileFaulting bool   // set by Judge: its pooler was down or stalled meanwhile
+	Pooler        int       `json:"Pooler"`
+	Began         time.Time `json:"Began"`
+	Ended         time.Time `json:"Ended"`
+	Outcome       Outcome   `json:"Outcome"`
+	Write         bool      `json:"Write"`
+	Keyed         bool      `json:"Keyed"`
+	Cause         string    `json:"Cause"`         // of Broken and Failed, as the client was told
+	Made          int64     `json:"Made"`          // of a served read: when its stand-in made the answer, Unix ns; 0: it did not say
+	WhileFaulting bool      `json:"WhileFaulting"` // set by Judge: its pooler was down or stalled meanwhile
 }
 
 // Outage is a time in which a pooler process could not answer: killed, ended by SIGTERM, or stopped. To is zero while it
 // lasts.
 type Outage struct {
-	Pooler   int
-	From, To time.Time
+	Pooler int       `json:"Pooler"`
+	From   time.Time `json:"From"`
+	To     time.Time `json:"To"`
 }
 
 // Verdict is the count of outcomes, those of requests excused by an outage apart, and the promises broken.
 type Verdict struct {
-	Served, Refused, Failed int
-	Excused                 int // broken or silent while its pooler was out: the client's own pooler was gone
-	Lost                    int // broken or silent while its pooler was up
-	Overlaps                int // attempts of one request at servers at once, as the stand-ins' ledger saw them
-	Broken                  []string
+	Served   int      `json:"Served"`
+	Refused  int      `json:"Refused"`
+	Failed   int      `json:"Failed"`
+	Excused  int      `json:"Excused"`  // broken or silent while its pooler was out: the client's own pooler was gone
+	Lost     int      `json:"Lost"`     // broken or silent while its pooler was up
+	Overlaps int      `json:"Overlaps"` // attempts of one request at servers at once, as the stand-ins' ledger saw them
+	Broken   []string `json:"Broken"`
 }
 
 // Judge weighs the requests; overlaps is what the servers' ledger counted. Every request of a pooler that was up all
--- a/internal/lab/judge/purges.go
+++ b/internal/lab/judge/purges.go
@@ -15,13 +15,14 @@
 
 // Purge is what came of one purge.
 type Purge struct {
-	Name        string
-	Due         time.Time
-	Poolers     int           // that noted it
-	First, Last time.Duration // when they did, from Due on
-	Twice       int           // poolers that noted it more than once
-	InTime      int           // poolers that noted it within a second
-	Stale       int           // answers from before it to requests that began behind it
+	Name    string        `json:"Name"`
+	Due     time.Time     `json:"Due"`
+	Poolers int           `json:"Poolers"` // that noted it
+	First   time.Duration `json:"First"`   // when they did, from Due on
+	Last    time.Duration `json:"Last"`    // when they did, from Due on
+	Twice   int           `json:"Twice"`   // poolers that noted it more than once
+	InTime  int           `json:"InTime"`  // poolers that noted it within a second
+	Stale   int           `json:"Stale"`   // answers from before it to requests that began behind it
 }
 
 // Purges weighs what journals noted and what clients were served. site tells a pooler's site, and sizes how many poolers a site
--- a/internal/lab/limits.go
+++ b/internal/lab/limits.go
@@ -15,10 +15,10 @@
 
 // Over is by how much a limit of the fleet was exceeded at its worst, over any span, and the bound that is stated for that.
 type Over struct {
-	Limit string
-	Taken int     // over the run, at all servers
-	Most  float64 // above the rate: at the worst server, where the limit is on each
-	Bound float64
+	Limit string  `json:"Limit"`
+	Taken int     `json:"Taken"` // over the run, at all servers
+	Most  float64 `json:"Most"`  // above the rate: at the worst server, where the limit is on each
+	Bound float64 `json:"Bound"`
 }
 
 // dealer is who deals the limits, as the poolers' logs tell.
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -15,8 +15,10 @@
 
 // Counts is what became of requests.
 type Counts struct {
-	Served, Refused, Failed int
-	Lost                    int // no answer, or one that came after the client had given up
+	Served  int `json:"Served"`
+	Refused int `json:"Refused"`
+	Failed  int `json:"Failed"`
+	Lost    int `json:"Lost"` // no answer, or one that came after the client had given up
 }
 
 // Sum is how many there were.
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -11,39 +11,41 @@
 // FleetReport is what came of it, by what clients, relays and stand-ins recorded.
 type FleetReport struct {
 	judge.Verdict
-	Poolers, Servers int
-	Length           time.Duration
-	Began            time.Time // of the clients and the plan
-	Seconds          []Counts  // by the second in which requests ended
-	NewBySecond      []int     // new connections at all servers, by the second
-	P50, P99         time.Duration
-	Connections      [3]float64    // new connections a server over the run: least, mean, most
-	Open             [3]float64    // connections open at a server, its mean over the run's seconds: least, mean, most
-	OpenReplicas     [3]float64    // the same at those that are replicas at the end
-	OpenMost         int           // connections open at one server at any sampled second
-	Resident         [3]float64    // resident memory of a pooler in MB, mean over poolers: at the first sample, at the last, most of any
-	Probes           int           // health asked for at servers, all servers
-	ProbesBySecond   []int         // the same by the second
-	Cold             int           // requests' statements at servers in the first second after they came up again
-	Worst100ms       [2]float64    // new connections at one server in its worst 100 ms: mean over servers, most
-	WorstSecond      [2]float64    // the same in its worst second
-	AfterKill        [2]float64    // new connections at one server from the first kill on, in the worst 100 ms and second; 0: none
-	Over             []Over        `json:",omitempty"`
-	ListCalls        int           // watches opened at the list services, all poolers
-	ListCallsAt      [][]time.Time `json:"-"` // of them, by pooler, those at the list service that it has last
-	Starts           int           // pooler processes started, restarts among them
-	Met              [][]bool      `json:"-"`          // by pooler, then server place: whether a connection came to who stands there last
-	Journals         []string      `json:",omitempty"` // of a fleet that knows its members; they are gone with the run
-	Purges           []judge.Purge `json:",omitempty"`
-	Shards           *Shards       `json:",omitempty"`
-	Reads            int           // served to clients, where purges are played
-	ReadsAtServers   int           // statements of reads that came to servers, repeats among them
-	Requests         []judge.Request
-	Outages          []judge.Outage
-	Drained          []Drained `json:",omitempty"`
-	Turned           int       // reads that replicas too far behind turned away
-	Bad              []Bad     `json:",omitempty"`
-	FalseVerdicts    int       // on servers that were not bad for all poolers
+	Poolers        int             `json:"Poolers"`
+	Servers        int             `json:"Servers"`
+	Length         time.Duration   `json:"Length"`
+	Began          time.Time       `json:"Began"`       // of the clients and the plan
+	Seconds        []Counts        `json:"Seconds"`     // by the second in which requests ended
+	NewBySecond    []int           `json:"NewBySecond"` // new connections at all servers, by the second
+	P50            time.Duration   `json:"P50"`
+	P99            time.Duration   `json:"P99"`
+	Connections    [3]float64      `json:"Connections"`    // new connections a server over the run: least, mean, most
+	Open           [3]float64      `json:"Open"`           // connections open at a server, its mean over the run's seconds: least, mean, most
+	OpenReplicas   [3]float64      `json:"OpenReplicas"`   // the same at those that are replicas at the end
+	OpenMost       int             `json:"OpenMost"`       // connections open at one server at any sampled second
+	Resident       [3]float64      `json:"Resident"`       // resident memory of a pooler in MB, mean over poolers: at the first sample, at the last, most of any
+	Probes         int             `json:"Probes"`         // health asked for at servers, all servers
+	ProbesBySecond []int           `json:"ProbesBySecond"` // the same by the second
+	Cold           int             `json:"Cold"`           // requests' statements at servers in the first second after they came up again
+	Worst100ms     [2]float64      `json:"Worst100ms"`     // new connections at one server in its worst 100 ms: mean over servers, most
+	WorstSecond    [2]float64      `json:"WorstSecond"`    // the same in its worst second
+	AfterKill      [2]float64      `json:"AfterKill"`      // new connections at one server from the first kill on, in the worst 100 ms and second; 0: none
+	Over           []Over          `json:"Over,omitempty"`
+	ListCalls      int             `json:"ListCalls"`          // watches opened at the list services, all poolers
+	ListCallsAt    [][]time.Time   `json:"-"`                  // of them, by pooler, those at the list service that it has last
+	Starts         int             `json:"Starts"`             // pooler processes started, restarts among them
+	Met            [][]bool        `json:"-"`                  // by pooler, then server place: whether a connection came to who stands there last
+	Journals       []string        `json:"Journals,omitempty"` // of a fleet that knows its members; they are gone with the run
+	Purges         []judge.Purge   `json:"Purges,omitempty"`
+	Shards         *Shards         `json:"Shards,omitempty"`
+	Reads          int             `json:"Reads"`          // served to clients, where purges are played
+	ReadsAtServers int             `json:"ReadsAtServers"` // statements of reads that came to servers, repeats among them
+	Requests       []judge.Request `json:"Requests"`
+	Outages        []judge.Outage  `json:"Outages"`
+	Drained        []Drained       `json:"Drained,omitempty"`
+	Turned         int             `json:"Turned"` // reads that replicas too far behind turned away
+	Bad            []Bad           `json:"Bad,omitempty"`
+	FalseVerdicts  int             `json:"FalseVerdicts"` // on servers that were not bad for all poolers
 }
 
 func (r *fleetRun) report() FleetReport {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -85,9 +85,9 @@
 
 // Report is what a run measured.
 type Report struct {
-	Rows  []capacity.Row
-	Notes []string        // what was not measured, and why
-	Took  []time.Duration // by play
+	Rows  []capacity.Row  `json:"Rows"`
+	Notes []string        `json:"Notes"` // what was not measured, and why
+	Took  []time.Duration `json:"Took"`  // by play
 }
 
 // errStopped tells that a play was cut short.
--- a/internal/lab/shards.go
+++ b/internal/lab/shards.go
@@ -38,11 +38,11 @@
 
 // Shards is what came of a shard map, by clients and stand-ins.
 type Shards struct {
-	Acts       []shardmap.Act
-	Moved      int           // closes carried out
-	TurnedAway int           // writes that a server turned away for their epoch
-	Rows       int           // writes and fresh reads, all outcomes
-	Gap        time.Duration // the longest time without a served write of the moving range
+	Acts       []shardmap.Act `json:"Acts"`
+	Moved      int            `json:"Moved"`      // closes carried out
+	TurnedAway int            `json:"TurnedAway"` // writes that a server turned away for their epoch
+	Rows       int            `json:"Rows"`       // writes and fresh reads, all outcomes
+	Gap        time.Duration  `json:"Gap"`        // the longest time without a served write of the moving range
 }
 
 // movers is how many poolers stand for taking moves on.
--- a/internal/lab/verdicts.go
+++ b/internal/lab/verdicts.go
@@ -14,11 +14,12 @@
 
 // Bad is a server that a step made bad for all poolers, and what became of it.
 type Bad struct {
-	Server     string
-	At, For    time.Duration // from the clients' beginning; For 0: to the end
-	Left       int           // poolers whose journals tell that they convicted it
-	LeftAfter  []time.Duration
-	Statements []int // that reached it, by the second since
+	Server     string          `json:"Server"`
+	At         time.Duration   `json:"At"`   // from the clients' beginning; For 0: to the end
+	For        time.Duration   `json:"For"`  // from the clients' beginning; For 0: to the end
+	Left       int             `json:"Left"` // poolers whose journals tell that they convicted it
+	LeftAfter  []time.Duration `json:"LeftAfter"`
+	Statements []int           `json:"Statements"` // that reached it, by the second since
 }
 
 // badFor notes that a step has made servers bad for all poolers, or ends that.
