--- a/cmd/threadsail-fleet/distribution_test.go
+++ b/cmd/threadsail-fleet/distribution_test.go
@@ -68,14 +68,14 @@
 		t.Errorf("%d leases, want another after the leader was killed", n)
 	}
 	for j := range rep.Servers { // by the leader's address, which all share
-		if !slices.ContainsFunc(rep.Met, func(met []bool) bool { return met[j] }) {
+		if !slices.ContainsFunc(rep.Contacted, func(met []bool) bool { return met[j] }) {
 			t.Errorf("nobody came to the server in place %d", j)
 		}
 	}
-	judgeReplicas(t, all, rep.Began)
+	judgeReplicas(t, all, rep.BeganAt)
 	judgeOrder(t, all)
 	checkFollowersHoldNoLease(t, all, journals(t, rep))
-	checkFollowersCalls(t, leaseLines, rep.ListCallsAt[distributors:], rep.Began)
+	checkFollowersCalls(t, leaseLines, rep.ListRequestsAt[distributors:], rep.BeganAt)
 	checkStreamsEnded(t, all)
 }
 
--- a/cmd/threadsail-fleet/lease_test.go
+++ b/cmd/threadsail-fleet/lease_test.go
@@ -135,7 +135,7 @@
 	if n := len(leaderships(lines)); n < 3 {
 		t.Errorf("%d leases, want one more after each of the leader's ends", n)
 	}
-	for i, met := range rep.Met {
+	for i, met := range rep.Contacted {
 		if !met[1] {
 			t.Errorf("pooler %d never heard of the new server", i)
 		}
@@ -159,10 +159,10 @@
 	if n := len(leaderships(lines)); n > 1 { // one may have been granted before the cut
 		t.Errorf("%d leases without a quorum", n)
 	}
-	if rep.ListCalls < s.Poolers {
-		t.Errorf("%d calls of the discovery service, want each pooler's own", rep.ListCalls)
+	if rep.ListRequests < s.Poolers {
+		t.Errorf("%d calls of the discovery service, want each pooler's own", rep.ListRequests)
 	}
-	for i, met := range rep.Met {
+	for i, met := range rep.Contacted {
 		if !met[1] {
 			t.Errorf("pooler %d never heard of the new server", i)
 		}
@@ -195,7 +195,7 @@
 		}
 		wrote := map[int]bool{}
 		for _, q := range rep.Requests {
-			if q.Write && q.Outcome == judge.Served && q.Began.Sub(rep.Began) > 8*time.Second {
+			if q.Write && q.Outcome == judge.Served && q.BeganAt.Sub(rep.BeganAt) > 8*time.Second {
 				wrote[q.Pooler] = true
 			}
 		}
--- a/cmd/threadsail-fleet/outlier_test.go
+++ b/cmd/threadsail-fleet/outlier_test.go
@@ -34,8 +34,8 @@
 	if begun["db4"] > 0 {
 		t.Errorf("db4, to which one link was bad, was ejected %d times", begun["db4"])
 	}
-	if len(rep.Bad) != 1 || rep.Bad[0].Server != "db3" || len(rep.Bad[0].Statements) == 0 {
-		t.Fatalf("bad for all: %+v", rep.Bad)
+	if len(rep.BadServers) != 1 || rep.BadServers[0].Server != "db3" || len(rep.BadServers[0].Statements) == 0 {
+		t.Fatalf("bad for all: %+v", rep.BadServers)
 	}
 	served := 0
 	for _, q := range rep.Requests {
@@ -44,7 +44,7 @@
 		}
 	}
 	there := 0
-	for _, n := range rep.Bad[0].Statements {
+	for _, n := range rep.BadServers[0].Statements {
 		there += n
 	}
 	t.Logf("%d served; %d statements at db3 while it failed", served, there)
--- a/cmd/threadsail-fleet/quota_test.go
+++ b/cmd/threadsail-fleet/quota_test.go
@@ -31,8 +31,8 @@
 	if len(dealt) < 2 {
 		t.Errorf("%d poolers dealt, want more after the dealer's ends", len(dealt))
 	}
-	if len(rep.Over) != 3 || rep.Over[2].Taken == 0 {
-		t.Errorf("judged %+v, want three limits", rep.Over)
+	if len(rep.LimitUse) != 3 || rep.LimitUse[2].Used == 0 {
+		t.Errorf("judged %+v, want three limits", rep.LimitUse)
 	}
 	served := map[int]int{}
 	for _, q := range rep.Requests {
--- a/cmd/threadsail-fleet/shardmap_test.go
+++ b/cmd/threadsail-fleet/shardmap_test.go
@@ -35,5 +35,5 @@
 	if rep.Refused == 0 || rep.Shards.Rows < 500 || rep.Shards.Moved == 0 {
 		t.Errorf("%d refused of %d, %d moves came to their end: the moves met no traffic", rep.Refused, rep.Shards.Rows, rep.Shards.Moved)
 	}
-	t.Logf("longest time without a write of the moving range: %v", rep.Shards.Gap.Round(time.Millisecond))
+	t.Logf("longest time without a write of the moving range: %v", rep.Shards.LongestPause.Round(time.Millisecond))
 }
--- a/cmd/threadsail-fleet/shared_test.go
+++ b/cmd/threadsail-fleet/shared_test.go
@@ -15,7 +15,7 @@
 func lags(lines []documentLine, quantile float64, rep lab.FleetReport) time.Duration {
 	var all []int64
 	for _, w := range lines {
-		if w.Message != putMessage || w.Result != resultOK || w.Ended > rep.Began.Add(2400*time.Millisecond).UnixNano() {
+		if w.Message != putMessage || w.Result != resultOK || w.Ended > rep.BeganAt.Add(2400*time.Millisecond).UnixNano() {
 			continue
 		}
 		first := map[int]int64{}
--- a/cmd/threadsail/fleet_test.go
+++ b/cmd/threadsail/fleet_test.go
@@ -67,7 +67,7 @@
 	}
 	served := 0
 	for _, q := range rep.Requests {
-		if q.Pooler == 5 && q.Outcome == judge.Served && q.Began.After(back) {
+		if q.Pooler == 5 && q.Outcome == judge.Served && q.BeganAt.After(back) {
 			served++
 		}
 	}
@@ -77,8 +77,8 @@
 	if strings.Count(logs.String(), `"pooler":5,`) == 0 {
 		t.Error("no log of the restarted pooler")
 	}
-	if rep.ListCalls < 12+6 {
-		t.Errorf("%d list calls, want the moved poolers at their new list services", rep.ListCalls)
+	if rep.ListRequests < 12+6 {
+		t.Errorf("%d list calls, want the moved poolers at their new list services", rep.ListRequests)
 	}
 }
 
--- a/internal/lab/drains.go
+++ b/internal/lab/drains.go
@@ -17,11 +17,11 @@
 
 // Drained is a server that the lists said drains, and what came to it after the grace.
 type Drained struct {
-	Server string        `json:"Server"`
-	At     time.Duration `json:"At"`   // from the clients' beginning; For 0: to the end
-	For    time.Duration `json:"For"`  // from the clients' beginning; For 0: to the end
-	Late   int           `json:"Late"` // statements later than the grace and drainSlack after the news
-	Last   time.Duration `json:"Last"` // after the news, of all
+	Server   string        `json:"Server"`
+	At       time.Duration `json:"At"`   // from the clients' beginning; For 0: to the end
+	Duration time.Duration `json:"For"`  // from the clients' beginning; For 0: to the end
+	Late     int           `json:"Late"` // statements later than the grace and drainSlack after the news
+	Last     time.Duration `json:"Last"` // after the news, of all
 }
 
 // settle puts what a scenario says of the deployment into the poolers' settings.
@@ -83,8 +83,8 @@
 			continue
 		}
 		for i := range r.drained {
-			if d := &r.drained[i]; d.Server == name && d.For == 0 {
-				d.For = now - d.At
+			if d := &r.drained[i]; d.Server == name && d.Duration == 0 {
+				d.Duration = now - d.At
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 			}
 			for _, seen := range s.Seen() {
 				after := seen.At.Sub(r.began) - d.At
-				if after < 0 || d.For > 0 && after >= d.For {
+				if after < 0 || d.Duration > 0 && after >= d.Duration {
 					continue
 				}
 				d.Last = max(d.Last, after)
@@ -111,7 +111,7 @@
 		rep.Drained = append(rep.Drained, d)
 	}
 	for _, s := range r.servers.Servers {
-		rep.Turned += s.Turned()
+		rep.StaleReadsRejected += s.Turned()
 	}
 }
 
@@ -121,7 +121,7 @@
 		fmt.Fprintf(out, "%s listed as draining at %v: %d statements came after the grace, the last %v after the news\n", d.Server,
 			d.At.Round(time.Millisecond), d.Late, d.Last.Round(time.Millisecond))
 	}
-	if rep.Turned > 0 {
-		fmt.Fprintf(out, "%d reads turned away by replicas too far behind\n", rep.Turned)
+	if rep.StaleReadsRejected > 0 {
+		fmt.Fprintf(out, "%d reads turned away by replicas too far behind\n", rep.StaleReadsRejected)
 	}
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -46,7 +46,7 @@
 	samples  int
 	ups      []up
 	replaced int
-	bad      []Bad
+	bad      []BadServer
 	drained  []Drained
 	peers    peerNet
 	purges   purges
@@ -228,11 +228,11 @@
 			}
 			continue
 		}
-		q := judge.Request{Pooler: p.i, Began: time.Now(), Write: rng.Float64() < s.WriteShare}
+		q := judge.Request{Pooler: p.i, BeganAt: time.Now(), Write: rng.Float64() < s.WriteShare}
 		if c == nil {
 			var err error
 			if c, err = standin.DialPostgresWithin(addr, s.Timeout+lateBy); err != nil { // a stalled pooler must not hold it
-				q.Ended, q.Outcome, q.Cause = time.Now(), judge.Broken, "connect: "+err.Error()
+				q.EndedAt, q.Outcome, q.Cause = time.Now(), judge.Broken, "connect: "+err.Error()
 				r.note(q, 0)
 				c = nil
 				continue
@@ -252,14 +252,14 @@
 		_ = c.SetDeadline(time.Now().Add(s.Timeout + lateBy))
 		began := time.Now()
 		res := c.Do(text)
-		q.Ended = time.Now()
+		q.EndedAt = time.Now()
 		switch {
 		case res.Err != nil:
 			q.Outcome, q.Cause = judge.Broken, res.Err.Error()
 			if strings.Contains(q.Cause, "timeout") {
 				q.Outcome, q.Cause = judge.Silent, "no answer in time"
 			}
-		case q.Ended.Sub(began) > s.Timeout+lateBy:
+		case q.EndedAt.Sub(began) > s.Timeout+lateBy:
 			q.Outcome, q.Cause = judge.Silent, "answered late"
 		case res.Refused:
 			q.Outcome = judge.Refused
@@ -267,10 +267,10 @@
 			q.Outcome, q.Cause = judge.Failed, "code "+res.Code
 		}
 		if q.Outcome == judge.Served && !q.Write {
-			q.Made = r.purges.made(res.Value)
+			q.MadeAt = r.purges.made(res.Value)
 		}
 		r.shards.note(row, q, res.Value)
-		r.note(q, q.Ended.Sub(began))
+		r.note(q, q.EndedAt.Sub(began))
 		if res.Err != nil {
 			_ = c.Close()
 			c = nil
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -22,13 +22,13 @@
 // Request is one request as its client saw it.
 type Request struct {
 	Pooler        int       `json:"Pooler"`
-	Began         time.Time `json:"Began"`
-	Ended         time.Time `json:"Ended"`
+	BeganAt       time.Time `json:"Began"`
+	EndedAt       time.Time `json:"Ended"`
 	Outcome       Outcome   `json:"Outcome"`
 	Write         bool      `json:"Write"`
 	Keyed         bool      `json:"Keyed"`
 	Cause         string    `json:"Cause"`         // of Broken and Failed, as the client was told
-	Made          int64     `json:"Made"`          // of a served read: when its stand-in made the answer, Unix ns; 0: it did not say
+	MadeAt        int64     `json:"Made"`          // of a served read: when its stand-in made the answer, Unix ns; 0: it did not say
 	WhileFaulting bool      `json:"WhileFaulting"` // set by Judge: its pooler was down or stalled meanwhile
 }
 
@@ -88,7 +88,7 @@
 // out tells whether r's pooler was out at some time while r waited.
 func out(outages []Outage, r Request) bool {
 	for _, o := range outages {
-		if o.Pooler == r.Pooler && o.From.Before(r.Ended) && (o.To.IsZero() || o.To.After(r.Began)) {
+		if o.Pooler == r.Pooler && o.From.Before(r.EndedAt) && (o.To.IsZero() || o.To.After(r.BeganAt)) {
 			return true
 		}
 	}
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -12,13 +12,13 @@
 	t0 := time.Unix(1000, 0)
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	requests := []Request{
-		{Pooler: 0, Began: at(0), Ended: at(1), Outcome: Served},
-		{Pooler: 0, Began: at(1), Ended: at(2), Outcome: Refused},
-		{Pooler: 1, Began: at(1), Ended: at(2), Outcome: Failed},
-		{Pooler: 1, Began: at(4), Ended: at(5), Outcome: Broken, Cause: "EOF"},  // pooler 1 killed at 4.5
-		{Pooler: 2, Began: at(4), Ended: at(9), Outcome: Silent, Cause: "late"}, // pooler 2 stopped from 6 and still
-		{Pooler: 0, Began: at(4), Ended: at(5), Outcome: Broken, Cause: "EOF"},  // pooler 0 was up: lost
-		{Pooler: 1, Began: at(7), Ended: at(8), Outcome: Silent, Cause: "late"}, // after pooler 1's restart: lost
+		{Pooler: 0, BeganAt: at(0), EndedAt: at(1), Outcome: Served},
+		{Pooler: 0, BeganAt: at(1), EndedAt: at(2), Outcome: Refused},
+		{Pooler: 1, BeganAt: at(1), EndedAt: at(2), Outcome: Failed},
+		{Pooler: 1, BeganAt: at(4), EndedAt: at(5), Outcome: Broken, Cause: "EOF"},  // pooler 1 killed at 4.5
+		{Pooler: 2, BeganAt: at(4), EndedAt: at(9), Outcome: Silent, Cause: "late"}, // pooler 2 stopped from 6 and still
+		{Pooler: 0, BeganAt: at(4), EndedAt: at(5), Outcome: Broken, Cause: "EOF"},  // pooler 0 was up: lost
+		{Pooler: 1, BeganAt: at(7), EndedAt: at(8), Outcome: Silent, Cause: "late"}, // after pooler 1's restart: lost
 	}
 	outages := []Outage{{Pooler: 1, From: at(4).Add(time.Second / 2), To: at(6)}, {Pooler: 2, From: at(6)}}
 	got := Judge(requests, outages, 1)
--- a/internal/lab/judge/purges.go
+++ b/internal/lab/judge/purges.go
@@ -15,14 +15,14 @@
 
 // Purge is what came of one purge.
 type Purge struct {
-	Name    string        `json:"Name"`
-	Due     time.Time     `json:"Due"`
-	Poolers int           `json:"Poolers"` // that noted it
-	First   time.Duration `json:"First"`   // when they did, from Due on
-	Last    time.Duration `json:"Last"`    // when they did, from Due on
-	Twice   int           `json:"Twice"`   // poolers that noted it more than once
-	InTime  int           `json:"InTime"`  // poolers that noted it within a second
-	Stale   int           `json:"Stale"`   // answers from before it to requests that began behind it
+	Name     string        `json:"Name"`
+	Due      time.Time     `json:"Due"`
+	Poolers  int           `json:"Poolers"` // that noted it
+	First    time.Duration `json:"First"`   // when they did, from Due on
+	Last     time.Duration `json:"Last"`    // when they did, from Due on
+	Repeated int           `json:"Twice"`   // poolers that noted it more than once
+	InTime   int           `json:"InTime"`  // poolers that noted it within a second
+	Stale    int           `json:"Stale"`   // answers from before it to requests that began behind it
 }
 
 // Purges weighs what journals noted and what clients were served. site tells a pooler's site, and sizes how many poolers a site
@@ -54,7 +54,7 @@
 				p.InTime++
 			}
 		case 2:
-			p.Twice++
+			p.Repeated++
 		}
 	}
 	for k, poolers := range found {
@@ -63,15 +63,15 @@
 		}
 		p := by[k.name]
 		for _, r := range requests {
-			if r.Made > 0 && site(r.Pooler) == k.site && !r.Began.Before(p.Due) && r.Made < p.Due.UnixNano() {
+			if r.MadeAt > 0 && site(r.Pooler) == k.site && !r.BeganAt.Before(p.Due) && r.MadeAt < p.Due.UnixNano() {
 				p.Stale++
 			}
 		}
 	}
 	for _, p := range by {
 		out = append(out, *p)
-		if p.Twice > 0 {
-			broken = append(broken, fmt.Sprintf("%d poolers noted %s more than once", p.Twice, p.Name))
+		if p.Repeated > 0 {
+			broken = append(broken, fmt.Sprintf("%d poolers noted %s more than once", p.Repeated, p.Name))
 		}
 		if p.Stale > 0 {
 			broken = append(broken, fmt.Sprintf("%d answers from before %s came behind it", p.Stale, p.Name))
--- a/internal/lab/limits.go
+++ b/internal/lab/limits.go
@@ -13,12 +13,12 @@
 	"threadsail/internal/lab/judge"
 )
 
-// Over is by how much a limit of the fleet was exceeded at its worst, over any span, and the bound that is stated for that.
-type Over struct {
-	Limit string  `json:"Limit"`
-	Taken int     `json:"Taken"` // over the run, at all servers
-	Most  float64 `json:"Most"`  // above the rate: at the worst server, where the limit is on each
-	Bound float64 `json:"Bound"`
+// LimitUse is by how much a limit of the fleet was exceeded at its worst, over any span, and the bound that is stated for that.
+type LimitUse struct {
+	Limit     string  `json:"Limit"`
+	Used      int     `json:"Taken"` // over the run, at all servers
+	MaxExcess float64 `json:"Most"`  // above the rate: at the worst server, where the limit is on each
+	Bound     float64 `json:"Bound"`
 }
 
 // dealer is who deals the limits, as the poolers' logs tell.
@@ -55,14 +55,14 @@
 	}
 	for _, l := range r.Scenario.Fleet.Limits.List {
 		size := float64(rep.Poolers)
-		o := Over{Limit: l.Name, Bound: l.Burst + size + float64(rep.Starts-rep.Poolers)*max(1, l.Burst*l.Reserve/size)}
+		o := LimitUse{Limit: l.Name, Bound: l.Burst + size + float64(rep.Starts-rep.Poolers)*max(1, l.Burst*l.Reserve/size)}
 		switch {
 		case l.Target == config.LimitConnections:
 			o.Bound += l.Rate * connectWithin.Seconds()
 			for _, server := range r.servers.Servers {
 				at := server.CameAt()
-				o.Taken += len(at)
-				o.Most = max(o.Most, above(l.Rate, at, func(time.Time) float64 { return 1 }))
+				o.Used += len(at)
+				o.MaxExcess = max(o.MaxExcess, above(l.Rate, at, func(time.Time) float64 { return 1 }))
 			}
 		case l.Target == config.LimitRequests && l.Class == "" && !l.Tenants:
 			var in []judge.Request
@@ -71,7 +71,7 @@
 					in = append(in, q)
 				}
 			}
-			o.Taken, o.Most = len(in), inside(l.Rate, in)
+			o.Used, o.MaxExcess = len(in), inside(l.Rate, in)
 		case l.Target == config.LimitCold:
 			// A token is 1/w of them at a warmth w, so a bucket may be short by as much once.
 			o.Bound += l.Rate*connectWithin.Seconds() + size*(1/coldFrom-1)
@@ -83,16 +83,16 @@
 				for _, seen := range server.Seen() {
 					at = append(at, seen.At)
 				}
-				o.Taken += len(at)
-				o.Most = max(o.Most, above(l.Rate, at, func(t time.Time) float64 {
+				o.Used += len(at)
+				o.MaxExcess = max(o.MaxExcess, above(l.Rate, at, func(t time.Time) float64 {
 					return 1 / min(coldFrom+(1-coldFrom)*float64(t.Sub(server.Started))/float64(coldFor), 1)
 				}))
 			}
 		default:
 			continue
 		}
-		if rep.Over = append(rep.Over, o); o.Most > o.Bound {
-			rep.Broken = append(rep.Broken, fmt.Sprintf("limit %s: %.1f above its rate, the bound is %.1f", o.Limit, o.Most, o.Bound))
+		if rep.LimitUse = append(rep.LimitUse, o); o.MaxExcess > o.Bound {
+			rep.Broken = append(rep.Broken, fmt.Sprintf("limit %s: %.1f above its rate, the bound is %.1f", o.Limit, o.MaxExcess, o.Bound))
 		}
 	}
 }
@@ -123,13 +123,13 @@
 // inside is the most by which requests that lie in a span whole exceed a rate, over spans that begin where one of some requests
 // does.
 func inside(rate float64, in []judge.Request) (most float64) {
-	slices.SortFunc(in, func(a, b judge.Request) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
+	slices.SortFunc(in, func(a, b judge.Request) int { return cmp.Compare(a.EndedAt.UnixNano(), b.EndedAt.UnixNano()) })
 	for i := 0; i < len(in); i += max(1, len(in)/spans) {
-		from, n := in[i].Began, 0
+		from, n := in[i].BeganAt, 0
 		for _, q := range in {
-			if !q.Began.Before(from) {
+			if !q.BeganAt.Before(from) {
 				n++
-				most = max(most, float64(n)-rate*q.Ended.Sub(from).Seconds())
+				most = max(most, float64(n)-rate*q.EndedAt.Sub(from).Seconds())
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 	if rep.AfterKill[0] > 0 {
 		fmt.Fprintf(out, "from the first kill on, at the worst server: %.0f new connections in 100 ms, %.0f in a second\n", rep.AfterKill[0], rep.AfterKill[1])
 	}
-	for _, o := range rep.Over {
-		fmt.Fprintf(out, "limit %s: %d taken, at most %.1f above its rate; the bound is %.1f\n", o.Limit, o.Taken, o.Most, o.Bound)
+	for _, o := range rep.LimitUse {
+		fmt.Fprintf(out, "limit %s: %d taken, at most %.1f above its rate; the bound is %.1f\n", o.Limit, o.Used, o.MaxExcess, o.Bound)
 	}
 }
--- a/internal/lab/purges.go
+++ b/internal/lab/purges.go
@@ -111,7 +111,7 @@
 	rep.Purges, broken = judge.Purges(noted, rep.Requests, r.purges.site, sizes)
 	rep.Broken = append(rep.Broken, broken...)
 	for _, q := range rep.Requests {
-		if q.Made > 0 {
+		if q.MadeAt > 0 {
 			rep.Reads++
 		}
 	}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -8,44 +8,44 @@
 	"threadsail/internal/lab/judge"
 )
 
-// FleetReport is what came of it, by what clients, relays and stand-ins recorded.
+// FleetReport is the result of a run, as clients, relays and stand-ins recorded it. The JSON keys are those of earlier reports.
 type FleetReport struct {
 	judge.Verdict
-	Poolers        int             `json:"Poolers"`
-	Servers        int             `json:"Servers"`
-	Length         time.Duration   `json:"Length"`
-	Began          time.Time       `json:"Began"`       // of the clients and the plan
-	Seconds        []Counts        `json:"Seconds"`     // by the second in which requests ended
-	NewBySecond    []int           `json:"NewBySecond"` // new connections at all servers, by the second
-	P50            time.Duration   `json:"P50"`
-	P99            time.Duration   `json:"P99"`
-	Connections    [3]float64      `json:"Connections"`    // new connections a server over the run: least, mean, most
-	Open           [3]float64      `json:"Open"`           // connections open at a server, its mean over the run's seconds: least, mean, most
-	OpenReplicas   [3]float64      `json:"OpenReplicas"`   // the same at those that are replicas at the end
-	OpenMost       int             `json:"OpenMost"`       // connections open at one server at any sampled second
-	Resident       [3]float64      `json:"Resident"`       // resident memory of a pooler in MB, mean over poolers: at the first sample, at the last, most of any
-	Probes         int             `json:"Probes"`         // health asked for at servers, all servers
-	ProbesBySecond []int           `json:"ProbesBySecond"` // the same by the second
-	Cold           int             `json:"Cold"`           // requests' statements at servers in the first second after they came up again
-	Worst100ms     [2]float64      `json:"Worst100ms"`     // new connections at one server in its worst 100 ms: mean over servers, most
-	WorstSecond    [2]float64      `json:"WorstSecond"`    // the same in its worst second
-	AfterKill      [2]float64      `json:"AfterKill"`      // new connections at one server from the first kill on, in the worst 100 ms and second; 0: none
-	Over           []Over          `json:"Over,omitempty"`
-	ListCalls      int             `json:"ListCalls"`          // watches opened at the list services, all poolers
-	ListCallsAt    [][]time.Time   `json:"-"`                  // of them, by pooler, those at the list service that it has last
-	Starts         int             `json:"Starts"`             // pooler processes started, restarts among them
-	Met            [][]bool        `json:"-"`                  // by pooler, then server place: whether a connection came to who stands there last
-	Journals       []string        `json:"Journals,omitempty"` // of a fleet that knows its members; they are gone with the run
-	Purges         []judge.Purge   `json:"Purges,omitempty"`
-	Shards         *Shards         `json:"Shards,omitempty"`
-	Reads          int             `json:"Reads"`          // served to clients, where purges are played
-	ReadsAtServers int             `json:"ReadsAtServers"` // statements of reads that came to servers, repeats among them
-	Requests       []judge.Request `json:"Requests"`
-	Outages        []judge.Outage  `json:"Outages"`
-	Drained        []Drained       `json:"Drained,omitempty"`
-	Turned         int             `json:"Turned"` // reads that replicas too far behind turned away
-	Bad            []Bad           `json:"Bad,omitempty"`
-	FalseVerdicts  int             `json:"FalseVerdicts"` // on servers that were not bad for all poolers
+	Poolers            int             `json:"Poolers"`
+	Servers            int             `json:"Servers"`
+	Length             time.Duration   `json:"Length"`
+	BeganAt            time.Time       `json:"Began"`       // of the clients and the plan
+	Seconds            []Counts        `json:"Seconds"`     // by the second in which requests ended
+	NewBySecond        []int           `json:"NewBySecond"` // new connections at all servers, by the second
+	P50                time.Duration   `json:"P50"`
+	P99                time.Duration   `json:"P99"`
+	Connections        [3]float64      `json:"Connections"`    // new connections a server over the run: least, mean, most
+	Open               [3]float64      `json:"Open"`           // connections open at a server, its mean over the run's seconds: least, mean, most
+	OpenReplicas       [3]float64      `json:"OpenReplicas"`   // the same at those that are replicas at the end
+	MaxOpen            int             `json:"OpenMost"`       // connections open at one server at any sampled second
+	ResidentMB         [3]float64      `json:"Resident"`       // resident memory of a pooler in MB, mean over poolers: at the first sample, at the last, most of any
+	Probes             int             `json:"Probes"`         // health asked for at servers, all servers
+	ProbesBySecond     []int           `json:"ProbesBySecond"` // the same by the second
+	RequestsWhileCold  int             `json:"Cold"`           // requests' statements at servers in the first second after they came up again
+	Worst100ms         [2]float64      `json:"Worst100ms"`     // new connections at one server in its worst 100 ms: mean over servers, most
+	WorstSecond        [2]float64      `json:"WorstSecond"`    // the same in its worst second
+	AfterKill          [2]float64      `json:"AfterKill"`      // new connections at one server from the first kill on, in the worst 100 ms and second; 0: none
+	LimitUse           []LimitUse      `json:"Over,omitempty"`
+	ListRequests       int             `json:"ListCalls"`          // watches opened at the list services, all poolers
+	ListRequestsAt     [][]time.Time   `json:"-"`                  // of them, by pooler, those at the list service that it has last
+	Starts             int             `json:"Starts"`             // pooler processes started, restarts among them
+	Contacted          [][]bool        `json:"-"`                  // by pooler, then server place: whether a connection came to who stands there last
+	Journals           []string        `json:"Journals,omitempty"` // of a fleet that knows its members; they are gone with the run
+	Purges             []judge.Purge   `json:"Purges,omitempty"`
+	Shards             *Shards         `json:"Shards,omitempty"`
+	Reads              int             `json:"Reads"`          // served to clients, where purges are played
+	ReadsAtServers     int             `json:"ReadsAtServers"` // statements of reads that came to servers, repeats among them
+	Requests           []judge.Request `json:"Requests"`
+	Outages            []judge.Outage  `json:"Outages"`
+	Drained            []Drained       `json:"Drained,omitempty"`
+	StaleReadsRejected int             `json:"Turned"` // reads that replicas too far behind turned away
+	BadServers         []BadServer     `json:"Bad,omitempty"`
+	FalseEjections     int             `json:"FalseVerdicts"` // on servers that were not bad for all poolers
 }
 
 func (r *fleetRun) report() FleetReport {
@@ -58,11 +58,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := FleetReport{Verdict: judge.Judge(r.requests, outages, r.servers.Ledger.Overlaps()), Poolers: len(r.poolers),
-		Servers: len(r.servers.Servers), Length: r.Scenario.Length, Began: r.began, Journals: r.peers.journals(r.members), P50: time.Duration(r.took.ValueAtQuantile(50)) * time.Microsecond,
+		Servers: len(r.servers.Servers), Length: r.Scenario.Length, BeganAt: r.began, Journals: r.peers.journals(r.members), P50: time.Duration(r.took.ValueAtQuantile(50)) * time.Microsecond,
 		P99: time.Duration(r.took.ValueAtQuantile(99)) * time.Microsecond, Starts: r.starts,
 		Requests: r.requests, Outages: outages}
 	for _, q := range r.requests {
-		sec := int(q.Ended.Sub(r.began) / time.Second)
+		sec := int(q.EndedAt.Sub(r.began) / time.Second)
 		if sec < 0 {
 			continue
 		}
@@ -107,13 +107,13 @@
 		for _, seen := range s.Seen() {
 			for _, u := range r.ups {
 				if u.server == j && !seen.At.Before(u.at) && seen.At.Sub(u.at) < time.Second {
-					rep.Cold++
+					rep.RequestsWhileCold++
 				}
 			}
 		}
 	}
 	n := float64(len(r.poolers))
-	rep.Resident = [3]float64{r.rss[0] / n, r.rss[1] / n, r.rss[2]}
+	rep.ResidentMB = [3]float64{r.rss[0] / n, r.rss[1] / n, r.rss[2]}
 	least, most, sum := -1, 0, 0
 	for _, s := range r.servers.Servers {
 		n := s.Came()
@@ -124,17 +124,17 @@
 	}
 	rep.Connections = [3]float64{float64(least), float64(sum) / float64(len(r.servers.Servers)), float64(most)}
 	for _, l := range r.lists {
-		rep.ListCalls += l.Watches()
+		rep.ListRequests += l.Watches()
 	}
 	for _, m := range r.members {
-		rep.ListCallsAt = append(rep.ListCallsAt, m.Discovery.WatchedAt())
+		rep.ListRequestsAt = append(rep.ListRequestsAt, m.Discovery.WatchedAt())
 	}
 	for i := range r.relays {
 		met := make([]bool, len(r.relays[i]))
 		for j, link := range r.relays[i] {
 			met[j] = link.Accepted() > 0
 		}
-		rep.Met = append(rep.Met, met)
+		rep.Contacted = append(rep.Contacted, met)
 	}
 	r.verdicts(&rep)
 	r.drains(&rep)
@@ -186,13 +186,13 @@
 		rep.Served, rep.Refused, rep.Failed, rep.Lost, rep.Excused, rep.Overlaps)
 	fmt.Fprintf(out, "served in %v at the median, %v at the 99th percentile\n", rep.P50, rep.P99)
 	fmt.Fprintf(out, "new connections a server: least %.0f, mean %.1f, most %.0f; list calls %d\n",
-		rep.Connections[0], rep.Connections[1], rep.Connections[2], rep.ListCalls)
+		rep.Connections[0], rep.Connections[1], rep.Connections[2], rep.ListRequests)
 	fmt.Fprintf(out, "connections open at a server, its mean over the seconds: least %.1f, mean %.1f, most %.1f\n",
 		rep.Open[0], rep.Open[1], rep.Open[2])
 	fmt.Fprintf(out, "the same at replicas: least %.1f, mean %.1f, most %.1f\n", rep.OpenReplicas[0], rep.OpenReplicas[1], rep.OpenReplicas[2])
 	fmt.Fprintf(out, "resident memory of a pooler: %.1f MB at the first second, %.1f MB at the last, %.1f MB at most\n",
-		rep.Resident[0], rep.Resident[1], rep.Resident[2])
-	fmt.Fprintf(out, "probes %d; requests at servers in their first second back %d\n", rep.Probes, rep.Cold)
+		rep.ResidentMB[0], rep.ResidentMB[1], rep.ResidentMB[2])
+	fmt.Fprintf(out, "probes %d; requests at servers in their first second back %d\n", rep.Probes, rep.RequestsWhileCold)
 	fmt.Fprintf(out, "new connections at one server in its worst 100 ms: %.1f on the mean, %.0f at most; in its worst second %.1f, %.0f\n",
 		rep.Worst100ms[0], rep.Worst100ms[1], rep.WorstSecond[0], rep.WorstSecond[1])
 	rep.limitsTable(out)
@@ -210,7 +210,7 @@
 	}
 	for _, p := range rep.Purges {
 		fmt.Fprintf(out, "%s: noted by %d poolers, %d within a second, the first %v and the last %v behind it; stale answers %d, noted twice %d\n",
-			p.Name, p.Poolers, p.InTime, p.First.Round(time.Millisecond), p.Last.Round(time.Millisecond), p.Stale, p.Twice)
+			p.Name, p.Poolers, p.InTime, p.First.Round(time.Millisecond), p.Last.Round(time.Millisecond), p.Stale, p.Repeated)
 	}
 	for _, b := range rep.Broken {
 		fmt.Fprintln(out, "BROKEN:", b)
--- a/internal/lab/shards.go
+++ b/internal/lab/shards.go
@@ -38,11 +38,11 @@
 
 // Shards is what came of a shard map, by clients and stand-ins.
 type Shards struct {
-	Acts       []shardmap.Act `json:"Acts"`
-	Moved      int            `json:"Moved"`      // closes carried out
-	TurnedAway int            `json:"TurnedAway"` // writes that a server turned away for their epoch
-	Rows       int            `json:"Rows"`       // writes and fresh reads, all outcomes
-	Gap        time.Duration  `json:"Gap"`        // the longest time without a served write of the moving range
+	Acts         []shardmap.Act `json:"Acts"`
+	Moved        int            `json:"Moved"`      // closes carried out
+	Rejected     int            `json:"TurnedAway"` // writes that a server turned away for their epoch
+	Rows         int            `json:"Rows"`       // writes and fresh reads, all outcomes
+	LongestPause time.Duration  `json:"Gap"`        // the longest time without a served write of the moving range
 }
 
 // movers is how many poolers stand for taking moves on.
@@ -189,7 +189,7 @@
 	if !op.Write {
 		op.Value = value
 	}
-	op.Began, op.Ended, op.Outcome = q.Began, q.Ended, q.Outcome
+	op.Began, op.Ended, op.Outcome = q.BeganAt, q.EndedAt, q.Outcome
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	op.Client = len(s.ops) // any number: porcupine goes by times
@@ -205,7 +205,7 @@
 		return
 	}
 	rep.Shards = &Shards{Rows: len(s.ops)}
-	rep.Shards.TurnedAway, rep.Shards.Acts = s.rows.Count()
+	rep.Shards.Rejected, rep.Shards.Acts = s.rows.Count()
 	for _, a := range rep.Shards.Acts {
 		if a == shardmap.ActClose {
 			rep.Shards.Moved++
@@ -219,7 +219,7 @@
 	}
 	slices.SortFunc(served, time.Time.Compare)
 	for i := 1; i < len(served); i++ {
-		rep.Shards.Gap = max(rep.Shards.Gap, served[i].Sub(served[i-1]))
+		rep.Shards.LongestPause = max(rep.Shards.LongestPause, served[i].Sub(served[i-1]))
 	}
 	if fine, unknown := judge.Rows(s.ops, judgeMost); !fine {
 		rep.Broken = append(rep.Broken, map[bool]string{true: "rows: no verdict in time", false: "rows: what clients were told is no one copy's"}[unknown])
@@ -228,5 +228,5 @@
 
 func (s Shards) table(out io.Writer) {
 	fmt.Fprintf(out, "shards: %d moves done, acts %v; %d writes and fresh reads, %d turned away by servers; longest time without a write of the moving range %v\n",
-		s.Moved, s.Acts, s.Rows, s.TurnedAway, s.Gap.Round(time.Millisecond))
+		s.Moved, s.Acts, s.Rows, s.Rejected, s.LongestPause.Round(time.Millisecond))
 }
--- a/internal/lab/verdicts.go
+++ b/internal/lab/verdicts.go
@@ -12,14 +12,14 @@
 	"threadsail/internal/lab/faults"
 )
 
-// Bad is a server that a step made bad for all poolers, and what became of it.
-type Bad struct {
-	Server     string          `json:"Server"`
-	At         time.Duration   `json:"At"`   // from the clients' beginning; For 0: to the end
-	For        time.Duration   `json:"For"`  // from the clients' beginning; For 0: to the end
-	Left       int             `json:"Left"` // poolers whose journals tell that they convicted it
-	LeftAfter  []time.Duration `json:"LeftAfter"`
-	Statements []int           `json:"Statements"` // that reached it, by the second since
+// BadServer is a server that a step made bad for all poolers, and what became of it.
+type BadServer struct {
+	Server       string          `json:"Server"`
+	At           time.Duration   `json:"At"`   // from the clients' beginning; For 0: to the end
+	Duration     time.Duration   `json:"For"`  // from the clients' beginning; For 0: to the end
+	EjectedBy    int             `json:"Left"` // poolers whose journals tell that they convicted it
+	EjectedAfter []time.Duration `json:"LeftAfter"`
+	Statements   []int           `json:"Statements"` // that reached it, by the second since
 }
 
 // badFor notes that a step has made servers bad for all poolers, or ends that.
@@ -28,12 +28,12 @@
 	now := time.Since(r.began)
 	for _, j := range step.Servers {
 		name := r.servers.Servers[j].Name
-		i := slices.IndexFunc(r.bad, func(b Bad) bool { return b.Server == name && b.For == 0 })
+		i := slices.IndexFunc(r.bad, func(b BadServer) bool { return b.Server == name && b.Duration == 0 })
 		switch {
 		case i < 0 && (all || step.Act == faults.Down || step.Act == faults.Err):
-			r.bad = append(r.bad, Bad{Server: name, At: now})
+			r.bad = append(r.bad, BadServer{Server: name, At: now})
 		case i >= 0 && (step.Act == faults.Heal || step.Act == faults.Up || step.Act == faults.Right):
-			r.bad[i].For = now - r.bad[i].At
+			r.bad[i].Duration = now - r.bad[i].At
 		}
 	}
 }
@@ -48,7 +48,7 @@
 				continue
 			}
 			for _, seen := range s.Seen() {
-				if at := seen.At.Sub(r.began) - b.At; b.For == 0 || at < b.For {
+				if at := seen.At.Sub(r.began) - b.At; b.Duration == 0 || at < b.Duration {
 					count(&b.Statements, at)
 				}
 			}
@@ -66,35 +66,35 @@
 				continue
 			}
 			at := rec.Time().Sub(r.began)
-			i := slices.IndexFunc(r.bad, func(b Bad) bool { // what was said of it lasts a little longer than it was true
-				return b.Server == rec.Server && at >= b.At && (b.For == 0 || at < b.At+b.For+5*time.Second)
+			i := slices.IndexFunc(r.bad, func(b BadServer) bool { // what was said of it lasts a little longer than it was true
+				return b.Server == rec.Server && at >= b.At && (b.Duration == 0 || at < b.At+b.Duration+5*time.Second)
 			})
 			if i < 0 {
-				rep.FalseVerdicts++
+				rep.FalseEjections++
 			} else if !left[i] {
 				left[i] = true
-				r.bad[i].Left++
-				r.bad[i].LeftAfter = append(r.bad[i].LeftAfter, at-r.bad[i].At)
+				r.bad[i].EjectedBy++
+				r.bad[i].EjectedAfter = append(r.bad[i].EjectedAfter, at-r.bad[i].At)
 			}
 		}
 	}
 	for i := range r.bad {
-		slices.Sort(r.bad[i].LeftAfter)
+		slices.Sort(r.bad[i].EjectedAfter)
 	}
-	rep.Bad = r.bad
+	rep.BadServers = r.bad
 }
 
 // badTable writes it for a person.
 func (rep FleetReport) badTable(out io.Writer) {
-	for _, b := range rep.Bad {
+	for _, b := range rep.BadServers {
 		fmt.Fprintf(out, "%s bad from %.1f s on", b.Server, b.At.Seconds())
-		if n := len(b.LeftAfter); n > 0 {
-			fmt.Fprintf(out, "; convicted by %d of %d poolers, the first after %.1f s, half by %.1f s, the last by %.1f s", b.Left, rep.Poolers,
-				b.LeftAfter[0].Seconds(), b.LeftAfter[n/2].Seconds(), b.LeftAfter[n-1].Seconds())
+		if n := len(b.EjectedAfter); n > 0 {
+			fmt.Fprintf(out, "; convicted by %d of %d poolers, the first after %.1f s, half by %.1f s, the last by %.1f s", b.EjectedBy, rep.Poolers,
+				b.EjectedAfter[0].Seconds(), b.EjectedAfter[n/2].Seconds(), b.EjectedAfter[n-1].Seconds())
 		}
 		fmt.Fprintf(out, "; statements there by the second: %s\n", strings.Trim(fmt.Sprint(b.Statements), "[]"))
 	}
-	if rep.FalseVerdicts > 0 {
-		fmt.Fprintf(out, "verdicts on servers that were not bad for all: %d\n", rep.FalseVerdicts)
+	if rep.FalseEjections > 0 {
+		fmt.Fprintf(out, "verdicts on servers that were not bad for all: %d\n", rep.FalseEjections)
 	}
 }
