--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -48,28 +48,61 @@
 	FalseEjections     int             `json:"FalseVerdicts"` // on servers that were not bad for all poolers
 }
 
+// report puts together what the run has recorded.
 func (r *fleetRun) report() FleetReport {
+	outages := r.outages()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rep := FleetReport{
+		Verdict:  judge.Judge(r.requests, outages, r.servers.Ledger.Overlaps()),
+		Poolers:  len(r.poolers),
+		Servers:  len(r.servers.Servers),
+		Length:   r.Scenario.Length,
+		BeganAt:  r.began,
+		P50:      time.Duration(r.took.ValueAtQuantile(50)) * time.Microsecond,
+		P99:      time.Duration(r.took.ValueAtQuantile(99)) * time.Microsecond,
+		Starts:   r.starts,
+		Journals: r.peers.journals(r.members),
+		Requests: r.requests,
+		Outages:  outages,
+	}
+	r.countRequests(&rep)
+	r.countOpenConnections(&rep)
+	r.countProbes(&rep)
+	r.averageMemory(&rep)
+	r.countNewConnections(&rep)
+	r.countListRequests(&rep)
+	r.noteContacts(&rep)
+	r.verdicts(&rep)
+	r.drains(&rep)
+	r.findBursts(&rep)
+	r.limited(&rep)
+	r.purged(&rep)
+	r.shards.judge(&rep, r.Scenario.Groups)
+	return rep
+}
+
+func (r *fleetRun) outages() []judge.Outage {
 	var outages []judge.Outage
 	for _, p := range r.poolers {
 		p.mu.Lock()
 		outages = append(outages, p.outages...)
 		p.mu.Unlock()
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	rep := FleetReport{Verdict: judge.Judge(r.requests, outages, r.servers.Ledger.Overlaps()), Poolers: len(r.poolers),
-		Servers: len(r.servers.Servers), Length: r.Scenario.Length, BeganAt: r.began, Journals: r.peers.journals(r.members), P50: time.Duration(r.took.ValueAtQuantile(50)) * time.Microsecond,
-		P99: time.Duration(r.took.ValueAtQuantile(99)) * time.Microsecond, Starts: r.starts,
-		Requests: r.requests, Outages: outages}
+	return outages
+}
+
+// countRequests counts the outcomes of requests by the second in which they ended.
+func (r *fleetRun) countRequests(rep *FleetReport) {
 	for _, q := range r.requests {
-		sec := int(q.EndedAt.Sub(r.began) / time.Second)
-		if sec < 0 {
+		second := int(q.EndedAt.Sub(r.began) / time.Second)
+		if second < 0 {
 			continue
 		}
-		for len(rep.Seconds) <= sec {
+		for len(rep.Seconds) <= second {
 			rep.Seconds = append(rep.Seconds, Counts{})
 		}
-		switch c := &rep.Seconds[sec]; {
+		switch c := &rep.Seconds[second]; {
 		case q.Outcome == judge.Served:
 			c.Served++
 		case q.Outcome == judge.Refused:
@@ -80,80 +113,116 @@
 			c.Lost++
 		}
 	}
-	rep.Open, rep.OpenReplicas = [3]float64{-1, 0, 0}, [3]float64{-1, 0, 0}
+}
+
+// spread is the smallest, the mean and the largest of some values. Its values are at least 0.
+type spread [3]float64
+
+// newSpread returns a spread without values.
+func newSpread() spread { return spread{-1, 0, 0} }
+
+// add adds one of n values.
+func (s *spread) add(value float64, n int) {
+	if s[0] < 0 || value < s[0] {
+		s[0] = value
+	}
+	s[1] += value / float64(n)
+	s[2] = max(s[2], value)
+}
+
+// countOpenConnections averages the connections open at each server over the samples.
+func (r *fleetRun) countOpenConnections(rep *FleetReport) {
 	replicas := 0
 	for _, s := range r.servers.Servers {
 		if !s.Primary() {
 			replicas++
 		}
 	}
-	spread := func(of *[3]float64, mean float64, n int) {
-		if of[0] < 0 || mean < of[0] {
-			of[0] = mean
+	open, openReplicas := newSpread(), newSpread()
+	for i, s := range r.servers.Servers {
+		mean := float64(r.open[i]) / float64(max(r.samples, 1))
+		open.add(mean, len(r.servers.Servers))
+		if !s.Primary() {
+			openReplicas.add(mean, replicas)
 		}
-		of[1] += mean / float64(n)
-		of[2] = max(of[2], mean)
 	}
-	for j, s := range r.servers.Servers {
-		mean := float64(r.open[j]) / float64(max(r.samples, 1))
-		if spread(&rep.Open, mean, len(r.servers.Servers)); !s.Primary() {
-			spread(&rep.OpenReplicas, mean, replicas)
-		}
-		probed := s.ProbedAt()
-		rep.Probes += len(probed)
-		for _, t := range probed {
-			count(&rep.ProbesBySecond, t.Sub(r.began))
+	rep.Open, rep.OpenReplicas = open, openReplicas
+}
+
+// countProbes counts probes, and statements at servers that have just come up again.
+func (r *fleetRun) countProbes(rep *FleetReport) {
+	for i, s := range r.servers.Servers {
+		probes := s.ProbedAt()
+		rep.Probes += len(probes)
+		for _, at := range probes {
+			count(&rep.ProbesBySecond, at.Sub(r.began))
 		}
 		for _, seen := range s.Seen() {
-			for _, u := range r.ups {
-				if u.server == j && !seen.At.Before(u.at) && seen.At.Sub(u.at) < time.Second {
+			for _, up := range r.ups {
+				if up.server == i && !seen.At.Before(up.at) && seen.At.Sub(up.at) < time.Second {
 					rep.RequestsWhileCold++
 				}
 			}
 		}
 	}
-	n := float64(len(r.poolers))
-	rep.ResidentMB = [3]float64{r.rss[0] / n, r.rss[1] / n, r.rss[2]}
-	least, most, sum := -1, 0, 0
+}
+
+func (r *fleetRun) averageMemory(rep *FleetReport) {
+	poolers := float64(len(r.poolers))
+	rep.ResidentMB = [3]float64{r.rss[0] / poolers, r.rss[1] / poolers, r.rss[2]}
+}
+
+// countNewConnections counts the connections that came to each server over the run.
+func (r *fleetRun) countNewConnections(rep *FleetReport) {
+	smallest, largest, sum := -1, 0, 0
 	for _, s := range r.servers.Servers {
-		n := s.Came()
-		if least < 0 || n < least {
-			least = n
+		connections := s.Came()
+		if smallest < 0 || connections < smallest {
+			smallest = connections
 		}
-		most, sum = max(most, n), sum+n
+		largest = max(largest, connections)
+		sum += connections
 	}
-	rep.Connections = [3]float64{float64(least), float64(sum) / float64(len(r.servers.Servers)), float64(most)}
+	rep.Connections = [3]float64{float64(smallest), float64(sum) / float64(len(r.servers.Servers)), float64(largest)}
+}
+
+func (r *fleetRun) countListRequests(rep *FleetReport) {
 	for _, l := range r.lists {
 		rep.ListRequests += l.Watches()
 	}
 	for _, m := range r.members {
 		rep.ListRequestsAt = append(rep.ListRequestsAt, m.Discovery.WatchedAt())
 	}
-	for i := range r.relays {
-		met := make([]bool, len(r.relays[i]))
-		for j, link := range r.relays[i] {
-			met[j] = link.Accepted() > 0
+}
+
+// noteContacts notes which pooler has connected to which server.
+func (r *fleetRun) noteContacts(rep *FleetReport) {
+	for _, links := range r.relays {
+		contacted := make([]bool, len(links))
+		for i, link := range links {
+			contacted[i] = link.Accepted() > 0
 		}
-		rep.Contacted = append(rep.Contacted, met)
+		rep.Contacted = append(rep.Contacted, contacted)
 	}
-	r.verdicts(&rep)
-	r.drains(&rep)
-	for _, server := range r.servers.Servers {
-		at := server.CameAt()
+}
+
+// findBursts finds the most new connections that came to a server within a short time.
+func (r *fleetRun) findBursts(rep *FleetReport) {
+	servers := float64(len(r.servers.Servers))
+	for _, s := range r.servers.Servers {
+		at := s.CameAt()
 		for _, t := range at {
 			count(&rep.NewBySecond, t.Sub(r.began))
 		}
-		for k, span := range []time.Duration{100 * time.Millisecond, time.Second} {
-			n := float64(worst(at, span))
-			worstOf := [...]*[2]float64{&rep.Worst100ms, &rep.WorstSecond}[k]
-			worstOf[0] += n / float64(len(r.servers.Servers))
-			worstOf[1] = max(worstOf[1], n)
-		}
+		addBurst(&rep.Worst100ms, worst(at, 100*time.Millisecond), servers)
+		addBurst(&rep.WorstSecond, worst(at, time.Second), servers)
 	}
-	r.limited(&rep)
-	r.purged(&rep)
-	r.shards.judge(&rep, r.Scenario.Groups)
-	return rep
+}
+
+// addBurst adds a server's worst burst to the mean and the most over all servers.
+func addBurst(meanAndMost *[2]float64, connections int, servers float64) {
+	meanAndMost[0] += float64(connections) / servers
+	meanAndMost[1] = max(meanAndMost[1], float64(connections))
 }
 
 // count adds one to the second in which something came; what came before the beginning is left out.
