--- a/internal/policy/decisions_scripts_test.go
+++ b/internal/policy/decisions_scripts_test.go
@@ -98,16 +98,20 @@
 }
 
 // scripts are all runs. Each has its own mix of what servers tell and what the settings allow.
-func scripts() []*script {
-	base := script{duration: 150 * time.Second, requestEvery: 9 * millisecond, disturbEvery: 1500 * millisecond, groups: 3,
+func scripts() []*script { return append(singlePoolerScripts(), fleetScripts()...) }
+
+// variant is the base script with a name, a seed and what change makes of it.
+func variant(name string, seed uint64, change func(*script)) *script {
+	made := script{duration: 150 * time.Second, requestEvery: 9 * millisecond, disturbEvery: 1500 * millisecond, groups: 3,
 		positions: true, answersTellPositions: true, roles: true, busy: true, reportShare: 0.3, firstList: policy.ListFull,
 		minTimeout: 10 * millisecond, maxTimeout: time.Minute}
-	variant := func(name string, seed uint64, change func(*script)) *script {
-		made := base
-		made.name, made.seed = name, seed
-		change(&made)
-		return &made
-	}
+	made.name, made.seed = name, seed
+	change(&made)
+	return &made
+}
+
+// singlePoolerScripts are the runs of a pooler that is alone.
+func singlePoolerScripts() []*script {
 	return []*script{
 		variant("one", 1, func(*script) {}),
 		variant("one-cached-untold", 2, func(c *script) {
@@ -139,6 +143,12 @@
 			c.minTimeout, c.maxTimeout = millisecond, 20*millisecond
 			c.change = func(s *policy.Settings) { s.SlowStartCapacity = 0 }
 		}),
+	}
+}
+
+// fleetScripts are the runs of one pooler of several.
+func fleetScripts() []*script {
+	return []*script{
 		variant("five", 7, func(c *script) { c.change, c.weighted = fleetOf(5, 2), true }),
 		variant("five-bounded-probes", 8, func(c *script) {
 			c.answersTellPositions, c.disturbEvery = false, 3*time.Second
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"os"
+	"runtime"
 	"syscall"
 	"testing"
 	"time"
@@ -485,53 +486,60 @@
 			if reset && how == "writing" { // the write meets the reset
 				continue
 			}
-			t.Run(fmt.Sprint(how, reset), func(t *testing.T) {
-				f := newFixture(t, 8)
-				c, err := net.Dial("tcp", f.ln.Addr())
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer c.Close()
-				s := receive(t, f.accepted)
-				switch how {
-				case "paused":
-					f.on(func() { s.Pause(true) })
-				case "writing":
-					f.on(func() { s.Pause(true); s.Pause(false); s.Write(make([]byte, 1<<20)) })
-				}
-				f.on(func() {
-					if s.PeerDisconnected() {
-						t.Error("it has gone before its close")
-					}
-				})
-				gone := func() bool {
-					if how != "writing" {
-						if _, err := c.Write(make([]byte, 100<<10)); err != nil {
-							t.Error(err)
-						}
-						if err := standin.Leave(c, reset); err != nil {
-							t.Error(err)
-						}
-						return s.PeerDisconnected()
-					}
-					_ = c.(*net.TCPConn).CloseWrite()
-					for until := time.Now().Add(late); !s.PeerDisconnected(); {
-						if time.Now().After(until) {
-							return false
-						}
-					}
-					return true
-				}
-				f.on(func() {
-					if !gone() || len(f.server.closed) > 0 {
-						t.Error("its close is not known to who asks")
-					}
-				})
-			})
+			t.Run(fmt.Sprint(how, reset), func(t *testing.T) { testPeerGone(t, how, reset) })
 		}
 	}
 }
 
+func testPeerGone(t *testing.T, how string, reset bool) {
+	f := newFixture(t, 8)
+	c, err := net.Dial("tcp", f.ln.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	s := receive(t, f.accepted)
+	switch how {
+	case "paused":
+		f.on(func() { s.Pause(true) })
+	case "writing":
+		f.on(func() { s.Pause(true); s.Pause(false); s.Write(make([]byte, 1<<20)) })
+	}
+	f.on(func() {
+		if s.PeerDisconnected() {
+			t.Error("it has gone before its close")
+		}
+	})
+	f.on(func() {
+		if how == "writing" {
+			_ = c.(*net.TCPConn).CloseWrite()
+			awaitDisconnected(s)
+		} else {
+			sendAndLeave(t, c, reset)
+		}
+		if !s.PeerDisconnected() || len(f.server.closed) > 0 {
+			t.Error("its close is not known to who asks")
+		}
+	})
+}
+
+// awaitDisconnected waits, on the loop, until a connection's peer counts as disconnected, but not for long.
+func awaitDisconnected(c *transport.Conn) {
+	for until := time.Now().Add(late); !c.PeerDisconnected() && time.Now().Before(until); {
+		runtime.Gosched()
+	}
+}
+
+// sendAndLeave leaves bytes behind that nobody reads, and waits until the kernel has the close.
+func sendAndLeave(t *testing.T, c net.Conn, reset bool) {
+	if _, err := c.Write(make([]byte, 100<<10)); err != nil {
+		t.Error(err)
+	}
+	if err := standin.Leave(c, reset); err != nil {
+		t.Error(err)
+	}
+}
+
 type closer func()
 
 func (c closer) Data(time.Duration, []byte) {}
