--- a/internal/fleet/consensus/server.go
+++ b/internal/fleet/consensus/server.go
@@ -58,7 +58,7 @@
 	_ = conn.SetDeadline(time.Time{})
 	switch {
 	case err == nil && first[0] == connectionRaft:
-		stop() // the engine closes the connection from here on
+		stop() // from here on the connection is the engine's, which leaves it open until the peer closes it
 		v.handToRaft(conn)
 		return
 	case err == nil && first[0] == connectionClient:
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -8,7 +8,9 @@
 //
 // Goroutines: a Voter runs one that accepts connections, one for each connection, one that follows its own leadership and one
 // that reconciles the set of voters; all end with Close. The raft engine calls stateMachine and retryingStore on goroutines of
-// its own, which end with Close too. Every exported method of Voter and ClientPool is safe for use by several goroutines.
+// its own, which end with Close too. The engine's connections do not: each lasts, with the goroutine that reads it, until its
+// peer closes it, as hashicorp/raft closes no pooled or accepted connection at its shutdown. Every exported method of Voter and
+// ClientPool is safe for use by several goroutines.
 package consensus
 
 import (
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -53,7 +53,8 @@
 	return startListener(loop, budget, &sharedListener{Listener: ln}, accept)
 }
 
-// startListener has netpoll serve a listener. The goroutine that serves it ends when the listener fails or is closed.
+// startListener has netpoll serve a listener. The goroutine that serves it ends when the listener fails. Close takes the listener's
+// descriptor away, which netpoll does not notice: the goroutine then stays until the process ends, one a closed listener.
 func startListener(loop Loop, budget *Budget, ln netpoll.Listener, accept func(*Conn)) (*Listener, error) {
 	// OnPrepare is not used: a connection that the loop closes before netpoll has registered it ends the program. The reader is
 	// set from the start: with one that comes later, netpoll could miss for good the bytes that came meanwhile. What it reads is
