--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -4,12 +4,13 @@
 	"flag"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"go.uber.org/goleak"
+
 	"threadsail/internal/config"
 	"threadsail/internal/fleet/bus/bustest"
 	"threadsail/internal/fleet/replication/replicationtest"
@@ -20,7 +21,8 @@
 	drift = 50 * time.Millisecond
 )
 
-// TestMain plays fewer random days than rapid would: each is twelve seconds of twelve poolers.
+// TestMain plays fewer random days than rapid would: each is twelve seconds of twelve poolers. It fails the package where a
+// goroutine outlives the tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := false
@@ -28,7 +30,7 @@
 	if !set {
 		_ = flag.Set("rapid.checks", "8")
 	}
-	os.Exit(m.Run())
+	goleak.VerifyTestMain(m)
 }
 
 var limits = config.Limits{Revision: 1, List: []config.Limit{
