--- a/internal/fleet/distribution/cluster_test.go
+++ b/internal/fleet/distribution/cluster_test.go
@@ -4,7 +4,6 @@
 	"flag"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -12,10 +11,13 @@
 	"testing/synctest"
 	"time"
 
+	"go.uber.org/goleak"
+
 	"threadsail/internal/fleet/replication"
 )
 
 // TestMain plays fewer random cases than rapid would, of one seed unless another is given: each is minutes of a whole fleet.
+// It fails the package where a goroutine outlives the tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -25,7 +27,7 @@
 			_ = flag.Set(name, value)
 		}
 	}
-	os.Exit(m.Run())
+	goleak.VerifyTestMain(m)
 }
 
 const (
