--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -499,6 +499,7 @@
 	}
 	defer c.Close()
 	s := receive(t, f.accepted)
+	t.Cleanup(func() { f.on(s.Close) })
 	switch how {
 	case "paused":
 		f.on(func() { s.Pause(true) })
