--- a/cmd/threadsail/fleet_test.go
+++ b/cmd/threadsail/fleet_test.go
@@ -59,27 +59,33 @@
 	if rep.Starts != 13 {
 		t.Errorf("%d starts, want 13", rep.Starts)
 	}
-	var back time.Time // when the killed pooler was up again
+	checkServedAfterRestart(t, rep, 5)
+	if strings.Count(logs.String(), `"pooler":5,`) == 0 {
+		t.Error("no log of the restarted pooler")
+	}
+	if rep.ListRequests < 12+6 {
+		t.Errorf("%d list calls, want the moved poolers at their new list services", rep.ListRequests)
+	}
+}
+
+// checkServedAfterRestart checks that a pooler that was killed served again.
+func checkServedAfterRestart(t *testing.T, rep lab.FleetReport, pooler int) {
+	t.Helper()
+	var back time.Time // when it was up again
 	for _, o := range rep.Outages {
-		if o.Pooler == 5 {
+		if o.Pooler == pooler {
 			back = o.To
 		}
 	}
 	served := 0
 	for _, q := range rep.Requests {
-		if q.Pooler == 5 && q.Outcome == judge.Served && q.BeganAt.After(back) {
+		if q.Pooler == pooler && q.Outcome == judge.Served && q.BeganAt.After(back) {
 			served++
 		}
 	}
 	if back.IsZero() || served == 0 {
 		t.Errorf("the killed pooler served %d after its restart at %v", served, back)
 	}
-	if strings.Count(logs.String(), `"pooler":5,`) == 0 {
-		t.Error("no log of the restarted pooler")
-	}
-	if rep.ListRequests < 12+6 {
-		t.Errorf("%d list calls, want the moved poolers at their new list services", rep.ListRequests)
-	}
 }
 
 // silent stands for a broken pooler: it says where it listens, as the pooler does, takes connections and answers nothing.
--- a/cmd/threadsail/inventory_test.go
+++ b/cmd/threadsail/inventory_test.go
@@ -13,42 +13,16 @@
 	"threadsail/internal/serverlist"
 )
 
-// The commands on files, one after the other: what each prints, and what it exits with.
-func TestInventoryCommands(t *testing.T) {
-	dir := t.TempDir()
-	t.Chdir(dir)
-	write := func(name, text string) {
-		t.Helper()
-		if err := os.WriteFile(name, []byte(text), 0o640); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write("a.csv", "name;host;zone;weight\r\ndb1;10.0.0.1;buda;1\r\ndb2;10.0.0.2;pest;2\r\ndb3;10.0.0.3;;0\r\n")
-	write("b.csv", "name,host,zone\ndb1,10.0.0.1,buda\ndb4,10.0.0.4,pest\n")
-	write("bad.csv", "name,port\ndb1,x\nDB1,1\n")
-	all, err := pooler.ReadList("mysql", "a.csv", nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	less, err := pooler.ReadList("mysql", "b.csv", nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	digest := serverlist.Digest(less.Servers)
-	kept, err := archive.Open(filepath.Join("state", "mysql"), 8)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for i, l := range []*pooler.List{all, less} {
-		if err := kept.Put(&serverlist.Generation{Number: uint64(i + 1), Digest: serverlist.Digest(l.Servers), AcceptedAt: 1e9 * 3600, Servers: l.Servers}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for _, c := range []struct {
-		args string
-		code int
-		want string
-	}{
+// inventoryCommand is a command on files, what it exits with and a part of what it prints; empty: it prints nothing.
+type inventoryCommand struct {
+	args string
+	code int
+	want string
+}
+
+// inventoryCommands are run one after the other; digest is that of b.csv.
+func inventoryCommands(digest string) []inventoryCommand {
+	return []inventoryCommand{
 		{"check a.csv", 0, "3 servers in 1 clusters, 0 draining, no seal"},
 		{"--rooms buda check a.csv", 1, `a.csv: line 3: zone: unknown server room "pest", expected one of buda`},
 		{"check bad.csv", 1, "bad.csv: line 3: name: \"DB1\" is listed twice, first on line 2\nthreadsail: bad.csv: 2 problems"},
@@ -72,7 +46,47 @@
 		{"diff a.csv b.csv", 0, ""},
 		{"fly", 2, "unexpected argument"},
 		{"check", 2, "expected \"<file>\""},
-	} {
+	}
+}
+
+// archiveLists keeps lists as the generations of MySQL's front, in the folder "state".
+func archiveLists(t *testing.T, lists ...*pooler.List) {
+	t.Helper()
+	kept, err := archive.Open(filepath.Join("state", "mysql"), 8)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, l := range lists {
+		if err := kept.Put(&serverlist.Generation{Number: uint64(i + 1), Digest: serverlist.Digest(l.Servers), AcceptedAt: 1e9 * 3600, Servers: l.Servers}); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// The commands on files, one after the other: what each prints, and what it exits with.
+func TestInventoryCommands(t *testing.T) {
+	dir := t.TempDir()
+	t.Chdir(dir)
+	write := func(name, text string) {
+		t.Helper()
+		if err := os.WriteFile(name, []byte(text), 0o640); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write("a.csv", "name;host;zone;weight\r\ndb1;10.0.0.1;buda;1\r\ndb2;10.0.0.2;pest;2\r\ndb3;10.0.0.3;;0\r\n")
+	write("b.csv", "name,host,zone\ndb1,10.0.0.1,buda\ndb4,10.0.0.4,pest\n")
+	write("bad.csv", "name,port\ndb1,x\nDB1,1\n")
+	all, err := pooler.ReadList("mysql", "a.csv", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	less, err := pooler.ReadList("mysql", "b.csv", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	digest := serverlist.Digest(less.Servers)
+	archiveLists(t, all, less)
+	for _, c := range inventoryCommands(digest) {
 		var out bytes.Buffer
 		t.Setenv("PROXY_CONFIG", "")
 		code := run(append([]string{"inventory"}, strings.Fields(c.args)...), streams{&out, &out})
@@ -80,12 +94,19 @@
 			t.Errorf("%s: exit %d, want %d; it says\n%s, want %q", c.args, code, c.code, &out, c.want)
 		}
 	}
-	// What goes back is confirmed against the newest generation, so that a pooler on that one takes it at once.
+	checkBack(t, less)
+}
+
+// checkBack checks what "back" has made of b.csv, which held the newest generation. What goes back is confirmed against that, so
+// that a pooler on it takes it at once.
+func checkBack(t *testing.T, newest *pooler.List) {
+	t.Helper()
+	digest := serverlist.Digest(newest.Servers)
 	l, err := pooler.ReadList("mysql", "b.csv", nil)
 	if err != nil || !l.Sealed || l.ConfirmedDigest != digest {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	g := serverlist.NewGate(serverlist.Policy{HoldTime: time.Hour}, &serverlist.Generation{Number: 2, Digest: digest, Servers: less.Servers})
+	g := serverlist.NewGate(serverlist.Policy{HoldTime: time.Hour}, &serverlist.Generation{Number: 2, Digest: digest, Servers: newest.Servers})
 	if d := g.Offer(0, serverlist.Candidate{Servers: l.Servers, Sealed: true, Confirms: l.ConfirmedDigest}); d.Outcome != serverlist.Accepted {
 		t.Errorf("it is %v: %s", d.Outcome, d.Reason)
 	}
--- a/cmd/threadsail/main_test.go
+++ b/cmd/threadsail/main_test.go
@@ -166,6 +166,25 @@
 	}
 }
 
+func dialPostgres(t *testing.T, addr string) *standin.Postgres {
+	t.Helper()
+	c, err := standin.DialPostgres(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// wantNewClientsServed has n clients, one after the other, connect and read.
+func wantNewClientsServed(t *testing.T, addr string, n int, who string) {
+	t.Helper()
+	for range n {
+		if r := dialPostgres(t, addr).Do(standin.Read("any", time.Second)); !r.Served() {
+			t.Fatalf("%s got %+v", who, r)
+		}
+	}
+}
+
 // While the pooler serves, another process takes its place on the socket that both have inherited. The old one must answer
 // what it has accepted, and neither close the socket for the new one nor take a connection that it does not serve.
 func TestReplace(t *testing.T) {
@@ -190,15 +209,7 @@
 		}
 		return standin.Answer
 	})
-	dial := func() *standin.Postgres {
-		t.Helper()
-		c, err := standin.DialPostgres(addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c
-	}
-	busy, idle := dial(), dial()
+	busy, idle := dialPostgres(t, addr), dialPostgres(t, addr)
 	if err := busy.Send(standin.Write("k", 10*time.Second)); err != nil || !f.Servers[0].Wait(1) {
 		t.Fatal("the write never came", err)
 	}
@@ -212,11 +223,7 @@
 	if r := idle.Receive(); r.Err == nil {
 		t.Error("and is not closed behind its answer")
 	}
-	for range 50 {
-		if r := dial().Do(standin.Read("any", time.Second)); !r.Served() {
-			t.Fatalf("a new client got %+v", r)
-		}
-	}
+	wantNewClientsServed(t, addr, 50, "a new client")
 	close(release)
 	if r := busy.Receive(); !r.Served() {
 		t.Errorf("the write under way got %+v", r)
@@ -224,11 +231,7 @@
 	if err := old.Wait(); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
-	for range 5 {
-		if r := dial().Do(standin.Read("any", time.Second)); !r.Served() {
-			t.Fatalf("after the old process a client got %+v", r)
-		}
-	}
+	wantNewClientsServed(t, addr, 5, "after the old process a client")
 	if err := next.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -242,60 +245,84 @@
 	late.Close()
 }
 
-// SIGHUP has the configuration read again, under load. A bad file changes nothing; a new list service is asked for its
-// whole list, which drops what it omits, and the old one is no longer heard.
-func TestReload(t *testing.T) {
-	f := standin.NewFleet(t, false, nil, "p", "r")
-	cmd, addr, said := start(t, f, "postgres")
-	c, err := standin.DialPostgres(addr)
-	if err != nil {
+// reloadTest is a pooler under load whose configuration is read again, and a client of it.
+type reloadTest struct {
+	t      *testing.T
+	fleet  *standin.Fleet
+	cmd    *exec.Cmd
+	client *standin.Postgres
+	said   <-chan string // the lines of its log
+}
+
+func newReloadTest(t *testing.T) *reloadTest {
+	t.Helper()
+	r := &reloadTest{t: t, fleet: standin.NewFleet(t, false, nil, "p", "r")}
+	var addr string
+	r.cmd, addr, r.said = start(t, r.fleet, "postgres")
+	var err error
+	if r.client, err = standin.DialPostgres(addr); err != nil {
 		t.Fatal(err)
 	}
-	read := func() standin.Result { return c.Do(standin.Read("any", time.Second)) }
-	until := func(what string, holds func() bool) {
-		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !holds(); {
-			if time.Now().After(end) {
-				t.Fatal(what)
-			}
-			if r := read(); !r.Served() {
-				t.Fatalf("a read under way got %+v", r)
-			}
+	return r
+}
+
+func (r *reloadTest) read() standin.Result { return r.client.Do(standin.Read("any", time.Second)) }
+
+// until reads until something holds; what says what is wrong otherwise.
+func (r *reloadTest) until(what string, holds func() bool) {
+	r.t.Helper()
+	for end := time.Now().Add(20 * time.Second); !holds(); {
+		if time.Now().After(end) {
+			r.t.Fatal(what)
 		}
-	}
-	hangUp := func() {
-		t.Helper()
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
+		if result := r.read(); !result.Served() {
+			r.t.Fatalf("a read under way got %+v", result)
 		}
 	}
-	old := f.Discovery
-	until("no first watch", func() bool { return old.Watches() > 0 })
+}
+
+// reload has the configuration read again.
+func (r *reloadTest) reload() {
+	r.t.Helper()
+	if err := r.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// logged reports whether the next line of the log, if there is one, contains a text.
+func (r *reloadTest) logged(text string) bool {
+	select {
+	case line := <-r.said:
+		return strings.Contains(line, text)
+	default:
+		return false
+	}
+}
+
+// SIGHUP has the configuration read again, under load. A bad file changes nothing; a new list service is asked for its
+// whole list, which drops what it omits, and the old one is no longer heard.
+func TestReload(t *testing.T) {
+	r := newReloadTest(t)
+	f, old := r.fleet, r.fleet.Discovery
+	r.until("no first watch", func() bool { return old.Watches() > 0 })
 	good := old.URL[len("http://"):]
 	f.Configure("discovery", "nowhere")
-	hangUp()
-	until("the bad key is never named", func() bool {
-		select {
-		case line := <-said:
-			return strings.Contains(line, `discovery: \"nowhere\" is no host:port`)
-		default:
-			return false
-		}
-	})
+	r.reload()
+	r.until("the bad key is never named", func() bool { return r.logged(`discovery: \"nowhere\" is no host:port`) })
 	f.Configure("discovery", good)
 	settings := standin.Settings()
 	lanes := settings["lanes"].([]any)
 	settings["lanes"] = lanes[1:2] // view and write vanish
 	settings["familyInfo"].(map[string]any)["classRead"] = []string{"mutate"}
 	f.Configure("settings", settings)
-	hangUp()
-	until("the new settings are never used", func() bool { return c.Do(standin.Read("view", time.Second)).Failed })
+	r.reload()
+	r.until("the new settings are never used", func() bool { return r.client.Do(standin.Read("view", time.Second)).Failed })
 	f.Servers = append(f.Servers[:1], f.Servers[2:]...) // the new service lists the primary only
 	f.MoveDiscovery()
-	hangUp()
-	until("the new list service is never asked", func() bool { return f.Discovery.Watches() > 0 })
-	until("what the new list omits is still used", func() bool {
-		first, second := read(), read() // a read that follows would go to the omitted server
+	r.reload()
+	r.until("the new list service is never asked", func() bool { return f.Discovery.Watches() > 0 })
+	r.until("what the new list omits is still used", func() bool {
+		first, second := r.read(), r.read() // a read that follows would go to the omitted server
 		return first.Value == "from p" && second.Value == "from p"
 	})
 	if since := f.Discovery.Since(); since != "" {
@@ -303,7 +330,7 @@
 	}
 	watches := old.Watches()
 	old.CloseClientConnections()
-	until("the watch on the new service has ended", func() bool { return read().Value == "from p" })
+	r.until("the watch on the new service has ended", func() bool { return r.read().Value == "from p" })
 	if old.Watches() != watches || f.Discovery.Watches() != 1 {
 		t.Error("the old list service is still asked, or the new one again")
 	}
