--- a/cmd/threadsail-lab/scale.go
+++ b/cmd/threadsail-lab/scale.go
@@ -74,26 +74,32 @@
 	if err := rep.Table(os.Stdout); err != nil {
 		return err
 	}
+	if err := c.write(rep, time.Since(began)); err != nil {
+		return err
+	}
+	return failed
+}
+
+// write writes the files that were asked for.
+func (c *scaleCmd) write(rep scale.Report, took time.Duration) error {
 	if c.JSON != "" {
 		text, err := json.MarshalIndent(rep, "", " ")
-		if err == nil {
-			err = os.WriteFile(c.JSON, append(text, '\n'), 0o644)
-		}
 		if err != nil {
 			return err
 		}
+		if err := os.WriteFile(c.JSON, append(text, '\n'), 0o644); err != nil {
+			return err
+		}
 	}
 	if c.Plot != "" {
 		if err := drawScale(rep.Rows, "what one pooler sends, by "+c.Mechanism, c.Plot); err != nil {
 			return err
 		}
 	}
-	if c.Record != "" && len(rep.Rows) > 0 {
-		if err := c.keep(rep, time.Since(began)); err != nil {
-			return err
-		}
+	if c.Record == "" || len(rep.Rows) == 0 {
+		return nil
 	}
-	return failed
+	return c.keep(rep, took)
 }
 
 // keep writes the run's record.
