--- a/internal/lab/judge/purges.go
+++ b/internal/lab/judge/purges.go
@@ -46,26 +46,12 @@
 			p = &Purge{Name: n.Purge, Due: n.Due, First: late, Last: late}
 			by[n.Purge] = p
 		}
-		p.First, p.Last = min(p.First, late), max(p.Last, late)
-		switch found[k][n.Pooler]++; found[k][n.Pooler] {
-		case 1:
-			p.Poolers++
-			if late < time.Second {
-				p.InTime++
-			}
-		case 2:
-			p.Repeated++
-		}
+		found[k][n.Pooler]++
+		p.note(late, found[k][n.Pooler])
 	}
 	for k, poolers := range found {
-		if len(poolers)*2 <= sizes[k.site] {
-			continue
-		}
-		p := by[k.name]
-		for _, r := range requests {
-			if r.MadeAt > 0 && site(r.Pooler) == k.site && !r.BeganAt.Before(p.Due) && r.MadeAt < p.Due.UnixNano() {
-				p.Stale++
-			}
+		if len(poolers)*2 > sizes[k.site] {
+			by[k.name].countStale(requests, func(pooler int) bool { return site(pooler) == k.site })
 		}
 	}
 	for _, p := range by {
@@ -81,3 +67,27 @@
 	slices.Sort(broken)
 	return out, broken
 }
+
+// note counts that a pooler noted the purge so late, for the times-th time.
+func (p *Purge) note(late time.Duration, times int) {
+	p.First = min(p.First, late)
+	p.Last = max(p.Last, late)
+	switch times {
+	case 1:
+		p.Poolers++
+		if late < time.Second {
+			p.InTime++
+		}
+	case 2:
+		p.Repeated++
+	}
+}
+
+// countStale counts the answers from before the purge, of poolers that it binds, to requests that began behind it.
+func (p *Purge) countStale(requests []Request, binds func(pooler int) bool) {
+	for _, r := range requests {
+		if r.MadeAt > 0 && binds(r.Pooler) && !r.BeganAt.Before(p.Due) && r.MadeAt < p.Due.UnixNano() {
+			p.Stale++
+		}
+	}
+}
