--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"testing"
 	"time"
 
@@ -16,11 +15,22 @@
 	"threadsail/internal/fleet/discoveryleader"
 	"threadsail/internal/fleet/lease"
 	"threadsail/internal/fleet/replication"
+	"threadsail/internal/lab/relay"
 )
 
+// freeAddr returns an address for a listener that is opened later.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	addr, err := relay.FreeAddr()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
 // Requests before Close are answered, and calls after it do no harm: where a start fails, the event loop still runs.
 func TestCallsAfterClose(t *testing.T) {
-	coordinator, err := Start(Options{Config: &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: "127.0.0.1:0"},
+	coordinator, err := Start(Options{Config: &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: freeAddr(t)},
 		Voters: []config.Peer{{Name: "s", Addr: "127.0.0.1:1"}}, LeaseConfig: config.LeaseConfig{Term: 400 * time.Millisecond}},
 		Log: zerolog.Nop()}, coordination.Events{})
 	if err != nil {
@@ -53,17 +63,12 @@
 // A component's failure is reported; and documents are written and read, and a lease is won, through a voter of this process, whose
 // replica shows them and keeps them on its disk.
 func TestRuntime(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	_ = ln.Close()
+	addr, gossipAddr := freeAddr(t), freeAddr(t)
 	failed := make(chan error, 1)
 	records := make(chan audit.Record, 9)
 	runtimes := make(chan Runtime, 1)
 	dir := t.TempDir()
-	c := &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: "127.0.0.1:0"}, Voters: []config.Peer{{Name: "a", Addr: addr}},
+	c := &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: gossipAddr}, Voters: []config.Peer{{Name: "a", Addr: addr}},
 		LeaseConfig: config.LeaseConfig{Term: 900 * time.Millisecond, MaxClockDrift: 30 * time.Millisecond, ElectionTimeout: 300 * time.Millisecond},
 		Voter:       config.VoterConfig{Listen: addr, Dir: t.TempDir()}, Replica: config.ReplicaConfig{Dir: dir}}
 	coordinator, err := Start(Options{Config: c, Components: []Component{failingComponent{}, runningComponent(runtimes)}, Log: zerolog.Nop()},
--- a/internal/fleet/gossip/counting_transport_test.go
+++ b/internal/fleet/gossip/counting_transport_test.go
@@ -17,12 +17,10 @@
 	var nodes [2]*Node
 	var addrs [2]string
 	for i := range addrs {
-		ln, err := relay.ListenBoth("127.0.0.1:1", 0)
-		if err != nil {
+		var err error
+		if addrs[i], err = relay.FreeAddr(); err != nil {
 			t.Fatal(err)
 		}
-		addrs[i] = ln.Addr()
-		ln.Close()
 	}
 	for i := range nodes {
 		p, err := Start(Options{Name: "n" + string(rune('0'+i)), Listen: addrs[i], Peers: []Peer{{"n0", addrs[0]}, {"n1", addrs[1]}},
--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -21,13 +21,12 @@
 	t.Helper()
 	c := &cluster{links: map[[2]int]*relay.Link{}}
 	var addrs []string
-	for range n { // a port that is free for both
-		ln, err := relay.ListenBoth("127.0.0.1:1", 0)
+	for range n {
+		addr, err := relay.FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs = append(addrs, ln.Addr())
-		ln.Close()
+		addrs = append(addrs, addr)
 	}
 	for i := range n {
 		messages := make(chan string, 1000)
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -223,3 +223,23 @@
 		}
 	}
 }
+
+// An address given out can be listened at by TCP and UDP, and is none that the system gives out.
+func TestFreeAddr(t *testing.T) {
+	for range 100 {
+		addr, err := FreeAddr()
+		if err != nil {
+			t.Fatal(err)
+		}
+		tcp, err := net.ResolveTCPAddr("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if tcp.Port < firstFreePort || tcp.Port >= firstFreePort+freePorts {
+			t.Errorf("port %d is given out by the system too", tcp.Port)
+		}
+		if err := bindBoth(addr); err != nil {
+			t.Errorf("%s is not free: %v", addr, err)
+		}
+	}
+}
