--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -16,11 +16,11 @@
 			host := newHostWithPrimary(t, nil)
 			host.sendRequest(2, classByKey)
 			host.wantAction("attempt 2 1")
-			host.list(newMember(1, Removed, 0))
+			host.updateList(newMember(1, Removed, 0))
 			host.advance(200 * ms)
 			host.probeAnswered(1, true, host.now)
 			if readded > 0 {
-				host.list(newMember(readded, Ready, 0))
+				host.updateList(newMember(readded, Ready, 0))
 			}
 			lastWrite := host.writeWithoutPrimary(readded == 1)
 			host.endAttempt(2, 0, OK, RoleUnknown)
@@ -71,7 +71,7 @@
 		t.Run(c.takes.String(), func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
 			host.router.SetSendDuration(c.takes)
-			host.list(newMember(1, Draining, 0))
+			host.updateList(newMember(1, Draining, 0))
 			lastSendAt := startTime + 500*ms - c.before - 5*ms
 			host.advanceTo(lastSendAt - ms)
 			host.sendRequest(10, classNotIdempotent)
@@ -88,7 +88,7 @@
 
 func TestDrainGracePeriod(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
-	host.list(newMember(1, Draining, 0), newMember(2, Draining, 0))
+	host.updateList(newMember(1, Draining, 0), newMember(2, Draining, 0))
 	for id := uint32(2); id < 6; id++ {
 		host.sendRequest(id, classAny)
 		if sent := host.attempts[id]; len(sent) > 0 && sent[0] != 3 {
@@ -135,9 +135,9 @@
 // that comes back in time keeps its state.
 func TestRemovedServerIsForgotten(t *testing.T) {
 	host := newHost(t, nil)
-	host.list(newMember(2, Removed, 0), newMember(3, Removed, 0))
+	host.updateList(newMember(2, Removed, 0), newMember(3, Removed, 0))
 	host.advance(removedServerRetention / 2)
-	host.list(newMember(3, Ready, 0))
+	host.updateList(newMember(3, Ready, 0))
 	host.advance(removedServerRetention)
 	servers := &host.router.servers
 	if len(servers.byID) != 2 || len(servers.ordered) != 2 || host.server(2) != nil {
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -210,7 +210,7 @@
 			continue
 		}
 		if r.settings.CancelAllowed {
-			r.actions.CancelAttempt(req.id, req.number(a))
+			r.actions.CancelAttempt(req.id, req.attemptNumber(a))
 		}
 	}
 }
--- a/internal/policy/host_test.go
+++ b/internal/policy/host_test.go
@@ -239,8 +239,8 @@
 	host.router.HandleRequest(host.now, Request{ID: id, Class: class, Group: testGroup, Timeout: timeout})
 }
 
-// list reports a change of the list.
-func (host *fakeHost) list(changed ...Member) {
+// updateList reports a change of the list to the Router.
+func (host *fakeHost) updateList(changed ...Member) {
 	host.router.HandleList(host.now, ListDelta, changed)
 }
 
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// number returns the number of an attempt among those of its request, -1 if it is none of them.
-func (h *attemptHistory) number(a *attempt) int { return slices.Index(h.attempts, a) }
+// attemptNumber returns the number of an attempt within its request, or -1 if it is not one of them.
+func (h *attemptHistory) attemptNumber(a *attempt) int { return slices.Index(h.attempts, a) }
 
 // recordAttempt enters an attempt that is about to be sent.
 func (r *Router) recordAttempt(req *request, s *server) {
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			host := newHostWithPrimary(t, func(s *Settings) { s.Classes[classByKey].DedupScope = c.scope })
-			host.list(Member{ID: 3, Group: testGroup, Zone: 1, State: Ready})
+			host.updateList(Member{ID: 3, Group: testGroup, Zone: 1, State: Ready})
 			host.sendRequest(2, classByKey)
 			host.advanceTo(startTime + 50*ms)
 			host.endAttempt(2, 0, ConnectionReset, RoleUnknown)
@@ -120,7 +120,7 @@
 	if !host.router.MayStillSend(host.now, 3, 0) {
 		t.Error("an unbounded read may not be sent to a replica that is behind")
 	}
-	host.list(newMember(host.attempts[3][0], Draining, 0))
+	host.updateList(newMember(host.attempts[3][0], Draining, 0))
 	if !host.router.MayStillSend(host.now, 3, 0) {
 		t.Error("an attempt may not be sent within the grace period")
 	}
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -100,7 +100,7 @@
 	oldPace := r.pace
 	oldGrace := r.settings.DrainGracePeriod
 	if settings.TrackSessions && !r.settings.TrackSessions {
-		r.sessions.forgotten = r.now // the writes until now were not remembered by their sessions
+		r.sessions.untrackedPosition = r.now // the writes until now were not remembered by their sessions
 	}
 	r.applySettings(settings)
 	r.rescheduleListPoll(oldPace)
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -14,7 +14,7 @@
 	host.router.HandleProbeResult(host.now, ProbeResult{Server: 97})
 	host.router.HandleTimer(host.now - time.Hour)
 	host.router.HandleList(host.now, ListFull, nil)
-	host.list(Member{ID: 96, Group: 1, State: Removed})
+	host.updateList(Member{ID: 96, Group: 1, State: Removed})
 	host.sendRequestWithin(5, 99, time.Second)
 	host.wantAction("fail 5")
 	host.router.HandleRequest(host.now, Request{ID: 6, Class: classAny, Group: 12345, Timeout: time.Second})
@@ -127,7 +127,7 @@
 	if len(host.attempts[1]) != 1 {
 		t.Fatalf("the read was not sent: %v", host.actions)
 	}
-	host.list(Member{ID: 1, State: Draining}, Member{ID: 2, State: Removed})
+	host.updateList(Member{ID: 1, State: Draining}, Member{ID: 2, State: Removed})
 	host.advanceTo(startTime + ms)
 	router.HandleRequest(host.now, Request{ID: 3, Class: 1, Timeout: time.Second})
 	host.advanceTo(startTime + 2*time.Second)
@@ -277,7 +277,7 @@
 func TestUpdateSettingsOfGracePeriod(t *testing.T) {
 	longer := func(s *Settings) { s.DrainGracePeriod = 2 * time.Second }
 	drain := func(host *fakeHost) {
-		host.list(newMember(1, Draining, 0))
+		host.updateList(newMember(1, Draining, 0))
 		host.sendRequest(2, classNotIdempotent)
 		host.now += 450 * ms
 	}
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -9,9 +9,9 @@
 // the current one is full the older one is dropped, and what was dropped is replaced by one
 // position that is no lower than any of them.
 type sessionPositions struct {
-	current   map[uint64]time.Duration
-	older     map[uint64]time.Duration
-	forgotten time.Duration // no lower than the position of any session that is not remembered
+	current           map[uint64]time.Duration
+	older             map[uint64]time.Duration
+	untrackedPosition time.Duration // no lower than the position of any session that is not remembered
 }
 
 // of returns a position that is no lower than that of the session's last write.
@@ -22,7 +22,7 @@
 	if position, ok := p.older[session]; ok {
 		return position
 	}
-	return p.forgotten
+	return p.untrackedPosition
 }
 
 func (p *sessionPositions) remember(session uint64, position time.Duration) {
@@ -34,7 +34,7 @@
 
 func (p *sessionPositions) startGeneration() {
 	for _, position := range p.older {
-		p.forgotten = max(p.forgotten, position)
+		p.untrackedPosition = max(p.untrackedPosition, position)
 	}
 	p.older = p.current
 	p.current = map[uint64]time.Duration{}
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -16,7 +16,7 @@
 	early, sent := 0, 0
 	for seed := uint64(1); seed <= poolers; seed++ {
 		host := newHostWithPrimary(t, withPooler(int(seed-1), poolers))
-		host.list(
+		host.updateList(
 			Member{ID: 2, Group: testGroup, State: Ready, StartedAt: host.now},
 			Member{ID: 3, Group: testGroup, State: Draining},
 			Member{ID: 1, Group: testGroup, State: Draining})
@@ -91,7 +91,7 @@
 
 func TestSlowStartBudget(t *testing.T) {
 	host := newHost(t, func(s *Settings) { s.Classes[classAny].LatencyObjective = 400 * ms })
-	host.list(newMember(2, Removed, 0), newMember(3, Removed, 0),
+	host.updateList(newMember(2, Removed, 0), newMember(3, Removed, 0),
 		Member{ID: 4, Group: testGroup, State: Ready, StartedAt: host.now})
 	host.sendRequest(1, classNotIdempotent)
 	host.probeAnswered(1, true, host.now)
@@ -365,7 +365,7 @@
 
 // listStart lists server 2 with a state and the time of its last start.
 func (host *fakeHost) listStart(state MemberState, startedAt time.Duration) {
-	host.list(Member{ID: 2, Group: testGroup, State: state, StartedAt: startedAt})
+	host.updateList(Member{ID: 2, Group: testGroup, State: state, StartedAt: startedAt})
 }
 
 // hang has the requests at server 2 wait for a span, and then one of them is answered.
--- a/internal/policy/write_routing_test.go
+++ b/internal/policy/write_routing_test.go
@@ -8,7 +8,7 @@
 // A member that takes no reads by turns is as fit for primary as any.
 func TestNoReadsYetPrimary(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
-	host.list(newMember(2, Ready, NoReads))
+	host.updateList(newMember(2, Ready, NoReads))
 	host.probeAnswered(1, false, host.now)
 	host.advance(200 * ms)
 	host.probeAnswered(2, true, host.now)
