--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -6,46 +6,49 @@
 	"time"
 )
 
-// Replica selection: reads go to replicas by turns, as fresh as their class needs.
+// Replica selection: reads are balanced over the replicas that are fresh enough for their class.
 
 const (
-	// fallbackWaitFraction is the part of its latency objective that a read waits before the
-	// primary may take it.
+	// fallbackWaitFraction is the fraction of its latency objective that a read waits for a replica
+	// before it may be sent to the primary.
 	fallbackWaitFraction = 0.25
-	// nonPreferredCost is the cost, in requests, of each place in a large fleet's ranking of
-	// replicas.
-	nonPreferredCost = 0.5
-	// crossZoneCost is the cost, in requests, of another zone: it takes a little time and money.
+	// rankPlaceCost is the cost, in outstanding requests, that a pooler of a large fleet adds per
+	// place of a replica in its ranking.
+	rankPlaceCost = 0.5
+	// crossZoneCost is the cost, in outstanding requests, of a replica in another zone: such a
+	// request takes slightly longer, and its traffic is charged.
 	crossZoneCost = 0.3
-	// utilizationMaxAge is how long a reported utilization counts.
+	// utilizationMaxAge is the age from which on a reported utilization is ignored.
 	utilizationMaxAge = time.Second
 )
 
-// replicaSearch is one pass over the replicas of a group for a read.
+// replicaSearch is the state of one pass over the replicas of a group to find one for a read.
 type replicaSearch struct {
 	request      *request
-	fallbackWait time.Duration // how long the read may wait for a replica to catch up
-	minLag       time.Duration // as longReadMinLag has it; 0 for none
+	fallbackWait time.Duration // time from the read's arrival until the primary may take it
+	minLag       time.Duration // result of minLagForLongRead; 0 for no minimum
 	mostLagged   *server
-	placeCost    float64 // cost of each place in the order of the pass
+	rankCost     float64 // cost added per place in the order of the pass
 
-	best       *server
-	bestCost   float64
-	turnCredit float64 // sum of the turns credited in this pass, in weights
-	trial      *server // an ejected replica that is due for a trial
-	stale      *server // a replica that is to be asked for its position
+	best           *server
+	bestCost       float64
+	creditedWeight float64 // sum of the weights credited to replicas in this pass
+	trialCandidate *server // ejected replica that is due for a trial; nil for none
+	probeCandidate *server // replica to probe for its position; nil for none
 }
 
-// chooseReplica returns the replica whose turn it is for a read, nil if no server may take it now.
-// Of the replicas that are fresh enough and healthy it is the one with the least load, ties by
-// turn. A pooler of a large fleet, which sees few requests, keeps to its home while that is not
-// busy: so it has fewer connections, and better estimates.
+// chooseReplica returns the server to send a read to, or nil if no server can take it now. It
+// prefers an ejected replica that is due for a trial. Otherwise it returns, of the replicas that
+// are healthy and fresh enough, the one with the lowest cost; ties are broken round-robin. If there
+// is none, it may fall back to the primary. A pooler of a large fleet sees few requests and prefers
+// its home replica unless that is busy, which takes fewer connections and gives better latency
+// estimates.
 func (r *Router) chooseReplica(req *request) *server {
 	g := req.group
 	search := replicaSearch{
 		request:      req,
 		fallbackWait: time.Duration(fallbackWaitFraction * float64(req.class.LatencyObjective)),
-		minLag:       r.longReadMinLag(req),
+		minLag:       r.minLagForLongRead(req),
 		mostLagged:   g.mostLaggedReplica(),
 		bestCost:     math.Inf(1),
 	}
@@ -54,16 +57,16 @@
 	members, first := g.members, g.turnCursor
 	if r.pace.largeFleet {
 		members, first = r.rankedReplicas(g), 0
-		search.placeCost = nonPreferredCost
+		search.rankCost = rankPlaceCost
 	}
 	for place := range members {
 		s := members[(first+place)%len(members)]
 		if s != g.primary {
-			r.considerReplica(&search, s, place)
+			r.evaluateReplica(&search, s, place)
 		}
 	}
-	r.settleTurn(&search)
-	chosen := cmp.Or(search.trial, search.best)
+	r.finishSearch(&search)
+	chosen := cmp.Or(search.trialCandidate, search.best)
 	if chosen == nil && r.mayFallBack(&search) {
 		chosen = r.chooseFallback(req)
 	}
@@ -73,38 +76,40 @@
 	return chosen
 }
 
-// considerReplica takes one replica into a search.
-func (r *Router) considerReplica(search *replicaSearch, s *server, place int) {
+// evaluateReplica updates a search with one replica, which is at the given place in the order of
+// the pass.
+func (r *Router) evaluateReplica(search *replicaSearch, s *server, place int) {
 	req := search.request
-	r.keepPositionProven(req.class, s)
+	r.refreshPositionProactively(req.class, s)
 	if s.ReadWeight == NoReads || !r.canTake(req, s) || r.tooFreshForLongRead(search, s) {
 		return
 	}
 	if !r.freshEnough(req, s) {
-		r.considerStale(search, s)
+		r.evaluateStaleReplica(search, s)
 		return
 	}
 	if s.ejection.ejected {
-		r.considerTrial(search, s)
+		r.evaluateEjectedReplica(search, s)
 		return
 	}
-	if cost := r.turnCost(search, s, place); cost < search.bestCost {
+	if cost := r.selectionCost(search, s, place); cost < search.bestCost {
 		search.best = s
 		search.bestCost = cost
 	}
 }
 
-// considerStale notes that a replica lacks only the position. A pooler of a large fleet asks one
-// such replica for it: where that was too far behind, or has not answered, as seldom as rounds are
-// repeated.
-func (r *Router) considerStale(search *replicaSearch, s *server) {
+// evaluateStaleReplica updates a search with a replica that could take the read if it were fresh
+// enough. A pooler of a large fleet selects at most one such replica per search for a position
+// probe. A replica that is probably still too far behind, or whose last probe brought no newer
+// position, is probed no more often than probe rounds are repeated.
+func (r *Router) evaluateStaleReplica(search *replicaSearch, s *server) {
 	req := search.request
 	req.blockedByLag = true
-	lag := r.missingLag(req, s)
+	lag := r.positionShortfall(req, s)
 	if !s.ejection.ejected && lag <= search.fallbackWait {
 		req.catchUpExpected = true
 	}
-	if !r.pace.largeFleet || !r.settings.ProbesAllowed || s.ejection.ejected || search.stale != nil {
+	if !r.pace.largeFleet || !r.settings.ProbesAllowed || s.ejection.ejected || search.probeCandidate != nil {
 		return
 	}
 	wait := positionRefreshInterval
@@ -112,13 +117,14 @@
 		wait = roundInterval
 	}
 	if r.now >= s.replication.probedAt+wait {
-		search.stale = s
+		search.probeCandidate = s
 	}
 }
 
-// considerTrial notes that an ejected replica may be tried by a read's first attempt. One that is
-// out of reach must answer a probe before.
-func (r *Router) considerTrial(search *replicaSearch, s *server) {
+// evaluateEjectedReplica updates a search with an ejected replica. If a trial is due, the replica
+// may take the read as a trial, provided that this is the read's first attempt. An unreachable
+// replica is probed first and gets no trial until it has answered.
+func (r *Router) evaluateEjectedReplica(search *replicaSearch, s *server) {
 	if len(search.request.attempts) > 0 || r.now < s.ejection.nextTrialAt {
 		return
 	}
@@ -127,23 +133,24 @@
 		r.sendProbe(s, probeForTrial)
 		return
 	}
-	if search.trial == nil {
-		search.trial = s
+	if search.trialCandidate == nil {
+		search.trialCandidate = s
 	}
 }
 
-// turnCost returns what a replica's turn is chosen by, the least first: its load, or the turns that
-// it has had where members differ in weight, or its position where a long read goes to the replica
-// furthest behind.
-func (r *Router) turnCost(search *replicaSearch, s *server, place int) float64 {
+// selectionCost returns the cost by which replicas are compared; the lowest wins. It is the
+// replica's load cost. If the members of the group differ in weight, reads are spread by smooth
+// weighted round-robin: the cost is the negative credit that the replica has accumulated. For a
+// long read the cost is the position, so that the replica furthest behind wins.
+func (r *Router) selectionCost(search *replicaSearch, s *server, place int) float64 {
 	cost := r.loadCost(s)
-	if !r.inSlowStart(s) { // what is sent to a server in slow start is to come from all poolers
-		cost += search.placeCost * float64(place)
+	if !r.inSlowStart(s) { // all poolers share the load of a server in slow start, whatever their ranking
+		cost += search.rankCost * float64(place)
 	}
 	if search.request.group.weightsDiffer {
-		weight := r.turnWeight(s)
+		weight := r.effectiveReadWeight(s)
 		s.turnCredit += weight
-		search.turnCredit += weight
+		search.creditedWeight += weight
 		cost = -s.turnCredit
 	}
 	if search.minLag > 0 {
@@ -152,22 +159,23 @@
 	return cost
 }
 
-// turnWeight returns a replica's share of turns: a server that is in slow start or congested has
-// fewer.
-func (r *Router) turnWeight(s *server) float64 {
+// effectiveReadWeight returns the weight of a replica in the round-robin: its ReadWeight, reduced
+// while the server is in slow start or congested.
+func (r *Router) effectiveReadWeight(s *server) float64 {
 	congestion := max(s.latency.decayedRatio(r.now)/congestedLatencyRatio, 1)
 	return float64(max(s.ReadWeight, 1)) * r.slowStartWeight(s) / congestion
 }
 
-// loadCost returns the load that a replica would have with one more attempt of this pooler: the
-// attempts by its latency ratio, more where it reports that its cores are in use, is in slow start
-// or in another zone.
+// loadCost returns the load that a replica would have with one more attempt of this pooler, in
+// outstanding requests. It is the number of attempts times the latency ratio, and is higher if the
+// replica reports that its cores are in use. In a small fleet it is also higher for a replica that
+// is in slow start or in another zone.
 func (r *Router) loadCost(s *server) float64 {
 	cost := (float64(s.outstanding.count()) + 1) * s.latency.decayedRatio(r.now)
 	if s.utilization.reportedAt > 0 && r.now-s.utilization.reportedAt < utilizationMaxAge {
 		cost *= 1 + s.utilization.share
 	}
-	if r.pace.largeFleet { // a pooler's share of a server in slow start is so small that it bears all poolers
+	if r.pace.largeFleet { // slowStartAllows already limits each pooler to a small share of such a server
 		return cost
 	}
 	cost /= r.slowStartWeight(s)
@@ -177,28 +185,30 @@
 	return cost
 }
 
-// settleTurn charges the best replica for the turns that were credited, or asks a replica for its
-// position if there is none. One replica is enough: asked of all of them by each pooler it would be
-// more than the reads themselves.
-func (r *Router) settleTurn(search *replicaSearch) {
+// finishSearch deducts the weights credited in the pass from the best replica's credit, as smooth
+// weighted round-robin does. If no replica was found, it probes the selected stale replica for its
+// position. It probes only one, because probes by each pooler of a large fleet to all replicas
+// would outnumber the reads.
+func (r *Router) finishSearch(search *replicaSearch) {
 	switch {
 	case search.best != nil:
-		search.best.turnCredit -= search.turnCredit
-	case search.stale != nil:
-		r.probePosition(search.stale, probeForPosition)
+		search.best.turnCredit -= search.creditedWeight
+	case search.probeCandidate != nil:
+		r.probePosition(search.probeCandidate, probeForPosition)
 	}
 }
 
-// mayFallBack reports whether a read that no replica can take goes elsewhere: once it has waited
-// for its share of the objective, or at once where none will soon be fresh enough and there is a
-// primary.
+// mayFallBack reports whether a read that no replica can take may be sent to another server. It may
+// once it has waited for search.fallbackWait, or at once if there is a recorded primary and no
+// replica is expected to catch up soon.
 func (r *Router) mayFallBack(search *replicaSearch) bool {
 	req := search.request
 	return !req.catchUpExpected && req.group.primary != nil || r.now-req.arrivedAt >= search.fallbackWait
 }
 
-// chooseFallback returns the primary, unless that is congested in a large fleet, or else an ejected
-// replica that is fresh enough.
+// chooseFallback returns the server for a read that no replica in use can take: the primary, unless
+// the fleet is large and the primary is congested, or else the reachable ejected member with the
+// fewest outstanding attempts that is fresh enough. It returns nil if there is none.
 func (r *Router) chooseFallback(req *request) *server {
 	p := req.group.primary
 	if p != nil && r.canTake(req, p) {
@@ -218,17 +228,17 @@
 	return best
 }
 
-// canTake reports whether a server may take a read but for its freshness.
+// canTake reports whether a server may be sent a read, apart from the freshness of its data.
 func (r *Router) canTake(req *request, s *server) bool {
-	if s.State != Ready || r.justTried(req, s) || !r.attemptAllowed(req, s) {
+	if s.State != Ready || r.recentlyTried(req, s) || !r.attemptAllowed(req, s) {
 		return false
 	}
 	return r.hasCapacity(s, req.classIndex)
 }
 
-// justTried reports whether a request's latest attempt went to a server and is in flight, or was
-// sent a moment ago.
-func (r *Router) justTried(req *request, s *server) bool {
+// recentlyTried reports whether a request's latest attempt went to a server and is still in flight
+// or was sent less than positionRefreshInterval ago.
+func (r *Router) recentlyTried(req *request, s *server) bool {
 	last := req.last()
 	if last == nil || last.server != s {
 		return false
--- a/internal/policy/write_routing.go
+++ b/internal/policy/write_routing.go
@@ -1,9 +1,10 @@
 package policy
 
-// Write routing: writes and reads of the latest data go to the recorded primary. A request that
-// finds none is queued, where it can still be rejected.
+// Write routing: writes and reads of the latest data go to the recorded primary. Without one they
+// are queued, from where they can still be rejected.
 
-// choosePrimary returns the primary that may take a request now, nil if there is none.
+// choosePrimary returns the server to send a request that needs the primary, or nil if the request
+// cannot be sent now.
 func (r *Router) choosePrimary(req *request) *server {
 	s := req.group.primary
 	if s == nil && r.mayGuessPrimary(req.group) {
@@ -15,9 +16,9 @@
 	return s
 }
 
-// mayGuessPrimary reports whether a request may be tried at a member that is not known to be
-// primary: where probes cannot tell the role, or a round has found no primary although the last one
-// is still listed.
+// mayGuessPrimary reports whether a request may be sent to a member that is not known to be the
+// primary. It may if probes do not return roles, or if a probe round has found no primary and the
+// last one has not been removed from the list.
 func (r *Router) mayGuessPrimary(g *group) bool {
 	if !r.settings.ProbesAllowed || !r.settings.RolesReported {
 		return true
@@ -25,9 +26,9 @@
 	return g.outage.confirmed && !g.outage.primaryRemoved
 }
 
-// guessPrimary returns the member that is most likely the primary: the last one, then the listed
-// one, then any. A try is harmless, since a member that is not the primary turns a write away
-// untouched.
+// guessPrimary returns the member that is most likely the primary, or nil if no member can take the
+// request: the last known primary, then the one that the list names, then any other. A wrong guess
+// is harmless, because a replica rejects a write without executing it.
 func (r *Router) guessPrimary(req *request) *server {
 	g := req.group
 	var best *server
@@ -35,7 +36,7 @@
 	for i := range g.members {
 		s := g.members[(g.turnCursor+i)%len(g.members)]
 		likelihood := primaryLikelihood(s)
-		if s.ejection.ejected || r.wouldAnswerStale(req, likelihood) || r.deniedRecently(s) {
+		if s.ejection.ejected || r.mightAnswerStale(req, likelihood) || r.recentlyReportedReplica(s) {
 			continue
 		}
 		if likelihood > bestLikelihood && r.canTake(req, s) {
@@ -46,8 +47,8 @@
 	return best
 }
 
-// primaryLikelihood ranks a member: 2 for the last known primary, 1 for the listed one, 0 for any
-// other.
+// primaryLikelihood returns 2 for the last known primary, 1 for a member that the list names as
+// primary, and 0 for any other.
 func primaryLikelihood(s *server) int {
 	switch {
 	case s.role.current == RolePrimary:
@@ -58,13 +59,14 @@
 	return 0
 }
 
-// wouldAnswerStale reports whether a member that is hardly the primary would answer a read of the
-// latest data from its own.
-func (r *Router) wouldAnswerStale(req *request, likelihood int) bool {
+// mightAnswerStale reports whether a member with the given likelihood of being the primary might
+// answer a read of the latest data with stale data.
+func (r *Router) mightAnswerStale(req *request, likelihood int) bool {
 	return req.class.Access == ReadLatest && r.settings.StaleReads == StaleReadAnswered && likelihood == 0
 }
 
-// deniedRecently reports whether a member has said within a round's interval that it is a replica.
-func (r *Router) deniedRecently(s *server) bool {
+// recentlyReportedReplica reports whether a member was reported to be a replica within the last
+// roundInterval.
+func (r *Router) recentlyReportedReplica(s *server) bool {
 	return s.role.current == RoleReplica && r.now < s.role.asOf+roundInterval
 }
