--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -125,7 +125,7 @@
 			if n := d.OpenRequests(); n != 0 || len(b.calls) != 0 {
 				t.Errorf("%d requests open and %d attempts sent, want none", n, len(b.calls))
 			}
-			if d.router.Avoids(d.servers.ids["s"]) {
+			if d.router.Unavailable(d.servers.ids["s"]) {
 				t.Error("the server is ejected for an attempt that was never sent")
 			}
 		})
@@ -203,7 +203,7 @@
 			if drainOnly {
 				d.ApplyList(policy.ListFull, nil)
 			}
-			if avoids := d.router.Avoids(d.servers.ids["s"]); avoids == drainOnly {
+			if avoids := d.router.Unavailable(d.servers.ids["s"]); avoids == drainOnly {
 				t.Errorf("only drains bind: %v; what has left the list is avoided: %v", drainOnly, avoids)
 			}
 		}
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -57,7 +57,7 @@
 		metrics.Classes = append(metrics.Classes, *counters)
 	}
 	for id := range d.servers.listed {
-		if d.router.Avoids(id) {
+		if d.router.Unavailable(id) {
 			metrics.Unavailable++
 		}
 	}
--- a/internal/lab/scalepooler/connections.go
+++ b/internal/lab/scalepooler/connections.go
@@ -161,7 +161,7 @@
 			least, most = min(least, slices.Min(counts)), max(most, slices.Max(counts))
 			continue
 		}
-		bound := rendezvous.Bound(fleet, len(ids))
+		bound := rendezvous.MaxHomes(fleet, len(ids))
 		least, most = min(least, fleet-bound), max(most, bound)
 	}
 	return least, most
--- a/internal/policy/decisions_scripts_test.go
+++ b/internal/policy/decisions_scripts_test.go
@@ -267,7 +267,7 @@
 // askAvoids records which servers are passed over, four times a second.
 func (s *simulation) askAvoids() {
 	for _, server := range s.servers {
-		s.record(recordAvoids, int64(server.member.ID), integer(s.router.Avoids(server.member.ID)))
+		s.record(recordAvoids, int64(server.member.ID), integer(s.router.Unavailable(server.member.ID)))
 	}
 	s.schedule(250*millisecond, s.askAvoids)
 }
--- a/internal/policy/outlier_detection.go
+++ b/internal/policy/outlier_detection.go
@@ -120,6 +120,6 @@
 // groupHasOther reports whether a server's group has another member that requests do not go past.
 func (r *Router) groupHasOther(s *server) bool {
 	return slices.ContainsFunc(r.groupFor(s.Group).members, func(other *server) bool {
-		return other != s && !r.Avoids(other.ID)
+		return other != s && !r.Unavailable(other.ID)
 	})
 }
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -100,9 +100,9 @@
 	t.ordered = slices.DeleteFunc(t.ordered, func(other *server) bool { return other == s })
 }
 
-// Avoids reports whether requests now go past a server: it is unknown, not listed as ready,
+// Unavailable reports whether requests now go past a server: it is unknown, not listed as ready,
 // unreachable or ejected.
-func (r *Router) Avoids(id uint32) bool {
+func (r *Router) Unavailable(id uint32) bool {
 	s := r.servers.byID[id]
 	return s == nil || s.State != Ready || s.ejection.ejected || s.health.unreachable
 }
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -156,7 +156,7 @@
 	slotWork := plan.rate * (slotUtilization * float64(slot))
 	after := max(r.now-openFor, w.slotBeganAt)
 	share := slotWork / plan.workPerRequest
-	began := rendezvous.NextTurn(r.settings.PoolerIndex, r.settings.Poolers, s.ID, slot, after, r.now, share)
+	began := rendezvous.NextSlot(r.settings.PoolerIndex, r.settings.Poolers, s.ID, slot, after, r.now, share)
 	if began == 0 {
 		return false
 	}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -50,7 +50,7 @@
 // assignUpTo assigns two servers or more to all poolers up to one, each after those before it, and returns that one's.
 func assignUpTo(me, fleet int, servers []uint32) [assignedPlaces]int {
 	n := len(servers)
-	bound := Bound(fleet, n)
+	bound := MaxHomes(fleet, n)
 	loads := make([]int, assignedPlaces*n)
 	var assigned [assignedPlaces]int
 	for pooler := 0; pooler <= me; pooler++ {
@@ -80,8 +80,8 @@
 	return best
 }
 
-// Bound returns the most poolers of a fleet that have one of n servers as their home.
-func Bound(fleet, n int) int {
+// MaxHomes returns the most poolers of a fleet that have one of n servers as their home.
+func MaxHomes(fleet, n int) int {
 	if n < 2 {
 		return fleet
 	}
@@ -110,9 +110,9 @@
 	return xxhash.Sum64(key[:])
 }
 
-// NextTurn returns when the first turn at a server begins, after from and up to to, that a pooler takes; 0: none. Turns begin
+// NextSlot returns when the first turn at a server begins, after from and up to to, that a pooler takes; 0: none. Turns begin
 // every so often by the clock, at the same moments for all poolers; share is the part of them that this one takes.
-func NextTurn(me, fleet int, server uint32, every, from, to time.Duration, share float64) time.Duration {
+func NextSlot(me, fleet int, server uint32, every, from, to time.Duration, share float64) time.Duration {
 	for turn := from/every + 1; turn <= to/every; turn++ {
 		if turnPlace(me, fleet, server, int64(turn)) < share*float64(fleet) {
 			return turn * every
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -43,11 +43,11 @@
 		}
 		mean := float64(fleet) / float64(len(servers))
 		for _, s := range servers {
-			if n := loads[s]; n > Bound(fleet, len(servers)) || float64(n) < mean*(1-BalanceSlack)-float64(len(servers)) {
-				t.Fatalf("server %d is the home of %d, mean %.1f, bound %d", s, n, mean, Bound(fleet, len(servers)))
+			if n := loads[s]; n > MaxHomes(fleet, len(servers)) || float64(n) < mean*(1-BalanceSlack)-float64(len(servers)) {
+				t.Fatalf("server %d is the home of %d, mean %.1f, bound %d", s, n, mean, MaxHomes(fleet, len(servers)))
 			}
 			// The last poolers may find room at their own home alone.
-			if n := seconds[s]; n > Bound(fleet, len(servers))+fleet/10+2 {
+			if n := seconds[s]; n > MaxHomes(fleet, len(servers))+fleet/10+2 {
 				t.Fatalf("server %d is the second of %d, mean %.1f", s, n, mean)
 			}
 		}
@@ -114,7 +114,7 @@
 
 // In any stretch all poolers together have as many turns at a server as their shares come to, give or take less than chance
 // would: by even shares, however small, in fleets of any size, and also where one has a large share.
-func TestNextTurnSpreadsEvenly(t *testing.T) {
+func TestNextSlotSpreadsEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet, server := rapid.IntRange(1, 300).Draw(t, "fleet"), rapid.Uint32().Draw(t, "server")
 		all := rapid.Float64Range(0.05, 1).Draw(t, "all") // turns taken of each one, by the sum of the shares
@@ -128,7 +128,7 @@
 				share += all * hot
 			}
 			for at := begin; ; {
-				if at = NextTurn(me, fleet, server, every, at, begin+turns*every, share); at == 0 {
+				if at = NextSlot(me, fleet, server, every, at, begin+turns*every, share); at == 0 {
 					break
 				}
 				taken[(at-begin)/every-1]++
