--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -73,8 +73,8 @@
 	if g.primary != nil || !g.outage.confirmed {
 		return false
 	}
-	expected := g.outage.expectedLength
-	left := max(expected-(r.now-g.outage.beganAt), expected/2)
+	expected := g.outage.expectedDuration
+	left := max(expected-(r.now-g.outage.startedAt), expected/2)
 	return float64(req.deadline-r.now) < minFailoverWaitFraction*float64(left)
 }
 
@@ -136,7 +136,7 @@
 // fleet, for a read that a replica will soon be fresh enough for, and as seldom as rounds are
 // repeated for one that all are far behind for.
 func (r *Router) refreshesQueuedReads(g *group) bool {
-	if !r.settings.ProbesAllowed || r.pace.largeFleet {
+	if !r.settings.ProbesAllowed || r.fleet.isLarge {
 		return false
 	}
 	if g.queue.has(func(req *request) bool { return req.catchUpExpected }) {
@@ -150,7 +150,7 @@
 func (r *Router) refreshAllPositions(g *group) {
 	g.queue.nextRefreshAt = r.now + roundInterval
 	for _, s := range g.members {
-		if !g.isReadyReplica(s) || s.ejection.ejected || s.health.inRound {
+		if !g.isReadyReplica(s) || s.ejection.ejected || s.health.roundProbePending {
 			continue
 		}
 		if r.now >= s.replication.probedAt+positionRefreshInterval {
--- a/internal/policy/concurrency_window.go
+++ b/internal/policy/concurrency_window.go
@@ -25,7 +25,7 @@
 // concurrencyWindow bounds the attempts of this pooler at a server. A size under 1 is the share of
 // the time in which the server may hold one attempt.
 type concurrencyWindow struct {
-	size      float64 // at least pace.minWindow
+	size      float64 // at least fleet.minWindow
 	lastCutAt time.Duration
 }
 
@@ -39,7 +39,7 @@
 	switch {
 	case s.latency.ratio > congestedLatencyRatio:
 		if r.now >= w.lastCutAt+windowCutInterval {
-			w.size = max(w.size*windowCutFactor, r.pace.minWindow)
+			w.size = max(w.size*windowCutFactor, r.fleet.minWindow)
 			w.lastCutAt = r.now
 		}
 	case w.size < 1 && r.overall.latencyRatio > congestedLatencyRatio: // only then has the rest been in force
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -61,7 +61,7 @@
 // try with less time than the class's objective is judged by what it has.
 func (r *Router) setObjective(req *request, timeout time.Duration) {
 	c := req.class
-	estimate := r.estimates.of(req)
+	estimate := r.estimates.forRequest(req)
 	req.objectiveAt = req.arrivedAt + min(c.LatencyObjective, timeout)
 	tolerance := c.TotalTimeout / timeoutToleranceDivisor
 	if timeout >= c.LatencyObjective && !estimate.usualTimeout.vote(timeout, tolerance) {
@@ -80,7 +80,7 @@
 
 // weightPerWork returns what an answer is still worth for the work that it takes.
 func (r *Router) weightPerWork(req *request) float64 {
-	weight := req.class.PriorityWeight / float64(r.estimates.of(req).baseline.value)
+	weight := req.class.PriorityWeight / float64(r.estimates.forRequest(req).baseline.value)
 	if r.late(req) {
 		weight *= req.class.LateWeightFraction
 	}
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -23,7 +23,7 @@
 func (r *Router) HandleList(now time.Duration, kind ListKind, entries []Member) {
 	r.advanceClock(now)
 	if kind == ListFailed { // the old list stays in force
-		r.scheduleListPoll(r.jitter(r.pace.listRetryDelay))
+		r.scheduleListPoll(r.jitter(r.fleet.listRetryDelay))
 		return
 	}
 	listed := make(map[uint32]bool, len(entries))
@@ -37,7 +37,7 @@
 		r.withdrawUnlisted(listed)
 	}
 	if kind == ListCached {
-		r.scheduleListPoll(r.stagger(r.pace.firstPollSpread))
+		r.scheduleListPoll(r.stagger(r.fleet.firstPollSpread))
 	}
 }
 
@@ -64,7 +64,7 @@
 		s = &server{
 			endpoint: endpoint{Member: m},
 			latency:  serverLatency{ratio: 1},
-			window:   concurrencyWindow{size: max(initialFleetWindow/float64(r.settings.Poolers), r.pace.minWindow)},
+			window:   concurrencyWindow{size: max(initialFleetWindow/float64(r.settings.Poolers), r.fleet.minWindow)},
 		}
 		r.servers.add(s)
 		r.addMember(s)
@@ -103,7 +103,7 @@
 // evidence. That is so at the start of a large fleet, where probe rounds by all poolers would be a
 // storm: the entry, some seconds old, stands until there is an answer.
 func (r *Router) takesListedPrimary(g *group, s *server) bool {
-	if !r.pace.largeFleet || !s.Primary || s.role.current != RoleUnknown || g.outage.beganAt != 0 {
+	if !r.fleet.isLarge || !s.Primary || s.role.current != RoleUnknown || g.outage.startedAt != 0 {
 		return false
 	}
 	return g.primary == nil || g.primary.role.current == RoleUnknown
@@ -172,7 +172,7 @@
 func (r *Router) forgetRemovedServer(s *server) {
 	switch {
 	case s.State != Removed || r.servers.byID[s.ID] != s:
-	case s.listed || s.health.inRound || s.outstanding.count() > 0:
+	case s.listed || s.health.roundProbePending || s.outstanding.count() > 0:
 		r.schedule(removedServerRetention, func() { r.forgetRemovedServer(s) })
 	default:
 		r.servers.remove(s)
--- a/internal/policy/group.go
+++ b/internal/policy/group.go
@@ -10,17 +10,17 @@
 
 // group is what a Router knows of one group of replicated servers.
 type group struct {
-	id            int
-	members       []*server
-	primary       *server // the recorded primary, nil for none
-	outage        primaryOutage
-	ping          pingSchedule
-	round         probeRound
-	queue         requestQueue
-	ranking       replicaRanking
-	lastRequestAt time.Duration
-	turnCursor    int  // the member that the next read's turn starts at
-	weightsDiffer bool // its members differ in ReadWeight
+	id               int
+	members          []*server
+	primary          *server // the recorded primary, nil for none
+	outage           primaryOutage
+	ping             pingSchedule
+	round            probeRound
+	queue            requestQueue
+	ranking          replicaRanking
+	lastRequestAt    time.Duration
+	roundRobinOffset int  // the member that the next read's turn starts at
+	weightsDiffer    bool // its members differ in ReadWeight
 }
 
 // replicaRanking is the order in which this pooler prefers the ready replicas of a group. It holds
@@ -36,7 +36,7 @@
 func (r *Router) groupFor(id int) *group {
 	g := r.groups[id]
 	if g == nil {
-		g = &group{id: id, turnCursor: int(r.random.next() * (1 << 24))}
+		g = &group{id: id, roundRobinOffset: int(r.random.next() * (1 << 24))}
 		r.groups[id] = g
 	}
 	return g
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -37,7 +37,7 @@
 	unreachable           bool          // its last probe failed
 	silent                bool          // attempts wait in vain; no claim to be primary counts meanwhile
 	silenceCheckScheduled bool
-	inRound               bool // a running probe round waits for it
+	roundProbePending     bool // a running probe round waits for it
 }
 
 // answeredRecently reports whether the server has answered on the request path within
@@ -77,7 +77,7 @@
 	case Overloaded:
 		s.pause.begin(r.now)
 		s.health.lastAnswerAt = r.now
-		s.window.size = max(s.window.size/2, r.pace.minWindow)
+		s.window.size = max(s.window.size/2, r.fleet.minWindow)
 	case ConnectFailed:
 		r.observeConnectFailure(s)
 	case ServerError:
@@ -111,7 +111,7 @@
 		r.observeFailure(first.server)
 	}
 	latency := r.observeLatency(s, a, true)
-	r.estimates.of(a.request).baseline.observe(r.now, latency)
+	r.estimates.forRequest(a.request).baseline.observe(r.now, latency)
 	r.endEjectionByAnswer(s)
 }
 
@@ -163,7 +163,7 @@
 			continue
 		}
 		waited := r.now - max(a.sentAt, s.health.lastAnswerAt)
-		mean := float64(r.estimates.of(a.request).meanLatency) / r.slowStartWeight(s)
+		mean := float64(r.estimates.forRequest(a.request).meanLatency) / r.slowStartWeight(s)
 		measured.waited += float64(waited) / mean
 		measured.rate += 1 / mean
 		measured.oldest = max(measured.oldest, waited)
--- a/internal/policy/latency.go
+++ b/internal/policy/latency.go
@@ -118,7 +118,7 @@
 	warmLoadAt time.Duration
 }
 
-func (e *latencyEstimates) of(req *request) *classEstimate { return &e.classes[req.classIndex] }
+func (e *latencyEstimates) forRequest(req *request) *classEstimate { return &e.classes[req.classIndex] }
 
 // decayLoad moves the load of all classes to the present.
 func (e *latencyEstimates) decayLoad(now time.Duration) {
@@ -174,7 +174,7 @@
 // returns it.
 func (r *Router) observeLatency(s *server, a *attempt, answered bool) time.Duration {
 	latency := r.now - a.sentAt
-	estimate := r.estimates.of(a.request)
+	estimate := r.estimates.forRequest(a.request)
 	ratio := min(float64(latency)/float64(estimate.baseline.value), maxLatencyRatio)
 	s.latency.observe(r.now, latency, ratio, answered)
 	// Attempts that wait at a silent server say nothing of the other servers.
@@ -186,10 +186,10 @@
 	return latency
 }
 
-// observeWarmWork counts a request that a server out of slow start has served. A request without an
+// recordWarmRequest counts a request that a server out of slow start has served. A request without an
 // answer does not count: so the sum over all poolers is no more than the servers bear, however much
 // is sent.
-func (r *Router) observeWarmWork(classIndex int) {
+func (r *Router) recordWarmRequest(classIndex int) {
 	warm := 0
 	for _, s := range r.servers.ordered {
 		if s.State != Removed && !r.inSlowStart(s) {
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -53,10 +53,10 @@
 
 // primaryOutage is what is known of a span in which a group has no recorded primary.
 type primaryOutage struct {
-	confirmed      bool          // a probe round has found no primary
-	primaryRemoved bool          // the recorded primary has left the list, and no other has shown itself
-	beganAt        time.Duration // when the last primary was dropped; 0 for never
-	expectedLength time.Duration // how long the group is without a primary then, more or less
+	confirmed        bool          // a probe round has found no primary
+	primaryRemoved   bool          // the recorded primary has left the list, and no other has shown itself
+	startedAt        time.Duration // when the last primary was dropped; 0 for never
+	expectedDuration time.Duration // how long the group is without a primary then, more or less
 }
 
 // pingSchedule is the next ping of a group's primary.
@@ -68,15 +68,15 @@
 // pingPrimary pings the recorded primary and schedules the next ping. All poolers of a large fleet
 // together ping as often as one would, and only groups in use whose primary has not answered since.
 func (r *Router) pingPrimary(g *group) {
-	inUse := !r.pace.largeFleet || r.now < g.lastRequestAt+r.pace.pingInterval
+	inUse := !r.fleet.isLarge || r.now < g.lastRequestAt+r.fleet.pingInterval
 	g.ping.scheduled = g.primary != nil && r.settings.ProbesAllowed && inUse
 	if !g.ping.scheduled {
 		return
 	}
-	if !r.pace.largeFleet || r.now >= g.primary.role.claimedAt+r.pace.pingInterval {
+	if !r.fleet.isLarge || r.now >= g.primary.role.claimedAt+r.fleet.pingInterval {
 		r.sendProbe(g.primary, probeForPing)
 	}
-	r.schedulePing(g, r.pace.pingInterval)
+	r.schedulePing(g, r.fleet.pingInterval)
 }
 
 // schedulePing schedules a ping of a group's primary in place of the one that is due.
@@ -122,7 +122,7 @@
 		return
 	}
 	if r.dropPrimary(s, "says it is a replica") {
-		r.groupFor(s.Group).outage.expectedLength = typicalHandover
+		r.groupFor(s.Group).outage.expectedDuration = typicalHandover
 	}
 }
 
@@ -134,8 +134,8 @@
 		return false
 	}
 	g.primary = nil
-	g.outage.beganAt = r.now
-	g.outage.expectedLength = typicalFailover
+	g.outage.startedAt = r.now
+	g.outage.expectedDuration = typicalFailover
 	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: reason})
 	r.startRound(g)
 	return true
--- a/internal/policy/probe_rounds.go
+++ b/internal/policy/probe_rounds.go
@@ -32,10 +32,10 @@
 // recordAnswer takes a member's answer into the running round and reports whether it was the last
 // one.
 func (p *probeRound) recordAnswer(s *server, reached bool) bool {
-	if !s.health.inRound {
+	if !s.health.roundProbePending {
 		return false
 	}
-	s.health.inRound = false
+	s.health.roundProbePending = false
 	p.pending--
 	p.answered = p.answered || reached
 	return p.pending == 0
@@ -65,8 +65,8 @@
 	g.round.startedAt = r.now
 	g.round.answered = false
 	for _, s := range g.members {
-		if s.listed && !s.health.inRound {
-			s.health.inRound = true
+		if s.listed && !s.health.roundProbePending {
+			s.health.roundProbePending = true
 			g.round.pending++
 			r.sendProbe(s, probeForRound)
 		}
@@ -80,11 +80,11 @@
 // large fleet leave it out where the list names a primary, and for reads that need none.
 func (r *Router) startInitialRound(req *request) {
 	g := req.group
-	if g.round.initialTriggered || r.pace.largeFleet && !req.class.needsPrimary() {
+	if g.round.initialTriggered || r.fleet.isLarge && !req.class.needsPrimary() {
 		return
 	}
 	g.round.initialTriggered = true
-	if !r.pace.largeFleet || g.primary == nil {
+	if !r.fleet.isLarge || g.primary == nil {
 		r.startRound(g)
 	}
 }
@@ -109,7 +109,7 @@
 	if g.primary != nil {
 		return
 	}
-	if !r.pace.largeFleet || len(g.queue.requests) > 0 || r.reported.roundLeader {
+	if !r.fleet.isLarge || len(g.queue.requests) > 0 || r.reported.roundLeader {
 		r.startRound(g)
 	}
 }
--- a/internal/policy/probe_rounds_test.go
+++ b/internal/policy/probe_rounds_test.go
@@ -129,7 +129,7 @@
 	for end := host.now + span; host.now < end; {
 		host.advanceTo(min(host.now+100*ms, end))
 		for _, s := range host.router.servers.ordered {
-			if s.health.inRound {
+			if s.health.roundProbePending {
 				host.probeAnswered(s.ID, false, host.now)
 			}
 		}
--- a/internal/policy/read_staleness.go
+++ b/internal/policy/read_staleness.go
@@ -32,7 +32,7 @@
 // assumption that its lag has not changed since its last report. If it is 0 or less, the replica is
 // fresh enough.
 func (r *Router) positionShortfall(req *request, s *server) time.Duration {
-	sinceProof := r.now - s.replication.provenAt
+	sinceProof := r.now - s.replication.advancedAt
 	return r.requiredPosition(req) + positionTolerance - s.replication.position - sinceProof
 }
 
@@ -50,7 +50,7 @@
 	if r.settings.StaleReads == StaleReadAnswered || r.recentlyRejectedStaleRead(s) {
 		return false
 	}
-	if s.replication.provenAt == 0 && !r.inSlowStart(s) { // nothing is known of its position
+	if s.replication.advancedAt == 0 && !r.inSlowStart(s) { // nothing is known of its position
 		return true
 	}
 	return !r.refreshesPositionsProactively(req.class) && r.positionShortfall(req, s) <= 0
@@ -60,7 +60,7 @@
 // the last roundInterval and has not reported a newer position since.
 func (r *Router) recentlyRejectedStaleRead(s *server) bool {
 	p := &s.replication
-	rejected := p.lagRejectedAt >= max(p.provenAt, time.Millisecond) // 0 for never
+	rejected := p.lagRejectedAt >= max(p.advancedAt, time.Millisecond) // 0 for never
 	return rejected && r.now < p.lagRejectedAt+roundInterval
 }
 
@@ -104,7 +104,7 @@
 	if req.class.Access != ReadAny {
 		return 0
 	}
-	baseline := r.estimates.of(req).baseline.value
+	baseline := r.estimates.forRequest(req).baseline.value
 	for i := range r.settings.Classes {
 		c := &r.settings.Classes[i]
 		if r.refreshesPositionsProactively(c) && baseline > longReadRatio*r.estimates.classes[i].baseline.value {
--- a/internal/policy/read_staleness_test.go
+++ b/internal/policy/read_staleness_test.go
@@ -154,7 +154,7 @@
 			host := newHostWithPrimary(t, nil)
 			for id := uint32(2); id <= 3; id++ {
 				host.server(id).replication.position = host.now - c.age
-				host.server(id).replication.provenAt = host.now
+				host.server(id).replication.advancedAt = host.now
 			}
 			host.sendRequest(2, classBounded)
 			sent := host.attempts[2]
--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -54,8 +54,8 @@
 	}
 	req.blockedByLag = false
 	req.catchUpExpected = false
-	members, first := g.members, g.turnCursor
-	if r.pace.largeFleet {
+	members, first := g.members, g.roundRobinOffset
+	if r.fleet.isLarge {
 		members, first = r.rankedReplicas(g), 0
 		search.rankCost = rankPlaceCost
 	}
@@ -71,7 +71,7 @@
 		chosen = r.chooseFallback(req)
 	}
 	if chosen != nil {
-		g.turnCursor++
+		g.roundRobinOffset++
 	}
 	return chosen
 }
@@ -109,11 +109,11 @@
 	if !s.ejection.ejected && lag <= search.fallbackWait {
 		req.catchUpExpected = true
 	}
-	if !r.pace.largeFleet || !r.settings.ProbesAllowed || s.ejection.ejected || search.probeCandidate != nil {
+	if !r.fleet.isLarge || !r.settings.ProbesAllowed || s.ejection.ejected || search.probeCandidate != nil {
 		return
 	}
 	wait := positionRefreshInterval
-	if lag > 0 || s.replication.probedAt > s.replication.provenAt {
+	if lag > 0 || s.replication.probedAt > s.replication.advancedAt {
 		wait = roundInterval
 	}
 	if r.now >= s.replication.probedAt+wait {
@@ -149,9 +149,9 @@
 	}
 	if search.request.group.weightsDiffer {
 		weight := r.effectiveReadWeight(s)
-		s.turnCredit += weight
+		s.roundRobinCredit += weight
 		search.creditedWeight += weight
-		cost = -s.turnCredit
+		cost = -s.roundRobinCredit
 	}
 	if search.minLag > 0 {
 		cost = s.replication.position.Seconds()
@@ -175,7 +175,7 @@
 	if s.utilization.reportedAt > 0 && r.now-s.utilization.reportedAt < utilizationMaxAge {
 		cost *= 1 + s.utilization.share
 	}
-	if r.pace.largeFleet { // slowStartAllows already limits each pooler to a small share of such a server
+	if r.fleet.isLarge { // slowStartAllows already limits each pooler to a small share of such a server
 		return cost
 	}
 	cost /= r.slowStartWeight(s)
@@ -192,7 +192,7 @@
 func (r *Router) finishSearch(search *replicaSearch) {
 	switch {
 	case search.best != nil:
-		search.best.turnCredit -= search.creditedWeight
+		search.best.roundRobinCredit -= search.creditedWeight
 	case search.probeCandidate != nil:
 		r.probePosition(search.probeCandidate, probeForPosition)
 	}
@@ -212,7 +212,7 @@
 func (r *Router) chooseFallback(req *request) *server {
 	p := req.group.primary
 	if p != nil && r.canTake(req, p) {
-		if !r.pace.largeFleet || p.latency.decayedRatio(r.now) <= congestedLatencyRatio {
+		if !r.fleet.isLarge || p.latency.decayedRatio(r.now) <= congestedLatencyRatio {
 			return p
 		}
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -101,7 +101,7 @@
 	req.add(a)
 	s.outstanding.add(a)
 	if r.inSlowStart(s) {
-		s.slowStart.budget -= float64(r.estimates.of(req).meanLatency)
+		s.slowStart.budget -= float64(r.estimates.forRequest(req).meanLatency)
 	}
 }
 
@@ -117,7 +117,7 @@
 		return nil
 	}
 	if o.Result == OK && !r.inSlowStart(a.server) {
-		r.observeWarmWork(req.classIndex)
+		r.recordWarmRequest(req.classIndex)
 	}
 	req.finish(a, o.Result)
 	a.server.outstanding.finish(a, o.Result, r.now)
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -13,7 +13,7 @@
 	clock
 	settings Settings
 	actions  Actions
-	pace     pace
+	fleet    fleetParameters
 	random   randomSource
 	timers   timerQueue
 	counters reasonCounters
@@ -38,19 +38,19 @@
 	sendDuration time.Duration // the longest time that a send has lately taken, from its choice to its last byte
 }
 
-// pace is what follows from the number of poolers that share the servers and the list service.
-type pace struct {
-	largeFleet      bool          // there are too many poolers for each to ping every primaryPingInterval
+// fleetParameters is what follows from the number of poolers that share the servers and the list service.
+type fleetParameters struct {
+	isLarge         bool          // there are too many poolers for each to ping every primaryPingInterval
 	pingInterval    time.Duration // between two pings of a primary by this pooler
 	minWindow       float64       // the least concurrency window of a server
 	firstPollSpread time.Duration // over which a large fleet spreads its first polls of the list
 	listRetryDelay  time.Duration // the longest wait from a failed poll of the list to the next
 }
 
-func paceFor(s *Settings) pace {
+func fleetParametersFor(s *Settings) fleetParameters {
 	poolers := time.Duration(s.Poolers)
-	p := pace{
-		largeFleet:     s.Poolers > maxSmallFleet,
+	p := fleetParameters{
+		isLarge:        s.Poolers > maxSmallFleet,
 		pingInterval:   primaryPingInterval,
 		minWindow:      min(minFleetWindow/float64(s.Poolers), 1),
 		listRetryDelay: min(max(listPollSpacing*poolers, MaxListRetryDelay/3), MaxListRetryDelay),
@@ -58,7 +58,7 @@
 	if s.MaxPollInterval > 0 {
 		p.listRetryDelay = min(p.listRetryDelay, s.MaxPollInterval/2)
 	}
-	if p.largeFleet {
+	if p.isLarge {
 		p.pingInterval *= poolers
 		p.firstPollSpread = min(listPollSpacing*poolers, MaxFirstPollDelay)
 	}
@@ -97,7 +97,7 @@
 			len(settings.Classes), len(r.settings.Classes))
 	}
 	r.advanceClock(now)
-	oldPace := r.pace
+	oldPace := r.fleet
 	oldGrace := r.settings.DrainGracePeriod
 	if settings.TrackSessions && !r.settings.TrackSessions {
 		r.sessions.untrackedPosition = r.now // the writes until now were not remembered by their sessions
@@ -123,7 +123,7 @@
 	// array.
 	settings.Classes = append(slices.Clip(old), settings.Classes[len(old):]...)
 	r.settings = settings
-	r.pace = paceFor(&r.settings)
+	r.fleet = fleetParametersFor(&r.settings)
 	for i := len(old); i < len(settings.Classes); i++ {
 		r.addClass(i)
 	}
@@ -157,21 +157,21 @@
 
 // rescheduleListPoll brings the first poll forward if the old settings spread it over a longer
 // span.
-func (r *Router) rescheduleListPoll(old pace) {
-	if r.listPollScheduled && r.pace.firstPollSpread < old.firstPollSpread {
+func (r *Router) rescheduleListPoll(old fleetParameters) {
+	if r.listPollScheduled && r.fleet.firstPollSpread < old.firstPollSpread {
 		r.listPollScheduled = false
-		r.scheduleListPoll(r.stagger(r.pace.firstPollSpread))
+		r.scheduleListPoll(r.stagger(r.fleet.firstPollSpread))
 	}
 }
 
 // updateGroupsAfterSettings drops what groups hold by the old settings: their ranking, the pings'
 // interval, and the first round, which may be allowed only now.
-func (r *Router) updateGroupsAfterSettings(old pace) {
+func (r *Router) updateGroupsAfterSettings(old fleetParameters) {
 	for _, g := range r.sortedGroups() {
 		g.ranking.invalidate()
 		g.round.initialTriggered = false
-		if g.ping.scheduled && r.pace.pingInterval != old.pingInterval {
-			r.schedulePing(g, r.pace.pingInterval)
+		if g.ping.scheduled && r.fleet.pingInterval != old.pingInterval {
+			r.schedulePing(g, r.fleet.pingInterval)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 // that drain. A longer grace is for those that drain from now on.
 func (r *Router) updateServersAfterSettings(oldGrace time.Duration) {
 	for _, s := range r.servers.ordered {
-		s.window.size = max(s.window.size, r.pace.minWindow)
+		s.window.size = max(s.window.size, r.fleet.minWindow)
 		if s.sendUntil > 0 {
 			shortened := min(r.settings.DrainGracePeriod-oldGrace, 0)
 			s.sendUntil = max(s.sendUntil+shortened, 1)
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -217,7 +217,7 @@
 	for name, update := range map[string]settingsUpdate{
 		"a server has a part of fewer poolers": {
 			old:   withPoolers(300),
-			holds: func(host *fakeHost) bool { return host.server(2).window.size >= host.router.pace.minWindow },
+			holds: func(host *fakeHost) bool { return host.server(2).window.size >= host.router.fleet.minWindow },
 		},
 		"slow start lasts longer": {
 			next:   func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -9,17 +9,17 @@
 // decisions in the file that the part belongs to.
 type server struct {
 	endpoint
-	role        roleEvidence
-	replication replicationPosition
-	outstanding outstandingAttempts
-	health      serverHealth
-	ejection    ejection
-	latency     serverLatency
-	window      concurrencyWindow
-	pause       overloadPause
-	slowStart   slowStart
-	utilization reportedUtilization
-	turnCredit  float64 // turns that a group with weights owes the server
+	role             roleEvidence
+	replication      replicationPosition
+	outstanding      outstandingAttempts
+	health           serverHealth
+	ejection         ejection
+	latency          serverLatency
+	window           concurrencyWindow
+	pause            overloadPause
+	slowStart        slowStart
+	utilization      reportedUtilization
+	roundRobinCredit float64 // turns that a group with weights owes the server
 }
 
 // endpoint is a server as the endpoint list has it.
@@ -65,7 +65,7 @@
 // replicationPosition is how much of its group's log a server is known to have applied.
 type replicationPosition struct {
 	position      time.Duration // clock time up to which all is applied: a lower bound, never lowered
-	provenAt      time.Duration // when the position was last found to be higher
+	advancedAt    time.Duration // when the position was last found to be higher
 	probedAt      time.Duration // when the server was last asked for its position
 	lagRejectedAt time.Duration // when it last turned a read away as too far behind
 }
@@ -73,7 +73,7 @@
 func (p *replicationPosition) advance(position, now time.Duration) {
 	if position > p.position {
 		p.position = position
-		p.provenAt = now
+		p.advancedAt = now
 	}
 }
 
--- a/internal/policy/timers.go
+++ b/internal/policy/timers.go
@@ -127,7 +127,7 @@
 // jitter returns between half of a wait and all of it in a large fleet, so that its poolers do not
 // act together, and the wait itself in a small one.
 func (r *Router) jitter(wait time.Duration) time.Duration {
-	if r.pace.largeFleet {
+	if r.fleet.isLarge {
 		wait -= time.Duration(r.random.next() * float64(wait/2))
 	}
 	return wait
--- a/internal/policy/write_routing.go
+++ b/internal/policy/write_routing.go
@@ -34,7 +34,7 @@
 	var best *server
 	bestLikelihood := -1
 	for i := range g.members {
-		s := g.members[(g.turnCursor+i)%len(g.members)]
+		s := g.members[(g.roundRobinOffset+i)%len(g.members)]
 		likelihood := primaryLikelihood(s)
 		if s.ejection.ejected || r.mightAnswerStale(req, likelihood) || r.recentlyReportedReplica(s) {
 			continue
