--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -21,8 +21,8 @@
 	AcceptAnswer(now time.Duration, request *Request) bool
 }
 
-// Stamped is a payload that carries the epoch of the shard map to its server.
-type Stamped interface{ Stamp(epoch uint64) }
+// EpochCarrier is a payload that carries the epoch of the shard map to its server.
+type EpochCarrier interface{ Stamp(epoch uint64) }
 
 // Admission is what a Guard says of a request that has come. The zero value passes it.
 type Admission struct {
--- a/internal/fleet/shardmap/guard.go
+++ b/internal/fleet/shardmap/guard.go
@@ -70,7 +70,7 @@
 	if !ok {
 		return dispatch.RejectRequest
 	}
-	if stamped, ok := r.Payload.(dispatch.Stamped); ok {
+	if stamped, ok := r.Payload.(dispatch.EpochCarrier); ok {
 		stamped.Stamp(epoch)
 	}
 	return dispatch.Send
--- a/internal/pooler/mysql/payload.go
+++ b/internal/pooler/mysql/payload.go
@@ -26,7 +26,7 @@
 	epoch     uint64 // of the shard map; 0: none
 }
 
-// Stamp is documented with dispatch.Stamped. A prepared statement's text stays as it was prepared, without an epoch.
+// Stamp is documented with dispatch.EpochCarrier. A prepared statement's text stays as it was prepared, without an epoch.
 func (c *Command) Stamp(epoch uint64) { c.epoch = epoch }
 
 // ForPostgres returns the command as PostgreSQL servers get it. The command may have come while its cluster had no such server, and
--- a/internal/pooler/postgres/frontend.go
+++ b/internal/pooler/postgres/frontend.go
@@ -25,7 +25,7 @@
 	epoch   uint64 // of the shard map; 0: none
 }
 
-// Stamp is documented with dispatch.Stamped.
+// Stamp is documented with dispatch.EpochCarrier.
 func (s *Statement) Stamp(epoch uint64) { s.epoch = epoch }
 
 // textFor returns the query as it is sent when the client waits for so long still.
