--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -22,7 +22,7 @@
 }
 
 // EpochCarrier is a payload that carries the epoch of the shard map to its server.
-type EpochCarrier interface{ Stamp(epoch uint64) }
+type EpochCarrier interface{ SetEpoch(epoch uint64) }
 
 // Admission is what a Guard says of a request that has come. The zero value passes it.
 type Admission struct {
--- a/internal/fleet/shardmap/guard.go
+++ b/internal/fleet/shardmap/guard.go
@@ -71,7 +71,7 @@
 		return dispatch.RejectRequest
 	}
 	if stamped, ok := r.Payload.(dispatch.EpochCarrier); ok {
-		stamped.Stamp(epoch)
+		stamped.SetEpoch(epoch)
 	}
 	return dispatch.Send
 }
--- a/internal/fleet/shardmap/guard_test.go
+++ b/internal/fleet/shardmap/guard_test.go
@@ -11,7 +11,7 @@
 // fakePayload is a payload that keeps the epoch that it is stamped with.
 type fakePayload struct{ epoch uint64 }
 
-func (p *fakePayload) Stamp(epoch uint64) { p.epoch = epoch }
+func (p *fakePayload) SetEpoch(epoch uint64) { p.epoch = epoch }
 
 // guardTest is a guard and its router, for writes of class 1.
 type guardTest struct {
--- a/internal/pooler/mysql/payload.go
+++ b/internal/pooler/mysql/payload.go
@@ -26,8 +26,8 @@
 	epoch     uint64 // of the shard map; 0: none
 }
 
-// Stamp is documented with dispatch.EpochCarrier. A prepared statement's text stays as it was prepared, without an epoch.
-func (c *Command) Stamp(epoch uint64) { c.epoch = epoch }
+// SetEpoch is documented with dispatch.EpochCarrier. A prepared statement's text stays as it was prepared, without an epoch.
+func (c *Command) SetEpoch(epoch uint64) { c.epoch = epoch }
 
 // ForPostgres returns the command as PostgreSQL servers get it. The command may have come while its cluster had no such server, and
 // be sent, after a wait for a primary, when it has one: what can't be translated fails then, before anything is sent.
--- a/internal/pooler/postgres/frontend.go
+++ b/internal/pooler/postgres/frontend.go
@@ -25,8 +25,8 @@
 	epoch   uint64 // of the shard map; 0: none
 }
 
-// Stamp is documented with dispatch.EpochCarrier.
-func (s *Statement) Stamp(epoch uint64) { s.epoch = epoch }
+// SetEpoch is documented with dispatch.EpochCarrier.
+func (s *Statement) SetEpoch(epoch uint64) { s.epoch = epoch }
 
 // textFor returns the query as it is sent when the client waits for so long still.
 func (s *Statement) textFor(left time.Duration) string {
