--- a/internal/dispatch/final_answer.go
+++ b/internal/dispatch/final_answer.go
@@ -109,7 +109,7 @@
 
 func (o *OpenRequest) serve(answer any, server uint32) {
 	final := FinalAnswer{Served: true, Answer: answer}
-	if o.dispatcher.Guarded() {
+	if o.dispatcher.HasGuards() {
 		final.Server = o.dispatcher.servers.name(server)
 	}
 	o.conclude(final, 0)
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -49,13 +49,13 @@
 // AddGuard adds a guard behind those that there are. It must be called before the loop runs.
 func (d *Dispatcher) AddGuard(guard Guard) { d.guards = append(d.guards, guard) }
 
-// Guarded reports whether there is a guard: frontends fill in what only guards read.
-func (d *Dispatcher) Guarded() bool { return len(d.guards) > 0 }
+// HasGuards reports whether there is a guard: frontends fill in what only guards read.
+func (d *Dispatcher) HasGuards() bool { return len(d.guards) > 0 }
 
 // checkSend has the guards decide on an attempt, in their order until one does not let it go.
 func (o *OpenRequest) checkSend(server uint32) SendDecision {
 	d := o.dispatcher
-	if !d.Guarded() {
+	if !d.HasGuards() {
 		return Send
 	}
 	name, now := d.servers.name(server), d.loop.Now()
@@ -80,7 +80,7 @@
 
 // notifyGuards reports a final answer to the guards.
 func (o *OpenRequest) notifyGuards(answer FinalAnswer) {
-	if !o.dispatcher.Guarded() {
+	if !o.dispatcher.HasGuards() {
 		return
 	}
 	answer.ArrivedAt = o.request.ArrivedAt
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -35,7 +35,7 @@
 
 	// Statement is the statement without its comment, and Key the quoted key that it names; "": none. CacheVariant is what
 	// else an answer depends on: a request of equal CacheVariant, Statement, Class and Group may be given the same answer;
-	// "": none may. Frontends set these only where Guarded reports true.
+	// "": none may. Frontends set these only where HasGuards reports true.
 	Statement, Key string
 	CacheVariant   string
 	// WaitedForConnection is set while guards decide on an attempt once more, behind the wait for its connection.
--- a/internal/pooler/mysql/request.go
+++ b/internal/pooler/mysql/request.go
@@ -47,7 +47,7 @@
 	if cm.After > 0 || info.Access == policy.ReadSession {
 		request.Session = comment.Session(cmd.Text)
 	}
-	if s.frontend.dispatcher.Guarded() {
+	if s.frontend.dispatcher.HasGuards() {
 		request.Statement = comment.Bare(cmd.Text)
 		request.Key = comment.QuotedKey(cmd.Text)
 		request.CacheVariant = s.cacheVariant(cmd)
--- a/internal/pooler/postgres/slot.go
+++ b/internal/pooler/postgres/slot.go
@@ -77,7 +77,7 @@
 	if info.Access == policy.ReadSession || info.Access == policy.Write {
 		request.Session = comment.Session(text)
 	}
-	if s.frontend.dispatcher.Guarded() {
+	if s.frontend.dispatcher.HasGuards() {
 		request.Statement = comment.Bare(text)
 		request.Key = comment.QuotedKey(text)
 		request.CacheVariant = "simple" // a session here has no state to set
