--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -136,8 +136,8 @@
 // ClassInfo returns what the settings say of a class.
 func (d *Dispatcher) ClassInfo(class int) policy.Class { return d.settings.Classes[class] }
 
-// LongestDeadline returns the longest total timeout of the classes in the settings.
-func (d *Dispatcher) LongestDeadline() time.Duration {
+// LongestTimeout returns the longest total timeout of the classes in the settings.
+func (d *Dispatcher) LongestTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range d.classes.numbers {
 		longest = max(longest, d.settings.Classes[class].TotalTimeout)
--- a/internal/pooler/shutdown.go
+++ b/internal/pooler/shutdown.go
@@ -53,7 +53,7 @@
 		w.frontend.Drain()
 	}
 	began := w.loop.Now()
-	deadline := began + min(w.dispatcher.LongestDeadline(), maxKillDeadline) + killGrace - shutdownMargin
+	deadline := began + min(w.dispatcher.LongestTimeout(), maxKillDeadline) + killGrace - shutdownMargin
 	w.dispatcher.SetDeadlineLimit(deadline)
 	w.loop.After(drainDelay, func() { w.pollDrain(began, deadline) })
 }
