--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -127,8 +127,8 @@
 // Settings returns the settings in force.
 func (d *Dispatcher) Settings() policy.Settings { return d.settings }
 
-// Class returns the number of a class of the settings by its name.
-func (d *Dispatcher) Class(name string) (class int, found bool) {
+// ClassNumber returns the number of a class of the settings by its name.
+func (d *Dispatcher) ClassNumber(name string) (class int, found bool) {
 	class, found = d.classes.numbers[name]
 	return class, found
 }
--- a/internal/pooler/frontend/request.go
+++ b/internal/pooler/frontend/request.go
@@ -18,7 +18,7 @@
 
 // Class returns the number and the settings of the class that a comment names, once its group is known too.
 func (c *Clients) Class(cm comment.Comment) (int, policy.Class, error) {
-	class, ok := c.dispatcher.Class(cm.Class)
+	class, ok := c.dispatcher.ClassNumber(cm.Class)
 	if !ok {
 		return 0, policy.Class{}, ErrUnknownClass
 	}
