--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -117,7 +117,7 @@
 		onLoop(d, func() {
 			request := &Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: 20 * time.Second,
 				Reply: fakeReplier{make(chan string, 2)}}
-			d.Submit(request).ClientDisconnected()
+			d.Submit(request).HandleDisconnect()
 		})
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -95,8 +95,8 @@
 	return request
 }
 
-// ClientDisconnected reports to the policy that the client has disconnected. No final answer is given any more.
-func (o *OpenRequest) ClientDisconnected() {
+// HandleDisconnect reports to the policy that the client has disconnected. No final answer is given any more.
+func (o *OpenRequest) HandleDisconnect() {
 	if o.ended {
 		return
 	}
@@ -109,7 +109,7 @@
 // its close may not have been reported yet.
 func (o *OpenRequest) isUnwanted() bool {
 	if !o.ended && o.request.Reply.ClientDisconnected() {
-		o.ClientDisconnected()
+		o.HandleDisconnect()
 	}
 	return o.ended
 }
--- a/internal/pooler/mysql/commands.go
+++ b/internal/pooler/mysql/commands.go
@@ -186,7 +186,7 @@
 
 // cancel ends the command in flight. The policy ends its attempt; it may have run, and goes on at a server that has begun it.
 func (s *session) cancel() {
-	s.current.request.ClientDisconnected()
+	s.current.request.HandleDisconnect()
 	code, state := translate.Cancelled.MySQL(s.client.Generation)
 	s.answer(mysql.Append(nil, 1, mysql.Error(code, state, "Query execution was interrupted")))
 }
--- a/internal/pooler/mysql/session.go
+++ b/internal/pooler/mysql/session.go
@@ -155,7 +155,7 @@
 // failRequest answers the command in flight, if there is one.
 func (s *session) failRequest() {
 	if s.current.request != nil {
-		s.current.request.ClientDisconnected()
+		s.current.request.HandleDisconnect()
 		s.Fail()
 	}
 }
@@ -193,7 +193,7 @@
 	}
 	if s.current.request != nil {
 		s.frontend.EndRequest(s.current.requestID)
-		s.current.request.ClientDisconnected()
+		s.current.request.HandleDisconnect()
 	}
 }
 
--- a/internal/pooler/postgres/session.go
+++ b/internal/pooler/postgres/session.go
@@ -191,7 +191,7 @@
 		if w.request == nil || w.answered || w.relayStarted() {
 			continue
 		}
-		w.request.ClientDisconnected() // the policy ends the attempt; it may have run, and goes on at a server that has begun it
+		w.request.HandleDisconnect() // the policy ends the attempt; it may have run, and goes on at a server that has begun it
 		w.complete(pgwire.AppendError(nil, "ERROR", translate.Cancelled.Postgres(), "canceling statement due to user request", ""))
 		return
 	}
--- a/internal/pooler/postgres/slot.go
+++ b/internal/pooler/postgres/slot.go
@@ -145,7 +145,7 @@
 		w.relay.Discard()
 	}
 	if w.request != nil {
-		w.request.ClientDisconnected()
+		w.request.HandleDisconnect()
 		w.releaseRequest()
 	}
 }
