--- a/internal/fleet/coordination/coordination.go
+++ b/internal/fleet/coordination/coordination.go
@@ -41,7 +41,7 @@
 	JournalWriteFailing   bool            // the last record could not be written; filled in by the pooler
 	Traffic               []traffic.Count // with the other poolers and the voters
 	Poolers               int             // considered alive, this one among them
-	Way                   string          // by which shared documents come here: "gossip", "stream", "distributor", or "none" where there is no stream
+	DocumentTransport     string          // by which shared documents come here: "gossip", "stream", "distributor", or "none" where there is no stream
 	Streams               int             // of a distributor: poolers with a stream to it
 	PoolersBehind         int             // of a distributor: of all poolers with a stream anywhere, how many have older documents than their distributor
 	OldestVersion         uint64          // of a distributor: the oldest version in force among them
--- a/internal/fleet/gossip_network.go
+++ b/internal/fleet/gossip_network.go
@@ -62,5 +62,5 @@
 
 func (g gossipNetwork) fillStatus(s *coordination.Status) {
 	s.Poolers = g.Bus().Size()
-	s.Way = wayGossip
+	s.DocumentTransport = wayGossip
 }
--- a/internal/fleet/stream_network.go
+++ b/internal/fleet/stream_network.go
@@ -145,14 +145,14 @@
 	switch {
 	case n.distributor != nil:
 		own, all := n.distributor.Summary()
-		s.Way = wayDistributor
+		s.DocumentTransport = wayDistributor
 		s.Streams = own.Poolers
 		s.PoolersBehind = all.Lagging
 		s.OldestVersion = all.OldestVersion
 	case n.subscriber.Distributor() != "":
-		s.Way = wayStream
+		s.DocumentTransport = wayStream
 	default:
-		s.Way = wayNone
+		s.DocumentTransport = wayNone
 	}
 }
 
--- a/internal/pooler/admin/metrics.go
+++ b/internal/pooler/admin/metrics.go
@@ -27,7 +27,7 @@
 	Holding               bool   // one is held now
 }
 
-// The ways of FleetStatus.Way, each of which has a figure.
+// The ways of FleetStatus.DocumentTransport, each of which has a figure.
 var fleetWays = []string{"gossip", "stream", "distributor", "none"}
 
 // labelled is a value of one of several figures with the same name.
@@ -75,7 +75,7 @@
 	b = admin.AppendFigure(b, "journal_acts_dropped", fleet.JournalRecordsDropped)
 	b = admin.AppendFigure(b, "fleet_poolers", uint64(fleet.Poolers))
 	for _, way := range fleetWays {
-		b = admin.AppendFigure(b, "fleet_way", boolValue(fleet.Way == way), admin.Label{Name: "way", Value: way})
+		b = admin.AppendFigure(b, "fleet_way", boolValue(fleet.DocumentTransport == way), admin.Label{Name: "way", Value: way})
 	}
 	b = admin.AppendFigure(b, "streams", uint64(fleet.Streams))
 	b = admin.AppendFigure(b, "fleet_behind", uint64(fleet.PoolersBehind))
--- a/internal/pooler/admin/stored_test.go
+++ b/internal/pooler/admin/stored_test.go
@@ -16,7 +16,7 @@
 		Lists:   []ListStatus{{Front: "postgres", Generation: 11, Taken: 12, Held: 13, Rejected: 14, Holding: true}, {Front: "mysql", Generation: 15}},
 		Fleet: &FleetStatus{DocumentsVersion: 16, DocumentsAge: 17 * time.Millisecond, ReplicaWriteFailing: true, JournalWriteFailing: true, VoterWriteFailing: true, JournalRecordsDropped: 18,
 			Traffic: []traffic.Count{{Kind: "shared", BytesIn: 19, BytesOut: 20, MessagesIn: 21, MessagesOut: 22}},
-			Poolers: 23, Way: "gossip", Streams: 24, PoolersBehind: 25, OldestVersion: 26}}
+			Poolers: 23, DocumentTransport: "gossip", Streams: 24, PoolersBehind: 25, OldestVersion: 26}}
 }
 
 // The operators' figures keep their names, labels and order.
@@ -25,7 +25,7 @@
 	f := everyFigure()
 	f.Fleet.DocumentsAge, f.Fleet.ReplicaWriteFailing, f.Fleet.JournalWriteFailing, f.Fleet.VoterWriteFailing = -1, false, false, false
 	for _, way := range []string{"stream", "distributor", "none"} {
-		f.Fleet.Way = way
+		f.Fleet.DocumentTransport = way
 		goldentest.Check(t, "figures-"+way+".txt", formatMetrics(f))
 	}
 	goldentest.Check(t, "figures-alone.txt", formatMetrics(Metrics{}))
