--- a/internal/fleet/discoveryleader/fleet_test.go
+++ b/internal/fleet/discoveryleader/fleet_test.go
@@ -121,7 +121,7 @@
 		w.carryOut(n, n.participant.HandleListWanted(w.now))
 		n.listSince = w.now
 	case n.watchOpen && what < 5:
-		w.carryOut(n, n.participant.HandleWatchedList(w.now))
+		w.carryOut(n, n.participant.HandleWatchUpdate(w.now))
 	}
 }
 
--- a/internal/fleet/discoveryleader/participant.go
+++ b/internal/fleet/discoveryleader/participant.go
@@ -172,8 +172,8 @@
 	return p.decide(now)
 }
 
-// HandleWatchedList reports that the own watch has brought a list, or a change of it.
-func (p *Participant) HandleWatchedList(now time.Duration) Actions {
+// HandleWatchUpdate reports that the own watch has brought a list, or a change of it.
+func (p *Participant) HandleWatchUpdate(now time.Duration) Actions {
 	p.watch.delivered = true
 	p.list.addressUnknown = false
 	if token, valid := p.requests.lease.ValidToken(now); valid && token == p.list.newest.Token {
--- a/internal/fleet/discoveryleader/participant_test.go
+++ b/internal/fleet/discoveryleader/participant_test.go
@@ -39,7 +39,7 @@
 var (
 	wanted         = on((*Participant).HandleListWanted)
 	timer          = on((*Participant).HandleTimer)
-	watched        = on((*Participant).HandleWatchedList)
+	watched        = on((*Participant).HandleWatchUpdate)
 	watchFailed    = on((*Participant).HandleWatchFailed)
 	fetchFailed    = on((*Participant).HandleFetchFailed)
 	unknownAddress = on((*Participant).HandleUnknownAddress)
--- a/internal/pooler/list_exchange.go
+++ b/internal/pooler/list_exchange.go
@@ -16,7 +16,7 @@
 // receiveOwnList takes in what the own watch has brought.
 func (d *listLeadership) receiveOwnList(list discovery.List) {
 	d.list = d.list.With(list)
-	actions := d.election.HandleWatchedList(d.loop.Now())
+	actions := d.election.HandleWatchUpdate(d.loop.Now())
 	if actions.Announce.Token == 0 { // else it is recorded as handed on
 		installed := d.election.Installed()
 		d.record(audit.Record{Act: audit.ListApplied, Token: installed.Token, Sequence: installed.Sequence})
@@ -58,7 +58,7 @@
 // fetch requests an announced list. An own agent has whatever counts as notified here: no other pooler's list goes before it.
 func (d *listLeadership) fetch(announcement discoveryleader.Announcement) {
 	if d.watcher.pushed {
-		d.loop.Post(func() { d.carryOut(d.election.HandleWatchedList(d.loop.Now())) })
+		d.loop.Post(func() { d.carryOut(d.election.HandleWatchUpdate(d.loop.Now())) })
 		return
 	}
 	d.fleet.FetchList(announcement)
