--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -6,25 +6,26 @@
 	"threadsail/internal/policy"
 )
 
-// action is something to be done behind a round of events.
-type action interface{ carryOut(d *Dispatcher) }
+// action is a step that is executed at the end of a round of events.
+type action interface{ execute(d *Dispatcher) }
 
-// actionQueue holds what a round of events has led to, in order.
+// actionQueue holds the actions of a round of events in the order in which they were requested.
 type actionQueue []action
 
 func (q *actionQueue) add(a action) { *q = append(*q, a) }
 
-// carryOutActions carries out what is queued, and what is queued meanwhile. The loop calls it behind each round of events.
-func (d *Dispatcher) carryOutActions() {
+// executeActions executes the queued actions, including those that are queued while it runs. The loop calls it at the end of
+// each round of events.
+func (d *Dispatcher) executeActions() {
 	for i := 0; i < len(d.actions); i++ {
-		d.actions[i].carryOut(d)
+		d.actions[i].execute(d)
 		d.actions[i] = nil
 	}
 	d.actions = d.actions[:0]
 }
 
-// policyActions is the Dispatcher as its policy sees it. What the policy asks for is queued, as the policy must not be
-// called from within.
+// policyActions implements policy.Actions on a Dispatcher. It queues what the policy requests, because the actions may call
+// the policy, which must not be re-entered.
 type policyActions Dispatcher
 
 // Attempt queues an attempt at a server.
@@ -35,28 +36,28 @@
 	p.actions.add(sendAttempt{request: id, server: server, timeout: timeout, chosenAt: p.loop.Now()})
 }
 
-// Reject queues the final answer that invites a retry.
-func (p *policyActions) Reject(id uint32, after time.Duration) {
-	p.actions.add(concludeRequest{request: id, rejected: true, retryAfter: after})
+// Reject queues the rejection of a request. The client may retry, after retryAfter if that is not 0.
+func (p *policyActions) Reject(id uint32, retryAfter time.Duration) {
+	p.actions.add(concludeRequest{request: id, rejected: true, retryAfter: retryAfter})
 }
 
-// Fail queues the final answer that promises nothing.
+// Fail queues the failure of a request, which may have been executed.
 func (p *policyActions) Fail(id uint32) { p.actions.add(concludeRequest{request: id}) }
 
-// CancelAttempt queues the end of an attempt that is not waited for any more.
-func (p *policyActions) CancelAttempt(id uint32, number int) {
-	p.actions.add(cancelAttempt{request: id, attempt: number})
+// CancelAttempt queues the cancellation of an attempt whose outcome is no longer needed.
+func (p *policyActions) CancelAttempt(id uint32, attempt int) {
+	p.actions.add(cancelAttempt{request: id, attempt: attempt})
 }
 
-// Probe queues a health check.
+// Probe queues a health check of a server.
 func (p *policyActions) Probe(server uint32) { p.actions.add(probeServer{server: server}) }
 
-// SetTimer has the policy called after a time.
-func (p *policyActions) SetTimer(after time.Duration) {
-	p.loop.After(after, func() { p.router.HandleTimer(p.loop.Now()) })
+// SetTimer schedules a call of the policy's HandleTimer after a delay.
+func (p *policyActions) SetTimer(delay time.Duration) {
+	p.loop.After(delay, func() { p.router.HandleTimer(p.loop.Now()) })
 }
 
-// CloseIdleConnections queues that idle connections to a server are closed.
+// CloseIdleConnections queues the closing of the idle connections to a server.
 func (p *policyActions) CloseIdleConnections(server uint32) {
 	p.actions.add(closeIdleConnections{server: server})
 }
@@ -64,25 +65,25 @@
 // WatchList queues a subscription to the list of servers.
 func (p *policyActions) WatchList() { p.actions.add(watchList{}) }
 
-// PrimaryChanged logs an event of a group's primary and queues it for each observer.
+// PrimaryChanged logs a change of a group's primary and queues a notification of each observer.
 func (p *policyActions) PrimaryChanged(event policy.PrimaryEvent) {
-	if text := event.LogText(); text != "" {
-		p.Log(text)
+	if line := event.LogText(); line != "" {
+		p.Log(line)
 	}
 	for _, observer := range p.primaryObservers {
 		p.actions.add(notifyPrimary{observer: observer, event: event})
 	}
 }
 
-// Log writes a line at once.
-func (p *policyActions) Log(text string) { p.log(text) }
+// Log writes a line to the log immediately, without queueing it.
+func (p *policyActions) Log(line string) { p.log(line) }
 
 type sendAttempt struct {
 	request, server   uint32
 	timeout, chosenAt time.Duration
 }
 
-func (a sendAttempt) carryOut(d *Dispatcher) {
+func (a sendAttempt) execute(d *Dispatcher) {
 	if o := d.requests.open[a.request]; o != nil {
 		o.queuedAttempts--
 		o.startAttempt(a.server, a.timeout, a.chosenAt)
@@ -91,11 +92,11 @@
 
 type concludeRequest struct {
 	request    uint32
-	rejected   bool // else failed
+	rejected   bool // false: the request fails
 	retryAfter time.Duration
 }
 
-func (a concludeRequest) carryOut(d *Dispatcher) {
+func (a concludeRequest) execute(d *Dispatcher) {
 	d.concludeByPolicy(a.request, FinalAnswer{Rejected: a.rejected}, a.retryAfter)
 }
 
@@ -104,7 +105,7 @@
 	attempt int
 }
 
-func (a cancelAttempt) carryOut(d *Dispatcher) {
+func (a cancelAttempt) execute(d *Dispatcher) {
 	if attempt := d.requests.attempt(a.request, a.attempt); attempt != nil {
 		attempt.abort()
 		attempt.endLater(policy.Cancelled)
@@ -113,11 +114,11 @@
 
 type probeServer struct{ server uint32 }
 
-func (a probeServer) carryOut(d *Dispatcher) { d.startHealthCheck(a.server) }
+func (a probeServer) execute(d *Dispatcher) { d.startHealthCheck(a.server) }
 
 type closeIdleConnections struct{ server uint32 }
 
-func (a closeIdleConnections) carryOut(d *Dispatcher) {
+func (a closeIdleConnections) execute(d *Dispatcher) {
 	if address := d.servers.addresses[a.server]; address != "" {
 		d.backend.CloseIdle(address)
 	}
@@ -125,13 +126,13 @@
 
 type watchList struct{}
 
-func (watchList) carryOut(d *Dispatcher) { d.watch() }
+func (watchList) execute(d *Dispatcher) { d.watch() }
 
 type notifyPrimary struct {
 	observer PrimaryObserver
 	event    policy.PrimaryEvent
 }
 
-func (a notifyPrimary) carryOut(d *Dispatcher) {
+func (a notifyPrimary) execute(d *Dispatcher) {
 	a.observer(a.event.Kind, a.event.Group, d.servers.name(a.event.Server), a.event.AsOf)
 }
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,18 +6,18 @@
 	"threadsail/internal/policy"
 )
 
-// admission decides which requests the policy is to hear of at all, beside the guards.
+// admission rejects requests before the guards and the policy see them, and caps the deadlines of the others.
 type admission struct {
-	maxOpen        int
-	writesRejected bool          // the pooler acts on settings that its fleet has left behind
-	deadlineLimit  time.Duration // Unix time by which all later requests must have their answers; 0: none
+	maxOpen        int           // open requests above which further ones are rejected
+	writesRejected bool          // the pooler's settings are older than its fleet allows
+	deadlineLimit  time.Duration // Unix time, the latest deadline of requests submitted from now on; 0: no limit
 }
 
-// SetWritesAllowed has writes admitted, or rejected at once with the retry time that the settings allow. Writes that have
-// been admitted are carried on.
+// SetWritesAllowed sets whether writes are admitted. If not, they are rejected immediately, with the retry delay of the
+// settings. Writes that have already been admitted continue.
 func (d *Dispatcher) SetWritesAllowed(allowed bool) { d.admission.writesRejected = !allowed }
 
-// SetDeadlineLimit caps the deadline of every later request at the Unix time limit; 0 lifts the cap.
+// SetDeadlineLimit caps the deadlines of requests submitted from now on at the Unix time limit; 0 removes the cap.
 func (d *Dispatcher) SetDeadlineLimit(limit time.Duration) { d.admission.deadlineLimit = limit }
 
 func (a *admission) limitDeadline(deadline time.Duration) time.Duration {
@@ -27,28 +27,28 @@
 	return deadline
 }
 
-// rejects reports whether a request is rejected whatever the guards say.
+// rejects reports whether a request is rejected without consulting the guards.
 func (a *admission) rejects(open int, class *policy.Class) bool {
 	return open >= a.maxOpen || a.writesRejected && class.Access == policy.Write
 }
 
-// admit reports whether the policy is to hear of a request. If not, its answer is under way.
+// admit reports whether a request is passed to the policy. If not, admit has queued the request's final answer.
 func (d *Dispatcher) admit(o *OpenRequest, now time.Duration) bool {
 	if d.admission.rejects(len(d.requests.open), &d.settings.Classes[o.request.Class]) {
 		o.answerUnadmitted(FinalAnswer{Rejected: true}, d.retryAfter())
 		return false
 	}
 	for _, guard := range d.guards {
-		admission := guard.Admit(now, o.request)
-		if admission.Reroute {
-			o.request.Group = admission.Group
+		decision := guard.Admit(now, o.request)
+		if decision.Reroute {
+			o.request.Group = decision.Group
 		}
 		switch {
-		case admission.Answer != nil:
-			o.answerUnadmitted(FinalAnswer{Served: true, Answer: admission.Answer}, 0)
+		case decision.Answer != nil:
+			o.answerUnadmitted(FinalAnswer{Served: true, Answer: decision.Answer}, 0)
 			return false
-		case admission.Reject:
-			o.answerUnadmitted(FinalAnswer{Rejected: true}, admission.RetryAfter)
+		case decision.Reject:
+			o.answerUnadmitted(FinalAnswer{Rejected: true}, decision.RetryAfter)
 			return false
 		}
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -6,20 +6,21 @@
 	"threadsail/internal/policy"
 )
 
-// attempt is one send of a request to a server. It is in flight from startAttempt until its end, which comes once: by the
-// backend, by its time-out, or from here where it was never sent.
+// attempt is one forwarding of a request to a server. It is in flight from startAttempt until end, which takes effect once:
+// called by the backend, by the attempt's timeout, or by the dispatcher if the request was never sent.
 type attempt struct {
 	request   *OpenRequest
-	number    int // 0, 1, 2, in the order of the sends
+	number    int // counts the attempts of the request from 0
 	server    uint32
 	startedAt time.Duration
-	allowedAt time.Duration // when the policy last said that it may go to its server
-	call      Call          // nil: never sent
+	allowedAt time.Duration // when the policy last allowed it to be sent to its server
+	call      Call          // nil: never handed to the backend
 	timeout   *Timer
 }
 
-// startAttempt sends a request to a server, as the policy chose at chosenAt. The time-out closes the connection before the
-// policy hears of it, so that no second attempt can meet the first. timeout 0 leaves all the time of the request.
+// startAttempt sends a request to the server that the policy chose at chosenAt. On timeout, the connection is closed before
+// the policy is notified, so that a second attempt can't overlap with the first. A timeout of 0 stands for the time left until
+// the request's deadline.
 func (o *OpenRequest) startAttempt(server uint32, timeout, chosenAt time.Duration) {
 	d, now := o.dispatcher, o.dispatcher.loop.Now()
 	deadline := o.deadline
@@ -30,7 +31,7 @@
 	o.attemptCount++
 	o.inFlight[a.number] = a
 	address := d.servers.addresses[server]
-	if o.isUnwanted() || deadline <= now || address == "" {
+	if o.checkEnded() || deadline <= now || address == "" {
 		a.endLater(policy.NotSent)
 		return
 	}
@@ -50,10 +51,10 @@
 	a.timeout = d.loop.At(deadline, a.timedOut)
 }
 
-// stillAllowed reports whether a request that had to wait for its connection may be written now.
+// stillAllowed reports whether a request may still be written after waiting for its connection.
 func (a *attempt) stillAllowed() bool {
 	o, d := a.request, a.request.dispatcher
-	if o.isUnwanted() {
+	if o.checkEnded() {
 		a.end(AttemptResult{Result: policy.NotSent})
 		return false
 	}
@@ -74,7 +75,7 @@
 	return true
 }
 
-// sent takes in that the last byte of the request has gone out.
+// sent records that the last byte of the request has been written.
 func (a *attempt) sent() {
 	d := a.request.dispatcher
 	a.request.counters.Attempts++
@@ -93,13 +94,13 @@
 	}
 }
 
-// endLater ends the attempt in the next round of events.
+// endLater posts the end of the attempt to the loop's next round of events.
 func (a *attempt) endLater(result policy.Result) {
 	a.request.dispatcher.loop.Post(func() { a.end(AttemptResult{Result: result}) })
 }
 
-// end takes in the end of the attempt, gives the client its answer if there is one, and reports to the policy. Only the
-// first end counts.
+// end removes the attempt from those in flight, passes an answer on to the client, and reports the outcome to the policy. Only
+// the first call has an effect.
 func (a *attempt) end(result AttemptResult) {
 	o, d := a.request, a.request.dispatcher
 	if o.inFlight[a.number] == nil {
@@ -111,7 +112,7 @@
 	if d.outcomeObserver != nil {
 		o.observeOutcome(a, result.Result)
 	}
-	o.takeAnswer(result, a.server)
+	o.handleAnswer(result, a.server)
 	d.router.HandleOutcome(d.loop.Now(), policy.Outcome{
 		RequestID:   o.id,
 		Attempt:     a.number,
--- a/internal/dispatch/backend.go
+++ b/internal/dispatch/backend.go
@@ -6,13 +6,13 @@
 	"threadsail/internal/policy"
 )
 
-// Backend reaches the servers. Its methods are called on the loop and must not wait. Send and Probe report the end once, on
-// the loop and after they have returned. A request that had to wait for its connection is written only if
-// AttemptCallbacks.StillAllowed says so; else it has ended as policy.Misdirected.
+// Backend sends attempts and probes to servers. Its methods are called on the loop and must not block. Send and Probe report
+// the result once, on the loop and after they have returned. A request that had to wait for its connection is written only if
+// AttemptCallbacks.StillAllowed returns true; otherwise the attempt ends with policy.Misdirected.
 type Backend interface {
-	// Send sends a request's payload to a server, which has the time left to answer.
+	// Send sends a request's payload to a server. The server must answer within the duration left.
 	Send(address string, payload any, left time.Duration, callbacks AttemptCallbacks) Call
-	// Probe checks a server.
+	// Probe sends a health check to a server.
 	Probe(address string, done func(AttemptResult)) Call
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(address string)
@@ -20,42 +20,43 @@
 
 // Call is an attempt or a probe in progress.
 type Call interface {
-	// Abort closes the connection; the end is reported no more.
+	// Abort closes the connection. The result is no longer reported.
 	Abort()
 }
 
-// AttemptCallbacks is the Dispatcher's side of an attempt. A Backend calls all of it on the loop.
+// AttemptCallbacks are the functions by which a Backend reports the progress of an attempt. It calls them on the loop.
 type AttemptCallbacks struct {
 	StillAllowed func() bool         // called before a request that had to wait for its connection is written
-	Sent         func()              // its last byte has gone out
-	Done         func(AttemptResult) // its end, once
+	Sent         func()              // called when the last byte of the request has been written
+	Done         func(AttemptResult) // called once, when the attempt has ended
 }
 
-// AttemptResult is the end of an attempt or a probe, as the Backend saw it.
+// AttemptResult is the result of an attempt or a probe, as the Backend reports it.
 type AttemptResult struct {
 	Result      policy.Result
-	Answer      any // of an attempt: what Replier.Serve takes; a Stream where the answer is passed on while it comes
+	Answer      any // of an attempt: the argument of Replier.Serve; a Stream if the answer is forwarded while it arrives
 	Role        policy.Role
 	HasPosition bool
 	Position    time.Duration
 	Status      policy.ServerStatus
-	Broken      bool // the connection had come up, and broke
+	Broken      bool // the connection broke after it had been established
 }
 
-// Stream is an answer that is passed on while it still comes. It is the final answer of its request from its beginning on.
+// Stream is an answer that is forwarded to the client while it still arrives. Once it has begun, it is the final answer of its
+// request.
 type Stream interface {
-	// OnEnd has f called on the loop at the end of the stream.
+	// OnEnd sets the function that is called on the loop when the stream ends.
 	OnEnd(f func(StreamEnd))
-	// Discard ends a stream that nobody waits for.
+	// Discard ends a stream that is not forwarded to any client.
 	Discard()
-	// Abort ends a stream whose time is over, so that its client can tell.
+	// Abort ends a stream whose request has reached its deadline. The client can tell that the answer is incomplete.
 	Abort()
 }
 
-// StreamEnd is how a stream ends.
+// StreamEnd is the way in which a stream ended.
 type StreamEnd uint8
 
-// The ends of a stream.
+// The values of StreamEnd.
 const (
 	StreamComplete StreamEnd = iota
 	StreamBroken
--- a/internal/dispatch/class_registry.go
+++ b/internal/dispatch/class_registry.go
@@ -6,34 +6,35 @@
 	"threadsail/internal/policy"
 )
 
-// classRegistry numbers classes of requests. A number stands for the same class for good, as open requests and the policy
-// refer to it: a class that has changed gets another number, and one that comes back has the number that it had.
+// classRegistry assigns numbers to classes of requests. A number is never reused for a different class, because open requests
+// and the policy refer to it: a class that has changed gets a new number, and one that is restored gets its old number back.
 type classRegistry struct {
-	table      []policy.Class // by number; grows only
-	numbers    map[string]int // by name: the classes of the settings in force
-	withoutKey map[int]int    // of a class that is idempotent by key: the one for its requests that carry no key
+	table      []policy.Class // indexed by number; never shrinks
+	numbers    map[string]int // numbers of the classes in the current settings, by name
+	withoutKey map[int]int    // maps a class that is idempotent by key to the class of its requests that carry no key
 }
 
 func newClassRegistry() classRegistry {
 	return classRegistry{numbers: map[string]int{}, withoutKey: map[int]int{}}
 }
 
-// register numbers the classes of new settings, which replace those of the earlier ones.
+// register assigns numbers to the classes of new settings and drops the names of earlier settings.
 func (r *classRegistry) register(classes []policy.Class) {
 	clear(r.numbers)
 	for _, class := range classes {
-		number := r.number(class)
+		number := r.assignNumber(class)
 		r.numbers[class.Name] = number
 		if class.Idempotency == policy.IdempotentByKey {
-			// Without a key nobody drops a repeat: such a request must not run twice at all.
+			// Without a key the server can't deduplicate a repeat, so such a request must not run twice.
 			class.Idempotency = policy.NotIdempotent
 			class.Name += " without a key"
-			r.withoutKey[number] = r.number(class)
+			r.withoutKey[number] = r.assignNumber(class)
 		}
 	}
 }
 
-func (r *classRegistry) number(class policy.Class) int {
+// assignNumber returns the number of a class, and appends the class to the table if it is not there yet.
+func (r *classRegistry) assignNumber(class policy.Class) int {
 	number := slices.Index(r.table, class)
 	if number < 0 {
 		number = len(r.table)
@@ -42,8 +43,8 @@
 	return number
 }
 
-// effective is the class by which the policy treats a request.
-func (r *classRegistry) effective(request *Request) int {
+// effectiveClass returns the number of the class under which the policy handles a request.
+func (r *classRegistry) effectiveClass(request *Request) int {
 	if number, ok := r.withoutKey[request.Class]; ok && !request.HasIdempotencyKey {
 		return number
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,17 +1,17 @@
-// Package dispatch carries out what the load-balancing policy decides. A Dispatcher owns one policy.Router, the requests
-// that are open, their attempts, the timers and the clock. It decides nothing itself but whether a request is admitted at
-// all, and it knows no wire protocol: frontends submit requests and pass the answers on to clients, and a Backend sends
-// attempts and probes to the servers.
+// Package dispatch executes the decisions of the load-balancing policy. A Dispatcher owns one policy.Router, the open requests,
+// their attempts, the timers and the clock. Its only own decision is whether a request is admitted, and it knows no wire
+// protocol: frontends submit requests and forward the answers to clients, and a Backend sends attempts and probes to the
+// servers.
 //
-// The way of a request:
+// A request passes through these functions:
 //
-//	Submit            (request.go)       admits it and hands it to the policy
-//	policyActions     (actions.go)       queues what the policy asks for
-//	startAttempt      (attempt.go)       sends it to a server
-//	attempt.end       (attempt.go)       takes in the end of the attempt, and reports it to the policy
-//	OpenRequest.serve, reject, fail      (final_answer.go) answer the client, once
+//	Submit                   (request.go)       admits the request and passes it to the policy
+//	policyActions            (actions.go)       queues the actions that the policy requests
+//	startAttempt             (attempt.go)       sends the request to a server
+//	attempt.end              (attempt.go)       handles the end of the attempt and reports it to the policy
+//	conclude, serveStream    (final_answer.go)  answer the client, once
 //
-// All of a Dispatcher runs on the goroutine of its EventLoop: unless a method says otherwise, it must be called there.
+// A Dispatcher runs on the goroutine of its EventLoop. Its methods must be called there unless documented otherwise.
 package dispatch
 
 import (
@@ -22,22 +22,22 @@
 	"threadsail/internal/policy"
 )
 
-// Options is what a Dispatcher needs.
+// Options configures a Dispatcher.
 type Options struct {
 	Settings     policy.Settings
 	Seed         uint64
-	MaxOpen      int           // open requests; further ones are rejected
-	ProbeTimeout time.Duration // of a health check, once it is connected
-	Watch        func()        // subscribes to the list of servers; its end is reported as policy.ListFailed
-	Log          func(string)
+	MaxOpen      int           // maximum number of open requests; further ones are rejected
+	ProbeTimeout time.Duration // timeout of a health check, from when it is connected
+	Watch        func()        // subscribes to the list of servers; the caller reports its end as policy.ListFailed
+	Log          func(string)  // writes a line to the log
 }
 
-// Dispatcher carries the policy's decisions out.
+// Dispatcher executes the policy's decisions on the requests of its frontends.
 type Dispatcher struct {
 	loop         *EventLoop
 	backend      Backend
 	router       *policy.Router
-	settings     policy.Settings // those in force, with the classes as the registry numbers them
+	settings     policy.Settings // current settings; Classes is the table of the class registry
 	probeTimeout time.Duration
 	watch        func()
 	log          func(string)
@@ -53,7 +53,7 @@
 	extensions
 }
 
-// extensions is what the pooler and its fleet have added before the loop runs.
+// extensions holds the gate, guards and observers that the pooler and its fleet add before the loop runs.
 type extensions struct {
 	connectionGate   ConnectionGate // nil: none
 	guards           []Guard
@@ -61,7 +61,8 @@
 	outcomeObserver  OutcomeObserver // nil: none
 }
 
-// New returns a Dispatcher that runs on a loop. One loop has one Dispatcher.
+// New returns a Dispatcher that runs on a loop. A loop must have only one Dispatcher. New returns an error if the settings are
+// invalid.
 func New(loop *EventLoop, backend Backend, options Options) (*Dispatcher, error) {
 	d := &Dispatcher{
 		loop:         loop,
@@ -80,11 +81,12 @@
 		return nil, err
 	}
 	d.router = router
-	loop.endOfRound = d.carryOutActions
+	loop.endOfRound = d.executeActions
 	return d, nil
 }
 
-// UpdateSettings puts new settings in force. Requests that are open keep their class. Settings that are invalid change nothing.
+// UpdateSettings replaces the settings. Open requests keep their class. If the settings are invalid, it changes nothing and
+// returns an error.
 func (d *Dispatcher) UpdateSettings(settings policy.Settings, maxOpen int, probeTimeout time.Duration) error {
 	if err := settings.Validate(); err != nil {
 		return err
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// removeUnlisted removes the servers that have left the list while removal was ignored.
+// removeUnlisted removes the servers that left the list while removal was ignored.
 func (d *Dispatcher) removeUnlisted() {
 	var removed []Member
 	for name, id := range d.servers.ids {
@@ -114,29 +116,29 @@
 	d.ApplyList(policy.ListDelta, removed)
 }
 
-// applySettings numbers the classes of new settings, and keeps the settings with all classes that have a number.
+// applySettings registers the classes of new settings, and stores the settings with all classes registered so far.
 func (d *Dispatcher) applySettings(settings policy.Settings) {
 	d.classes.register(settings.Classes)
 	for _, class := range settings.Classes {
-		d.counters.of(class.Name) // shown from the start
+		d.counters.forClass(class.Name) // reported before the class has its first request
 	}
 	d.settings = settings
 	d.settings.Classes = d.classes.table
 }
 
-// Settings returns the settings in force.
+// Settings returns the current settings.
 func (d *Dispatcher) Settings() policy.Settings { return d.settings }
 
-// ClassNumber returns the number of a class of the settings by its name.
+// ClassNumber returns the number of the class with a name in the current settings.
 func (d *Dispatcher) ClassNumber(name string) (class int, found bool) {
 	class, found = d.classes.numbers[name]
 	return class, found
 }
 
-// ClassInfo returns what the settings say of a class.
+// ClassInfo returns the definition of the class with a number.
 func (d *Dispatcher) ClassInfo(class int) policy.Class { return d.settings.Classes[class] }
 
-// LongestTimeout returns the longest total timeout of the classes in the settings.
+// LongestTimeout returns the longest total timeout of the classes in the current settings.
 func (d *Dispatcher) LongestTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range d.classes.numbers {
@@ -145,7 +147,7 @@
 	return longest
 }
 
-// retryAfter is the time that is sent to a client whose request is rejected here; 0: none.
+// retryAfter returns the retry delay that is sent with a rejection by the dispatcher itself; 0 means none.
 func (d *Dispatcher) retryAfter() time.Duration {
 	if !d.settings.RetryAfterSupported {
 		return 0
--- a/internal/dispatch/drain_reserve.go
+++ b/internal/dispatch/drain_reserve.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// sendMemory is how long a send is remembered at the least, and twice that at the most: a machine that was too busy a moment
-// ago may be so again.
-const sendMemory = 5 * time.Second
+// sendWindow is the length of a window over which the longest send is measured. A send counts in its window and the one after,
+// since a machine that was overloaded a moment ago may be so again.
+const sendWindow = 5 * time.Second
 
-// drainReserve computes how much of a drain's grace period has to stay unused: the longest time that a send has lately taken
-// from its choice to its last byte, or, for the length of a grace period, the delay of a list. Its times are Unix times on
-// the loop's clock. It belongs to the loop.
+// drainReserve computes the part of a drain's grace period that must stay unused: the longest time that a recent send took
+// from the choice of the server to its last byte, or the delay of a list received within the last grace period if that is
+// longer. Its times are Unix times on the loop's clock. It is used on the loop only.
 type drainReserve struct {
-	longestNow, longestBefore time.Duration // the longest send of this span, and of the span before
-	spanEnd                   time.Duration
-	listDelay                 time.Duration // from a list's announcement until it came here
-	listDelayUntil            time.Duration // to which that counts
+	currentLongest, previousLongest time.Duration // the longest send of the current window and of the previous one
+	windowEnd                       time.Duration // of the current window
+	listDelay                       time.Duration // from the announcement of a list to its arrival
+	listDelayExpiresAt              time.Duration // when listDelay no longer counts
 }
 
-// observeSend takes in that the last byte of a request has gone out now, which was allowed to go at allowedAt.
+// observeSend records that the last byte of a request that was allowed to be sent at allowedAt has been written.
 func (r *drainReserve) observeSend(now, allowedAt time.Duration) {
 	r.rotate(now)
-	r.longestNow = max(r.longestNow, now-allowedAt)
+	r.currentLongest = max(r.currentLongest, now-allowedAt)
 }
 
-// observeListDelay takes in a list that may have counted as announced since notifiedAt, where a drain has a grace period.
-func (r *drainReserve) observeListDelay(now, notifiedAt, grace time.Duration) {
-	if now >= r.listDelayUntil || now-notifiedAt >= r.listDelay {
+// observeListDelay records a list that may have been announced as early as notifiedAt. Its delay counts for a grace period, or
+// until a list has at least the same delay.
+func (r *drainReserve) observeListDelay(now, notifiedAt, gracePeriod time.Duration) {
+	if now >= r.listDelayExpiresAt || now-notifiedAt >= r.listDelay {
 		r.listDelay = now - notifiedAt
-		r.listDelayUntil = now + grace
+		r.listDelayExpiresAt = now + gracePeriod
 	}
 }
 
-// required returns what has to stay unused now.
+// required returns the part of a grace period that must stay unused.
 func (r *drainReserve) required(now time.Duration) time.Duration {
 	r.rotate(now)
-	reserve := max(r.longestNow, r.longestBefore)
-	if now < r.listDelayUntil {
+	reserve := max(r.currentLongest, r.previousLongest)
+	if now < r.listDelayExpiresAt {
 		reserve = max(reserve, r.listDelay)
 	}
 	return reserve
 }
 
-// rotate begins a new span once the present one is over.
+// rotate starts a new window if the current one has ended.
 func (r *drainReserve) rotate(now time.Duration) {
-	if now < r.spanEnd {
+	if now < r.windowEnd {
 		return
 	}
-	r.longestBefore = r.longestNow
-	if now >= r.spanEnd+sendMemory { // nothing was sent for all of a span
-		r.longestBefore = 0
+	r.previousLongest = r.currentLongest
+	if now >= r.windowEnd+sendWindow { // no send was observed for a whole window
+		r.previousLongest = 0
 	}
-	r.longestNow = 0
-	r.spanEnd = now + sendMemory
+	r.currentLongest = 0
+	r.windowEnd = now + sendWindow
 }
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// idleWait is how long the loop sleeps at the most.
-const idleWait = time.Hour
+// maxSleep is the longest time for which the loop sleeps without an event or a timer.
+const maxSleep = time.Hour
 
-// EventLoop is the one goroutine that a Dispatcher, its frontends and its backend run on. It works in rounds: all events that
-// are ready, then the timers that are due, then what these have led to. Its clock is the wall time at the start plus the
-// monotonic time since: it never steps, and compares with positions on sockets, which are Unix times.
+// EventLoop runs a Dispatcher, its frontends and its backend on one goroutine. It works in rounds: it runs the queued events,
+// then the timers that are due, then the actions that these have requested. Its clock is the wall time at the start plus the
+// monotonic time elapsed since: it never steps, and is comparable with the positions that servers send, which are Unix times.
 type EventLoop struct {
 	start      time.Time
 	startUnix  time.Duration
 	wake       chan struct{}
 	timers     timerHeap
-	sequence   uint64 // of the latest timer
-	endOfRound func() // carries out what a round of events has led to
+	sequence   uint64 // sequence number of the timer set last
+	endOfRound func() // executes the actions that a round has requested
 	stopped    bool
 
 	mu    sync.Mutex // guards queue
 	queue []func()
 }
 
-// NewEventLoop returns a loop whose clock runs.
+// NewEventLoop returns a loop that is not running yet. Its clock has already started.
 func NewEventLoop() *EventLoop {
 	now := time.Now()
 	return &EventLoop{start: now, startUnix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1), endOfRound: func() {}}
@@ -34,7 +34,7 @@
 // Now returns the time since the Unix epoch. It may be called from any goroutine.
 func (l *EventLoop) Now() time.Duration { return l.startUnix + time.Since(l.start) }
 
-// Post hands an event to the loop. It may be called from any goroutine.
+// Post queues an event, which the loop calls in a later round. It does not block and may be called from any goroutine.
 func (l *EventLoop) Post(event func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, event)
@@ -45,7 +45,7 @@
 	}
 }
 
-// At calls f on the loop at a Unix time. It must be called on the loop, or before Run.
+// At schedules a call of f on the loop at a Unix time. It must be called on the loop, or before Run.
 func (l *EventLoop) At(at time.Duration, f func()) *Timer {
 	l.sequence++
 	timer := &Timer{at: at, sequence: l.sequence, callback: f}
@@ -53,15 +53,15 @@
 	return timer
 }
 
-// After calls f on the loop after a time. It must be called on the loop, or before Run.
+// After schedules a call of f on the loop after the duration d. It must be called on the loop, or before Run.
 func (l *EventLoop) After(d time.Duration, f func()) *Timer { return l.At(l.Now()+d, f) }
 
-// Stop ends Run after the round under way. It may be called from any goroutine.
+// Stop makes Run return at the end of a round. It does not block and may be called from any goroutine.
 func (l *EventLoop) Stop() { l.Post(func() { l.stopped = true }) }
 
-// Run runs rounds on the calling goroutine until Stop.
+// Run runs the loop on the calling goroutine. It blocks until Stop is called.
 func (l *EventLoop) Run() {
-	sleep := time.NewTimer(idleWait)
+	sleep := time.NewTimer(maxSleep)
 	defer sleep.Stop()
 	var events []func()
 	for !l.stopped {
@@ -78,12 +78,12 @@
 	}
 }
 
-// takeEvents returns what is queued, and leaves the space of the events before for the next ones.
-func (l *EventLoop) takeEvents(before []func()) []func() {
+// takeEvents returns the queued events, and reuses the slice of the processed ones as the new queue.
+func (l *EventLoop) takeEvents(processed []func()) []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events := l.queue
-	l.queue = before[:0]
+	l.queue = processed[:0]
 	return events
 }
 
@@ -93,7 +93,7 @@
 	return len(l.queue) > 0
 }
 
-// fireTimers calls all timers that are due now.
+// fireTimers calls the callbacks of all timers that are due.
 func (l *EventLoop) fireTimers() {
 	now := l.Now()
 	for len(l.timers) > 0 && (l.timers[0].stopped || l.timers[0].at <= now) {
@@ -106,9 +106,9 @@
 	}
 }
 
-// wait sleeps until an event comes or a timer is due.
+// wait blocks until an event is posted or a timer is due.
 func (l *EventLoop) wait(sleep *time.Timer) {
-	wait := idleWait
+	wait := maxSleep
 	if len(l.timers) > 0 {
 		wait = l.timers[0].at - l.Now()
 	}
--- a/internal/dispatch/final_answer.go
+++ b/internal/dispatch/final_answer.go
@@ -9,20 +9,20 @@
 // FinalAnswer is a request's final answer.
 type FinalAnswer struct {
 	Served             bool
-	Rejected           bool // neither: failed
-	Answer             any  // of a served one; guards see nil where it was passed on as it came
-	Server             string
-	ArrivedAt, EndedAt time.Duration // Unix times, of the request's last byte and of the answer; only guards see them
+	Rejected           bool          // if neither Served nor Rejected is set, the request failed
+	Answer             any           // content of a served answer; nil for guards if the answer was streamed to the client
+	Server             string        // name of the server that served the request; set only if there are guards
+	ArrivedAt, EndedAt time.Duration // Unix times of the request's last byte and of the final answer; set only for guards
 }
 
-// answerClient passes a final answer on.
+// answerClient is the action that delivers a final answer to the client.
 type answerClient struct {
 	reply      Replier
 	answer     FinalAnswer
 	retryAfter time.Duration // with a rejection; 0: none
 }
 
-func (a answerClient) carryOut(*Dispatcher) {
+func (a answerClient) execute(*Dispatcher) {
 	switch {
 	case a.answer.Served:
 		a.reply.Serve(a.answer.Answer)
@@ -33,42 +33,42 @@
 	}
 }
 
-// answerUnadmitted ends a request that the policy never hears of.
+// answerUnadmitted ends a request that is not passed to the policy, and queues its final answer.
 func (o *OpenRequest) answerUnadmitted(answer FinalAnswer, retryAfter time.Duration) {
 	o.ended = true
 	o.counters.count(answer)
 	o.dispatcher.actions.add(answerClient{o.request.Reply, answer, retryAfter})
 }
 
-// finish marks an admitted request as ended.
-func (o *OpenRequest) finish() {
+// markEnded marks an admitted request as ended.
+func (o *OpenRequest) markEnded() {
 	o.ended = true
 	o.dispatcher.requests.pending--
 }
 
-// conclude ends a request and queues its final answer.
+// conclude ends an admitted request and queues its final answer.
 func (o *OpenRequest) conclude(answer FinalAnswer, retryAfter time.Duration) {
-	o.finish()
+	o.markEnded()
 	o.counters.count(answer)
 	o.dispatcher.actions.add(answerClient{o.request.Reply, answer, retryAfter})
 	o.notifyGuards(answer)
 }
 
-// concludeByPolicy ends a request with the policy's own final answer, unless it has ended meanwhile. The policy knows of
-// the end.
+// concludeByPolicy ends a request with the final answer that the policy decided on, unless the request has already ended. The
+// policy needs no notification of this end.
 func (d *Dispatcher) concludeByPolicy(id uint32, answer FinalAnswer, retryAfter time.Duration) {
 	o := d.requests.open[id]
 	if o == nil || o.ended {
 		return
 	}
-	o.finish()
+	o.markEnded()
 	o.counters.count(answer)
-	answerClient{o.request.Reply, answer, retryAfter}.carryOut(d)
+	answerClient{o.request.Reply, answer, retryAfter}.execute(d)
 	o.notifyGuards(answer)
 	o.removeIfSettled()
 }
 
-// rejectByGuard ends a request that a guard lets go nowhere. The policy hears of that by the end of the attempt.
+// rejectByGuard ends a request that a guard has decided not to send. The policy is notified by the outcome of the attempt.
 func (o *OpenRequest) rejectByGuard() {
 	if o.ended {
 		return
@@ -81,26 +81,27 @@
 	}
 }
 
-// takeAnswer makes a server's answer the final one, if it is the first and the guards accept it.
-func (o *OpenRequest) takeAnswer(result AttemptResult, server uint32) {
-	stream, streams := result.Answer.(Stream)
-	if !streams && result.Result != policy.OK {
+// handleAnswer makes a server's answer the final answer if the request has not ended. If a guard does not accept the answer,
+// the request fails.
+func (o *OpenRequest) handleAnswer(result AttemptResult, server uint32) {
+	stream, isStream := result.Answer.(Stream)
+	if !isStream && result.Result != policy.OK {
 		return
 	}
 	if o.ended {
-		if streams {
+		if isStream {
 			stream.Discard()
 		}
 		return
 	}
 	if !o.answerAccepted() {
-		if streams {
+		if isStream {
 			stream.Discard()
 		}
 		o.conclude(FinalAnswer{}, 0)
 		return
 	}
-	if streams {
+	if isStream {
 		o.serveStream(stream)
 	} else {
 		o.serve(result.Answer, server)
@@ -108,15 +109,15 @@
 }
 
 func (o *OpenRequest) serve(answer any, server uint32) {
-	final := FinalAnswer{Served: true, Answer: answer}
+	finalAnswer := FinalAnswer{Served: true, Answer: answer}
 	if o.dispatcher.HasGuards() {
-		final.Server = o.dispatcher.servers.name(server)
+		finalAnswer.Server = o.dispatcher.servers.name(server)
 	}
-	o.conclude(final, 0)
+	o.conclude(finalAnswer, 0)
 }
 
-// serveStream passes an answer on while it comes. The request stays pending until the end of the stream, which is aborted
-// at the request's deadline.
+// serveStream forwards an answer to the client while it arrives. The request stays pending until the end of the stream, which
+// is aborted at the request's deadline.
 func (o *OpenRequest) serveStream(stream Stream) {
 	o.ended = true
 	timeout := o.dispatcher.loop.At(o.deadline, stream.Abort)
@@ -127,7 +128,8 @@
 	o.dispatcher.actions.add(answerClient{reply: o.request.Reply, answer: FinalAnswer{Served: true, Answer: stream}})
 }
 
-// streamEnded counts a request whose answer was passed on as it came.
+// streamEnded counts a request whose answer was streamed to the client. It counts as failed if the stream broke, and not at all
+// if the client disconnected.
 func (o *OpenRequest) streamEnded(end StreamEnd) {
 	o.dispatcher.requests.pending--
 	if end == StreamClientDisconnected {
--- a/internal/dispatch/guard.go
+++ b/internal/dispatch/guard.go
@@ -2,57 +2,60 @@
 
 import "time"
 
-// Guard stands between the frontends, the policy and the servers: what the poolers of a fleet share admits requests, answers
-// them or stops them through it. All calls are on the loop; none may wait, and none may call the Dispatcher back.
+// Guard may admit, answer, reroute or reject a request before the policy and the servers receive it. Through guards, the shared
+// state of a fleet (its quotas, caches and shard map) takes effect on requests. Its methods are called on the loop, must not
+// block and must not call the Dispatcher.
 type Guard interface {
-	// Admit is called for each request before the policy, on all guards in their order until one does not pass it.
+	// Admit is called for each request before the policy, on one guard after the other until one answers or rejects it.
 	Admit(now time.Duration, request *Request) Admission
-	// MaySend is called right before an attempt is written to a server, also behind a wait for its connection.
+	// MaySend is called before an attempt is sent to a server, and once more if it had to wait for its connection.
 	MaySend(now time.Duration, request *Request, server string) SendDecision
-	// RequestEnded reports the final answer of a request that Admit has passed, once; not of one whose client had
-	// disconnected before.
+	// RequestEnded is called once with the final answer of each request that all guards admitted, unless its client
+	// disconnected earlier.
 	RequestEnded(now time.Duration, request *Request, answer FinalAnswer)
 }
 
-// AnswerVerifier is a Guard that may hold a server's answer to be too late to be true.
+// AnswerVerifier is a Guard that may decline a server's answer because it is too late to be valid.
 type AnswerVerifier interface {
-	// AcceptAnswer is called once an attempt has been answered, before the client has the answer. false: the request has
-	// failed, as it may have run and nobody can say what became of it.
+	// AcceptAnswer is called when a server has answered an attempt, before the client receives the answer. If it returns
+	// false, the request fails: it may have been executed, with an unknown result.
 	AcceptAnswer(now time.Duration, request *Request) bool
 }
 
 // EpochCarrier is a payload that carries the epoch of the shard map to its server.
 type EpochCarrier interface{ SetEpoch(epoch uint64) }
 
-// Admission is what a Guard says of a request that has come. The zero value passes it.
+// Admission is a Guard's decision on a new request. The zero value admits it.
 type Admission struct {
-	Answer     any           // served with this, the backend's kind of answer; nil: not
-	Reject     bool          // rejected untouched
-	RetryAfter time.Duration // with Reject: the client may retry after so long; 0: none
-	Group      int           // with Reroute: the group that it goes to
-	Reroute    bool
+	Answer     any           // final answer, of the backend's type; nil: the guard does not answer the request
+	Reject     bool          // the request is rejected without being sent
+	RetryAfter time.Duration // with Reject: the retry delay sent to the client; 0: none
+	Group      int           // with Reroute: the group that the request is sent to
+	Reroute    bool          // the request is sent to Group in place of its own group
 }
 
-// SendDecision is what a Guard says of an attempt that is about to be written.
+// SendDecision is a Guard's decision on an attempt that is about to be sent.
 type SendDecision uint8
 
-// The decisions on an attempt.
+// The values of SendDecision.
 const (
-	// Send lets it go.
+	// Send allows the attempt.
 	Send SendDecision = iota
-	// SendElsewhere keeps it from this server now: the policy hears that the server was overloaded.
+	// SendElsewhere stops the attempt at this server. It ends with policy.Overloaded, or with policy.Misdirected if it had to
+	// wait for its connection.
 	SendElsewhere
-	// RejectRequest ends the request: rejected, or failed where an earlier attempt may have run.
+	// RejectRequest ends the request. It is rejected, or fails if an earlier attempt may have been executed and the class is not
+	// idempotent.
 	RejectRequest
 )
 
-// AddGuard adds a guard behind those that there are. It must be called before the loop runs.
+// AddGuard appends a guard to the list of guards. It must be called before the loop runs.
 func (d *Dispatcher) AddGuard(guard Guard) { d.guards = append(d.guards, guard) }
 
-// HasGuards reports whether there is a guard: frontends fill in what only guards read.
+// HasGuards reports whether there is a guard. If not, frontends need not set the Request fields that only guards read.
 func (d *Dispatcher) HasGuards() bool { return len(d.guards) > 0 }
 
-// checkSend has the guards decide on an attempt, in their order until one does not let it go.
+// checkSend returns the first decision of a guard other than Send on an attempt, or Send if all guards allow it.
 func (o *OpenRequest) checkSend(server uint32) SendDecision {
 	d := o.dispatcher
 	if !d.HasGuards() {
@@ -78,7 +81,7 @@
 	return true
 }
 
-// notifyGuards reports a final answer to the guards.
+// notifyGuards reports the final answer of an admitted request to the guards.
 func (o *OpenRequest) notifyGuards(answer FinalAnswer) {
 	if !o.dispatcher.HasGuards() {
 		return
--- a/internal/dispatch/health_check.go
+++ b/internal/dispatch/health_check.go
@@ -6,10 +6,10 @@
 	"threadsail/internal/policy"
 )
 
-// probeConnectAllowance is added to the time-out of a probe, which may need a connection first.
+// probeConnectAllowance is added to the timeout of a probe, which may have to open a connection first.
 const probeConnectAllowance = 50 * time.Millisecond
 
-// healthCheck is one probe of a server. Its result is reported to the policy once.
+// healthCheck is one probe of a server. It reports its result to the policy once.
 type healthCheck struct {
 	dispatcher *Dispatcher
 	server     uint32
@@ -17,7 +17,7 @@
 	timeout    *Timer
 }
 
-// startHealthCheck probes a server, as the policy asks for.
+// startHealthCheck probes a server for the policy.
 func (d *Dispatcher) startHealthCheck(server uint32) {
 	check := &healthCheck{dispatcher: d, server: server}
 	address := d.servers.addresses[server]
@@ -36,7 +36,7 @@
 	})
 }
 
-// endLater ends the check in the next round of events.
+// endLater posts the end of the check to the loop's next round of events.
 func (h *healthCheck) endLater(result policy.Result) {
 	h.dispatcher.loop.Post(func() { h.end(AttemptResult{Result: result}) })
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// ClassCounters is what has become of a class's requests since the start.
+// ClassCounters counts the requests of a class and their attempts since the start.
 type ClassCounters struct {
 	Class                    string
 	Served, Rejected, Failed uint64
-	Attempts                 uint64 // whose request has gone out whole
+	Attempts                 uint64 // attempts whose request was written completely
 }
 
 func (c *ClassCounters) count(answer FinalAnswer) {
@@ -27,11 +27,11 @@
 	c.Attempts += other.Attempts
 }
 
-// counterTable holds the counters of all classes that there have been, in the order of their first appearance.
+// counterTable holds the counters of all classes of the current and earlier settings, in the order of their first appearance.
 type counterTable []*ClassCounters
 
-// of returns the counters of a class by its name, and begins them if there are none.
-func (t *counterTable) of(class string) *ClassCounters {
+// forClass returns the counters of the class with a name, and adds them if there are none.
+func (t *counterTable) forClass(class string) *ClassCounters {
 	for _, counters := range *t {
 		if counters.Class == class {
 			return counters
@@ -42,15 +42,15 @@
 	return counters
 }
 
-// Metrics is what a Dispatcher reports of itself.
+// Metrics are the metrics of one Dispatcher, or the sums over several.
 type Metrics struct {
 	Classes     []ClassCounters
-	Pending     int // requests admitted and not ended
-	Servers     int // servers in the list
-	Unavailable int // of them, those that the policy avoids
+	Pending     int // number of admitted requests that have not ended
+	Servers     int // number of servers in the list
+	Unavailable int // number of servers in the list that the policy avoids
 }
 
-// Metrics returns the present figures. A class that has left the settings keeps its counters.
+// Metrics returns the current metrics. A class that is no longer in the settings keeps its counters.
 func (d *Dispatcher) Metrics() Metrics {
 	metrics := Metrics{Pending: d.requests.pending, Servers: len(d.servers.listed)}
 	for _, counters := range d.counters {
@@ -64,7 +64,7 @@
 	return metrics
 }
 
-// Add adds the metrics of another Dispatcher.
+// Add adds the metrics of another Dispatcher to m.
 func (m *Metrics) Add(other Metrics) {
 	for _, counters := range other.Classes {
 		i := slices.IndexFunc(m.Classes, func(c ClassCounters) bool { return c.Class == counters.Class })
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -6,58 +6,59 @@
 	"threadsail/internal/policy"
 )
 
-// replyMargin is the part of a client's timeout that is left for the way back of a final answer.
+// replyMargin is the part of a client's timeout that is reserved for delivering the final answer.
 const replyMargin = 5 * time.Millisecond
 
-// Replier gives a client its one final answer. All calls are on the loop.
+// Replier sends a client the final answer to one request. Its methods are called on the loop.
 type Replier interface {
-	// ClientDisconnected reports whether the client has disconnected, as far as its socket shows. It is called right
-	// before each attempt is written.
+	// ClientDisconnected reports whether the client's socket shows that it has disconnected. It is called right before each
+	// attempt is sent.
 	ClientDisconnected() bool
-	// Serve passes on an answer of the backend or of a guard.
+	// Serve sends an answer of the backend or of a guard.
 	Serve(answer any)
-	// Reject says that nothing may have run and the client may retry, after the given time if there is one.
+	// Reject reports that the request was not executed. The client may retry, after the given delay if that is not 0.
 	Reject(after time.Duration)
-	// Fail promises nothing: the request may have run.
+	// Fail reports that the request failed. It may have been executed.
 	Fail()
 }
 
-// Request is a client's request, independent of the wire that it came by.
+// Request is a client's request, independent of the wire protocol.
 type Request struct {
 	Class, Group      int
-	HasIdempotencyKey bool // it carries a key by which its cluster drops repeats
-	Session           uint64
+	HasIdempotencyKey bool          // the request carries a key by which its cluster drops repeats
+	Session           uint64        // number of the client's session
 	SessionCommitAt   time.Duration // Unix time of the session's last commit; 0: none
-	ArrivedAt         time.Duration // Unix time of its last byte
-	Timeout           time.Duration // the client's, from ArrivedAt on
-	Payload           any           // for the Backend, as it is
+	ArrivedAt         time.Duration // Unix time of the request's last byte
+	Timeout           time.Duration // the client's timeout, counted from ArrivedAt
+	Payload           any           // passed to the Backend unchanged
 	Reply             Replier
 
-	// Statement is the statement without its comment, and Key the quoted key that it names; "": none. CacheVariant is what
-	// else an answer depends on: a request of equal CacheVariant, Statement, Class and Group may be given the same answer;
-	// "": none may. Frontends set these only where HasGuards reports true.
+	// Statement is the statement without its comment, and Key the quoted key that the statement names, or "". CacheVariant
+	// identifies everything else that an answer depends on: requests with equal CacheVariant, Statement, Class and Group may
+	// share an answer, unless CacheVariant is "". Frontends set these fields only if HasGuards reports true.
 	Statement, Key string
 	CacheVariant   string
-	// WaitedForConnection is set while guards decide on an attempt once more, behind the wait for its connection.
+	// WaitedForConnection is set while guards decide again on an attempt that has waited for its connection.
 	WaitedForConnection bool
 }
 
-// OpenRequest is a request that has been submitted. It is open until it has its final answer and all its attempts have ended.
+// OpenRequest is a submitted request. It stays open until it has its final answer and all its attempts have ended.
 type OpenRequest struct {
 	dispatcher      *Dispatcher
 	id              uint32
 	request         *Request
 	counters        *ClassCounters
 	deadline        time.Duration
-	ended           bool // the final answer is given or under way, or the client has disconnected
-	mayHaveExecuted bool // an attempt may have run
-	attemptCount    int
-	queuedAttempts  int              // attempts that the policy has asked for and that have not been started yet
-	inFlight        map[int]*attempt // by their numbers, in the order of the sends
-	failedServers   []uint32         // servers that have answered with an error; only with an OutcomeObserver
+	ended           bool             // the final answer is sent or queued, or the client has disconnected
+	mayHaveExecuted bool             // an attempt may have been executed
+	attemptCount    int              // number of attempts started so far
+	queuedAttempts  int              // number of attempts that the policy has requested and that are not started yet
+	inFlight        map[int]*attempt // attempts in flight, by attempt number
+	failedServers   []uint32         // servers that have answered with an error; recorded only for an OutcomeObserver
 }
 
-// Submit takes a request in. The request is answered through its Reply once, unless its client disconnects first.
+// Submit passes a new request to the guards and the policy. The request is answered once through its Reply, unless its client
+// disconnects first.
 func (d *Dispatcher) Submit(request *Request) *OpenRequest {
 	now := d.loop.Now()
 	o := d.newOpenRequest(request)
@@ -74,67 +75,67 @@
 	return &OpenRequest{
 		dispatcher: d,
 		request:    request,
-		counters:   d.counters.of(d.settings.Classes[request.Class].Name),
+		counters:   d.counters.forClass(d.settings.Classes[request.Class].Name),
 		deadline:   d.admission.limitDeadline(deadline),
 		inFlight:   map[int]*attempt{},
 	}
 }
 
-// policyRequest describes a request to the policy.
+// policyRequest returns the description of a request for the policy.
 func (d *Dispatcher) policyRequest(o *OpenRequest, now time.Duration) policy.Request {
 	request := policy.Request{
 		ID:      o.id,
-		Class:   d.classes.effective(o.request),
+		Class:   d.classes.effectiveClass(o.request),
 		Group:   o.request.Group,
 		Session: o.request.Session,
 		Timeout: o.deadline - now,
 	}
 	if o.request.SessionCommitAt > 0 {
-		request.SinceLastWrite = max(now-o.request.SessionCommitAt, time.Microsecond) // 0 would mean none
+		request.SinceLastWrite = max(now-o.request.SessionCommitAt, time.Microsecond) // 0 would mean no write
 	}
 	return request
 }
 
-// HandleDisconnect reports to the policy that the client has disconnected. No final answer is given any more.
+// HandleDisconnect ends the request without a final answer and reports to the policy that the client has disconnected.
 func (o *OpenRequest) HandleDisconnect() {
 	if o.ended {
 		return
 	}
-	o.finish()
+	o.markEnded()
 	o.dispatcher.router.HandleDisconnect(o.dispatcher.loop.Now(), o.id)
 	o.removeIfSettled()
 }
 
-// isUnwanted reports whether nobody waits for the answer any more. It checks the client's connection itself, as
-// its close may not have been reported yet.
-func (o *OpenRequest) isUnwanted() bool {
+// checkEnded reports whether the request has ended. It first checks the client's socket and ends the request if the client has
+// disconnected, as the frontend may not have reported that yet.
+func (o *OpenRequest) checkEnded() bool {
 	if !o.ended && o.request.Reply.ClientDisconnected() {
 		o.HandleDisconnect()
 	}
 	return o.ended
 }
 
-// removeIfSettled drops the request once it has ended and no attempt of it is queued or in flight. The policy counts an attempt
-// against its server from the choice on, until it hears of its end.
+// removeIfSettled removes the request from the table if it has ended and no attempt is queued or in flight. It must stay until
+// then, because the policy counts an attempt against its server until the outcome is reported.
 func (o *OpenRequest) removeIfSettled() {
 	if o.ended && o.queuedAttempts == 0 && len(o.inFlight) == 0 {
 		delete(o.dispatcher.requests.open, o.id)
 	}
 }
 
-// OpenRequests returns how many requests are open.
+// OpenRequests returns the number of open requests.
 func (d *Dispatcher) OpenRequests() int { return len(d.requests.open) }
 
-// requestTable holds the open requests by the numbers that the policy knows them by.
+// requestTable holds the open requests, by the ids under which the policy knows them.
 type requestTable struct {
 	open    map[uint32]*OpenRequest
 	lastID  uint32
-	pending int // admitted requests without their whole final answer
+	pending int // number of admitted requests whose final answer is not complete
 }
 
 func newRequestTable() requestTable { return requestTable{open: map[uint32]*OpenRequest{}} }
 
-// add gives a request the next number that is free.
+// add assigns the next free id to a request and enters the request in the table.
 func (t *requestTable) add(o *OpenRequest) {
 	t.lastID++
 	for t.open[t.lastID] != nil {
@@ -145,7 +146,7 @@
 	t.pending++
 }
 
-// attempt returns an attempt that is in flight; nil: it has ended.
+// attempt returns an attempt in flight, or nil if it has ended.
 func (t *requestTable) attempt(id uint32, number int) *attempt {
 	o := t.open[id]
 	if o == nil {
@@ -154,7 +155,7 @@
 	return o.inFlight[number]
 }
 
-// hasAttemptAt reports whether an attempt is in flight at a server.
+// hasAttemptAt reports whether any request has an attempt in flight at a server.
 func (t *requestTable) hasAttemptAt(server uint32) bool {
 	for _, o := range t.open {
 		for _, a := range o.inFlight {
--- a/internal/dispatch/server_registry.go
+++ b/internal/dispatch/server_registry.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// maxKnownServers bounds the names that are kept: more than any list names that is not garbage.
+	// maxKnownServers is the maximum number of server names that are kept. Any valid list has fewer.
 	maxKnownServers = 1 << 16
-	// forgetServerAfter is how long the name of a removed server is kept. The policy forgets the server sooner.
-	forgetServerAfter = 3 * time.Minute
+	// removedServerRetention is how long the name of a removed server is kept. It is longer than the policy's own retention.
+	removedServerRetention = 3 * time.Minute
 )
 
-// serverRegistry holds what lists have said of servers: numbers, addresses, groups and states. A server keeps its number as
+// serverRegistry holds the ids, addresses, groups and states of the servers that lists have named. A server keeps its id as
 // long as its name is known.
 type serverRegistry struct {
 	ids         map[string]uint32 // by name
 	addresses   map[uint32]string
-	listed      map[uint32]bool          // named by the list in force, whatever their state
-	readyGroups map[uint32]int           // the groups of those that are listed as ready
-	removedAt   map[uint32]time.Duration // those that are to be forgotten
-	knownGroups map[int]bool             // named by some list
+	listed      map[uint32]bool          // servers that the current list names as ready or draining
+	readyGroups map[uint32]int           // groups of the servers that are listed as ready
+	removedAt   map[uint32]time.Duration // Unix times at which the servers that are to be forgotten were removed
+	knownGroups map[int]bool             // groups that any list has named
 }
 
 func newServerRegistry() serverRegistry {
@@ -36,9 +36,9 @@
 	}
 }
 
-// assignID returns the number of a listed server, and gives it one if it is new. The number is made from the name alone, so
-// that all poolers come to the same order. It reports false for an unknown server that is removed, and when the registry
-// is full.
+// assignID returns the id of a listed server, and assigns one if the server is new. The id is a hash of the name, so that all
+// poolers order the servers alike; a collision is resolved by the next free id. assignID returns false for an unknown server
+// that is listed as removed, and when the registry is full.
 func (s *serverRegistry) assignID(name string, state policy.MemberState) (id uint32, ok bool) {
 	if id, known := s.ids[name]; known {
 		return id, true
@@ -56,28 +56,28 @@
 	return id, true
 }
 
-// name returns what lists call a server; "": its name is not known. It searches all names, and is for rare use.
+// name returns the name of a server, or "" if it is not known. It searches all names, in linear time.
 func (s *serverRegistry) name(id uint32) string {
-	for name, other := range s.ids {
-		if other == id {
+	for name, knownID := range s.ids {
+		if knownID == id {
 			return name
 		}
 	}
 	return ""
 }
 
-// nameAt returns the name of the server at an address.
+// nameAt returns the name of the server at an address. It searches all addresses, in linear time.
 func (s *serverRegistry) nameAt(address string) (name string, found bool) {
-	for id, other := range s.addresses {
-		if other == address {
+	for id, knownAddress := range s.addresses {
+		if knownAddress == address {
 			return s.name(id), true
 		}
 	}
 	return "", false
 }
 
-// list enters a server that a list names as ready or draining.
-func (s *serverRegistry) list(id uint32, member Member) {
+// markListed records a server that a list names as ready or draining.
+func (s *serverRegistry) markListed(id uint32, member Member) {
 	s.listed[id] = true
 	s.knownGroups[member.Group] = true
 	s.addresses[id] = member.Address
@@ -88,13 +88,13 @@
 	}
 }
 
-// unlist enters that no list names a server any more.
-func (s *serverRegistry) unlist(id uint32) {
+// markUnlisted records that a server is no longer in the list.
+func (s *serverRegistry) markUnlisted(id uint32) {
 	delete(s.listed, id)
 	delete(s.readyGroups, id)
 }
 
-// forget drops the name and the address of a server.
+// forget deletes the name and the address of a server.
 func (s *serverRegistry) forget(name string, id uint32) {
 	delete(s.ids, name)
 	delete(s.addresses, id)
--- a/internal/dispatch/timer.go
+++ b/internal/dispatch/timer.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Timer is one call on an EventLoop in the future. It belongs to the loop's goroutine.
+// Timer is a scheduled call on an EventLoop. It must be used on the loop's goroutine only.
 type Timer struct {
 	at       time.Duration
 	sequence uint64
 	callback func()
-	stopped  bool // or fired
+	stopped  bool // stopped or fired
 }
 
-// Stop keeps a timer from firing. Stopping a nil Timer, or one that has fired, does nothing.
+// Stop prevents the timer from firing. It does nothing on a nil Timer or one that has fired.
 func (t *Timer) Stop() {
 	if t != nil {
 		t.stopped = true
-		t.callback = nil // what it refers to may go at once
+		t.callback = nil // releases the memory that the callback refers to
 	}
 }
 
-// timerHeap orders timers by their time, and those of one time as they were set. It implements heap.Interface.
+// timerHeap orders timers by time, and timers with equal times by the order in which they were set. It implements
+// heap.Interface.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
