--- a/internal/fleet/consensus/client_pool.go
+++ b/internal/fleet/consensus/client_pool.go
@@ -9,8 +9,8 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// ClientPool sends requests to the voters for several goroutines of one pooler, over a connection for each request in flight.
-// It implements replication.Store, replication.LeaseClient and replication.SnapshotFetcher.
+// ClientPool is a pool of Clients of one pooler, each with its own connection. It implements replication.Store,
+// replication.LeaseClient and replication.SnapshotFetcher, and is safe for concurrent use.
 type ClientPool struct{ idle chan *Client }
 
 var (
@@ -19,77 +19,78 @@
 	_ replication.SnapshotFetcher = (*ClientPool)(nil)
 )
 
-// NewClientPool keeps size clients, each with the timeout of a request; further requests wait for one. The caller owes Close.
+// NewClientPool returns a pool of size clients, which bounds the requests in flight. timeout is Client.Timeout. The caller must
+// call Close.
 func NewClientPool(size int, holder string, voters []Peer, timeout time.Duration) *ClientPool {
-	p := &ClientPool{idle: make(chan *Client, size)}
+	pool := &ClientPool{idle: make(chan *Client, size)}
 	for range size {
-		p.idle <- &Client{Holder: holder, Voters: voters, Timeout: timeout}
+		pool.idle <- &Client{Holder: holder, Voters: voters, Timeout: timeout}
 	}
-	return p
+	return pool
 }
 
-// CountTraffic has what is sent and received counted. It must be called before the first request.
-func (p *ClientPool) CountTraffic(t *traffic.Counter) {
+// CountTraffic sets the counter of messages sent and received. It must be called before the first request.
+func (p *ClientPool) CountTraffic(counter *traffic.Counter) {
 	for range cap(p.idle) {
-		c := <-p.idle
-		c.Traffic = t
-		p.idle <- c
+		client := <-p.idle
+		client.Traffic = counter
+		p.idle <- client
 	}
 }
 
-// withClient calls f with an idle client, when there is one.
-func (p *ClientPool) withClient(ctx context.Context, f func(*Client) error) error {
+// withClient waits for an idle client and calls use with it. It returns use's error, or ctx's error if ctx ends first.
+func (p *ClientPool) withClient(ctx context.Context, use func(*Client) error) error {
 	select {
-	case c := <-p.idle:
-		defer func() { p.idle <- c }()
-		return f(c)
+	case client := <-p.idle:
+		defer func() { p.idle <- client }()
+		return use(client)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Acquire is documented with Client.
+// Acquire requests a lease or its renewal, as Client.Acquire does.
 func (p *ClientPool) Acquire(ctx context.Context, name lease.Name, duration time.Duration) (current lease.Lease, granted bool, err error) {
-	err = p.withClient(ctx, func(c *Client) (err error) {
-		current, granted, err = c.Acquire(ctx, name, duration)
+	err = p.withClient(ctx, func(client *Client) (err error) {
+		current, granted, err = client.Acquire(ctx, name, duration)
 		return err
 	})
 	return current, granted, err
 }
 
-// Release is documented with Client.
+// Release releases a lease, as Client.Release does.
 func (p *ClientPool) Release(ctx context.Context, name lease.Name) error {
-	return p.withClient(ctx, func(c *Client) error { return c.Release(ctx, name) })
+	return p.withClient(ctx, func(client *Client) error { return client.Release(ctx, name) })
 }
 
-// Put is documented with replication.Store.
-func (p *ClientPool) Put(ctx context.Context, key string, expectedVersion uint64, value []byte, f replication.Fence) (version uint64, err error) {
-	err = p.withClient(ctx, func(c *Client) (err error) {
-		version, err = c.Put(ctx, replication.Write{Key: key, ExpectedVersion: expectedVersion, Value: value, Fence: f})
+// Put writes a document, as Client.Put does.
+func (p *ClientPool) Put(ctx context.Context, key string, expectedVersion uint64, value []byte, fence replication.Fence) (version uint64, err error) {
+	err = p.withClient(ctx, func(client *Client) (err error) {
+		version, err = client.Put(ctx, replication.Write{Key: key, ExpectedVersion: expectedVersion, Value: value, Fence: fence})
 		return err
 	})
 	return version, err
 }
 
-// Read is documented with replication.Store.
+// Read returns a document by a linearizable read, as Client.Read does.
 func (p *ClientPool) Read(ctx context.Context, key string) (document replication.Document, err error) {
-	err = p.withClient(ctx, func(c *Client) (err error) {
-		document, err = c.Read(ctx, key)
+	err = p.withClient(ctx, func(client *Client) (err error) {
+		document, err = client.Read(ctx, key)
 		return err
 	})
 	return document, err
 }
 
-// Fetch is documented with replication.SnapshotFetcher.
-func (p *ClientPool) Fetch(ctx context.Context, since uint64, linearizable bool) (s replication.Snapshot, newer bool, err error) {
-	err = p.withClient(ctx, func(c *Client) (err error) {
-		s, newer, err = c.Fetch(ctx, since, linearizable)
+// Fetch returns all documents if they are newer than a version, as Client.Fetch does.
+func (p *ClientPool) Fetch(ctx context.Context, since uint64, linearizable bool) (snapshot replication.Snapshot, newer bool, err error) {
+	err = p.withClient(ctx, func(client *Client) (err error) {
+		snapshot, newer, err = client.Fetch(ctx, since, linearizable)
 		return err
 	})
-	return s, newer, err
+	return snapshot, newer, err
 }
 
-// Close waits for the requests in flight and closes the connections. No request may follow.
+// Close waits for the requests in flight and closes the connections. No request may be made afterwards.
 func (p *ClientPool) Close() {
 	for range cap(p.idle) {
 		(<-p.idle).Close()
--- a/internal/fleet/consensus/leadership.go
+++ b/internal/fleet/consensus/leadership.go
@@ -9,16 +9,16 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// notLeaderError says that this voter is not the leader.
+// notLeaderError is the error of an operation that only the leader can perform.
 type notLeaderError struct {
-	leader string // "": none is known
+	leader string // name of the current leader; empty if unknown
 }
 
-// Error is sent to clients as it stands.
+// Error implements error. The text is sent to clients.
 func (notLeaderError) Error() string { return "not the leader" }
 
-// followLeadership sets the leader's clock once all entries of earlier raft terms have been applied, and unsets it when the
-// leadership is lost, until Close.
+// followLeadership tracks this voter's leadership until Close. It starts the leader's clock once all entries of earlier raft
+// terms have been applied, and clears it when the leadership changes.
 func (v *Voter) followLeadership() {
 	for {
 		select {
@@ -33,13 +33,13 @@
 	}
 }
 
-// beginLeadership starts the clock of a raft term in which this voter is the leader.
+// beginLeadership waits until all earlier entries have been applied, and starts the leader's clock for a raft term.
 func (v *Voter) beginLeadership(raftTerm uint64) {
 	if !v.awaitBarrier(raftTerm) {
-		return // the leadership has been lost again
+		return // the leadership was lost, or the voter is closing
 	}
 	v.setClock(v.state.startClock(raftTerm, v.monotonicNow()))
-	v.log.Warn().Str("voter", v.options.Name).Uint64("raft_term", raftTerm).Msg("voter: leads")
+	v.log.Warn().Str("voter", v.options.Name).Uint64("raft_term", raftTerm).Msg("voter: became leader")
 }
 
 func (v *Voter) setClock(c lease.Clock) {
@@ -48,8 +48,9 @@
 	v.clock = c
 }
 
-// awaitBarrier waits until all entries of earlier raft terms have been applied, however slow the disk is, and reports whether
-// this voter still is the leader of the raft term: a leader without a clock would answer nobody, and no other would be elected.
+// awaitBarrier waits until all entries of earlier raft terms have been applied, and reports whether this voter is still the
+// leader of the raft term. It retries without a limit on a slow disk: if it gave up, the voter would stay the leader without a
+// clock, so it would serve no requests and no other leader would be elected.
 func (v *Voter) awaitBarrier(raftTerm uint64) bool {
 	for v.raft.Barrier(v.options.ElectionTimeout).Error() != nil {
 		if v.raft.State() != raft.Leader || v.raft.CurrentTerm() != raftTerm {
@@ -62,7 +63,8 @@
 	return true
 }
 
-// leaderClock is this voter's clock as the leader. The error is a notLeaderError.
+// leaderClock returns the leader's clock. It returns a notLeaderError if this voter is not the leader or has not started the
+// clock yet.
 func (v *Voter) leaderClock() (lease.Clock, error) {
 	v.mu.Lock()
 	clock := v.clock
@@ -72,40 +74,41 @@
 	}
 	_, leader := v.raft.LeaderWithID()
 	if string(leader) == v.options.Name {
-		leader = "" // this voter has just become the leader, or has just stopped being it
+		leader = "" // this voter is gaining or losing the leadership and can't serve requests
 	}
 	return lease.Clock{}, notLeaderError{leader: string(leader)}
 }
 
-// confirmLeadership asks a majority whether this voter still is the leader, and returns the documents' version then and when
-// it asked.
-func (v *Voter) confirmLeadership() (version uint64, askedAt time.Time, err error) {
+// confirmLeadership verifies with a majority of the voters that this voter is still the leader. It returns the version of the
+// documents and the time at which the verification began. The error is a notLeaderError or an error of the raft engine.
+func (v *Voter) confirmLeadership() (version uint64, requestedAt time.Time, err error) {
 	if _, err := v.leaderClock(); err != nil {
 		return 0, time.Time{}, err
 	}
-	askedAt = time.Now()
+	requestedAt = time.Now()
 	if err := v.raft.VerifyLeader().Error(); err != nil {
-		return 0, askedAt, err
+		return 0, requestedAt, err
 	}
 	if _, err := v.leaderClock(); err != nil {
-		return 0, askedAt, err
+		return 0, requestedAt, err
 	}
-	return v.state.documentsVersion(), askedAt, nil
+	return v.state.documentsVersion(), requestedAt, nil
 }
 
-// ConfirmVersion returns the version of the documents than which nothing was newer at a time, by a majority; ok false: this
-// voter is not the leader. It waits for the other voters, as long as an election takes at most.
-func (v *Voter) ConfirmVersion() (version uint64, at time.Time, ok bool) {
-	version, at, err := v.confirmLeadership()
-	return version, at, err == nil
+// ConfirmVersion returns the version of the documents and an instant at which a majority of the voters had no newer version. ok
+// is false if this voter is not the leader. ConfirmVersion blocks until a majority responds or the leadership is lost, for an
+// election timeout at most.
+func (v *Voter) ConfirmVersion() (version uint64, asOf time.Time, ok bool) {
+	version, asOf, err := v.confirmLeadership()
+	return version, asOf, err == nil
 }
 
-// notDecided is the response to a request that a voter which is not the leader got.
-func notDecided(err error) response {
-	out := response{Error: err.Error()}
+// notLeaderResponse returns the response to a request that only the leader can handle, with the leader's name if err has it.
+func notLeaderResponse(err error) response {
+	resp := response{Error: err.Error()}
 	var notLeader notLeaderError
 	if errors.As(err, &notLeader) {
-		out.Leader = notLeader.leader
+		resp.Leader = notLeader.leader
 	}
-	return out
+	return resp
 }
--- a/internal/fleet/consensus/raft.go
+++ b/internal/fleet/consensus/raft.go
@@ -14,14 +14,15 @@
 const (
 	logFileName       = "raft.db"
 	retainedSnapshots = 2
-	trailingLogs      = 256              // entries kept behind a snapshot, for voters that lag
-	snapshotThreshold = 1024             // entries: a renewal is one, and the state is small
-	snapshotInterval  = 30 * time.Second // how often the number of entries is compared with snapshotThreshold
+	trailingLogs      = 256              // log entries kept after a snapshot, so that a lagging voter needs no snapshot transfer
+	snapshotThreshold = 1024             // log entries between snapshots; each lease renewal appends one
+	snapshotInterval  = 30 * time.Second // between checks of the log's length against snapshotThreshold
 	dialTimeout       = time.Second
-	pooledConnections = 2 // to each other voter
+	pooledConnections = 2 // per remote voter
 )
 
-// startRaft opens the log and starts the raft engine, which bootstraps the set of voters at its first start.
+// startRaft opens the log and starts the raft engine. If there is no state on disk and Options.Join is not set, it bootstraps
+// the cluster with Options.Voters.
 func (v *Voter) startRaft() error {
 	if err := v.openLog(); err != nil {
 		return err
@@ -31,7 +32,7 @@
 		return err
 	}
 	config := v.raftConfig()
-	known, err := raft.HasExistingState(v.logStore, v.logStore, snapshots)
+	hasState, err := raft.HasExistingState(v.logStore, v.logStore, snapshots)
 	if err != nil {
 		return err
 	}
@@ -42,7 +43,7 @@
 		Timeout: dialTimeout,
 		Logger:  config.Logger,
 	})
-	if !known && !v.options.Join {
+	if !hasState && !v.options.Join {
 		if err := raft.BootstrapCluster(config, v.logStore, v.logStore, snapshots, transport, voters); err != nil {
 			return err
 		}
@@ -51,7 +52,7 @@
 	return err
 }
 
-// openLog opens the store of the log, which Close closes.
+// openLog opens the log store in Options.Dir. Close closes it.
 func (v *Voter) openLog() (err error) {
 	v.boltStore, err = raftboltdb.NewBoltStore(filepath.Join(v.options.Dir, logFileName))
 	if err != nil {
@@ -64,16 +65,18 @@
 	return nil
 }
 
-// initialVoters is the set that the operators' file names. The engine knows voters by name alone; the address at which each is
-// reached is this voter's own affair (streamLayer.Dial).
+// initialVoters returns the raft configuration with the voters of the operators' file, and registers their addresses. The raft
+// engine identifies voters by name only, since the address of a voter may differ from voter to voter; streamLayer.Dial resolves
+// names to addresses.
 func (v *Voter) initialVoters() (voters raft.Configuration) {
-	for _, p := range v.options.Voters {
-		voters.Servers = append(voters.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Name)})
-		v.streams.setAddress(p)
+	for _, peer := range v.options.Voters {
+		voters.Servers = append(voters.Servers, raft.Server{ID: raft.ServerID(peer.Name), Address: raft.ServerAddress(peer.Name)})
+		v.streams.setAddress(peer)
 	}
 	return voters
 }
 
+// raftConfig returns the raft engine's configuration, with all timeouts derived from Options.ElectionTimeout.
 func (v *Voter) raftConfig() *raft.Config {
 	config := raft.DefaultConfig()
 	config.LocalID = raft.ServerID(v.options.Name)
@@ -88,11 +91,11 @@
 	return config
 }
 
-// logWriter logs the engine's lines, one a write.
+// logWriter is an io.Writer that logs the raft engine's output. Each write holds one line.
 type logWriter struct{ log zerolog.Logger }
 
-// Write implements io.Writer.
-func (w logWriter) Write(b []byte) (int, error) {
-	w.log.Warn().Msg(string(b[:max(len(b)-1, 0)]))
-	return len(b), nil
+// Write logs a line at warn level, without its line feed.
+func (w logWriter) Write(line []byte) (int, error) {
+	w.log.Warn().Msg(string(line[:max(len(line)-1, 0)]))
+	return len(line), nil
 }
--- a/internal/fleet/consensus/requests.go
+++ b/internal/fleet/consensus/requests.go
@@ -9,7 +9,8 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// handle answers a request, by itself or by an entry of the log.
+// handle handles a client's request and returns the response. Reads and lease requests that are certain to be denied are
+// answered without a log entry; all others wait until an entry is committed and applied.
 func (v *Voter) handle(r request) response {
 	if r.Since != nil && !r.Linearizable {
 		return v.fetchDocuments(*r.Since)
@@ -17,7 +18,7 @@
 	clock, err := v.leaderClock()
 	switch {
 	case err != nil:
-		return notDecided(err)
+		return notLeaderResponse(err)
 	case r.Since != nil:
 		if _, _, err := v.confirmLeadership(); err != nil {
 			return response{Error: err.Error()}
@@ -28,7 +29,7 @@
 	}
 	now := clock.At(v.monotonicNow())
 	if r.Put == nil && !r.Release {
-		// Without an entry of the log: of hundreds of candidates all but one are denied, again and again.
+		// A denial needs no log entry. Hundreds of poolers request the same lease repeatedly and all but one are denied.
 		if current, denied := v.state.wouldDeny(r.Lease, r.Holder, now); denied {
 			return response{Lease: current}
 		}
@@ -46,28 +47,29 @@
 	})
 }
 
-// propose has a command committed and applied, and returns its result.
+// propose appends a command to the log, waits until it is committed and applied, and returns the state machine's response.
+// ElectionTimeout bounds the wait for a place in the engine's queue.
 func (v *Voter) propose(c command) response {
-	text, err := json.Marshal(c)
+	encoded, err := json.Marshal(c)
 	if err != nil {
 		return response{Error: err.Error()}
 	}
-	future := v.raft.Apply(text, v.options.ElectionTimeout)
+	future := v.raft.Apply(encoded, v.options.ElectionTimeout)
 	if err := future.Error(); err != nil {
 		return response{Error: err.Error(), MaybeApplied: !neverApplied(err)}
 	}
 	return future.Response().(response)
 }
 
-// neverApplied reports whether an error of raft.Apply says that the command was not taken into the log.
+// neverApplied reports whether an error of raft.Apply guarantees that the command was not appended to the log.
 func neverApplied(err error) bool {
 	return errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout) ||
 		errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
-// readDocument answers with a document as no older than the request: all entries of earlier raft terms have been applied
-// (followLeadership), what this leader has decided since is applied before the client hears of it, and no other leader has
-// decided anything meanwhile if a majority still follows this one.
+// readDocument returns a document by a linearizable read. The read sees every write that completed before the request: entries
+// of earlier raft terms were applied before this voter started its clock (followLeadership), entries of this term are applied
+// before their clients get a response, and confirmLeadership rules out that another leader has committed entries meanwhile.
 func (v *Voter) readDocument(key string) response {
 	if _, _, err := v.confirmLeadership(); err != nil {
 		return response{Error: err.Error()}
@@ -76,7 +78,7 @@
 	return response{OK: true, Doc: &document}
 }
 
-// fetchDocuments answers with all documents, as old as they may be at this voter, if they are newer than a version.
+// fetchDocuments returns all documents if this voter has a version newer than since. The documents may lag behind the leader's.
 func (v *Voter) fetchDocuments(since uint64) response {
 	snapshot, newer := v.state.documentsSince(since)
 	if !newer {
--- a/internal/fleet/consensus/retrying_store.go
+++ b/internal/fleet/consensus/retrying_store.go
@@ -9,32 +9,33 @@
 	"github.com/rs/zerolog"
 )
 
-// raftStore is where the raft engine keeps its log, its term and its vote.
+// raftStore stores the raft engine's log, current term and vote.
 type raftStore interface {
 	raft.LogStore
 	raft.StableStore
 }
 
-// retryingStore is a raftStore on a disk that may fill up. The engine handles a log or a vote that can't be written: a leader
-// steps down, a follower acknowledges nothing, nobody gets the vote. A raft term that can't be written it answers with a panic,
-// which would end the pooler; here the engine waits instead, and so stands for no election and follows no newer leader until
-// the disk takes the term. It is safe for use by several goroutines.
+// retryingStore is a raftStore that retries failed writes of the raft term, for example on a full disk. The raft engine copes
+// with a failed write of a log entry or a vote: a leader steps down, a follower does not acknowledge the entry, and a voter does
+// not grant the vote. After a failed write of the term it panics, which would end the pooler. The retries block the engine
+// instead: until the write succeeds, the voter neither stands for election nor follows a leader of a newer term. A retryingStore
+// is safe for concurrent use.
 type retryingStore struct {
 	raftStore
 	log      zerolog.Logger
 	shutdown <-chan struct{}
 
 	mu          sync.Mutex // guards writeFailed
-	writeFailed bool       // the last write failed
+	writeFailed bool       // whether the last write failed
 
-	termMu   sync.Mutex // guards lastTerm, and is held while a term is written
-	lastTerm uint64     // the newest raft term written
+	termMu   sync.Mutex // guards lastTerm; held while a term is written
+	lastTerm uint64     // newest raft term written
 }
 
-// termRetryInterval is how long after a raft term that could not be written the write is tried again.
+// termRetryInterval is the delay between attempts to write a raft term.
 const termRetryInterval = 100 * time.Millisecond
 
-// currentTermKey is the engine's key of its raft term.
+// currentTermKey is the key under which the raft engine stores its current term.
 var currentTermKey = []byte("CurrentTerm")
 
 // WriteFailed reports whether the last write failed.
@@ -45,49 +46,50 @@
 }
 
 // StoreLog implements raft.LogStore.
-func (s *retryingStore) StoreLog(l *raft.Log) error { return s.observeWrite(s.raftStore.StoreLog(l)) }
+func (s *retryingStore) StoreLog(l *raft.Log) error { return s.recordWrite(s.raftStore.StoreLog(l)) }
 
 // StoreLogs implements raft.LogStore.
-func (s *retryingStore) StoreLogs(l []*raft.Log) error {
-	return s.observeWrite(s.raftStore.StoreLogs(l))
+func (s *retryingStore) StoreLogs(logs []*raft.Log) error {
+	return s.recordWrite(s.raftStore.StoreLogs(logs))
 }
 
 // DeleteRange implements raft.LogStore.
 func (s *retryingStore) DeleteRange(first, last uint64) error {
-	return s.observeWrite(s.raftStore.DeleteRange(first, last))
+	return s.recordWrite(s.raftStore.DeleteRange(first, last))
 }
 
 // Set implements raft.StableStore.
 func (s *retryingStore) Set(key, value []byte) error {
-	return s.observeWrite(s.raftStore.Set(key, value))
+	return s.recordWrite(s.raftStore.Set(key, value))
 }
 
-// SetUint64 implements raft.StableStore.
+// SetUint64 implements raft.StableStore. A write of the current term is retried until it succeeds or the voter shuts down.
 func (s *retryingStore) SetUint64(key []byte, value uint64) error {
 	if bytes.Equal(key, currentTermKey) {
 		return s.setTerm(value)
 	}
-	return s.observeWrite(s.raftStore.SetUint64(key, value))
+	return s.recordWrite(s.raftStore.SetUint64(key, value))
 }
 
-// observeWrite notes the result of a write, and logs when it differs from that of the write before.
-func (s *retryingStore) observeWrite(err error) error {
+// recordWrite records whether a write failed, logs if that has changed since the previous write, and returns err.
+func (s *retryingStore) recordWrite(err error) error {
 	s.mu.Lock()
 	failedBefore := s.writeFailed
 	s.writeFailed = err != nil
 	s.mu.Unlock()
 	switch {
 	case err != nil && !failedBefore:
-		s.log.Warn().Err(err).Msg("voter: log can't be written, this voter neither leads nor votes until it can")
+		s.log.Warn().Err(err).Msg("voter: log can't be written; this voter neither leads nor votes until a write succeeds")
 	case err == nil && failedBefore:
 		s.log.Warn().Msg("voter: log can be written again")
 	}
 	return err
 }
 
-// setTerm writes a raft term, however long that takes. Several calls may wait, of the engine's main goroutine and of
-// heartbeats: an older term never replaces a newer one. At shutdown it gives up without an error: the engine only ends, and no
-// vote was given in a term that is not on the disk.
+// setTerm writes a raft term and retries until it succeeds or the voter shuts down. Several calls may be waiting at once, from
+// the engine's main goroutine and from its heartbeat handlers; writeTerm ensures that an older term never replaces a newer one.
+// At shutdown setTerm returns nil for a term that was not written. That is safe, since the engine does nothing more than shut
+// down and has cast no vote in that term.
 func (s *retryingStore) setTerm(term uint64) error {
 	for s.writeTerm(term) != nil {
 		if !waitUnlessClosed(s.shutdown, termRetryInterval) {
@@ -97,14 +99,14 @@
 	return nil
 }
 
-// writeTerm tries to write a raft term once, unless it is older than the newest written.
+// writeTerm makes one attempt to write a raft term. A term that is not newer than the last one written is ignored.
 func (s *retryingStore) writeTerm(term uint64) error {
 	s.termMu.Lock()
 	defer s.termMu.Unlock()
 	if term <= s.lastTerm {
 		return nil
 	}
-	if err := s.observeWrite(s.raftStore.SetUint64(currentTermKey, term)); err != nil {
+	if err := s.recordWrite(s.raftStore.SetUint64(currentTermKey, term)); err != nil {
 		return err
 	}
 	s.lastTerm = term
--- a/internal/fleet/consensus/server.go
+++ b/internal/fleet/consensus/server.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxConnections = 2048 // of clients, at the same time: the largest fleet, and restarts
-	idleTimeout    = time.Minute
+	maxConnections = 2048        // open client connections; covers the largest fleet, including poolers that restart
+	idleTimeout    = time.Minute // between requests of a client connection
 )
 
-// acceptConnections hands each connection to a goroutine of its own, until the listener is closed.
+// acceptConnections accepts connections until the listener is closed, and handles each on its own goroutine.
 func (v *Voter) acceptConnections() {
 	for {
 		conn, err := v.streams.listener.Accept()
@@ -32,7 +32,7 @@
 	}
 }
 
-// reserveConnection counts one more connection, unless there are too many.
+// reserveConnection counts a new connection. It returns false if maxConnections are open.
 func (v *Voter) reserveConnection() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -43,32 +43,33 @@
 	return true
 }
 
+// releaseConnection undoes reserveConnection.
 func (v *Voter) releaseConnection() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.connections--
 }
 
-// routeConnection hands a connection to the raft engine or serves a client, by its first byte.
+// routeConnection reads the first byte of a connection, and then hands the connection to the raft engine or serves a client.
 func (v *Voter) routeConnection(conn net.Conn) {
 	stop := v.closeAtShutdown(conn)
-	var first [1]byte
+	var firstByte [1]byte
 	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
-	_, err := io.ReadFull(conn, first[:])
+	_, err := io.ReadFull(conn, firstByte[:])
 	_ = conn.SetDeadline(time.Time{})
 	switch {
-	case err == nil && first[0] == connectionRaft:
-		stop() // from here on the connection is the engine's, which leaves it open until the peer closes it
+	case err == nil && firstByte[0] == connectionRaft:
+		stop() // the raft engine owns the connection now, and keeps it open until the peer closes it
 		v.handToRaft(conn)
 		return
-	case err == nil && first[0] == connectionClient:
+	case err == nil && firstByte[0] == connectionClient:
 		v.serveClient(conn)
 	}
 	stop()
 	_ = conn.Close()
 }
 
-// handToRaft hands another voter's connection to the raft engine.
+// handToRaft passes a connection from another voter to the raft engine.
 func (v *Voter) handToRaft(conn net.Conn) {
 	select {
 	case v.streams.incoming <- v.options.Traffic.Conn(conn, trafficKindRaft):
@@ -77,7 +78,8 @@
 	}
 }
 
-// closeAtShutdown has a connection closed when the voter ends, on a goroutine that stop ends before.
+// closeAtShutdown starts a goroutine that closes a connection when the voter shuts down. The returned function ends the
+// goroutine without closing the connection; it must be called once.
 func (v *Voter) closeAtShutdown(conn net.Conn) (stop func()) {
 	stopped := make(chan struct{})
 	v.goroutines.Go(func() {
@@ -90,31 +92,31 @@
 	return func() { close(stopped) }
 }
 
-// serveClient answers a client's requests in turn, until it disconnects, sends something else, or sends nothing for
-// idleTimeout.
+// serveClient handles a client's requests one after the other. It returns when the client disconnects, sends a line that is too
+// long, or sends no request for idleTimeout.
 func (v *Voter) serveClient(conn net.Conn) {
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
 		_ = conn.SetDeadline(time.Now().Add(idleTimeout))
-		line, err := readLine(in, maxRequestBytes)
+		line, err := readLine(reader, maxRequestBytes)
 		if err != nil {
 			return
 		}
-		kind, out := v.handleLine(line)
-		text, err := json.Marshal(out)
+		kind, resp := v.handleLine(line)
+		encoded, err := json.Marshal(resp)
 		if err != nil {
 			return
 		}
 		v.options.Traffic.In(kind, 1, len(line)+1)
-		if _, err := conn.Write(append(text, '\n')); err != nil {
+		if _, err := conn.Write(append(encoded, '\n')); err != nil {
 			return
 		}
-		v.options.Traffic.Out(kind, 1, len(text)+1)
+		v.options.Traffic.Out(kind, 1, len(encoded)+1)
 	}
 }
 
-// handleLine decodes a request and answers it. A line that is no request gets an error.
-func (v *Voter) handleLine(line []byte) (trafficKind string, out response) {
+// handleLine decodes and handles a request. A malformed or incomplete request gets a response with an error.
+func (v *Voter) handleLine(line []byte) (trafficKind string, resp response) {
 	var r request
 	if err := json.Unmarshal(line, &r); err != nil {
 		return r.trafficKind(), response{Error: fmt.Sprintf("unreadable: %v", err)}
--- a/internal/fleet/consensus/state_machine.go
+++ b/internal/fleet/consensus/state_machine.go
@@ -13,17 +13,17 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// command is an entry of the log: a lease's, or with Put a document's, stamped like a lease's. Entries written before there
-// were documents have no Put.
+// command is the content of a log entry: a lease command or, if Put is set, a write of a document. For a write only Now and
+// RaftTerm of the embedded lease command are used. Entries of builds that had no shared documents lack Put.
 type command struct {
 	lease.Command
 	Put *replication.Write `json:"Put,omitempty"`
 }
 
-// stateMachine is the leases and the documents as the raft engine's state machine (raft.FSM). The engine applies entries on
-// one goroutine of its own; the other methods are for any goroutine.
+// stateMachine is the replicated state, the leases and the documents. It implements raft.FSM and is safe for concurrent use;
+// the raft engine applies entries on a goroutine of its own.
 type stateMachine struct {
-	onDocumentsChanged func(replication.Snapshot) // not nil; called with mu held
+	onDocumentsChanged func(replication.Snapshot) // never nil; called with mu held
 
 	mu        sync.Mutex // guards the fields below
 	lessor    lease.Lessor
@@ -37,7 +37,7 @@
 	errorOtherRaftTerm     = "stamped in another term of office"
 )
 
-// Apply implements raft.FSM. The result is a response, the same at every voter.
+// Apply implements raft.FSM. It returns a response, which is the same on every voter.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
@@ -55,7 +55,7 @@
 	return response{OK: ok, Lease: granted}
 }
 
-// applyPut applies a document's write. The caller holds mu.
+// applyPut applies a write of a document. The caller must hold mu.
 func (m *stateMachine) applyPut(c command, index, raftTerm uint64) response {
 	if !m.lessor.AdvanceTime(c.Now, c.RaftTerm, raftTerm) {
 		return response{Error: errorOtherRaftTerm}
@@ -68,35 +68,35 @@
 	return response{OK: true, Version: version}
 }
 
-// startClock is lease.Lessor.StartClock.
+// startClock calls lease.Lessor.StartClock.
 func (m *stateMachine) startClock(raftTerm uint64, monotonic time.Duration) lease.Clock {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lessor.StartClock(raftTerm, monotonic)
 }
 
-// wouldDeny is lease.Lessor.WouldDeny.
+// wouldDeny calls lease.Lessor.WouldDeny.
 func (m *stateMachine) wouldDeny(name lease.Name, holder string, now time.Duration) (current lease.Lease, denied bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lessor.WouldDeny(name, holder, now)
 }
 
-// document is a document as applied here; its Version is 0 if there is none.
+// document returns the document with the given key. Its Version is 0 if it does not exist.
 func (m *stateMachine) document(key string) replication.Document {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.documents.Get(key)
 }
 
-// documentsVersion is the log index of the last write that was taken.
+// documentsVersion returns the log index of the last write that was accepted.
 func (m *stateMachine) documentsVersion() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.documents.Version()
 }
 
-// documentsSince returns all documents if they are newer than a version.
+// documentsSince returns all documents if their version is newer than the given one.
 func (m *stateMachine) documentsSince(version uint64) (snapshot replication.Snapshot, newer bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,7 +106,7 @@
 	return m.documents.Snapshot(), true
 }
 
-// snapshotState is a snapshot. One written before there were documents is a lease.Lessor's alone, without these keys.
+// snapshotState is the JSON form of a snapshot. Builds that had no shared documents wrote a bare lease.Lessor instead.
 type snapshotState struct {
 	Leases    json.RawMessage `json:"table"`
 	Documents json.RawMessage `json:"docs"`
@@ -121,26 +121,27 @@
 	if err := errors.Join(leasesErr, documentsErr); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(snapshotState{Leases: leases, Documents: documents})
-	return encodedSnapshot(text), err
+	data, err := json.Marshal(snapshotState{Leases: leases, Documents: documents})
+	return encodedSnapshot(data), err
 }
 
-// maxSnapshotBytes is above what documents and leases take at their most, as JSON.
+// maxSnapshotBytes bounds the size of a snapshot that is read. Documents of replication.MaxTotalSize and the leases, encoded as
+// JSON, stay below it.
 const maxSnapshotBytes = 1 << 24
 
-// Restore implements raft.FSM. It takes over the whole snapshot or nothing of it.
+// Restore implements raft.FSM. If the snapshot can't be decoded, the state is left unchanged.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer func() { _ = r.Close() }()
-	text, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes))
+	data, err := io.ReadAll(io.LimitReader(r, maxSnapshotBytes))
 	if err != nil {
 		return err
 	}
 	var encoded snapshotState
-	if err := json.Unmarshal(text, &encoded); err != nil {
+	if err := json.Unmarshal(data, &encoded); err != nil {
 		return err
 	}
 	if encoded.Leases == nil {
-		encoded = snapshotState{Leases: text, Documents: json.RawMessage("null")}
+		encoded = snapshotState{Leases: data, Documents: json.RawMessage("null")}
 	}
 	var lessor lease.Lessor
 	var documents replication.DocumentTable
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// encodedSnapshot is a snapshot's JSON; it implements raft.FSMSnapshot.
+// encodedSnapshot is a snapshot encoded as JSON. It implements raft.FSMSnapshot.
 type encodedSnapshot []byte
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/fleet/consensus/stream_layer.go
+++ b/internal/fleet/consensus/stream_layer.go
@@ -11,32 +11,31 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// streamLayer is the raft engine's network: it dials voters by name, at the addresses known here, and hands over the
-// connections that acceptConnections has found to be the engine's. It implements raft.StreamLayer and is safe for use by
-// several goroutines.
+// streamLayer is the raft engine's network transport. It dials voters by name, at their configured addresses, and passes on the
+// raft connections that Voter.routeConnection has accepted. It implements raft.StreamLayer and is safe for concurrent use.
 type streamLayer struct {
 	listener net.Listener
-	incoming chan net.Conn
+	incoming chan net.Conn // raft connections accepted by the voter
 	shutdown <-chan struct{}
 	traffic  *traffic.Counter
 
-	mu        sync.Mutex // guards the fields below
-	addresses map[raft.ServerAddress]string
+	mu        sync.Mutex                    // guards the fields below
+	addresses map[raft.ServerAddress]string // by voter name
 }
 
 var _ raft.StreamLayer = (*streamLayer)(nil)
 
-func newStreamLayer(listener net.Listener, shutdown <-chan struct{}, t *traffic.Counter) *streamLayer {
+func newStreamLayer(listener net.Listener, shutdown <-chan struct{}, counter *traffic.Counter) *streamLayer {
 	return &streamLayer{
 		listener:  listener,
 		incoming:  make(chan net.Conn),
 		shutdown:  shutdown,
-		traffic:   t,
+		traffic:   counter,
 		addresses: map[raft.ServerAddress]string{},
 	}
 }
 
-// Accept returns the next connection of another voter.
+// Accept waits for the next raft connection from another voter. After shutdown it returns net.ErrClosed.
 func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.incoming:
@@ -46,17 +45,17 @@
 	}
 }
 
-// Close does nothing: the listener is the Voter's.
+// Close does nothing, since the Voter owns the listener.
 func (l *streamLayer) Close() error { return nil }
 
-// Addr is the address of the listener.
+// Addr returns the listener's address.
 func (l *streamLayer) Addr() net.Addr { return l.listener.Addr() }
 
-// Dial connects to the voter of a name.
+// Dial connects to the voter with the given name.
 func (l *streamLayer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address, known := l.address(name)
 	if !known {
-		return nil, fmt.Errorf("consensus: dial: no voter is named %q", name)
+		return nil, fmt.Errorf("consensus: dial: unknown voter %q", name)
 	}
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -69,7 +68,7 @@
 	return l.traffic.Conn(conn, trafficKindRaft), nil
 }
 
-// address is where the voter of a name is reached.
+// address returns the address at which this process reaches the voter with the given name.
 func (l *streamLayer) address(name raft.ServerAddress) (address string, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,9 +76,9 @@
 	return address, known
 }
 
-// setAddress has the voter be reached at its address from now on.
-func (l *streamLayer) setAddress(p Peer) {
+// setAddress sets the address at which later calls of Dial reach a voter.
+func (l *streamLayer) setAddress(peer Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.addresses[raft.ServerAddress(p.Name)] = p.Addr
+	l.addresses[raft.ServerAddress(peer.Name)] = peer.Addr
 }
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -1,16 +1,15 @@
-// Package consensus keeps the fleet's leases and shared documents in a replicated log: three or five voters named in the
-// operators' file run hashicorp/raft with a durable log and snapshots. Any pooler asks any voter; only the leader grants a
-// lease or takes a write, the others answer with the leader's name.
+// Package consensus stores the fleet's leases and shared documents in a replicated log. Three or five voters, named in the
+// operators' file, run hashicorp/raft with a durable log and snapshots. A pooler may send a request to any voter. Only the leader
+// grants leases and accepts writes; the other voters respond with the leader's name.
 //
-// What a lease is and when it passes on is decided by package lease; which write is taken, by package replication. This
-// package decides neither. It owns the listener, the log on disk and the raft engine of a Voter, and the connections of a
-// Client.
+// Package lease defines when a lease is granted and when it expires, and package replication defines which writes are accepted.
+// This package owns the listener, the log on disk and the raft engine of a Voter, and the connections of a Client.
 //
-// Goroutines: a Voter runs one that accepts connections, one for each connection, one that follows its own leadership and one
-// that reconciles the set of voters; all end with Close. The raft engine calls stateMachine and retryingStore on goroutines of
-// its own, which end with Close too. The engine's connections do not: each lasts, with the goroutine that reads it, until its
-// peer closes it, as hashicorp/raft closes no pooled or accepted connection at its shutdown. Every exported method of Voter and
-// ClientPool is safe for use by several goroutines.
+// Goroutines: a Voter runs one goroutine that accepts connections, two for each connection, one that tracks its leadership and
+// one that reconciles the voter set. They end at Close, as do the raft engine's goroutines, which call stateMachine and
+// retryingStore. Raft connections outlive Close, each with the goroutine that reads from it, until the peer closes them:
+// hashicorp/raft does not close pooled or accepted connections when it shuts down. The exported methods of Voter and ClientPool
+// are safe for concurrent use.
 package consensus
 
 import (
@@ -28,32 +27,31 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// Peer is a voter, by its pooler's name and the address at which it is reached from here.
+// Peer is the name of a voter's pooler and the address at which this process reaches the voter.
 type Peer struct{ Name, Addr string }
 
-// Options are a voter's settings. Voters names all of them, this one among them, and is the same set at each; the addresses
-// may differ.
+// Options are the settings of a voter.
 type Options struct {
 	Name           string
-	ListenAddr     string // TCP, for other voters and for clients
-	Dir            string // of the log and the snapshots; it outlives the process
-	Voters         []Peer
-	VotersRevision uint64        // revision of the file that names the voters: as in Voter.SetVoters
-	Join           bool          // the voter joins a set that exists: it bootstraps none
+	ListenAddr     string        // TCP address for connections from other voters and clients
+	Dir            string        // directory of the log and the snapshots, which must survive restarts
+	Voters         []Peer        // all voters, including this one; the names are the same on every voter, the addresses may differ
+	VotersRevision uint64        // revision of the file with Voters, as in Voter.SetVoters
+	Join           bool          // whether the voter joins an existing cluster rather than bootstrap one
 	MaxClockDrift  time.Duration // as in lease.Lessor
-	// ElectionTimeout is how long a voter hears nothing of the leader before it stands for election. The leader steps down
-	// when it has reached no majority for as long.
+	// ElectionTimeout is the time without contact from the leader after which a voter stands for election. A leader that can't
+	// reach a majority for the same time steps down.
 	ElectionTimeout time.Duration
 	Log             zerolog.Logger
-	// OnDocumentsChanged takes the documents after each change in the log as this voter has applied it, newer each time but
-	// for a restore from a leader's snapshot. It must not block; nil: nobody is notified.
+	// OnDocumentsChanged is called with the documents after each change that this voter has applied. Each call has a newer
+	// version than the one before, except after a restore from a leader's snapshot. It must not block; nil disables it.
 	OnDocumentsChanged func(replication.Snapshot)
-	Traffic            *traffic.Counter // counts the traffic of the voter's sockets; nil: nothing does
+	Traffic            *traffic.Counter // counts the traffic of the voter's connections; nil disables counting
 
-	wrapStore func(raftStore) raftStore // set by tests: puts a slow or full disk under the engine
+	wrapStore func(raftStore) raftStore // set by tests to simulate a slow or full disk; may be nil
 }
 
-// Voter is a running voter.
+// Voter is a running member of the raft cluster.
 type Voter struct {
 	options    Options
 	log        zerolog.Logger
@@ -61,19 +59,20 @@
 	state      *stateMachine
 	streams    *streamLayer
 	boltStore  *raftboltdb.BoltStore
-	logStore   *retryingStore // boltStore, as the engine uses it
+	logStore   *retryingStore // wraps boltStore; used by the raft engine
 	startedAt  time.Time      // origin of the monotonic clock
 	shutdown   chan struct{}  // closed by Close
-	goroutines sync.WaitGroup // all that Start and acceptConnections have started
+	goroutines sync.WaitGroup // the goroutines that Close waits for
 
-	mu           sync.Mutex  // guards the fields below
-	clock        lease.Clock // of this voter's raft term as the leader; RaftTerm 0: none
-	connections  int         // open, of clients and of other voters' first bytes
-	wantedVoters voterSet
+	mu            sync.Mutex  // guards the fields below
+	clock         lease.Clock // leader's clock; RaftTerm is 0 while this voter is not the leader
+	connections   int         // open connections of clients, and those whose first byte is awaited
+	desiredVoters voterSet
 }
 
-// Start opens the log in Dir and takes part from then on. The first start of a set of voters bootstraps it; later ones go on
-// from the log. Errors are of the directory, the log or the address. The caller owes Close.
+// Start opens the log in Options.Dir and starts a voter. Without a log it bootstraps the cluster, unless Options.Join is set;
+// otherwise it continues from the log. It returns an error if the address can't be listened on or the log can't be opened. The
+// caller must call Close.
 func Start(o Options) (*Voter, error) {
 	listener, err := net.Listen("tcp", o.ListenAddr)
 	if err != nil {
@@ -104,13 +103,13 @@
 	return v, nil
 }
 
-// Addr is the address that the voter listens on.
+// Addr returns the address that the voter listens on.
 func (v *Voter) Addr() string { return v.streams.listener.Addr().String() }
 
 // LogWriteFailed reports whether the last write to the voter's log failed.
 func (v *Voter) LogWriteFailed() bool { return v.logStore.WriteFailed() }
 
-// Close ends the voter's part in the set until the next Start, and waits for its goroutines.
+// Close stops the voter and waits for its goroutines. The voter stays a member of the cluster.
 func (v *Voter) Close() {
 	close(v.shutdown)
 	_ = v.raft.Shutdown().Error()
@@ -119,7 +118,7 @@
 	_ = v.boltStore.Close()
 }
 
-// waitUnlessClosed waits for a duration, and reports false at once when shutdown is closed.
+// waitUnlessClosed waits for a duration and returns true, or returns false as soon as shutdown is closed.
 func waitUnlessClosed(shutdown <-chan struct{}, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -131,5 +130,5 @@
 	}
 }
 
-// monotonicNow is the time since the voter started.
+// monotonicNow returns the time since the voter started, on the monotonic clock.
 func (v *Voter) monotonicNow() time.Duration { return time.Since(v.startedAt) }
--- a/internal/fleet/consensus/voter_set.go
+++ b/internal/fleet/consensus/voter_set.go
@@ -11,50 +11,51 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// voterSetKey is the key of the document that says who the voters are to be.
+// voterSetKey is the key of the document with the desired voter set.
 const voterSetKey = "stewards/set"
 
-// voterSet is who the voters are to be, by the operators' newest file.
+// voterSet is the desired set of voters, as configured in the operators' newest file.
 type voterSet struct {
-	Revision uint64   `json:"revision"` // config_revision of the file that the set was taken from
-	Names    []string `json:"names"`
+	Revision uint64   `json:"revision"` // config_revision of the file with the set
+	Names    []string `json:"names"`    // sorted
 }
 
-// membershipChangeTimeout is how long one change of the set may wait to be begun.
+// membershipChangeTimeout bounds the wait until the raft engine begins a membership change.
 const membershipChangeTimeout = 10 * time.Second
 
-// SetVoters takes over the voters that the operators' file names now, with its revision. Whoever leads changes the set, one
-// voter at a time, additions first. The newest revision that any leader has seen counts, so that a leader with an older file
-// reverts nothing. Revision 0 changes nothing.
+// SetVoters sets the voter set of the operators' current file and the file's revision. The leader applies it by changing one
+// voter at a time, additions first. Leaders apply the newest revision that any leader has seen, so a leader with an older file
+// reverts nothing. A set of revision 0 is never applied.
 func (v *Voter) SetVoters(revision uint64, voters []Peer) {
-	wanted := voterSet{Revision: revision}
-	for _, p := range voters { // those that are removed must be reachable until they are
-		v.streams.setAddress(p)
-		wanted.Names = append(wanted.Names, p.Name)
+	desired := voterSet{Revision: revision}
+	for _, peer := range voters { // a voter keeps its address after its removal, as it must be reachable until the removal is committed
+		v.streams.setAddress(peer)
+		desired.Names = append(desired.Names, peer.Name)
 	}
-	slices.Sort(wanted.Names)
+	slices.Sort(desired.Names)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.wantedVoters = wanted
+	v.desiredVoters = desired
 }
 
-// reconcileVoters brings the set to what is wanted while this voter is the leader, a change in each ElectionTimeout, until
-// Close.
+// reconcileVoters changes the voter set to the desired one while this voter is the leader, with at most one change per
+// ElectionTimeout. It returns at Close.
 func (v *Voter) reconcileVoters() {
 	for waitUnlessClosed(v.shutdown, v.options.ElectionTimeout) {
 		if _, err := v.leaderClock(); err != nil {
 			continue
 		}
 		if err := v.reconcileOnce(); err != nil {
-			v.log.Warn().Err(err).Msg("voter: set of voters can't be changed")
+			v.log.Warn().Err(err).Msg("voter: changing the voter set failed")
 		}
 	}
 }
 
-// reconcileOnce writes the set of a newer file into the log, or makes the first change that the set in the log asks for.
+// reconcileOnce takes one step towards the desired voter set. If the operators' file is newer than the set in the log, it commits
+// the file's set to the log; otherwise it makes the first membership change that the set in the log requires.
 func (v *Voter) reconcileOnce() error {
 	v.mu.Lock()
-	wanted := v.wantedVoters
+	desired := v.desiredVoters
 	v.mu.Unlock()
 	document := v.state.document(voterSetKey)
 	var committed voterSet
@@ -64,62 +65,62 @@
 		}
 	}
 	switch {
-	case wanted.Revision > committed.Revision && len(wanted.Names) > 0:
-		return v.commitVoterSet(wanted, document.Version)
+	case desired.Revision > committed.Revision && len(desired.Names) > 0:
+		return v.commitVoterSet(desired, document.Version)
 	case committed.Revision == 0:
 		return nil
 	}
 	return v.changeMembership(committed.Names)
 }
 
-// commitVoterSet writes the set of a newer file into the log.
-func (v *Voter) commitVoterSet(wanted voterSet, expectedVersion uint64) error {
-	text, err := json.Marshal(wanted)
+// commitVoterSet writes a voter set into the log, as the document voterSetKey.
+func (v *Voter) commitVoterSet(desired voterSet, expectedVersion uint64) error {
+	encoded, err := json.Marshal(desired)
 	if err != nil {
 		return err
 	}
-	write := replication.Write{Key: voterSetKey, ExpectedVersion: expectedVersion, Value: text}
-	out := v.handle(request{Holder: v.options.Name, Put: &write})
-	if out.Error != "" {
-		return fmt.Errorf("its document: %s", out.Error)
+	write := replication.Write{Key: voterSetKey, ExpectedVersion: expectedVersion, Value: encoded}
+	resp := v.handle(request{Holder: v.options.Name, Put: &write})
+	if resp.Error != "" {
+		return fmt.Errorf("write document of the voter set: %s", resp.Error)
 	}
-	return nil // a refusal says that another leader was quicker: the next reconciliation reads its set
+	return nil // a refusal means that another leader was faster; the next reconciliation reads the set it wrote
 }
 
-// changeMembership makes the next change of the raft configuration towards the names wanted, if there is one.
-func (v *Voter) changeMembership(wanted []string) error {
+// changeMembership makes the next change of the raft configuration towards the desired names, if one is needed.
+func (v *Voter) changeMembership(desired []string) error {
 	future := v.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
 		return err
 	}
-	id, add, found := nextChange(future.Configuration(), wanted)
+	id, add, found := nextChange(future.Configuration(), desired)
 	switch {
 	case !found:
 		return nil
 	case !add:
-		v.log.Warn().Str("voter", string(id)).Msg("voter: removed from the set")
+		v.log.Warn().Str("voter", string(id)).Msg("voter: removing a voter from the voter set")
 		return v.raft.RemoveServer(id, 0, membershipChangeTimeout).Error()
 	}
 	if _, known := v.streams.address(raft.ServerAddress(id)); !known {
-		return fmt.Errorf("this voter's file has no address of %s", id)
+		return fmt.Errorf("no address is configured for voter %s", id)
 	}
-	v.log.Warn().Str("voter", string(id)).Msg("voter: added to the set")
+	v.log.Warn().Str("voter", string(id)).Msg("voter: adding a voter to the voter set")
 	return v.raft.AddVoter(id, raft.ServerAddress(id), 0, membershipChangeTimeout).Error()
 }
 
-// nextChange is the next change from the voters that there are to those wanted; found false: there is none. Additions come
-// first, so that the set never tolerates fewer failures than before.
-func nextChange(current raft.Configuration, wanted []string) (id raft.ServerID, add, found bool) {
+// nextChange returns the next membership change from the current to the desired voters. found is false if none is needed.
+// Additions come first, so that the set never tolerates fewer failures than before.
+func nextChange(current raft.Configuration, desired []string) (id raft.ServerID, add, found bool) {
 	isVoter := func(name string) bool {
 		return slices.ContainsFunc(current.Servers, func(s raft.Server) bool { return string(s.ID) == name })
 	}
-	for _, name := range wanted {
+	for _, name := range desired {
 		if !isVoter(name) {
 			return raft.ServerID(name), true, true
 		}
 	}
 	for _, s := range current.Servers {
-		if !slices.Contains(wanted, string(s.ID)) {
+		if !slices.Contains(desired, string(s.ID)) {
 			return s.ID, false, true
 		}
 	}
