--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,83 +5,91 @@
 	"time"
 )
 
-// Admission: a request without a server waits in its group's queue, where it can still be rejected,
-// and is sent by what its answer is worth for the work.
+// Admission: a request that no server can take waits in the queue of its group. The queue is
+// ordered by the value of an answer per unit of work, and a queued request can still be rejected.
 
 const (
-	// minFailoverWaitFraction: a wait shorter than this part of what is left of an outage is not
-	// worth a late rejection.
-	minFailoverWaitFraction = 0.3
-	// rejectMargin is how long before its client gives up a queued request is rejected.
+	// minOutageCoverageFraction is the fraction of the remaining outage of a group that a request's
+	// remaining time must cover. With less time the request is rejected before its deadline.
+	minOutageCoverageFraction = 0.3
+	// rejectMargin is how long before its deadline a queued request is rejected.
 	rejectMargin = 5 * time.Millisecond
-	// positionRefreshInterval is how often a queue is checked and replicas are asked for positions
-	// meanwhile. It is also the least span between two attempts of one request at one server.
+	// positionRefreshInterval is the interval between two checks of a queue, in which replicas may
+	// be probed for their positions. It is also the minimum interval between two consecutive
+	// attempts of a request at the same server, except at the recorded primary.
 	positionRefreshInterval = 60 * time.Millisecond
 )
 
-// requestQueue holds the queued requests of a group, those first that are worth most for the work.
+// requestQueue holds the queued requests of a group in descending order of their value per work.
 type requestQueue struct {
 	requests       []*request
 	checkScheduled bool
 	nextRefreshAt  time.Duration // when replicas that are far behind may be asked for positions again
 }
 
-// insert puts a request before the first one that is worth no more.
+// insert inserts a request before the first one for which worthNoMore returns true.
 func (q *requestQueue) insert(req *request, worthNoMore func(*request) bool) {
 	i := slices.IndexFunc(q.requests, worthNoMore)
 	if i < 0 {
 		i = len(q.requests)
 	}
 	q.requests = slices.Insert(q.requests, i, req)
-	req.queued = true
+	req.inQueue = true
 }
 
+// remove removes a request if it is in the queue.
 func (q *requestQueue) remove(req *request) {
 	if i := slices.Index(q.requests, req); i >= 0 {
 		q.requests = slices.Delete(q.requests, i, i+1)
-		req.queued = false
+		req.inQueue = false
 	}
 }
 
-func (q *requestQueue) has(is func(*request) bool) bool { return slices.ContainsFunc(q.requests, is) }
+// contains reports whether match returns true for any request in the queue.
+func (q *requestQueue) contains(match func(*request) bool) bool {
+	return slices.ContainsFunc(q.requests, match)
+}
 
-// enqueue puts a request into its group's queue, and schedules what may end or reorder its wait.
+// enqueue inserts a request into its group's queue. It schedules the checks that may reject the
+// request or move it within the queue, and starts the periodic checks of the queue.
 func (r *Router) enqueue(req *request) {
-	weight := r.weightPerWork(req)
-	req.group.queue.insert(req, func(other *request) bool { return r.weightPerWork(other) <= weight })
+	value := r.valuePerWork(req)
+	req.group.queue.insert(req, func(other *request) bool { return r.valuePerWork(other) <= value })
 	if req.lastUsefulSendAt > r.now {
-		r.schedule(req.lastUsefulSendAt-r.now, func() { r.reassessLate(req) })
+		r.schedule(req.lastUsefulSendAt-r.now, func() { r.handleLateRequest(req) })
 	}
 	halfTimeAt := (req.arrivedAt+req.deadline)/2 - rejectMargin - r.settings.EventInterval
 	if halfTimeAt > r.now {
 		r.schedule(halfTimeAt-r.now, func() { r.rejectBeforeFailover(req) })
 	}
-	r.superviseQueue(req.group)
+	r.startQueueChecks(req.group)
 }
 
-// rejectBeforeFailover ends a request that has waited for half of its time if it will hardly see
-// the next primary, so that its client can retry.
+// rejectBeforeFailover is called when half of a queued request's time has passed. It finishes the
+// request if the next primary will probably come too late for it, so that the client can retry. A
+// request that has reached a server is left in the queue.
 func (r *Router) rejectBeforeFailover(req *request) {
-	if req.queued && !req.finished && !req.reachedServer && r.failoverTooLate(req) {
+	if req.inQueue && !req.finished && !req.reachedServer && r.failoverLikelyTooLate(req) {
 		r.finishRequest(req)
 	}
 }
 
-// failoverTooLate reports whether a wait for a primary will hardly end in time.
-func (r *Router) failoverTooLate(req *request) bool {
+// failoverLikelyTooLate reports whether a request's group has no primary and will probably not have
+// one before the request's deadline.
+func (r *Router) failoverLikelyTooLate(req *request) bool {
 	g := req.group
 	if g.primary != nil || !g.outage.confirmed {
 		return false
 	}
 	expected := g.outage.expectedDuration
-	left := max(expected-(r.now-g.outage.startedAt), expected/2)
-	return float64(req.deadline-r.now) < minFailoverWaitFraction*float64(left)
+	remainingOutage := max(expected-(r.now-g.outage.startedAt), expected/2)
+	return float64(req.deadline-r.now) < minOutageCoverageFraction*float64(remainingOutage)
 }
 
-// reassessLate ends a queued request whose answer earns nothing from now on, and moves one that
-// earns less behind the others.
-func (r *Router) reassessLate(req *request) {
-	if req.finished || !req.queued {
+// handleLateRequest is called when a queued request becomes late. It finishes the request if a late
+// answer has no value, and otherwise moves it within the queue by its reduced value.
+func (r *Router) handleLateRequest(req *request) {
+	if req.finished || !req.inQueue {
 		return
 	}
 	if req.class.LateWeightFraction == 0 {
@@ -92,34 +100,35 @@
 	r.enqueue(req)
 }
 
-// dispatchQueued tries to send the queued requests of a group, in their order.
+// dispatchQueued tries to send the queued requests of a group in the order of the queue.
 func (r *Router) dispatchQueued(g *group) {
 	waiting := g.queue.requests
 	if len(waiting) == 0 {
 		return
 	}
-	g.queue.requests = nil // what is queued meanwhile comes after those that stay
+	g.queue.requests = nil // requests that are enqueued during the loop follow those that stay
 	staying := waiting[:0]
 	for _, req := range waiting {
 		if req.finished {
 			continue
 		}
-		req.queued = false
+		req.inQueue = false
 		if !r.dispatch(req) && !req.finished {
-			req.queued = true
+			req.inQueue = true
 			staying = append(staying, req)
 		}
 	}
 	g.queue.requests = append(staying, g.queue.requests...)
 }
 
-// superviseQueue asks replicas for their positions while reads wait for one, and schedules itself
-// every positionRefreshInterval until the queue is empty.
-func (r *Router) superviseQueue(g *group) {
+// startQueueChecks starts the periodic checks of a group's queue unless they are running. A check
+// probes replicas for their positions if queued reads need them, and tries to send the queued
+// requests positionRefreshInterval later. The checks stop when the queue is empty.
+func (r *Router) startQueueChecks(g *group) {
 	if g.queue.checkScheduled {
 		return
 	}
-	if r.refreshesQueuedReads(g) {
+	if r.shouldRefreshPositions(g) {
 		r.refreshAllPositions(g)
 	}
 	g.queue.checkScheduled = true
@@ -127,26 +136,28 @@
 		g.queue.checkScheduled = false
 		r.dispatchQueued(g)
 		if len(g.queue.requests) > 0 {
-			r.superviseQueue(g)
+			r.startQueueChecks(g)
 		}
 	})
 }
 
-// refreshesQueuedReads reports whether replicas are asked for their positions now: in a small
-// fleet, for a read that a replica will soon be fresh enough for, and as seldom as rounds are
-// repeated for one that all are far behind for.
-func (r *Router) refreshesQueuedReads(g *group) bool {
+// shouldRefreshPositions reports whether the replicas of a group are to be probed for their
+// positions now, which is done in small fleets only. They are whenever a replica is expected to
+// become fresh enough for a queued read soon, and every roundInterval if a queued read waits for
+// replicas that are further behind.
+func (r *Router) shouldRefreshPositions(g *group) bool {
 	if !r.settings.ProbesAllowed || r.fleet.isLarge {
 		return false
 	}
-	if g.queue.has(func(req *request) bool { return req.catchUpExpected }) {
+	if g.queue.contains(func(req *request) bool { return req.catchUpExpected }) {
 		return true
 	}
-	return r.now >= g.queue.nextRefreshAt && g.queue.has(func(req *request) bool { return req.blockedByLag })
+	return r.now >= g.queue.nextRefreshAt &&
+		g.queue.contains(func(req *request) bool { return req.blockedByLag })
 }
 
-// refreshAllPositions asks the ready replicas of a group for their positions, unless an answer is
-// outstanding or recent.
+// refreshAllPositions probes the ready replicas of a group for their positions. It skips ejected
+// replicas and those that a probe round or a position probe has just covered.
 func (r *Router) refreshAllPositions(g *group) {
 	g.queue.nextRefreshAt = r.now + roundInterval
 	for _, s := range g.members {
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Dispatch: what a request's answer is worth and until when, and its send to the server that is
-// chosen for it.
+// Dispatch: the value of a request's answer over time, and the attempt at the server chosen for it.
 
-// minAttemptTimeout is the least timeout of an attempt: 0 would stand for the client's own.
+// minAttemptTimeout is the minimum timeout of an attempt. A timeout of 0 would mean that of the
+// request.
 const minAttemptTimeout = time.Millisecond
 
-// HandleRequest handles the arrival of a request: it is sent, queued, or given its final answer.
+// HandleRequest handles the arrival of a request: it sends the request, queues it, or gives it its
+// final answer. A request of an unknown class fails.
 func (r *Router) HandleRequest(now time.Duration, in Request) {
 	r.advanceClock(now)
 	if in.Class < 0 || in.Class >= len(r.settings.Classes) {
@@ -24,11 +25,11 @@
 	r.retryBudget = min(r.retryBudget+retryBudgetRatio, maxRetryBudget)
 	r.startInitialRound(req)
 	r.schedule(max(in.Timeout-rejectMargin-r.settings.EventInterval, 0), func() {
-		if req.inFlight == 0 { // else the last attempt's timeout is still to come, and ends the request in time
+		if req.inFlight == 0 { // otherwise the attempt in flight times out first and the request ends with it
 			r.finishRequest(req)
 		}
 	})
-	if r.worthless(req) {
+	if r.hasNoValue(req) {
 		r.finishRequest(req)
 		return
 	}
@@ -37,7 +38,8 @@
 	}
 }
 
-// addRequest records a request and what it is judged by.
+// addRequest adds a request to the open requests, with its deadline, its objective and the position
+// that its session requires.
 func (r *Router) addRequest(in Request, g *group) *request {
 	req := &request{
 		id:            in.ID,
@@ -56,9 +58,11 @@
 	return req
 }
 
-// setObjective sets when the answer must come to earn its full weight. A try whose timeout is not
-// the usual one of its class is a later try of its client: its time has run since the first one. A
-// try with less time than the class's objective is judged by what it has.
+// setObjective sets the time by which the answer must arrive to earn its full weight, and the time
+// by which an attempt must be sent for that. A request whose timeout differs from the usual one of
+// its class is taken for a client's retry, whose objective counts from the client's first request.
+// A request with less time than the class's latency objective is not taken for a retry; its timeout
+// is its objective.
 func (r *Router) setObjective(req *request, timeout time.Duration) {
 	c := req.class
 	estimate := r.estimates.forRequest(req)
@@ -70,24 +74,27 @@
 	req.lastUsefulSendAt = req.objectiveAt - min(2*estimate.baseline.value, c.LatencyObjective/2, timeout/2)
 }
 
-// late reports whether an attempt sent now would hardly earn the full weight.
-func (r *Router) late(req *request) bool { return r.now >= req.lastUsefulSendAt }
+// isLate reports whether an attempt sent now would probably be answered too late to earn the full
+// weight.
+func (r *Router) isLate(req *request) bool { return r.now >= req.lastUsefulSendAt }
 
-// worthless reports whether a late answer earns nothing, and any answer would be late now.
-func (r *Router) worthless(req *request) bool {
-	return r.late(req) && req.class.LateWeightFraction == 0
+// hasNoValue reports whether a request is late and a late answer of its class earns nothing.
+func (r *Router) hasNoValue(req *request) bool {
+	return r.isLate(req) && req.class.LateWeightFraction == 0
 }
 
-// weightPerWork returns what an answer is still worth for the work that it takes.
-func (r *Router) weightPerWork(req *request) float64 {
-	weight := req.class.PriorityWeight / float64(r.estimates.forRequest(req).baseline.value)
-	if r.late(req) {
-		weight *= req.class.LateWeightFraction
+// valuePerWork returns the weight that an answer still earns per unit of the class's baseline
+// latency, which stands for the work of the request.
+func (r *Router) valuePerWork(req *request) float64 {
+	value := req.class.PriorityWeight / float64(r.estimates.forRequest(req).baseline.value)
+	if r.isLate(req) {
+		value *= req.class.LateWeightFraction
 	}
-	return weight
+	return value
 }
 
-// dispatch sends a request if there is a server for it now, and reports whether it did.
+// dispatch sends a request to a server that can take it now, and reports whether there was one. A
+// request with an attempt in flight is sent again only if it may be hedged.
 func (r *Router) dispatch(req *request) bool {
 	hedged := r.settings.HedgingAllowed && req.class.Idempotency == Idempotent
 	if req.inFlight > 0 && !hedged || r.attemptsExhausted(req) {
@@ -101,7 +108,7 @@
 	return true
 }
 
-// chooseServer returns the server that a request is sent to now, nil if there is none.
+// chooseServer returns the server to send a request to, or nil if no server can take it now.
 func (r *Router) chooseServer(req *request) *server {
 	if req.class.needsPrimary() {
 		return r.choosePrimary(req)
@@ -109,7 +116,7 @@
 	return r.chooseReplica(req)
 }
 
-// sendAttempt sends a request to a server.
+// sendAttempt records and starts an attempt of a request at a server.
 func (r *Router) sendAttempt(req *request, s *server) {
 	r.recordAttempt(req, s)
 	if s.ejection.ejected {
@@ -117,7 +124,7 @@
 	}
 	timeout := time.Duration(0)
 	if req.class.LateWeightFraction == 0 && req.class.Idempotency == Idempotent {
-		timeout = max(req.objectiveAt-r.now, minAttemptTimeout) // no work is spent on an answer that earns nothing
+		timeout = max(req.objectiveAt-r.now, minAttemptTimeout) // a later answer earns nothing
 	}
 	r.actions.Attempt(req.id, s.ID, timeout)
 	if !s.health.silenceCheckScheduled {
--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -239,7 +239,7 @@
 // recentlyTried reports whether a request's latest attempt went to a server and is still in flight
 // or was sent less than positionRefreshInterval ago.
 func (r *Router) recentlyTried(req *request, s *server) bool {
-	last := req.last()
+	last := req.lastAttempt()
 	if last == nil || last.server != s {
 		return false
 	}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -5,83 +5,85 @@
 	"time"
 )
 
-// attempt is one send of a request to a server.
+// attempt is one forwarding of a request to a server.
 type attempt struct {
 	request     *request
 	server      *server
 	sentAt      time.Duration
 	finished    bool
-	serverError bool // it ended as ServerError
+	serverError bool // the attempt ended as ServerError
 }
 
-// request is a request of a client, from its arrival until it has its final answer and no attempt
-// is in flight.
+// request is an open request of a client. It is open from its arrival until it is finished and has
+// no attempt in flight.
 type request struct {
 	requestTiming
 	attemptHistory
 	readFreshness
 
 	id                 uint32
-	queued             bool // it stands in its group's queue
-	finished           bool // it has its final answer, or nobody waits for one
-	clientDisconnected bool // its client has left, or cancelled it
+	inQueue            bool // whether the request is in its group's queue
+	finished           bool // whether the request has its final answer, or its client has disconnected
+	clientDisconnected bool // whether the client has disconnected or cancelled the request
 
 	session     uint64
 	group       *group
 	class       *Class
 	classIndex  int
-	maxAttempts int // as the settings had it when the request arrived
+	maxAttempts int // Settings.MaxAttempts at the arrival of the request
 }
 
-// requestTiming holds the times that a request is judged by: arrivedAt, lastUsefulSendAt,
-// objectiveAt and deadline follow each other.
+// requestTiming holds the times that determine the value of a request's answer. arrivedAt,
+// lastUsefulSendAt, objectiveAt and deadline usually follow each other in this order; those of a
+// client's retry may already be past at its arrival.
 type requestTiming struct {
 	arrivedAt        time.Duration
-	lastUsefulSendAt time.Duration // an attempt sent by then can still earn the full weight
-	objectiveAt      time.Duration // an answer by then earns the full weight
-	deadline         time.Duration // the client gives up then
+	lastUsefulSendAt time.Duration // latest time of an attempt that can still earn the full weight
+	objectiveAt      time.Duration // latest time of an answer that earns the full weight
+	deadline         time.Duration // time at which the client gives up
 }
 
 // attemptHistory holds the attempts made for a request.
 type attemptHistory struct {
 	attempts         []*attempt
-	inFlight         int      // attempts that have not ended
-	possiblyExecuted *attempt // the first attempt that may have been executed; nil for none
-	reachedServer    bool     // an attempt has reached a server
+	inFlight         int      // number of attempts that have not ended
+	possiblyExecuted *attempt // first attempt that may have been executed; nil for none
+	reachedServer    bool     // whether an attempt has reached a server
 }
 
-// readFreshness holds what a read needs of a replica's position, and what its last pass over the
-// replicas found.
+// readFreshness holds the position that a read requires and the result of its last search for a
+// replica.
 type readFreshness struct {
-	sessionPosition time.Duration // ReadSession: the position of the session's last write; 0 for none
-	blockedByLag    bool          // some replica lacks only the position
-	catchUpExpected bool          // such a replica will have the position soon
+	sessionPosition time.Duration // ReadSession: position of the session's last write; 0 for none
+	blockedByLag    bool          // whether a replica could take the read if it were fresh enough
+	catchUpExpected bool          // whether such a replica is expected to be fresh enough soon
 }
 
-// add records an attempt that is about to be sent.
-func (h *attemptHistory) add(a *attempt) {
+// addAttempt records an attempt that is about to be sent.
+func (h *attemptHistory) addAttempt(a *attempt) {
 	h.attempts = append(h.attempts, a)
 	h.inFlight++
 }
 
-// unfinished returns the attempt of a number if there is one and it has not ended.
-func (h *attemptHistory) unfinished(number int) *attempt {
+// unfinishedAttempt returns the attempt with the given number, or nil if there is none or it has
+// ended.
+func (h *attemptHistory) unfinishedAttempt(number int) *attempt {
 	if number < 0 || number >= len(h.attempts) || h.attempts[number].finished {
 		return nil
 	}
 	return h.attempts[number]
 }
 
-// last returns the latest attempt, nil if there is none.
-func (h *attemptHistory) last() *attempt {
+// lastAttempt returns the latest attempt, or nil if there is none.
+func (h *attemptHistory) lastAttempt() *attempt {
 	if len(h.attempts) == 0 {
 		return nil
 	}
 	return h.attempts[len(h.attempts)-1]
 }
 
-// finish records the end of an attempt.
-func (h *attemptHistory) finish(a *attempt, result Result) {
+// endAttempt records the end of an attempt.
+func (h *attemptHistory) endAttempt(a *attempt, result Result) {
 	a.finished = true
 	h.inFlight--
 	if !result.NotExecuted() && h.possiblyExecuted == nil {
@@ -95,39 +97,40 @@
 // attemptNumber returns the number of an attempt within its request, or -1 if it is not one of them.
 func (h *attemptHistory) attemptNumber(a *attempt) int { return slices.Index(h.attempts, a) }
 
-// recordAttempt enters an attempt that is about to be sent.
+// recordAttempt adds an attempt that is about to be sent to its request and its server. An attempt
+// at a server in slow start is charged to that server's budget.
 func (r *Router) recordAttempt(req *request, s *server) {
 	a := &attempt{server: s, sentAt: r.now, request: req}
-	req.add(a)
+	req.addAttempt(a)
 	s.outstanding.add(a)
 	if r.inSlowStart(s) {
 		s.slowStart.budget -= float64(r.estimates.forRequest(req).meanLatency)
 	}
 }
 
-// finishAttempt enters what an outcome tells of its attempt, request, server and session, and
-// returns the attempt; nil if there is none that the outcome could end.
+// finishAttempt records the outcome of an attempt in the attempt, its request, its server and its
+// session, and returns the attempt. It returns nil if the attempt is unknown or has already ended.
 func (r *Router) finishAttempt(o Outcome) *attempt {
 	req := r.requests[o.RequestID]
 	if req == nil {
 		return nil
 	}
-	a := req.unfinished(o.Attempt)
+	a := req.unfinishedAttempt(o.Attempt)
 	if a == nil {
 		return nil
 	}
 	if o.Result == OK && !r.inSlowStart(a.server) {
 		r.recordWarmRequest(req.classIndex)
 	}
-	req.finish(a, o.Result)
+	req.endAttempt(a, o.Result)
 	a.server.outstanding.finish(a, o.Result, r.now)
 	r.observePosition(a, o)
 	return a
 }
 
-// observePosition records what an outcome tells of positions: the position of a write that was
-// executed belongs to its session, that of any other answer is the server's. A read may have been
-// turned away for its position.
+// observePosition records the position in an outcome: that of an executed write for the session of
+// the request, that of any other outcome for the server. It also records that a server rejected a
+// read as too far behind, and that answers omit positions.
 func (r *Router) observePosition(a *attempt, o Outcome) {
 	req := a.request
 	if o.Result == Misdirected && req.class.Access != Write {
@@ -144,19 +147,19 @@
 		return
 	}
 	if r.settings.TrackSessions && req.session != 0 {
-		r.sessions.remember(req.session, o.Position)
+		r.sessions.record(req.session, o.Position)
 	}
 }
 
-// forgetFinished drops a request that has its final answer and no attempt in flight.
+// forgetFinished deletes a request if it is finished and has no attempt in flight.
 func (r *Router) forgetFinished(req *request) {
 	if req.finished && req.inFlight == 0 {
 		delete(r.requests, req.id)
 	}
 }
 
-// attemptsExhausted reports whether a request has had all its attempts. New settings may lower the
-// number for a request under way and do not raise it.
+// attemptsExhausted reports whether a request has had its maximum number of attempts. New settings
+// lower that maximum for open requests but do not raise it.
 func (r *Router) attemptsExhausted(req *request) bool {
 	return len(req.attempts) >= min(req.maxAttempts, r.settings.MaxAttempts)
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Retry: whether a request may be sent again, and the one final answer to a request that is not
-// served.
+// Retry: whether a request may be sent again, and the final answer to a request that is not served.
 
 const (
-	// sendMargin is the least span from a choice to its last byte at the server that is allowed
-	// for.
+	// sendMargin is the minimum time allowed for a send, from the choice of the server until the
+	// last byte has reached it.
 	sendMargin = 60 * time.Millisecond
-	// retryBudgetRatio is what each request adds to the budget for repeats of idempotent requests
-	// that may have executed.
+	// retryBudgetRatio is what each request adds to the retry budget, from which the retries of
+	// idempotent requests that may have executed are paid.
 	retryBudgetRatio = 0.2
-	// maxRetryBudget bounds the repeats that can come at once.
+	// maxRetryBudget is the limit of the retry budget: the largest possible burst of such retries.
 	maxRetryBudget = 20.0
 )
 
-// attemptAllowed reports whether a request may be sent to a server as far as its idempotency goes:
-// one that is not idempotent and may have executed is never sent again, and one that is by its key
-// only to the servers that drop its repeats, while they remember it.
+// attemptAllowed reports whether a server is listed and the idempotency of a request permits
+// sending the request to it. A request that may have executed is never sent again if it is not
+// idempotent. If it is idempotent by its key, it is sent again only within the deduplication window
+// and only to servers within the deduplication scope.
 func (r *Router) attemptAllowed(req *request, s *server) bool {
 	if !s.listed {
 		return false
@@ -32,25 +32,26 @@
 	if r.now >= req.possiblyExecuted.sentAt+req.class.DedupWindow-sendMargin {
 		return false
 	}
-	return req.class.DedupScope.includes(req.possiblyExecuted.server, s)
+	return req.class.DedupScope.covers(req.possiblyExecuted.server, s)
 }
 
-// includes reports whether a server drops a repeat of what another one may have executed.
-func (d DedupScope) includes(executed, s *server) bool {
+// covers reports whether server s drops the repeat of a request that the original server may have
+// executed.
+func (d DedupScope) covers(original, s *server) bool {
 	switch d {
 	case DedupEverywhere:
 		return true
 	case DedupInZone:
-		return s.Zone == executed.Zone
+		return s.Zone == original.Zone
 	case DedupInGroup:
-		return s.Group == executed.Group
+		return s.Group == original.Group
 	}
 	return false
 }
 
 // MayStillSend reports whether an attempt that had to wait for its connection may be written now.
-// It may not once the grace period of its server or the window of its key is over, or the server's
-// proven position is too old for the read.
+// It returns false if the attempt is unknown, if the server's drain grace period or the request's
+// deduplication window has ended, or if the server is no longer fresh enough for the read.
 func (r *Router) MayStillSend(now time.Duration, id uint32, attempt int) bool {
 	r.advanceClock(now)
 	req := r.requests[id]
@@ -64,9 +65,9 @@
 	return s == req.group.primary || req.class.needsPrimary() || r.freshEnough(req, s)
 }
 
-// HandleOutcome handles the end of an attempt: it updates what is known of the server, and the
-// request is finished, sent again or queued. An outcome of an attempt that is unknown or has ended
-// is ignored.
+// HandleOutcome handles the end of an attempt. It updates the record of the server, and finishes,
+// retries or queues the request unless that has its final answer or another attempt in flight. The
+// outcome of an attempt that is unknown or has already ended is ignored.
 func (r *Router) HandleOutcome(now time.Duration, o Outcome) {
 	r.advanceClock(now)
 	a := r.finishAttempt(o)
@@ -92,8 +93,8 @@
 	r.dispatchQueued(req.group)
 }
 
-// retryOrFinish decides what follows an attempt that was not served: another attempt, a wait for
-// one, or the final answer.
+// retryOrFinish is called when an attempt was not served and none is in flight. It sends the
+// request again, queues it, or finishes it.
 func (r *Router) retryOrFinish(req *request, result Result) {
 	repeated := req.possiblyExecuted != nil && req.class.Idempotency == Idempotent && result != Cancelled
 	if !r.mayRetry(req, result) || repeated && r.retryBudget < 1 {
@@ -108,9 +109,10 @@
 	}
 }
 
-// mayRetry reports whether a request has time, attempts and worth left, and may be executed again.
+// mayRetry reports whether a request has time and attempts left, its answer still has a value, and
+// the request may be executed again. An attempt that ended as NotSent is never retried.
 func (r *Router) mayRetry(req *request, result Result) bool {
-	if req.deadline-r.now <= rejectMargin+r.settings.EventInterval || r.worthless(req) {
+	if req.deadline-r.now <= rejectMargin+r.settings.EventInterval || r.hasNoValue(req) {
 		return false
 	}
 	if req.possiblyExecuted != nil && req.class.Idempotency == NotIdempotent {
@@ -119,15 +121,15 @@
 	return !r.attemptsExhausted(req) && result != NotSent
 }
 
-// finishRequest gives a request its final answer: a rejection where a repeat is harmless, else a
-// failure.
+// finishRequest gives a request that was not served its final answer: a rejection if the client may
+// safely repeat the request, otherwise a failure. It does nothing if the request is finished.
 func (r *Router) finishRequest(req *request) {
 	if req.finished {
 		return
 	}
 	req.finished = true
 	r.countUnserved(req)
-	if r.repeatHarmless(req) {
+	if r.safeToRepeat(req) {
 		r.actions.Reject(req.id, r.retryAfter(req))
 	} else {
 		r.actions.Fail(req.id)
@@ -135,9 +137,9 @@
 	r.forgetFinished(req)
 }
 
-// repeatHarmless reports whether the client may send the request again, to any server: it has not
-// been executed, or its repeats have no effect.
-func (r *Router) repeatHarmless(req *request) bool {
+// safeToRepeat reports whether the client may send the request again to any server: either the
+// request has not been executed, or repeating it has no further effect.
+func (r *Router) safeToRepeat(req *request) bool {
 	if req.possiblyExecuted == nil && req.inFlight == 0 {
 		return true
 	}
@@ -145,23 +147,23 @@
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == DedupEverywhere
 }
 
-// retryAfter returns how long the client of a rejected request is advised to stay away, 0 for no
-// advice: as long as possible for a late read, and until its timeout would have ended for a request
-// that would not have seen the next primary.
+// retryAfter returns how long the client of a rejected request is asked to wait before it retries,
+// or 0 for no such advice. It returns MaxRetryAfter for a late read, and at most the remaining time
+// of the request if that would have ended before the group has a primary again.
 func (r *Router) retryAfter(req *request) time.Duration {
 	switch {
 	case !r.settings.RetryAfterSupported:
 		return 0
-	case r.late(req) && req.class.Access != Write:
+	case r.isLate(req) && req.class.Access != Write:
 		return r.settings.MaxRetryAfter
-	case r.failoverTooLate(req):
+	case r.failoverLikelyTooLate(req):
 		return min(r.settings.MaxRetryAfter, max(req.deadline-r.now, 0))
 	}
 	return 0
 }
 
-// HandleDisconnect ends a request whose client has left or cancelled it. Its attempts are
-// cancelled: they must not stand in a server's queue when nobody waits for them.
+// HandleDisconnect finishes a request whose client has disconnected or cancelled it. If the settings
+// allow it, the attempts in flight are cancelled, so that they do not occupy a server's queue.
 func (r *Router) HandleDisconnect(now time.Duration, id uint32) {
 	r.advanceClock(now)
 	req := r.requests[id]
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// maxTrackedSessions bounds the sessions of one generation. Two generations take about 4 MB.
+// maxTrackedSessions is the maximum number of sessions in one generation. Two full generations take
+// about 4 MB.
 const maxTrackedSessions = 1 << 16
 
-// sessionPositions remembers the position of each session's last write, in two generations: when
-// the current one is full the older one is dropped, and what was dropped is replaced by one
-// position that is no lower than any of them.
+// sessionPositions holds the positions of the last writes of sessions, in two generations. When the
+// current generation is full, the older one is dropped, and its sessions share one position that is
+// no lower than any of theirs.
 type sessionPositions struct {
 	current           map[uint64]time.Duration
 	older             map[uint64]time.Duration
-	untrackedPosition time.Duration // no lower than the position of any session that is not remembered
+	untrackedPosition time.Duration // upper bound of the positions of all sessions in neither generation
 }
 
-// of returns a position that is no lower than that of the session's last write.
-func (p *sessionPositions) of(session uint64) time.Duration {
+// lastWritePosition returns the position of a session's last write, or an upper bound of it if the
+// session is in neither generation.
+func (p *sessionPositions) lastWritePosition(session uint64) time.Duration {
 	if position, ok := p.current[session]; ok {
 		return position
 	}
@@ -25,14 +27,17 @@
 	return p.untrackedPosition
 }
 
-func (p *sessionPositions) remember(session uint64, position time.Duration) {
+// record records the position of a session's write. The position of a session in the current
+// generation is never lowered.
+func (p *sessionPositions) record(session uint64, position time.Duration) {
 	if len(p.current) >= maxTrackedSessions {
-		p.startGeneration()
+		p.rotateGenerations()
 	}
 	p.current[session] = max(position, p.current[session])
 }
 
-func (p *sessionPositions) startGeneration() {
+// rotateGenerations drops the older generation and starts a new one.
+func (p *sessionPositions) rotateGenerations() {
 	for _, position := range p.older {
 		p.untrackedPosition = max(p.untrackedPosition, position)
 	}
@@ -40,10 +45,11 @@
 	p.current = map[uint64]time.Duration{}
 }
 
-// sessionPosition returns the position that a read of the request's session must see, 0 for none.
+// sessionPosition returns the position that a replica must have reached to answer a read of the
+// request's session, or 0 if any will do.
 func (r *Router) sessionPosition(in Request) time.Duration {
 	if r.settings.TrackSessions {
-		return r.sessions.of(in.Session)
+		return r.sessions.lastWritePosition(in.Session)
 	}
 	if in.SinceLastWrite > 0 {
 		return r.now - in.SinceLastWrite
