--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// Actions is what a host does for a Router. The host carries the calls out in their order. No
-// method may call back into the Router.
+// Actions is the interface through which a Router acts on its host. The host carries out the calls
+// in their order. No method may call back into the Router.
 type Actions interface {
-	// Attempt sends a request to a server. A timeout of 0 stands for the request's own.
+	// Attempt sends a request to a server. With a timeout of 0 the request's own timeout applies.
 	Attempt(id, server uint32, timeout time.Duration)
-	// Reject is the final answer to a request that may be repeated, after the given wait if that is
-	// not 0.
+	// Reject gives a request that the client may safely repeat its final answer. If retryAfter is
+	// not 0, the client is asked to wait that long before it retries.
 	Reject(id uint32, retryAfter time.Duration)
-	// Fail is the final answer to a request that may have been executed.
+	// Fail gives a request that may have been executed its final answer.
 	Fail(id uint32)
-	// CancelAttempt stops waiting for one attempt.
+	// CancelAttempt cancels an attempt of a request. The host still reports its Outcome.
 	CancelAttempt(id uint32, attempt int)
-	// Probe asks a server for its status.
+	// Probe requests a status report from a server.
 	Probe(server uint32)
-	// SetTimer asks for a call of HandleTimer after the given span.
+	// SetTimer schedules one call of Router.HandleTimer after the given duration.
 	SetTimer(after time.Duration)
 	// CloseIdleConnections closes the idle connections to a server.
 	CloseIdleConnections(server uint32)
-	// WatchList polls the endpoint list or subscribes to its changes.
+	// WatchList polls the endpoint list or subscribes to its changes. The host reports the list
+	// through Router.HandleList.
 	WatchList()
 	// PrimaryChanged reports a change of a group's recorded primary, or a probe round that found
-	// none. Hosts log the event's LogText.
+	// no primary. Hosts log the event's LogText.
 	PrimaryChanged(event PrimaryEvent)
-	// Log adds a line to the pooler's log.
+	// Log writes a line to the pooler's log.
 	Log(text string)
 }
 
-// PrimaryEventKind is what a PrimaryEvent reports.
+// PrimaryEventKind is the kind of a PrimaryEvent.
 type PrimaryEventKind uint8
 
 // The kinds of a PrimaryEvent.
 const (
-	PrimaryFound    PrimaryEventKind = iota // Server is the recorded primary, as of AsOf
-	PrimaryDown                             // Server is no longer the recorded primary, for Reason
-	PrimaryListed                           // the list names Server, which is recorded until there is evidence
+	PrimaryFound    PrimaryEventKind = iota // Server became the recorded primary, by evidence as of AsOf
+	PrimaryDown                             // Server is no longer the recorded primary because of Reason
+	PrimaryListed                           // Server is recorded as the list has it, for lack of evidence
 	PrimaryNotFound                         // a probe round ended without a primary
 )
 
-// PrimaryEvent is a change of a group's recorded primary, or a probe round that found none.
+// PrimaryEvent is a change of a group's recorded primary, or a probe round that found no primary.
 type PrimaryEvent struct {
 	Kind     PrimaryEventKind
 	Group    int
 	Server   uint32
-	AsOf     time.Duration // the time of the evidence
-	Reason   string
-	Repeated bool // PrimaryNotFound: not the first such round of this outage
+	AsOf     time.Duration // time of the evidence
+	Reason   string        // PrimaryDown: predicate that completes the log line, such as "is silent"
+	Repeated bool          // PrimaryNotFound: whether an earlier round of this outage found none either
 }
 
-// LogText returns the line for the log; it is empty where the event is not worth one.
+// LogText returns the log line for the event, or "" if the event is not logged.
 func (e PrimaryEvent) LogText() string {
 	switch {
 	case e.Kind == PrimaryFound:
-		return fmt.Sprintf("group %d: store %d is primary", e.Group, e.Server)
+		return fmt.Sprintf("group %d: server %d is primary", e.Group, e.Server)
 	case e.Kind == PrimaryDown:
 		return fmt.Sprintf("group %d: primary %d %s", e.Group, e.Server, e.Reason)
 	case e.Kind == PrimaryListed || e.Repeated:
 		return ""
 	}
-	return fmt.Sprintf("group %d: round ends without a primary", e.Group)
+	return fmt.Sprintf("group %d: probe round found no primary", e.Group)
 }
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -86,11 +86,11 @@
 // valuePerWork returns the weight that an answer still earns per unit of the class's baseline
 // latency, which stands for the work of the request.
 func (r *Router) valuePerWork(req *request) float64 {
-	value := req.class.PriorityWeight / float64(r.estimates.forRequest(req).baseline.value)
+	weight := req.class.PriorityWeight / float64(r.estimates.forRequest(req).baseline.value)
 	if r.isLate(req) {
-		value *= req.class.LateWeightFraction
+		weight *= req.class.LateWeightFraction
 	}
-	return value
+	return weight
 }
 
 // dispatch sends a request to a server that can take it now, and reports whether there was one. A
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Role is what a server is in its group.
+// Role is the replication role of a server in its group.
 type Role uint8
 
 // The roles of a server.
@@ -12,38 +12,38 @@
 	RoleReplica
 )
 
-// MemberState is what the endpoint list says of a server.
+// MemberState is the state of a server in the endpoint list.
 type MemberState uint8
 
-// The states of a listed server.
+// The states of a server in the endpoint list.
 const (
 	Removed MemberState = iota
 	Ready
 	Draining
 )
 
-// NoReads is the ReadWeight of a member that takes no reads by turns and may still be primary.
+// NoReads is the ReadWeight of a member that is not used as a read replica. It may become primary.
 const NoReads = -1
 
 // Member is one entry of the endpoint list.
 type Member struct {
-	ID         uint32 // the server, the same at all poolers
+	ID         uint32 // identifier of the server, the same at all poolers
 	Zone       int
 	Group      int
 	State      MemberState
-	Primary    bool          // the list names it as its group's primary
-	StartedAt  time.Duration // clock time of its last start; 0 for long ago
-	ReadWeight int           // its share of the group's reads against the other members'; 0 counts as 1
+	Primary    bool          // whether the list names the server as its group's primary
+	StartedAt  time.Duration // clock time of the server's last start; 0 if that is long ago
+	ReadWeight int           // weight of the server among the group's read replicas; 0 counts as 1
 }
 
-// ListKind says how a list relates to the one before it.
+// ListKind is the kind of an endpoint list: how it relates to the previous one.
 type ListKind uint8
 
-// The kinds of a list.
+// The kinds of an endpoint list.
 const (
-	ListDelta  ListKind = iota // only the entries that changed
+	ListDelta  ListKind = iota // only the entries that have changed
 	ListFull                   // all entries
-	ListCached                 // all entries, as a pooler that was restarted had stored them
+	ListCached                 // all entries, as stored by the pooler before its restart
 	ListFailed                 // no entries: the poll failed or the subscription ended
 )
 
@@ -52,35 +52,36 @@
 	ID             uint32
 	Class          int // index into Settings.Classes
 	Group          int
-	Session        uint64        // 0 for none
-	Timeout        time.Duration // span until the client gives up this try
-	SinceLastWrite time.Duration // age of the session's last write, as the request carries it; 0 for none
+	Session        uint64        // identifier of the session; 0 for none
+	Timeout        time.Duration // time until the client gives up this request
+	SinceLastWrite time.Duration // age of the session's last write, if the request carries it; 0 for none
 }
 
-// ServerStatus is what a server last reported of its own load and state.
+// ServerStatus is a server's latest report of its replication state and load.
 type ServerStatus struct {
 	HasPosition   bool
-	Position      time.Duration // clock time up to which the server has applied everything
+	Position      time.Duration // clock time up to which the server has applied all writes
 	HasRole       bool
 	IsPrimary     bool
-	RoleIsCurrent bool    // the role is as of the report itself, not of Position
-	Utilization   float64 // share of its cores in use, from 0 to 1; 0 where it was not reported
+	RoleIsCurrent bool    // whether the role is as of the report itself rather than as of Position
+	Utilization   float64 // share of the server's cores in use, from 0 to 1; 0 if not reported
 }
 
-// Result is how an attempt or a probe ended.
+// Result is the result of an attempt or a probe.
 type Result uint8
 
-// The results. NotExecuted tells which of them prove that the request had no effect.
+// The results of an attempt or a probe. Result.NotExecuted reports which of them prove that the
+// request had no effect.
 const (
-	OK              Result = iota
-	Misdirected            // the server is not the primary, or is too far behind
-	ServerError            // an error, which may have come after an effect
-	Overloaded             // turned away before it was looked at
-	TimedOut               // no answer in time
-	ConnectFailed          // no connection in time
-	ConnectionReset        // the connection broke
-	Cancelled              // cancelled by the pooler
-	NotSent                // never sent
+	OK              Result = iota // the attempt was served or the probe answered
+	Misdirected                   // the server is not the primary, or is too far behind
+	ServerError                   // the server returned an error; the request may have had an effect
+	Overloaded                    // the server rejected the attempt without executing it
+	TimedOut                      // no answer in time
+	ConnectFailed                 // no connection was established in time
+	ConnectionReset               // the connection broke
+	Cancelled                     // cancelled by the pooler
+	NotSent                       // the attempt was not sent
 )
 
 // NotExecuted reports whether r proves that the attempt had no effect.
@@ -91,13 +92,13 @@
 // Outcome is the end of an attempt.
 type Outcome struct {
 	RequestID   uint32
-	Attempt     int // 0, 1, 2 and so on, in the order of the sends
+	Attempt     int // number of the attempt within its request, from 0
 	Server      uint32
 	Result      Result
-	Answered    bool // the client has its final answer
-	Role        Role // the server's role, as the answer reports it
+	Answered    bool // whether the client has its final answer
+	Role        Role // role of the server according to the answer
 	HasPosition bool
-	Position    time.Duration // of a write that was executed its commit time; else as ServerStatus.Position
+	Position    time.Duration // commit time of an executed write; otherwise as ServerStatus.Position
 	Status      ServerStatus
 }
 
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -72,9 +72,9 @@
 	// Output:
 	// probe 1
 	// probe 2
-	// log: group 0: store 1 is primary
+	// log: group 0: server 1 is primary
 	// attempt 10 at server 1
 	// log: group 0: primary 1 does not answer its ping
-	// log: group 0: store 2 is primary
+	// log: group 0: server 2 is primary
 	// attempt 11 at server 2
 }
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// Access says what a request needs of the server that executes it: for a read how fresh the data
-// must be, for a write the primary.
+// Access is the kind of access that a request needs: a write, or a read with a required freshness
+// of the data.
 type Access uint8
 
-// The kinds of access, from the least demanding one on.
+// The kinds of access, in ascending order of their demands.
 const (
-	ReadAny     Access = iota // a read that every member may answer
+	ReadAny     Access = iota // a read that any member of the group may answer
 	ReadBounded               // a read of data no older than Class.MaxStaleness at the time of the send
 	ReadSession               // a read that must see all writes of its session
 	ReadLatest                // a read that must see all writes committed before it arrived
 	Write                     // a write, which only the primary executes
 )
 
-// Idempotency says whether a request may be executed more than once.
+// Idempotency is the condition under which a request may be executed more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be executed any number of times
-	IdempotentByKey                    // servers drop repeats within Class.DedupScope for Class.DedupWindow
+	IdempotentByKey                    // servers within Class.DedupScope drop repeats for Class.DedupWindow
 	NotIdempotent                      // must never be executed twice
 )
 
-// DedupScope is the set of servers that drop the repeats of a request that is idempotent by its
-// key.
+// DedupScope is the set of servers that drop repeats of a request that is idempotent by its key.
 type DedupScope uint8
 
 // The scopes of deduplication.
@@ -43,58 +42,62 @@
 type Class struct {
 	Name               string
 	Access             Access
-	MaxStaleness       time.Duration // ReadBounded: the greatest age of the data at the time of the send
+	MaxStaleness       time.Duration // ReadBounded: maximum age of the data at the time of the send
 	Idempotency        Idempotency
-	DedupScope         DedupScope    // IdempotentByKey: where repeats are dropped
-	DedupWindow        time.Duration // IdempotentByKey: how long, from the first such attempt on
-	LatencyObjective   time.Duration // a request answered within this span earns its full PriorityWeight
-	TotalTimeout       time.Duration // how long a client waits in all, over all its tries
-	PriorityWeight     float64       // value of an answer, in any unit that the classes share
-	LateWeightFraction float64       // share of PriorityWeight earned later, from 0 to 1
+	DedupScope         DedupScope    // IdempotentByKey: servers that drop repeats
+	DedupWindow        time.Duration // IdempotentByKey: how long, from the first attempt that may have executed
+	LatencyObjective   time.Duration // maximum latency that earns the full PriorityWeight; 0 for none
+	TotalTimeout       time.Duration // time that a client waits in total, including its retries
+	PriorityWeight     float64       // value of an answer, relative to those of the other classes
+	LateWeightFraction float64       // share of PriorityWeight that a later answer earns, from 0 to 1
 }
 
-// StaleReadHandling says what a server does with a read that it is too far behind for.
+// StaleReadHandling is what a server does with a read that it is too far behind to answer.
 type StaleReadHandling uint8
 
-// The ways of handling a stale read.
+// The ways of handling such a read.
 const (
-	StaleReadAnswered StaleReadHandling = iota // answers from the data that it has
+	StaleReadAnswered StaleReadHandling = iota // answers with the stale data
 	StaleReadRejected                          // ends the attempt as Misdirected at once
-	StaleReadWaits                             // waits up to Settings.StaleReadWait, then as StaleReadRejected
+	StaleReadWaits                             // waits up to Settings.StaleReadWait, then rejects the read
 )
 
-// Settings is what a Router is configured with. A limit of zero means that there is none.
+// Settings is the configuration of a Router. A limit of 0 means no limit.
 type Settings struct {
-	Poolers     int // poolers in this tier, this one included; 0 counts as 1
-	PoolerIndex int // this pooler's number among them, from 0
-	Zone        int // the zone that this pooler runs in
+	Poolers     int // number of poolers in the fleet, including this one; 0 counts as 1
+	PoolerIndex int // number of this pooler in the fleet, from 0
+	Zone        int // zone that this pooler runs in
 	Classes     []Class
 
 	StaleReads          StaleReadHandling
-	StaleReadWait       time.Duration // StaleReadWaits: how long a server waits to catch up
-	PositionEpoch       time.Duration // the clock time that positions count from
-	TrackSessions       bool          // the Router remembers sessions' writes; else requests carry them
-	RolesReported       bool          // status reports of servers carry the role
-	ProbesAllowed       bool          // Actions.Probe may be used
-	CancelAllowed       bool          // Actions.CancelAttempt may be used
-	HedgingAllowed      bool          // one request may have two attempts in flight
-	RetryAfterSupported bool          // a rejected client can be advised how long to stay away
-	MaxAttempts         int           // attempts for one request; 0 for no limit
-	MaxRetryAfter       time.Duration // the longest such time
-
-	PollList        bool          // the endpoint list is polled by Actions.WatchList; else changes are pushed
-	MaxPollInterval time.Duration // PollList: the longest span between two polls
-	EventInterval   time.Duration // the shortest span between two events of the host
-	IgnoreRemoval   bool          // a server removed from the list stays in use unless it was listed as draining
-
-	DrainGracePeriod  time.Duration // how long a draining or removed primary still takes writes
-	SlowStartCapacity float64       // share of its capacity, from 0 to 1, that a server has at its start
-	SlowStartDuration time.Duration // span from a server's start until it has its full capacity
-	OverloadFactor    float64       // a server in slow start fails under this multiple of its present capacity,
-	OverloadInterval  time.Duration // sent to it over this span; with either at 0 there is no slow start
+	StaleReadWait       time.Duration // StaleReadWaits: how long a server waits to catch up at most
+	PositionEpoch       time.Duration // clock time that positions are counted from
+	TrackSessions       bool          // whether the Router tracks the writes of sessions itself
+	RolesReported       bool          // whether status reports of servers include the role
+	ProbesAllowed       bool          // whether Actions.Probe may be called
+	CancelAllowed       bool          // whether Actions.CancelAttempt may be called
+	HedgingAllowed      bool          // whether an idempotent request may have more than one attempt in flight
+	RetryAfterSupported bool          // whether Actions.Reject may ask a client to wait before it retries
+	MaxAttempts         int           // maximum number of attempts of a request; 0 for no limit
+	MaxRetryAfter       time.Duration // maximum time that Actions.Reject asks a client to wait
+
+	PollList        bool          // whether Actions.WatchList polls the list; if not, changes are pushed
+	MaxPollInterval time.Duration // PollList: maximum interval between two polls
+	EventInterval   time.Duration // minimum interval between two events that the host reports
+	IgnoreRemoval   bool          // whether a removed server stays in use if it was not listed as draining
+
+	DrainGracePeriod  time.Duration // how long a draining or removed primary still accepts writes
+	SlowStartCapacity float64       // share of its full capacity, from 0 to 1, that a server has at its start
+	SlowStartDuration time.Duration // time from a server's start until it has its full capacity
+
+	// A server in slow start fails if it is sent more than OverloadFactor times its current
+	// capacity over OverloadInterval. If either is 0, there is no slow start.
+	OverloadFactor   float64
+	OverloadInterval time.Duration
 }
 
-// Validate returns an error that names the first setting out of its range.
+// Validate returns an error that names the first setting that is out of range, or nil if there is
+// none.
 func (s *Settings) Validate() error {
 	if err := s.validateCounts(); err != nil {
 		return err
@@ -119,7 +122,7 @@
 	return nil
 }
 
-// validateCounts returns an error that names the first count below 0.
+// validateCounts returns an error that names the first negative count.
 func (s *Settings) validateCounts() error {
 	return validateNotNegative([]namedSetting[int]{
 		{"Poolers", s.Poolers},
@@ -129,7 +132,7 @@
 	})
 }
 
-// validateDurations returns an error that names the first duration below 0.
+// validateDurations returns an error that names the first negative duration.
 func (s *Settings) validateDurations() error {
 	return validateNotNegative([]namedSetting[time.Duration]{
 		{"StaleReadWait", s.StaleReadWait},
@@ -142,12 +145,13 @@
 	})
 }
 
-// namedSetting is a setting and the name of its field.
+// namedSetting is the value of a setting and the name of its field.
 type namedSetting[T int | time.Duration] struct {
 	name  string
 	value T
 }
 
+// validateNotNegative returns an error that names the first negative setting.
 func validateNotNegative[T int | time.Duration](settings []namedSetting[T]) error {
 	for _, setting := range settings {
 		if setting.value < 0 {
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// validate returns an error that names the first group of fields with a value out of its range.
+// validate returns an error that names the first group of fields with a value out of range.
 func (c *Class) validate() error {
 	if c.Access > Write || c.Idempotency > NotIdempotent || c.DedupScope > DedupInGroup {
 		return fmt.Errorf("Access %d, Idempotency %d or DedupScope %d is unknown",
@@ -172,5 +176,6 @@
 	return nil
 }
 
-// needsPrimary reports whether only the primary may execute requests of the class.
+// needsPrimary reports whether only the primary may execute requests of the class. Reads of the
+// latest data need it too.
 func (c *Class) needsPrimary() bool { return c.Access == Write || c.Access == ReadLatest }
