--- a/internal/policy/admission_test.go
+++ b/internal/policy/admission_test.go
@@ -12,12 +12,12 @@
 	host.probedServers = nil
 	host.probeFailed(1, ConnectFailed)
 	if !slices.Equal(host.probedServers, []uint32{1, 2, 3}) {
-		t.Fatalf("a failed ping probed %v, want all members", host.probedServers)
+		t.Fatalf("servers probed after a failed ping are %v, want all members", host.probedServers)
 	}
 	host.sendRequest(2, classNotIdempotent)
 	host.advance(300 * ms)
 	if len(host.attempts[2]) != 0 {
-		t.Fatalf("a write was sent without a primary: %v", host.actions)
+		t.Fatalf("write was sent without a recorded primary: %v", host.actions)
 	}
 	host.probeAnswered(3, true, host.now)
 	host.wantAction("attempt 2 3")
@@ -32,8 +32,9 @@
 	host.wantAction("reject 1")
 }
 
-// Requests are sent by what their answers are worth, and not at all once too little of their objective is left.
-func TestQueueOrderAndEnd(t *testing.T) {
+// The queue is ordered by the value of the answers. Requests whose late answers have no value are
+// rejected when too little time is left until their objective.
+func TestQueueOrderAndLateRejection(t *testing.T) {
 	host := newHost(t, func(s *Settings) { s.Classes[classLatest].LateWeightFraction = 0 })
 	host.sendRequest(1, classLatest)
 	host.advanceTo(startTime + 20*ms)
@@ -47,9 +48,10 @@
 	host.wantAction("reject 2")
 }
 
-// While a group is without a primary, a write that will hardly see the next one is rejected at half its time, so that its
-// client can come again; one with more time is kept to its end.
-func TestFailoverTooLateEndsAtHalfTime(t *testing.T) {
+// While a group has no primary, a write whose deadline is probably before the end of the outage is
+// rejected when half of its time has passed, so that its client can retry. A write with more time
+// stays in the queue.
+func TestRejectedAtHalfTimeIfFailoverTooLate(t *testing.T) {
 	host := newHostWithPrimary(t, func(s *Settings) {
 		s.RetryAfterSupported = true
 		s.MaxRetryAfter = time.Second
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -7,7 +7,7 @@
 	"threadsail/internal/policy"
 )
 
-// printer is a host that prints what it is asked for.
+// printer is a host that prints the actions of its Router.
 type printer struct{}
 
 func (printer) Attempt(id, server uint32, _ time.Duration) {
@@ -23,7 +23,8 @@
 func (p printer) PrimaryChanged(e policy.PrimaryEvent) { p.Log(e.LogText()) }
 func (printer) Log(text string)                        { fmt.Println("log:", text) }
 
-// A write, the failure of its group's primary, a write that is queued, and the new primary.
+// A write is sent to the primary. The primary fails, the next write is queued, and it is sent when
+// a new primary is found.
 func Example() {
 	router, err := policy.New(policy.Settings{
 		Poolers:       1,
--- a/internal/policy/host_test.go
+++ b/internal/policy/host_test.go
@@ -9,8 +9,8 @@
 
 const (
 	ms        = time.Millisecond
-	startTime = 100 * time.Second // the host's time at the start of a test
-	testGroup = 7                 // the group of servers 1, 2 and 3
+	startTime = 100 * time.Second // time of the host's clock at the start of a test
+	testGroup = 7                 // group of servers 1, 2 and 3
 )
 
 // Classes of the test settings.
@@ -61,10 +61,10 @@
 	return s
 }
 
-// withPoolers changes the settings to a fleet of n poolers.
+// withPoolers returns a change of the settings to a fleet of n poolers.
 func withPoolers(n int) func(*Settings) { return func(s *Settings) { s.Poolers = n } }
 
-// withPooler changes the settings to those of one pooler of a fleet.
+// withPooler returns a change of the settings to those of one pooler of a fleet.
 func withPooler(index, poolers int) func(*Settings) {
 	return func(s *Settings) {
 		s.Poolers = poolers
@@ -72,12 +72,13 @@
 	}
 }
 
-// newMember returns an entry of the test group.
+// newMember returns a list entry for a server of the test group.
 func newMember(id uint32, state MemberState, weight int) Member {
 	return Member{ID: id, Group: testGroup, State: state, ReadWeight: weight}
 }
 
-// memberList returns entries of the test group for servers 1 to n, of which one is named as primary; 0 for none.
+// memberList returns list entries for servers 1 to n of the test group. The entry of server primary
+// names it as primary; 0 for none.
 func memberList(n int, primary uint32) []Member {
 	var list []Member
 	for id := uint32(1); id <= uint32(n); id++ {
@@ -86,21 +87,21 @@
 	return list
 }
 
-// fakeHost is a host with a clock of its own. It records what the Router asks for.
+// fakeHost is a host with its own clock. It records the actions of its Router.
 type fakeHost struct {
 	t             *testing.T
 	router        *Router
 	now           time.Duration
 	timersDue     []time.Duration
-	actions       []string            // such as "attempt 2 1": of request 2 at server 1
-	attempts      map[uint32][]uint32 // by request: the servers, in the order of the sends
+	actions       []string            // for example "attempt 2 1" for request 2 at server 1
+	attempts      map[uint32][]uint32 // servers by request, in the order of the attempts
 	probedServers []uint32
 	primaryEvents []PrimaryEvent
 	logLines      []string
 }
 
-func (host *fakeHost) record(format string, a ...any) {
-	host.actions = append(host.actions, fmt.Sprintf(format, a...))
+func (host *fakeHost) record(format string, args ...any) {
+	host.actions = append(host.actions, fmt.Sprintf(format, args...))
 }
 
 func (host *fakeHost) Attempt(id, server uint32, _ time.Duration) {
@@ -131,7 +132,7 @@
 
 func (host *fakeHost) Log(text string) { host.logLines = append(host.logLines, text) }
 
-// newHostWith returns a host whose Router has the given settings and seed, and no list yet.
+// newHostWith returns a host whose Router has the given settings and seed and has received no list.
 func newHostWith(t *testing.T, settings Settings, seed uint64) *fakeHost {
 	t.Helper()
 	host := &fakeHost{t: t, now: startTime, attempts: map[uint32][]uint32{}}
@@ -143,7 +144,8 @@
 	return host
 }
 
-// newHost returns a host whose test group has servers 1, 2 and 3 and no recorded primary.
+// newHost returns a host whose test group has servers 1, 2 and 3 and no recorded primary. Its
+// settings are the test settings with the given change.
 func newHost(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
 	settings := testSettings()
@@ -155,7 +157,8 @@
 	return host
 }
 
-// newHostWithPrimary returns a host whose Router has found that server 1 is primary and that the others have no lag.
+// newHostWithPrimary returns a host whose Router has recorded server 1 as primary and positions
+// without lag for the others. What was recorded on the way is cleared.
 func newHostWithPrimary(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
 	host := newHost(t, change)
@@ -170,7 +173,7 @@
 	return host
 }
 
-// advanceTo moves the clock to a time and fires every timer that is due up to it.
+// advanceTo moves the clock forward to a time and fires every timer that is due by then.
 func (host *fakeHost) advanceTo(at time.Duration) {
 	for {
 		next := -1
@@ -189,7 +192,7 @@
 	}
 }
 
-// advance moves the clock by a span.
+// advance moves the clock forward by a duration and fires the timers that are due.
 func (host *fakeHost) advance(span time.Duration) { host.advanceTo(host.now + span) }
 
 // server returns the Router's record of a server, nil if there is none.
@@ -239,23 +242,23 @@
 	host.router.HandleRequest(host.now, Request{ID: id, Class: class, Group: testGroup, Timeout: timeout})
 }
 
-// updateList reports a change of the list to the Router.
+// updateList reports the changed entries of the list to the Router.
 func (host *fakeHost) updateList(changed ...Member) {
 	host.router.HandleList(host.now, ListDelta, changed)
 }
 
-// probeAnswered ends a probe with a status.
+// probeAnswered ends a probe of a server with a status report.
 func (host *fakeHost) probeAnswered(server uint32, primary bool, position time.Duration) {
 	status := ServerStatus{HasPosition: true, Position: position, HasRole: true, IsPrimary: primary}
 	host.router.HandleProbeResult(host.now, ProbeResult{Server: server, Status: status})
 }
 
-// probeFailed ends a probe without an answer.
+// probeFailed ends a probe of a server with the given result and no status report.
 func (host *fakeHost) probeFailed(server uint32, result Result) {
 	host.router.HandleProbeResult(host.now, ProbeResult{Server: server, Result: result})
 }
 
-// endAttempt ends an attempt. An attempt that is served answers its request.
+// endAttempt ends an attempt with a result. If that is OK, the request has its final answer.
 func (host *fakeHost) endAttempt(id uint32, attempt int, result Result, role Role) {
 	outcome := Outcome{RequestID: id, Attempt: attempt, Result: result, Role: role, Answered: result == OK}
 	host.router.HandleOutcome(host.now, outcome)
@@ -267,7 +270,7 @@
 	s.latency.measuredAt = host.now
 }
 
-// wantSentTo checks that a request has been sent to one server and no other.
+// wantSentTo checks that a request has been sent once, to the given server.
 func (host *fakeHost) wantSentTo(id, server uint32) {
 	host.t.Helper()
 	if sent := host.attempts[id]; len(sent) != 1 || sent[0] != server {
--- a/internal/policy/read_staleness_test.go
+++ b/internal/policy/read_staleness_test.go
@@ -13,11 +13,11 @@
 			Timeout: 2 * time.Second, SinceLastWrite: 40 * ms})
 	}
 	read(2)
-	host.wantAction("attempt 2 2") // its position is proven as of now
+	host.wantAction("attempt 2 2") // server 2 has reported its position as of now
 	host.advanceTo(startTime + 100*ms)
 	read(3)
 	if len(host.attempts[3]) != 0 {
-		t.Fatalf("sent to %v before any position proved the write", host.attempts[3])
+		t.Fatalf("read was sent to %v before any replica had reported the write's position", host.attempts[3])
 	}
 	host.probeAnswered(3, false, host.now-20*ms)
 	host.wantAction("attempt 3 3")
@@ -37,15 +37,17 @@
 	send(3, classSession, writer)
 	send(4, classSession, other)
 	if len(host.attempts[3]) != 0 || len(host.attempts[4]) != 1 {
-		t.Fatalf("own write: %v, other session: %v", host.attempts[3], host.attempts[4])
+		t.Fatalf("reads of the writer's and another session were sent to %v and %v, want none and one",
+			host.attempts[3], host.attempts[4])
 	}
 	host.probeAnswered(2, false, host.now+5*ms)
 	host.wantAction("attempt 3 2")
 }
 
-// newLaggingHost returns a host whose answers tell no positions and whose replicas turn away reads that they are too far
-// behind for. Reads for any member take ten times as long as bounded ones.
-func newLaggingHost(t *testing.T, poolers int) *fakeHost {
+// newHostWithoutPositionsInAnswers returns a host whose servers omit positions from answers and
+// reject reads that they are too far behind for. ReadAny requests take ten times as long as bounded
+// reads.
+func newHostWithoutPositionsInAnswers(t *testing.T, poolers int) *fakeHost {
 	t.Helper()
 	host := newHostWithPrimary(t, func(s *Settings) {
 		s.Poolers = poolers
@@ -58,34 +60,35 @@
 	return host
 }
 
-// A replica's position is asked for before it is too old for bounded reads, and none is sent where it would be turned
-// away. A fleet so large that this would be too much for a replica leaves it out.
-func TestPositionsAreProbedAheadOfReads(t *testing.T) {
+// Replicas are probed before their positions are too old for bounded reads, so that no read is
+// rejected. A fleet so large that the probes would overload the replicas does not send them.
+func TestPositionsAreRefreshedProactively(t *testing.T) {
 	for _, c := range []struct {
 		poolers int
 		probed  bool
 	}{{2, true}, {8, true}, {80, false}} {
 		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
-			host := newLaggingHost(t, c.poolers)
+			host := newHostWithoutPositionsInAnswers(t, c.poolers)
 			host.advanceTo(startTime + 1400*ms)
 			host.sendRequest(2, classBounded)
 			if host.probeCount(2)+host.probeCount(3) > 0 {
-				t.Error("positions of less than half the bound were asked for")
+				t.Error("replicas were probed although their positions are younger than half of MaxStaleness")
 			}
 			host.advanceTo(startTime + 1600*ms)
 			host.sendRequest(3, classBounded)
 			host.sendRequest(4, classBounded)
 			if probed := host.probeCount(2) == 1 && host.probeCount(3) == 1; probed != c.probed {
-				t.Errorf("replicas were probed %d and %d times, want once each %v",
+				t.Errorf("replicas were probed %d and %d times, want once each: %v",
 					host.probeCount(2), host.probeCount(3), c.probed)
 			}
 		})
 	}
 }
 
-// Where no replica has proved to be fresh enough, a bounded read goes to the primary and not to one that may be.
-func TestBoundedReadsGoToProvenReplicas(t *testing.T) {
-	host := newLaggingHost(t, 2)
+// If positions are refreshed proactively, a bounded read goes to the primary rather than to a
+// replica that has not reported a position recent enough.
+func TestBoundedReadsNeedReportedPosition(t *testing.T) {
+	host := newHostWithoutPositionsInAnswers(t, 2)
 	host.advanceTo(startTime + 3100*ms)
 	host.sendRequest(2, classBounded)
 	host.advance(200 * ms)
@@ -95,12 +98,13 @@
 	host.wantSentTo(3, 3)
 }
 
-// Long reads that may keep a replica from applying the log go to the one furthest behind, whatever the pooler's seed,
-// and when that has no capacity to others that are too far behind as well, or the primary: no fresh one falls behind.
-func TestLongReadsKeepToReplicasBehind(t *testing.T) {
+// Long reads may keep a replica from applying the log. They go to the replica furthest behind,
+// whatever the pooler's seed. If that has no capacity, they go to another replica that is too far
+// behind for bounded reads or to the primary, so that no fresh replica falls behind.
+func TestLongReadsGoToLaggingReplicas(t *testing.T) {
 	for seed := uint64(1); seed < 6; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			host := newLaggingHost(t, 2)
+			host := newHostWithoutPositionsInAnswers(t, 2)
 			host.router.random.state = seed
 			host.advanceTo(startTime + 200*ms)
 			host.probeAnswered(3, false, host.now)
@@ -117,34 +121,34 @@
 	}
 }
 
-// A replica that has just turned a read away is no longer taken to keep the lag that it last showed: further reads go
-// past it for a while, or until it proves a newer position.
-func TestRejectedReadsAreNotFollowed(t *testing.T) {
-	host := newLaggingHost(t, 80) // too many poolers to probe positions ahead
+// A replica that has just rejected a read is not assumed to have kept the lag of its last report.
+// Further reads skip it for roundInterval, or until it reports a newer position.
+func TestReplicaIsSkippedAfterRejectingRead(t *testing.T) {
+	host := newHostWithoutPositionsInAnswers(t, 80) // too many poolers to refresh positions proactively
 	host.advanceTo(startTime + 4*time.Second)
 	host.sendRequest(2, classBounded)
 	if len(host.attempts[2]) != 1 {
-		t.Fatalf("a read was sent to %v, want one replica that may have kept its lag", host.attempts[2])
+		t.Fatalf("read was sent to %v, want one replica that may have kept its lag", host.attempts[2])
 	}
-	behind := host.attempts[2][0]
+	rejecting := host.attempts[2][0]
 	host.endAttempt(2, 0, Misdirected, RoleReplica)
 	for id := uint32(3); id < 6; id++ {
 		host.sendRequest(id, classBounded)
-		if sent := host.attempts[id]; len(sent) > 0 && sent[0] == behind {
-			t.Errorf("read %d followed one that server %d turned away", id, behind)
+		if sent := host.attempts[id]; len(sent) > 0 && sent[0] == rejecting {
+			t.Errorf("read %d was sent to server %d, which has just rejected another", id, rejecting)
 		}
 	}
-	host.probeAnswered(behind, false, host.now)
+	host.probeAnswered(rejecting, false, host.now)
 	read := &request{class: &host.router.settings.Classes[classBounded]}
-	if !host.router.freshEnough(read, host.server(behind)) {
-		t.Error("a replica that proved a new position is passed over for what it turned away before")
+	if !host.router.freshEnough(read, host.server(rejecting)) {
+		t.Error("a replica that has reported a newer position is skipped because of an earlier rejection")
 	}
 }
 
 func TestBoundedReadAtExactStaleness(t *testing.T) {
 	for _, c := range []struct {
-		age     time.Duration
-		replica bool
+		age     time.Duration // age of the replicas' positions
+		replica bool          // whether the read may go to a replica
 	}{
 		{time.Second - positionTolerance, true},
 		{time.Second - positionTolerance + time.Microsecond, false},
@@ -159,18 +163,19 @@
 			host.sendRequest(2, classBounded)
 			sent := host.attempts[2]
 			if toReplica := len(sent) == 1 && sent[0] != 1; toReplica != c.replica {
-				t.Errorf("sent to %v, want a replica %v", sent, c.replica)
+				t.Errorf("read was sent to %v, want a replica: %v", sent, c.replica)
 			}
 		})
 	}
 }
 
-// While reads wait for a position, a pooler of a large fleet asks one replica at a time, a pooler of a small one all.
+// While reads wait for a recent position, a pooler of a large fleet probes one replica at a time,
+// and a pooler of a small fleet probes all.
 func TestPositionProbesByFleetSize(t *testing.T) {
 	for _, c := range []struct{ poolers, probes int }{{2, 2}, {400, 1}} {
 		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(c.poolers))
-			host.advanceTo(startTime + 5*time.Second) // all that was known is old
+			host.advanceTo(startTime + 5*time.Second) // all known positions are too old
 			host.probedServers = nil
 			host.sendRequest(2, classBounded)
 			if probes := host.probeCount(2) + host.probeCount(3); probes != c.probes {
@@ -180,16 +185,16 @@
 	}
 }
 
-// A pooler of a large fleet asks the next replica for its position where one stays silent, and one that was too far
-// behind as seldom as rounds are repeated.
-func TestOnePositionProbeAtATime(t *testing.T) {
+// A pooler of a large fleet probes the next replica for its position if one does not answer, and a
+// replica that was too far behind no more often than probe rounds are repeated.
+func TestLargeFleetProbesOnePositionAtATime(t *testing.T) {
 	host := newHostWithPrimary(t, withPoolers(400))
 	host.advanceTo(startTime + 5*time.Second)
 	host.probedServers = nil
 	host.sendRequestWithin(2, classBounded, time.Second)
 	host.advance(2 * positionRefreshInterval)
 	if host.probeCount(2) != 1 || host.probeCount(3) != 1 {
-		t.Fatalf("probed %v, want each replica once", host.probedServers)
+		t.Fatalf("probed servers are %v, want each replica once", host.probedServers)
 	}
 	host.probeAnswered(2, false, host.now-3*time.Second)
 	host.probeAnswered(3, false, host.now)
@@ -201,6 +206,6 @@
 	}
 	host.advance(200 * ms)
 	if host.probeCount(2) != 1 {
-		t.Fatalf("probed %v, want the replica that lags left alone at first", host.probedServers)
+		t.Fatalf("probed servers are %v, want the lagging replica not to be probed again yet", host.probedServers)
 	}
 }
--- a/internal/policy/replica_selection_test.go
+++ b/internal/policy/replica_selection_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Reads by turns follow the weights, also while some are in flight; a member of weight NoReads gets none, and the turns of
-// a member that a read can't use go to the others by weight.
+// Reads are spread by weight, also while some are in flight. A member with weight NoReads gets
+// none, and the share of a stale replica goes to the others by their weights.
 func TestReadsByWeight(t *testing.T) {
 	for name, c := range map[string]struct {
 		weights  map[uint32]int
-		stale    uint32 // a replica that is too far behind; 0 for none
-		inFlight int
+		stale    uint32 // replica that is too far behind; 0 for none
+		inFlight int    // number of reads in flight
 		want     map[uint32]float64
 	}{
 		"1:2:5": {
@@ -23,16 +23,16 @@
 			inFlight: 3,
 			want:     map[uint32]float64{2: 1. / 8, 3: 2. / 8, 4: 5. / 8},
 		},
-		"none for one": {
+		"no reads for one": {
 			weights:  map[uint32]int{2: NoReads, 3: 2, 4: 2},
 			inFlight: 2,
 			want:     map[uint32]float64{3: 1. / 2, 4: 1. / 2},
 		},
-		"none for all": {
+		"no reads for all": {
 			weights: map[uint32]int{2: NoReads, 3: NoReads, 4: NoReads},
 			want:    map[uint32]float64{1: 1},
 		},
-		"the heaviest stale": {
+		"heaviest replica is stale": {
 			weights: map[uint32]int{2: 1, 3: 2, 4: 5},
 			stale:   4,
 			want:    map[uint32]float64{2: 1. / 3, 3: 2. / 3},
@@ -49,16 +49,16 @@
 			count := host.countReads(reads, c.stale, c.inFlight)
 			for id := uint32(1); id <= 4; id++ {
 				if got := float64(count[id]) / reads; got < 0.95*c.want[id] || got > 1.05*c.want[id] {
-					t.Errorf("reads by server %v, want shares %v", count, c.want)
+					t.Errorf("reads per server are %v, want shares %v", count, c.want)
 				}
 			}
 		})
 	}
 }
 
-// countReads sends bounded reads, 10 ms apart, with so many in flight, where one of servers 1 to 4 may be stale, and
-// returns how many each server was sent.
-func (host *fakeHost) countReads(reads uint32, stale uint32, inFlight int) map[uint32]int {
+// countReads sends bounded reads 10 ms apart to servers 1 to 4, of which one may be stale, and
+// keeps up to inFlight of them unanswered. It returns the number of reads sent to each server.
+func (host *fakeHost) countReads(reads uint32, staleServer uint32, inFlight int) map[uint32]int {
 	host.t.Helper()
 	const firstID = 10
 	count := map[uint32]int{}
@@ -66,14 +66,14 @@
 		host.advance(10 * ms)
 		for server := uint32(1); server <= 4; server++ {
 			position := host.now
-			if server == stale {
+			if server == staleServer {
 				position -= time.Hour
 			}
 			host.probeAnswered(server, server == 1, position)
 		}
 		host.sendRequest(id, classBounded)
 		if len(host.attempts[id]) != 1 {
-			host.t.Fatalf("read %d is sent to %v", id, host.attempts[id])
+			host.t.Fatalf("read %d was sent to %v, want one server", id, host.attempts[id])
 		}
 		count[host.attempts[id][0]]++
 		if served := id - uint32(inFlight); served >= firstID {
@@ -83,16 +83,16 @@
 	return count
 }
 
-// Under congestion the primary of a large fleet takes reads that no replica has capacity for while its own answers come in
-// good time, whatever the replicas' do.
+// In a large fleet, reads that no replica has capacity for go to the primary unless the primary
+// itself is congested.
 func TestFallbackUnderCongestion(t *testing.T) {
 	for name, c := range map[string]struct {
 		primary, overall float64 // latency ratios
-		sent             bool
+		sent             bool    // whether the read is sent to the primary
 	}{
-		"no congestion":         {1, 1, true},
-		"congested replicas":    {1, 3, true},
-		"the primary congested": {3, 1, false},
+		"no congestion":      {1, 1, true},
+		"congested replicas": {1, 3, true},
+		"congested primary":  {3, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(400))
@@ -103,17 +103,18 @@
 			host.sendRequest(2, classAny)
 			host.advance(200 * ms)
 			if sent := len(host.attempts[2]) > 0; sent != c.sent {
-				t.Errorf("sent to the primary %v, want %v", sent, c.sent)
+				t.Errorf("read sent to the primary: %v, want %v", sent, c.sent)
 			}
 		})
 	}
 }
 
-// Eighty poolers with a read each, and then with another while that is in flight: each replica is the home of as many, and
-// what a home has no time for goes to the others alike. Lagging replicas draw nobody elsewhere.
+// Each of 80 poolers sends reads, the last one while another is in flight. Each replica must be the
+// home of about as many poolers, and the reads that the homes are too busy for must be spread
+// evenly too. A lagging replica must not move its poolers elsewhere.
 func TestHomesSpreadReadsEvenly(t *testing.T) {
 	const poolers = 80
-	homes, seconds := map[uint32]int{}, map[uint32]int{}
+	homes, secondChoices := map[uint32]int{}, map[uint32]int{}
 	for pooler := range poolers {
 		host := newHost(t, withPooler(pooler, poolers))
 		host.router.HandleList(host.now, ListFull, memberList(5, 1))
@@ -123,15 +124,15 @@
 		host.endAttempt(10, 0, OK, RoleReplica)
 		host.sendRequest(11, classAny)
 		if host.attempts[11][0] != host.attempts[10][0] {
-			t.Fatalf("pooler %d: reads at %d and %d, want its home again",
+			t.Fatalf("pooler %d sent reads to %d and %d, want the same replica",
 				pooler, host.attempts[10][0], host.attempts[11][0])
 		}
 		host.sendRequest(12, classAny)
 		homes[host.attempts[11][0]]++
-		seconds[host.attempts[12][0]]++
+		secondChoices[host.attempts[12][0]]++
 	}
 	for id := uint32(2); id <= 5; id++ {
-		for place, n := range map[string]int{"home": homes[id], "second choice": seconds[id]} {
+		for place, n := range map[string]int{"home": homes[id], "second choice": secondChoices[id]} {
 			if n < 17 || n > 21 { // rendezvous.Slack of the mean
 				t.Errorf("replica %d is the %s of %d poolers, want about 20", id, place, n)
 			}
@@ -139,8 +140,8 @@
 	}
 }
 
-// When one replica of a group is replaced, or is promoted, the poolers whose home it was move, and few others: each pooler
-// that moves dials a server anew.
+// When a replica is replaced or promoted, few poolers may change their home other than those whose
+// home it was: each one that does has to open new connections.
 func TestFewHomesMove(t *testing.T) {
 	const poolers = 80
 	for name, change := range map[string]func(host *fakeHost){
@@ -156,7 +157,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			moved, had := 0, 0
+			moved, displaced := 0, 0
 			for pooler := range poolers {
 				host := newHost(t, withPooler(pooler, poolers))
 				host.router.HandleList(host.now, ListFull, memberList(5, 1))
@@ -171,17 +172,18 @@
 				}
 				moved++
 				if home == 5 {
-					had++
+					displaced++
 				}
 			}
-			if had == 0 || moved > had+poolers/4+poolers/20 { // the new one's share, and one in twenty
-				t.Errorf("%d of %d poolers have another home, %d of them had the one that left", moved, poolers, had)
+			// A quarter move to the new replica, and one in twenty is tolerated.
+			if displaced == 0 || moved > displaced+poolers/4+poolers/20 {
+				t.Errorf("%d of %d poolers have changed their home, of which %d had to", moved, poolers, displaced)
 			}
 		})
 	}
 }
 
-func TestReadsTakeTurns(t *testing.T) {
+func TestReadsAlternateBetweenReplicas(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 8; id++ {
 		host.sendRequest(id, classAny)
@@ -191,12 +193,12 @@
 		count[servers[0]]++
 	}
 	if count[1] != 0 || count[2] != 3 || count[3] != 3 {
-		t.Fatalf("reads by server %v, want three for each replica", count)
+		t.Fatalf("reads per server are %v, want three for each replica", count)
 	}
 }
 
-// If all servers are ejected those that can be reached keep serving; an unreachable one is no way out although it holds
-// least.
+// If all servers are ejected, reads go to a reachable one and not to an unreachable one, even if
+// that has the fewest outstanding attempts.
 func TestNoFallbackToUnreachable(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.router.groups[testGroup].primary = nil
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -8,7 +8,7 @@
 func TestNotIdempotentIsNeverSentTwice(t *testing.T) {
 	for name, c := range map[string]struct {
 		result Result
-		answer string // "" where the request may be sent again
+		answer string // final answer; "" if the request may be sent again
 	}{
 		"server error":     {ServerError, "fail 2"},
 		"timed out":        {TimedOut, "fail 2"},
@@ -32,7 +32,7 @@
 			}
 			host.wantAction(c.answer)
 			if len(host.attempts[2]) != 1 {
-				t.Errorf("sent to %v, want one server", host.attempts[2])
+				t.Errorf("write was sent to %v, want one server", host.attempts[2])
 			}
 		})
 	}
@@ -52,21 +52,21 @@
 		t.Run(c.errorAfter.String(), func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
 			host.sendRequest(2, classByKey)
-			host.server(1).health.lastAnswerAt = startTime + 2*time.Second // it must not count as silent
+			host.server(1).health.lastAnswerAt = startTime + 2*time.Second // keeps the server from counting as silent
 			host.advanceTo(startTime + c.errorAfter)
 			host.endAttempt(2, 0, ServerError, RolePrimary)
 			host.advance(20 * ms)
 			repeated := len(host.attempts[2]) > 1
 			if repeated != c.repeated {
-				t.Errorf("repeated %v, want %v", repeated, c.repeated)
+				t.Errorf("write was repeated: %v, want %v", repeated, c.repeated)
 			}
-			if repeated { // the repeat may wait for its connection until the window is over
+			if repeated { // the repeat may wait for its connection until the window has ended
 				end := startTime + window - sendMargin
 				if host.now < end && !host.router.MayStillSend(end-ms, 2, 1) {
-					t.Error("the repeat may not be sent at its window's end")
+					t.Error("the repeat may not be sent just before the end of the deduplication window")
 				}
 				if host.router.MayStillSend(end, 2, 1) {
-					t.Error("the repeat may be sent after its window's end")
+					t.Error("the repeat may be sent after the end of the deduplication window")
 				}
 			}
 			host.advanceTo(startTime + 2*time.Second)
@@ -78,7 +78,7 @@
 func TestDedupScopes(t *testing.T) {
 	for name, c := range map[string]struct {
 		scope    DedupScope
-		repeated bool // at a new primary in another zone
+		repeated bool // whether it is repeated at a new primary in another zone
 	}{
 		"everywhere": {DedupEverywhere, true},
 		"in group":   {DedupInGroup, true},
@@ -93,7 +93,7 @@
 			host.probeAnswered(3, true, host.now)
 			host.advanceTo(startTime + 2*time.Second)
 			if repeated := len(host.attempts[2]) > 1; repeated != c.repeated {
-				t.Errorf("repeated %v, want %v", repeated, c.repeated)
+				t.Errorf("write was repeated: %v, want %v", repeated, c.repeated)
 			}
 			if !c.repeated {
 				host.wantAction("fail 2")
@@ -102,7 +102,8 @@
 	}
 }
 
-// An attempt may wait for its connection until its server has become too old for the read, or has drained.
+// MayStillSend returns false once the server of a waiting attempt is too far behind for the read or
+// the server's drain grace period has ended.
 func TestMayStillSend(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.sendRequest(2, classBounded)
@@ -111,9 +112,9 @@
 		t.Error("a new attempt may not be sent")
 	}
 	if host.router.MayStillSend(host.now, 2, 1) || host.router.MayStillSend(host.now, 9, 0) {
-		t.Error("an attempt that was never made may be sent")
+		t.Error("an unknown attempt may be sent")
 	}
-	host.advance(1100 * ms) // the bound is 1 s, and the replicas' positions are as of the start
+	host.advance(1100 * ms) // MaxStaleness is 1 s, and the replicas' positions are as of the start
 	if host.router.MayStillSend(host.now, 2, 0) {
 		t.Error("a bounded read may be sent to a replica that is too far behind")
 	}
--- a/internal/policy/router_test.go
+++ b/internal/policy/router_test.go
@@ -22,70 +22,72 @@
 	host.wantAction("reject 6")
 }
 
-// randomPlay plays requests whose attempts end in random ways.
-type randomPlay struct {
+// randomRun is a run of requests whose attempts end with random results.
+type randomRun struct {
 	*fakeHost
-	seed     uint32
-	lastID   uint32
-	answers  map[uint32]int  // final answers by request
-	readTo   int             // actions already counted
-	finished map[[2]int]bool // attempts that have ended, by request and number
+	seed           uint32
+	lastID         uint32
+	finalAnswers   map[uint32]int  // number of final answers by request
+	countedActions int             // number of actions that countAnswers has read
+	endedAttempts  map[[2]int]bool // attempts that have ended, by request and attempt number
 }
 
-const firstPlayedID = 101
+const firstRandomRequestID = 101
 
-// random returns a number from 0 to below n.
-func (p *randomPlay) random(n uint32) uint32 {
+// random returns a pseudorandom number in [0, n).
+func (p *randomRun) random(n uint32) uint32 {
 	p.seed = p.seed*1664525 + 1013904223
 	return (p.seed >> 8) % n
 }
 
 // countAnswers counts the rejections and failures since the last call.
-func (p *randomPlay) countAnswers() {
-	for ; p.readTo < len(p.actions); p.readTo++ {
+func (p *randomRun) countAnswers() {
+	for ; p.countedActions < len(p.actions); p.countedActions++ {
 		var id uint32
-		action := p.actions[p.readTo]
+		action := p.actions[p.countedActions]
 		if n, _ := fmt.Sscanf(action, "reject %d", &id); n == 1 {
-			p.answers[id]++
+			p.finalAnswers[id]++
 		} else if n, _ := fmt.Sscanf(action, "fail %d", &id); n == 1 {
-			p.answers[id]++
+			p.finalAnswers[id]++
 		}
 	}
 }
 
-// endSomeAttempts ends one in twenty of the attempts that are in flight.
-func (p *randomPlay) endSomeAttempts() {
-	for id := uint32(firstPlayedID); id <= p.lastID; id++ {
+// endSomeAttempts ends each attempt in flight with a probability of 1 in 20.
+func (p *randomRun) endSomeAttempts() {
+	for id := uint32(firstRandomRequestID); id <= p.lastID; id++ {
 		for attempt := range p.attempts[id] {
 			key := [2]int{int(id), attempt}
-			if p.finished[key] || p.random(20) != 0 {
+			if p.endedAttempts[key] || p.random(20) != 0 {
 				continue
 			}
-			p.finished[key] = true
+			p.endedAttempts[key] = true
 			p.endRandomly(id, attempt)
 		}
 	}
 }
 
-func (p *randomPlay) endRandomly(id uint32, attempt int) {
+// endRandomly ends an attempt with a random result.
+func (p *randomRun) endRandomly(id uint32, attempt int) {
 	result := Result(p.random(9))
-	answered := p.answers[id] > 0
+	answered := p.finalAnswers[id] > 0
 	if result == OK && !answered {
-		p.answers[id]++
+		p.finalAnswers[id]++
 		answered = true
 	}
 	p.router.HandleOutcome(p.now, Outcome{RequestID: id, Attempt: attempt, Result: result, Answered: answered})
 }
 
-// playRandomly plays 600 requests over 3 s, waits for 3 s, and returns the actions.
-func playRandomly(t *testing.T) []string {
+// runRandomly sends 600 requests within 3 s, waits for another 3 s, checks that each has had one
+// final answer, and returns the actions of the Router.
+func runRandomly(t *testing.T) []string {
 	t.Helper()
-	p := &randomPlay{
-		fakeHost: newHostWithPrimary(t, func(s *Settings) { s.HedgingAllowed = true }),
-		seed:     7,
-		lastID:   firstPlayedID - 1,
-		answers:  map[uint32]int{},
-		finished: map[[2]int]bool{},
+	p := &randomRun{
+		fakeHost:      newHostWithPrimary(t, func(s *Settings) { s.HedgingAllowed = true }),
+		seed:          7,
+		lastID:        firstRandomRequestID - 1,
+		finalAnswers:  map[uint32]int{},
+		endedAttempts: map[[2]int]bool{},
 	}
 	for p.now < startTime+6*time.Second {
 		p.advance(5 * ms)
@@ -97,23 +99,25 @@
 		p.endSomeAttempts()
 		p.probeAnswered(1, true, p.now)
 	}
-	for id := uint32(firstPlayedID); id < 700; id++ {
-		if p.answers[id] != 1 {
-			t.Fatalf("request %d had %d answers; sent to %v", id, p.answers[id], p.attempts[id])
+	for id := uint32(firstRandomRequestID); id < 700; id++ {
+		if p.finalAnswers[id] != 1 {
+			t.Fatalf("request %d had %d final answers, want 1; sent to %v", id, p.finalAnswers[id], p.attempts[id])
 		}
 	}
 	return p.actions
 }
 
-// Every request has exactly one final answer in time, whatever the servers do, and two runs are alike.
-func TestOneAnswerAndDeterminism(t *testing.T) {
-	first := playRandomly(t)
-	if second := playRandomly(t); !slices.Equal(first, second) {
-		t.Fatal("the same events led to other actions")
+// Every request has exactly one final answer in time, whatever the results of its attempts, and two
+// runs with the same events have the same actions.
+func TestOneFinalAnswerAndDeterminism(t *testing.T) {
+	first := runRandomly(t)
+	if second := runRandomly(t); !slices.Equal(first, second) {
+		t.Fatal("a second run with the same events had other actions")
 	}
 }
 
-// A class without a latency objective earns its full weight up to its timeout; settings left out divide nothing by zero.
+// A class without a latency objective earns its full weight up to its timeout, and settings of 0
+// cause no division by zero.
 func TestZeroSettings(t *testing.T) {
 	host := newHostWith(t, Settings{Classes: []Class{{}, {Access: Write, Idempotency: IdempotentByKey}}}, 1)
 	router := host.router
@@ -125,7 +129,7 @@
 	router.HandleRequest(host.now, Request{ID: 2, Class: 1, Timeout: time.Second})
 	host.wantAction("attempt 2 2")
 	if len(host.attempts[1]) != 1 {
-		t.Fatalf("the read was not sent: %v", host.actions)
+		t.Fatalf("read was not sent: %v", host.actions)
 	}
 	host.updateList(Member{ID: 1, State: Draining}, Member{ID: 2, State: Removed})
 	host.advanceTo(startTime + ms)
@@ -134,9 +138,10 @@
 	host.wantAction("reject 3")
 }
 
-// New settings must not change a request under way: it keeps its class, and may have fewer attempts but not more.
+// New settings must not change the class of an open request. They may lower its maximum number of
+// attempts but not raise it.
 func TestUpdateSettingsKeepsOpenRequests(t *testing.T) {
-	// update sets the number of attempts and adds a class that is not idempotent.
+	// update sets the maximum number of attempts and adds a class that is not idempotent.
 	update := func(host *fakeHost, maxAttempts int) {
 		t.Helper()
 		settings := testSettings()
@@ -159,9 +164,9 @@
 	host.endAttempt(5, 0, ServerError, RolePrimary)
 	host.wantAction("fail 5")
 	if len(host.attempts[2]) != 2 {
-		t.Errorf("a write that is idempotent by its key was sent to %v, want a repeat", host.attempts[2])
+		t.Errorf("write that is idempotent by its key was sent to %v, want a repeat", host.attempts[2])
 	}
-	for attempt := range 4 { // three were allowed when it arrived
+	for attempt := range 4 { // MaxAttempts was 3 when the request arrived
 		host.endAttempt(3, attempt, Misdirected, RoleUnknown)
 	}
 	if n := len(host.attempts[3]); n != 3 {
@@ -173,19 +178,20 @@
 		t.Errorf("%d attempts, want 1", n)
 	}
 	if err := host.router.UpdateSettings(host.now, testSettings()); err == nil {
-		t.Error("settings with a class less are accepted")
+		t.Error("settings with fewer classes were accepted")
 	}
 }
 
-// settingsUpdate is an update of a running Router's settings and what must hold after it.
+// settingsUpdate is an update of a running Router's settings and the condition that must hold
+// after it.
 type settingsUpdate struct {
-	old    func(*Settings) // nil for the test settings
-	next   func(*Settings) // nil for the test settings
-	before func(*fakeHost) // what happens before the update; nil for nothing
-	holds  func(*fakeHost) bool
+	old    func(*Settings)      // changes the test settings before the update; nil for no change
+	next   func(*Settings)      // changes the test settings for the update; nil for no change
+	before func(*fakeHost)      // called before the update; nil for none
+	want   func(*fakeHost) bool // condition that must hold after the update
 }
 
-// check plays an update. Server 2 was started 15 s before.
+// check runs an update on a host whose server 2 was started 15 s before.
 func (u settingsUpdate) check(t *testing.T) {
 	t.Helper()
 	host := newHostWithPrimary(t, func(s *Settings) {
@@ -207,73 +213,73 @@
 	if err := host.router.UpdateSettings(host.now, settings); err != nil {
 		t.Fatal(err)
 	}
-	if !u.holds(host) {
-		t.Errorf("it does not hold; actions %v, probed %v", host.actions, host.probedServers)
+	if !u.want(host) {
+		t.Errorf("condition does not hold; actions %v, probed servers %v", host.actions, host.probedServers)
 	}
 }
 
-// What the old settings had counted, scheduled or not begun is as the new ones have it, from the moment that they hold.
+// New settings also apply to what was counted, scheduled or left out under the old ones.
 func TestUpdateSettingsTakesEffectAtOnce(t *testing.T) {
 	for name, update := range map[string]settingsUpdate{
-		"a server has a part of fewer poolers": {
-			old:   withPoolers(300),
-			holds: func(host *fakeHost) bool { return host.server(2).window.size >= host.router.fleet.minWindow },
+		"least window is that of a smaller fleet": {
+			old:  withPoolers(300),
+			want: func(host *fakeHost) bool { return host.server(2).window.size >= host.router.fleet.minWindow },
 		},
 		"slow start lasts longer": {
 			next:   func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
 			before: func(host *fakeHost) { host.router.slowStartWeight(host.server(2)) },
-			holds:  func(host *fakeHost) bool { return host.router.slowStartWeight(host.server(2)) < 1 },
+			want:   func(host *fakeHost) bool { return host.router.slowStartWeight(host.server(2)) < 1 },
 		},
-		"there is no slow start": {
+		"no slow start": {
 			old: func(s *Settings) { s.SlowStartDuration = 30 * time.Second },
 			next: func(s *Settings) {
 				s.SlowStartDuration = 30 * time.Second
 				s.OverloadFactor = 0
 			},
 			before: func(host *fakeHost) { host.server(2).slowStart.budget = -1e12 },
-			holds:  func(host *fakeHost) bool { return host.router.hasCapacity(host.server(2), classAny) },
+			want:   func(host *fakeHost) bool { return host.router.hasCapacity(host.server(2), classAny) },
 		},
-		"probes that are allowed find the primary": {
+		"probes are allowed": {
 			old: func(s *Settings) { s.ProbesAllowed = false },
 			before: func(host *fakeHost) {
 				host.router.dropPrimary(host.server(1), "is down")
 				host.probedServers = nil
 			},
-			holds: func(host *fakeHost) bool {
+			want: func(host *fakeHost) bool {
 				host.sendRequest(2, classNotIdempotent)
 				return len(host.probedServers) == 3
 			},
 		},
-		"a session's writes were not remembered": {
-			next:  func(s *Settings) { s.TrackSessions = true },
-			holds: func(host *fakeHost) bool { return host.router.sessionPosition(Request{Session: 5}) == host.now },
+		"earlier writes of a session were not tracked": {
+			next: func(s *Settings) { s.TrackSessions = true },
+			want: func(host *fakeHost) bool { return host.router.sessionPosition(Request{Session: 5}) == host.now },
 		},
 	} {
 		t.Run(name, update.check)
 	}
 }
 
-// Pings and polls of a smaller fleet come sooner.
+// After the fleet has become smaller, pings of the primary and polls of the list come sooner.
 func TestUpdateSettingsOfFleetSize(t *testing.T) {
-	polled := func(s *Settings) {
+	withPolling := func(s *Settings) {
 		s.PollList = true
 		s.MaxPollInterval = 10 * time.Second
 	}
 	settingsUpdate{
 		old: func(s *Settings) {
 			s.Poolers = 300
-			polled(s)
+			withPolling(s)
 		},
-		next:   polled,
+		next:   withPolling,
 		before: func(host *fakeHost) { host.advance(50 * ms) },
-		holds: func(host *fakeHost) bool {
+		want: func(host *fakeHost) bool {
 			host.advance(time.Second)
 			return len(host.probedServers) > 5 && host.hasAction("watch")
 		},
 	}.check(t)
 }
 
-// A shorter grace period counts for a server that drains already, and a longer one does not.
+// A shorter grace period applies to a server that is already draining, and a longer one does not.
 func TestUpdateSettingsOfGracePeriod(t *testing.T) {
 	longer := func(s *Settings) { s.DrainGracePeriod = 2 * time.Second }
 	drain := func(host *fakeHost) {
@@ -282,11 +288,12 @@
 		host.now += 450 * ms
 	}
 	over := func(host *fakeHost) bool { return !host.router.MayStillSend(host.now, 2, 0) }
-	t.Run("shorter", settingsUpdate{old: longer, before: drain, holds: over}.check)
-	t.Run("longer", settingsUpdate{next: longer, before: drain, holds: over}.check)
+	t.Run("shorter", settingsUpdate{old: longer, before: drain, want: over}.check)
+	t.Run("longer", settingsUpdate{next: longer, before: drain, want: over}.check)
 }
 
-// The usual timeout of a class is that of one total timeout: it does not go over to a class of the same name with another.
+// The usual timeout of a class depends on its total timeout. A new class with the same name does
+// not inherit it if its total timeout differs.
 func TestUpdateSettingsOfTotalTimeout(t *testing.T) {
 	newClass := len(testSettings().Classes)
 	settingsUpdate{
@@ -307,7 +314,7 @@
 				host.endAttempt(100+id, 0, OK, RoleUnknown)
 			}
 		},
-		holds: func(host *fakeHost) bool {
+		want: func(host *fakeHost) bool {
 			host.sendRequestWithin(99, newClass, 1250*ms)
 			return len(host.attempts[99]) == 1
 		},
--- a/internal/policy/settings_test.go
+++ b/internal/policy/settings_test.go
@@ -21,7 +21,7 @@
 			c.change(&settings)
 			_, err := New(settings, 1, discardActions{})
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want one with %q", err, c.want)
+				t.Errorf("New returned error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
--- a/internal/policy/write_routing_test.go
+++ b/internal/policy/write_routing_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A member that takes no reads by turns is as fit for primary as any.
-func TestNoReadsYetPrimary(t *testing.T) {
+// A member with weight NoReads can become primary.
+func TestNoReadsMemberMayBecomePrimary(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.updateList(newMember(2, Ready, NoReads))
 	host.probeAnswered(1, false, host.now)
@@ -16,9 +16,9 @@
 	host.wantAction("attempt 2 2")
 }
 
-// When no probe finds a primary the last one is tried: that is harmless where it turns the write away, and puts it on record
-// again where it answers.
-func TestLastPrimaryIsGuessed(t *testing.T) {
+// If a probe round finds no primary, a write is sent to the last one. It becomes the recorded
+// primary again if it executes the write.
+func TestLastPrimaryIsTriedAfterFailedRound(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.advanceTo(startTime + 2*time.Second)
 	host.probeFailed(1, TimedOut)
@@ -29,7 +29,7 @@
 	host.wantAction("attempt 2 1")
 	host.endAttempt(2, 0, OK, RolePrimary)
 	if host.primary() != 1 {
-		t.Fatal("an answered write did not put the primary on record again")
+		t.Fatal("server 1 is not the recorded primary although it has executed a write")
 	}
 }
 
@@ -42,6 +42,6 @@
 	host.sendRequest(3, classLatest)
 	host.advanceTo(startTime + 400*ms)
 	if len(host.attempts[3]) != 0 {
-		t.Fatalf("sent to %v without a recorded primary", host.attempts[3])
+		t.Fatalf("read was sent to %v without a recorded primary", host.attempts[3])
 	}
 }
