--- a/internal/dispatch/connection_gate_test.go
+++ b/internal/dispatch/connection_gate_test.go
@@ -7,15 +7,17 @@
 	"threadsail/internal/policy"
 )
 
-// fakeGate allows no connection and no probe, and keeps what it is called with.
+// fakeGate is a ConnectionGate that allows no connection and no probe, and a Guard. It records its calls.
 type fakeGate struct {
 	fakeGuard
-	started map[string]time.Duration
-	probes  int
-	waited  []bool
+	startedAt map[string]time.Duration
+	probes    int
+	waited    []bool
 }
 
-func (g *fakeGate) ServerListed(server string, started time.Duration) { g.started[server] = started }
+func (g *fakeGate) ServerListed(server string, startedAt time.Duration) {
+	g.startedAt[server] = startedAt
+}
 func (g *fakeGate) MayDial(time.Duration, string) (time.Duration, bool) {
 	return time.Second, false
 }
@@ -25,40 +27,40 @@
 	return g.fakeGuard.MaySend(now, r, server)
 }
 
-// A gate learns when servers have started and decides on each connection and probe; a probe that is not allowed reaches no
-// server. Guards can tell an attempt that has waited for its connection from a new one.
+// The gate must receive the start times of listed servers and decide on each connection and probe; a probe that it does not
+// allow must reach no server. WaitedForConnection must tell guards whether an attempt has waited for its connection.
 func TestConnectionGate(t *testing.T) {
-	d, b := startDispatcher(t)
-	g := &fakeGate{started: map[string]time.Duration{}}
+	d, backend := startDispatcher(t)
+	gate := &fakeGate{startedAt: map[string]time.Duration{}}
 	done := make(chan struct{})
 	d.loop.Post(func() {
 		defer close(done)
-		d.AddGuard(g)
-		d.SetConnectionGate(g)
+		d.AddGuard(gate)
+		d.SetConnectionGate(gate)
 		d.ApplyList(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Ready, StartedAt: 7 * time.Second}})
-		if g.started["s"] != 7*time.Second {
-			t.Errorf("starts: %v", g.started)
+		if gate.startedAt["s"] != 7*time.Second {
+			t.Errorf("server s started at %v, want 7s", gate.startedAt["s"])
 		}
 		if after, ok := d.MayDial("s"); ok || after != time.Second {
-			t.Errorf("leave to dial: %v after %v", ok, after)
+			t.Errorf("MayDial of a listed server: got %v, %v, want 1s, false", after, ok)
 		}
 		if _, ok := d.MayDial("elsewhere"); !ok {
-			t.Error("no leave for an address that no list names")
+			t.Error("MayDial of an address that no list names: got false, want true")
 		}
-		before := len(b.calls)
+		before := len(backend.calls)
 		d.startHealthCheck(d.servers.ids["s"])
-		if g.probes == 0 || len(b.calls) != before {
-			t.Errorf("%d probes asked for", g.probes)
+		if gate.probes == 0 || len(backend.calls) != before {
+			t.Errorf("%d calls of MayProbe and %d of the backend, want at least 1 and none", gate.probes, len(backend.calls)-before)
 		}
 	})
 	<-done
-	_, w := submit(d, b, time.Second)
-	asked := make(chan []bool)
+	_, call := submit(d, backend, time.Second)
+	waits := make(chan []bool)
 	d.loop.Post(func() {
-		w.StillAllowed()
-		asked <- g.waited
+		call.StillAllowed()
+		waits <- gate.waited
 	})
-	if got := <-asked; len(got) != 2 || got[0] || !got[1] {
-		t.Errorf("asked of an attempt, waited: %v", got)
+	if got := <-waits; len(got) != 2 || got[0] || !got[1] {
+		t.Errorf("WaitedForConnection in the calls of MaySend: got %v, want [false true]", got)
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -9,7 +9,7 @@
 	"threadsail/internal/policy"
 )
 
-// fakeBackend is a Backend whose attempts end only when a test ends them. Its probes succeed at once with the status.
+// fakeBackend is a Backend whose attempts end only when a test ends them. Its probes succeed immediately with the status.
 type fakeBackend struct {
 	calls  chan *fakeCall
 	status policy.ServerStatus
@@ -22,12 +22,12 @@
 	aborted chan struct{}
 }
 
-func (w *fakeCall) Abort() { close(w.aborted) }
+func (c *fakeCall) Abort() { close(c.aborted) }
 
-func (b *fakeBackend) Send(addr string, _ any, _ time.Duration, a AttemptCallbacks) Call {
-	w := &fakeCall{addr, a, make(chan struct{})}
-	b.calls <- w
-	return w
+func (b *fakeBackend) Send(addr string, _ any, _ time.Duration, callbacks AttemptCallbacks) Call {
+	call := &fakeCall{addr, callbacks, make(chan struct{})}
+	b.calls <- call
+	return call
 }
 
 func (b *fakeBackend) Probe(_ string, done func(AttemptResult)) Call {
@@ -41,16 +41,16 @@
 
 func (r fakeReplier) ClientDisconnected() bool { return false }
 func (r fakeReplier) Serve(any)                { r.ended <- "served" }
-func (r fakeReplier) Reject(time.Duration)     { r.ended <- "refused" }
+func (r fakeReplier) Reject(time.Duration)     { r.ended <- "rejected" }
 func (r fakeReplier) Fail()                    { r.ended <- "failed" }
 
 func startDispatcher(t *testing.T) (*Dispatcher, *fakeBackend) {
 	loop := NewEventLoop()
-	b := &fakeBackend{calls: make(chan *fakeCall, 16), loop: loop, status: policy.ServerStatus{HasRole: true, IsPrimary: true}}
+	backend := &fakeBackend{calls: make(chan *fakeCall, 16), loop: loop, status: policy.ServerStatus{HasRole: true, IsPrimary: true}}
 	write := policy.Class{Name: "w", Access: policy.Write, Idempotency: policy.IdempotentByKey,
 		DedupScope: policy.DedupInGroup, DedupWindow: 2 * time.Second, LatencyObjective: time.Second,
 		TotalTimeout: 3 * time.Second, PriorityWeight: 1}
-	d, err := New(loop, b, Options{MaxOpen: 9, ProbeTimeout: time.Second, Watch: func() {}, Log: func(string) {},
+	d, err := New(loop, backend, Options{MaxOpen: 9, ProbeTimeout: time.Second, Watch: func() {}, Log: func(string) {},
 		Settings: policy.Settings{ProbesAllowed: true, RolesReported: true, CancelAllowed: true, MaxAttempts: 6,
 			DrainGracePeriod: 150 * time.Millisecond, Classes: []policy.Class{write}}})
 	if err != nil {
@@ -60,60 +60,60 @@
 	ended := make(chan struct{})
 	go func() { loop.Run(); close(ended) }()
 	t.Cleanup(func() { loop.Stop(); <-ended })
-	return d, b
+	return d, backend
 }
 
-// onLoop runs a function on the dispatcher's loop and waits for it.
+// onLoop runs a function on the dispatcher's loop and blocks until it has returned.
 func onLoop(d *Dispatcher, f func()) {
 	done := make(chan struct{})
 	d.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// submit hands in a write and returns its first attempt.
-func submit(d *Dispatcher, b *fakeBackend, timeout time.Duration) (fakeReplier, *fakeCall) {
-	r := fakeReplier{make(chan string, 2)}
+// submit submits a write and returns its replier and its first attempt.
+func submit(d *Dispatcher, backend *fakeBackend, timeout time.Duration) (fakeReplier, *fakeCall) {
+	replier := fakeReplier{make(chan string, 2)}
 	d.loop.Post(func() {
-		d.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: timeout, Reply: r})
+		d.Submit(&Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: timeout, Reply: replier})
 	})
-	return r, <-b.calls
+	return replier, <-backend.calls
 }
 
-// The policy stops sending before a drain's grace period ends; an attempt that still waits for its connection then would be
-// written too late, and must not be.
+// The policy stops sending before a drain's grace period ends. An attempt that is still waiting for its connection at that time
+// would be written too late, so it must not be allowed.
 func TestAttemptNotAllowedAfterGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, b := startDispatcher(t)
-		r, w := submit(d, b, 400*time.Millisecond)
-		allowed := func() (is bool) {
-			onLoop(d, func() { is = w.StillAllowed() })
-			return is
+		d, backend := startDispatcher(t)
+		replier, call := submit(d, backend, 400*time.Millisecond)
+		allowed := func() (result bool) {
+			onLoop(d, func() { result = call.StillAllowed() })
+			return result
 		}
 		if !allowed() {
-			t.Error("a new attempt is not allowed")
+			t.Error("an attempt at a ready server is not allowed")
 		}
 		onLoop(d, func() { d.ApplyList(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Draining}}) })
 		for allowed() {
-			if len(r.ended) > 0 {
-				t.Fatal("the attempt is allowed for all its time")
+			if len(replier.ended) > 0 {
+				t.Fatal("the attempt at a draining server is allowed until its timeout")
 			}
 			time.Sleep(time.Millisecond)
 		}
-		d.loop.Post(func() { w.Done(AttemptResult{Result: policy.Misdirected}) })
-		if end := <-r.ended; end != "refused" {
-			t.Errorf("a write that was never sent was %s", end)
+		d.loop.Post(func() { call.Done(AttemptResult{Result: policy.Misdirected}) })
+		if answer := <-replier.ended; answer != "rejected" {
+			t.Errorf("a write that was never sent was %s, want rejected", answer)
 		}
 	})
 }
 
-// The policy counts an attempt against its server until it hears of its end, also where the client has left before the attempt
-// was started: else the server would have less room for good, and be taken for silent.
+// The end of an attempt must be reported to the policy even if the client disconnects before the attempt is started. The policy
+// counts the attempt against its server until then: the server would lose capacity permanently and be ejected as unresponsive.
 func TestAttemptOfDisconnectedClientEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, b := startDispatcher(t)
-		r, w := submit(d, b, 20*time.Second) // the primary is known from now on
-		onLoop(d, func() { w.Done(AttemptResult{Result: policy.OK}) })
-		<-r.ended
+		d, backend := startDispatcher(t)
+		replier, call := submit(d, backend, 20*time.Second) // the primary is known from now on
+		onLoop(d, func() { call.Done(AttemptResult{Result: policy.OK}) })
+		<-replier.ended
 		onLoop(d, func() {
 			request := &Request{HasIdempotencyKey: true, ArrivedAt: d.loop.Now(), Timeout: 20 * time.Second,
 				Reply: fakeReplier{make(chan string, 2)}}
@@ -122,8 +122,8 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		onLoop(d, func() {
-			if n := d.OpenRequests(); n != 0 || len(b.calls) != 0 {
-				t.Errorf("%d requests open and %d attempts sent, want none", n, len(b.calls))
+			if open := d.OpenRequests(); open != 0 || len(backend.calls) != 0 {
+				t.Errorf("%d requests open and %d attempts sent, want none", open, len(backend.calls))
 			}
 			if d.router.Unavailable(d.servers.ids["s"]) {
 				t.Error("the server is ejected for an attempt that was never sent")
@@ -132,31 +132,32 @@
 	})
 }
 
-// An outcome after the time-out must not count twice, nor an answer reach a client that has had its own.
+// A result that arrives after the attempt's timeout must not be counted again, and its answer must not be sent to a client that
+// already has a final answer.
 func TestLateOutcomeIsIgnored(t *testing.T) {
-	d, b := startDispatcher(t)
-	r, w := submit(d, b, 100*time.Millisecond)
-	first := <-r.ended
-	<-w.aborted
-	d.loop.Post(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "late"}) })
+	d, backend := startDispatcher(t)
+	replier, call := submit(d, backend, 100*time.Millisecond)
+	answer := <-replier.ended
+	<-call.aborted
+	d.loop.Post(func() { call.Done(AttemptResult{Result: policy.OK, Answer: "late"}) })
 	open := make(chan int)
 	d.loop.Post(func() { open <- d.OpenRequests() })
-	if n := <-open; n != 0 || first != "failed" || len(r.ended) != 0 {
-		t.Errorf("%d requests open, first %s, %d more answers", n, first, len(r.ended))
+	if count := <-open; count != 0 || answer != "failed" || len(replier.ended) != 0 {
+		t.Errorf("%d requests open, first answer %s, %d more answers, want 0, failed, 0", count, answer, len(replier.ended))
 	}
 }
 
-// A server that has left the list, or that a whole list omits, must be forgotten in the end, or a long life fills the
-// table of names; but not while an attempt is out there, nor when it has come back.
+// A server that is removed from the list, or omitted by a full list, must be forgotten eventually, or the registry of a
+// long-running pooler fills up. It must not be forgotten while an attempt is in flight, nor after it is listed again.
 func TestRemovedServerIsForgotten(t *testing.T) {
-	d, b := startDispatcher(t)
-	r, w := submit(d, b, 20*time.Second)
-	known := func(change func()) (n int) {
+	d, backend := startDispatcher(t)
+	replier, call := submit(d, backend, 20*time.Second)
+	namesAndAddressesAfter := func(change func()) (count int) {
 		done := make(chan int)
 		d.loop.Post(func() { change(); done <- len(d.servers.ids) + len(d.servers.addresses) })
 		return <-done
 	}
-	due := func() {
+	forgetDue := func() {
 		for name, id := range d.servers.ids {
 			if since, ok := d.servers.removedAt[id]; ok {
 				d.forgetServer(name, id, since)
@@ -164,54 +165,56 @@
 		}
 	}
 	member := func(name string) []Member { return []Member{{Name: name, Address: name, State: policy.Ready}} }
-	if n := known(func() { d.ApplyList(policy.ListFull, member("a")); due() }); n != 4 {
-		t.Errorf("%d names and addresses while an attempt is out", n)
+	if count := namesAndAddressesAfter(func() { d.ApplyList(policy.ListFull, member("a")); forgetDue() }); count != 4 {
+		t.Errorf("%d names and addresses while an attempt is in flight, want 4", count)
 	}
-	d.loop.Post(func() { w.Done(AttemptResult{Result: policy.OK}) })
-	<-r.ended
-	if n := known(due); n != 2 {
-		t.Errorf("%d names and addresses after the attempt", n)
+	d.loop.Post(func() { call.Done(AttemptResult{Result: policy.OK}) })
+	<-replier.ended
+	if count := namesAndAddressesAfter(forgetDue); count != 2 {
+		t.Errorf("%d names and addresses after the attempt, want 2", count)
 	}
-	if n := known(func() {
+	if count := namesAndAddressesAfter(func() {
 		d.ApplyList(policy.ListDelta, []Member{{Name: "a", State: policy.Removed}})
 		d.ApplyList(policy.ListDelta, member("a"))
-		due()
-	}); n != 2 {
-		t.Errorf("%d names and addresses for a server that has come back", n)
+		forgetDue()
+	}); count != 2 {
+		t.Errorf("%d names and addresses after a server was listed again, want 2", count)
 	}
 }
 
-// Invalid settings change nothing. Where removal is no longer ignored, servers that have left the list are used no more.
-func TestRetune(t *testing.T) {
+// Invalid settings must change nothing. When new settings stop ignoring removal, servers that left the list earlier must no
+// longer be used.
+func TestUpdateSettings(t *testing.T) {
 	d, _ := startDispatcher(t)
 	class := d.ClassInfo(0)
-	set := func(name string, attempts int, drainOnly bool) policy.Settings {
+	settings := func(name string, attempts int, ignoreRemoval bool) policy.Settings {
 		class.Name = name
-		return policy.Settings{MaxAttempts: attempts, IgnoreRemoval: drainOnly, Classes: []policy.Class{class}}
+		return policy.Settings{MaxAttempts: attempts, IgnoreRemoval: ignoreRemoval, Classes: []policy.Class{class}}
 	}
 	done := make(chan struct{})
 	d.loop.Post(func() {
 		defer close(done)
-		if err := d.UpdateSettings(set("x", -1, false), 1, 0); err == nil || d.classes.numbers["w"] != 0 || len(d.classes.numbers) != 1 ||
+		if err := d.UpdateSettings(settings("x", -1, false), 1, 0); err == nil || d.classes.numbers["w"] != 0 || len(d.classes.numbers) != 1 ||
 			d.admission.maxOpen != 9 {
-			t.Errorf("%v: classes %v, %d open at most", err, d.classes.numbers, d.admission.maxOpen)
+			t.Errorf("invalid settings: got error %v, classes %v and at most %d open, want an error, w and 9",
+				err, d.classes.numbers, d.admission.maxOpen)
 		}
-		for _, drainOnly := range []bool{true, false} {
-			if err := d.UpdateSettings(set("w", 6, drainOnly), 1, 0); err != nil {
+		for _, ignoreRemoval := range []bool{true, false} {
+			if err := d.UpdateSettings(settings("w", 6, ignoreRemoval), 1, 0); err != nil {
 				t.Error(err)
 			}
-			if drainOnly {
+			if ignoreRemoval {
 				d.ApplyList(policy.ListFull, nil)
 			}
-			if avoids := d.router.Unavailable(d.servers.ids["s"]); avoids == drainOnly {
-				t.Errorf("only drains bind: %v; what has left the list is avoided: %v", drainOnly, avoids)
+			if avoided := d.router.Unavailable(d.servers.ids["s"]); avoided == ignoreRemoval {
+				t.Errorf("IgnoreRemoval %v: unlisted server avoided: %v, want %v", ignoreRemoval, avoided, !ignoreRemoval)
 			}
 		}
 	})
 	<-done
 }
 
-// BenchmarkList hands a dispatcher of 10,000 servers in 1,000 clusters one that has changed, and the whole list for comparison.
+// BenchmarkList applies lists to a dispatcher of 10,000 servers in 1,000 clusters: a delta of one server, and the full list.
 func BenchmarkList(b *testing.B) {
 	loop := NewEventLoop()
 	backend := &fakeBackend{calls: make(chan *fakeCall, 1), loop: loop}
--- a/internal/dispatch/drain_reserve_test.go
+++ b/internal/dispatch/drain_reserve_test.go
@@ -7,13 +7,13 @@
 	"threadsail/internal/policy"
 )
 
-// The longest send of the last seconds counts, and for the length of a grace period the longest delay of a list.
+// The reserve is the longest send of the current and the previous window, or the longest delay of a list during a grace period.
 func TestDrainReserve(t *testing.T) {
 	const ms, grace = time.Millisecond, 250 * time.Millisecond
 	now := 1000 * time.Second
-	var s drainReserve
+	var reserve drainReserve
 	for _, step := range []struct {
-		after, send, late, want time.Duration
+		after, send, listDelay, want time.Duration
 	}{
 		{send: 3 * ms, want: 3 * ms},
 		{send: 80 * ms, want: 80 * ms},
@@ -21,65 +21,65 @@
 		{after: sendWindow, send: 5 * ms, want: 80 * ms},
 		{after: sendWindow, want: 5 * ms},
 		{after: 2 * sendWindow, want: 0},
-		{late: 40 * ms, want: 40 * ms},
-		{after: grace / 2, late: 10 * ms, want: 40 * ms},
-		{after: grace / 2, late: 10 * ms, want: 10 * ms},
+		{listDelay: 40 * ms, want: 40 * ms},
+		{after: grace / 2, listDelay: 10 * ms, want: 40 * ms},
+		{after: grace / 2, listDelay: 10 * ms, want: 10 * ms},
 		{after: grace, want: 0},
 	} {
 		now += step.after
 		if step.send > 0 {
-			s.observeSend(now, now-step.send)
+			reserve.observeSend(now, now-step.send)
 		}
-		if step.late > 0 {
-			s.observeListDelay(now, now-step.late, grace)
+		if step.listDelay > 0 {
+			reserve.observeListDelay(now, now-step.listDelay, grace)
 		}
-		if got := s.required(now); got != step.want {
-			t.Errorf("after %+v %v is kept", step, got)
+		if got := reserve.required(now); got != step.want {
+			t.Errorf("after %+v: reserve %v, want %v", step, got, step.want)
 		}
 	}
 }
 
-// allowedAfterDrain reports whether an attempt that waits for its connection is still allowed right after its server was
-// listed as draining.
-func allowedAfterDrain(d *Dispatcher, w *fakeCall, late time.Duration) bool {
-	fits := make(chan bool)
+// allowedAfterDrain lists the server as draining, announced listDelay ago, and reports whether an attempt that waits for its
+// connection is still allowed.
+func allowedAfterDrain(d *Dispatcher, call *fakeCall, listDelay time.Duration) bool {
+	allowed := make(chan bool)
 	d.loop.Post(func() {
-		d.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Draining}}, d.loop.Now()-late)
-		fits <- w.StillAllowed()
+		d.ApplyListNotifiedAt(policy.ListDelta, []Member{{Name: "s", Address: "s", State: policy.Draining}}, d.loop.Now()-listDelay)
+		allowed <- call.StillAllowed()
 	})
-	return <-fits
+	return <-allowed
 }
 
-// A drain that may have been announced a grace period ago leaves none of it, and sends that take as long as the grace
-// period do not begin in it.
+// If a drain may have been announced a whole grace period ago, no attempt may be sent. If sends have recently taken as long as
+// the grace period, none may start within it.
 func TestGracePeriodIsReserved(t *testing.T) {
-	for name, c := range map[string]struct {
-		late, send time.Duration
-		want       bool
+	for name, test := range map[string]struct {
+		listDelay, send time.Duration
+		want            bool
 	}{
 		"announced now":      {want: true},
-		"announced long ago": {late: 150 * time.Millisecond},
+		"announced long ago": {listDelay: 150 * time.Millisecond},
 		"sends take long":    {send: 150 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, b := startDispatcher(t)
-			if c.want { // however late this machine is
-				set := d.Settings()
-				set.DrainGracePeriod = time.Minute
-				retuned := make(chan error)
-				d.loop.Post(func() { retuned <- d.UpdateSettings(set, d.admission.maxOpen, d.probeTimeout) })
-				if err := <-retuned; err != nil {
+			d, backend := startDispatcher(t)
+			if test.want { // a long grace period, so that a slow test machine doesn't exceed it
+				settings := d.Settings()
+				settings.DrainGracePeriod = time.Minute
+				updated := make(chan error)
+				d.loop.Post(func() { updated <- d.UpdateSettings(settings, d.admission.maxOpen, d.probeTimeout) })
+				if err := <-updated; err != nil {
 					t.Fatal(err)
 				}
 			}
-			_, first := submit(d, b, 2*time.Second)
-			if c.send > 0 {
-				time.Sleep(c.send) // between the choice and the last byte
+			_, first := submit(d, backend, 2*time.Second)
+			if test.send > 0 {
+				time.Sleep(test.send) // time between the choice of the server and the last byte
 				d.loop.Post(first.Sent)
 			}
-			_, w := submit(d, b, 2*time.Second)
-			if got := allowedAfterDrain(d, w, c.late); got != c.want {
-				t.Errorf("the attempt is allowed: %v", got)
+			_, call := submit(d, backend, 2*time.Second)
+			if got := allowedAfterDrain(d, call, test.listDelay); got != test.want {
+				t.Errorf("the attempt is allowed: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/dispatch/guard_test.go
+++ b/internal/dispatch/guard_test.go
@@ -7,25 +7,25 @@
 	"threadsail/internal/policy"
 )
 
-// fakeGuard decides as a test has set, and keeps the final answers.
+// fakeGuard is a Guard that returns the decisions set by a test and records the final answers.
 type fakeGuard struct {
-	admission Admission
-	sending   SendDecision
-	ended     []FinalAnswer
+	admission    Admission
+	sendDecision SendDecision
+	ended        []FinalAnswer
 }
 
-func (s *fakeGuard) Admit(time.Duration, *Request) Admission              { return s.admission }
-func (s *fakeGuard) MaySend(time.Duration, *Request, string) SendDecision { return s.sending }
-func (s *fakeGuard) RequestEnded(_ time.Duration, _ *Request, e FinalAnswer) {
-	s.ended = append(s.ended, e)
+func (g *fakeGuard) Admit(time.Duration, *Request) Admission              { return g.admission }
+func (g *fakeGuard) MaySend(time.Duration, *Request, string) SendDecision { return g.sendDecision }
+func (g *fakeGuard) RequestEnded(_ time.Duration, _ *Request, answer FinalAnswer) {
+	g.ended = append(g.ended, answer)
 }
 
-// startGuarded starts a dispatcher with a guard. on runs a function on its loop.
-func startGuarded(t *testing.T, s *fakeGuard) (d *Dispatcher, b *fakeBackend, r fakeReplier, on func(func())) {
-	d, b = startDispatcher(t)
-	on = func(f func()) { onLoop(d, f) }
-	on(func() { d.AddGuard(s) })
-	return d, b, fakeReplier{make(chan string, 2)}, on
+// startGuarded starts a dispatcher with a guard. run calls a function on its loop.
+func startGuarded(t *testing.T, guard *fakeGuard) (d *Dispatcher, backend *fakeBackend, replier fakeReplier, run func(func())) {
+	d, backend = startDispatcher(t)
+	run = func(f func()) { onLoop(d, f) }
+	run(func() { d.AddGuard(guard) })
+	return d, backend, fakeReplier{make(chan string, 2)}, run
 }
 
 func (r fakeReplier) submit(d *Dispatcher) func() {
@@ -34,65 +34,66 @@
 	}
 }
 
-// What a guard answers or rejects must reach neither the policy nor a server.
+// A request that a guard answers or rejects must reach neither the policy nor a server.
 func TestGuardAnswersOrRejects(t *testing.T) {
-	for want, a := range map[string]Admission{"served": {Answer: "kept"}, "refused": {Reject: true, RetryAfter: time.Second}} {
-		d, b, r, on := startGuarded(t, &fakeGuard{admission: a})
-		on(r.submit(d))
-		end := <-r.ended
-		on(func() {
-			if end != want || d.OpenRequests() != 0 || len(b.calls) != 0 {
-				t.Errorf("%+v: %s, %d open, %d attempts", a, end, d.OpenRequests(), len(b.calls))
+	for want, decision := range map[string]Admission{"served": {Answer: "kept"}, "rejected": {Reject: true, RetryAfter: time.Second}} {
+		d, backend, replier, run := startGuarded(t, &fakeGuard{admission: decision})
+		run(replier.submit(d))
+		answer := <-replier.ended
+		run(func() {
+			if answer != want || d.OpenRequests() != 0 || len(backend.calls) != 0 {
+				t.Errorf("%+v: got %s, %d open, %d attempts, want %s, 0, 0", decision, answer, d.OpenRequests(), len(backend.calls), want)
 			}
 		})
 	}
 }
 
-// A request that a guard stops before it is sent is rejected; one that may have run by then fails; each once.
+// A request that a guard rejects before its first attempt must be rejected. If an earlier attempt may have been executed, the
+// request must fail. The client and the guard must get exactly one final answer each.
 func TestGuardRejectsAttempt(t *testing.T) {
-	s := &fakeGuard{sending: RejectRequest}
-	d, b, r, on := startGuarded(t, s)
-	on(r.submit(d))
-	if end := <-r.ended; end != "refused" || len(b.calls) != 0 {
-		t.Errorf("before any attempt: %s, %d attempts", end, len(b.calls))
+	guard := &fakeGuard{sendDecision: RejectRequest}
+	d, backend, replier, run := startGuarded(t, guard)
+	run(replier.submit(d))
+	if answer := <-replier.ended; answer != "rejected" || len(backend.calls) != 0 {
+		t.Errorf("before any attempt: got %s, %d attempts, want rejected, 0", answer, len(backend.calls))
 	}
-	on(func() { s.sending = Send })
-	on(r.submit(d))
-	w := <-b.calls
-	on(func() {
-		s.sending = RejectRequest
-		w.Done(AttemptResult{Result: policy.ServerError}) // a keyed write goes out again
+	run(func() { guard.sendDecision = Send })
+	run(replier.submit(d))
+	call := <-backend.calls
+	run(func() {
+		guard.sendDecision = RejectRequest
+		call.Done(AttemptResult{Result: policy.ServerError}) // a write with a key is sent again
 	})
-	if end := <-r.ended; end != "failed" {
-		t.Errorf("behind an attempt that may have run: %s", end)
+	if answer := <-replier.ended; answer != "failed" {
+		t.Errorf("after an attempt that may have been executed: got %s, want failed", answer)
 	}
-	on(func() {
-		if len(s.ended) != 2 || !s.ended[0].Rejected || s.ended[1].Rejected || s.ended[1].Served || d.OpenRequests() != 0 {
-			t.Errorf("the guard heard of %+v; %d open", s.ended, d.OpenRequests())
+	run(func() {
+		if len(guard.ended) != 2 || !guard.ended[0].Rejected || guard.ended[1].Rejected || guard.ended[1].Served || d.OpenRequests() != 0 {
+			t.Errorf("final answers reported to the guard: %+v, want a rejected and a failed one; %d open", guard.ended, d.OpenRequests())
 		}
 	})
-	if len(r.ended) > 0 {
-		t.Error("a second answer")
+	if len(replier.ended) > 0 {
+		t.Error("the client got a second answer")
 	}
 }
 
-// Guards decide on an attempt that waited for its connection once more, right before it is written.
+// Guards must decide again on an attempt that has waited for its connection, right before it is written.
 func TestGuardRejectsAfterConnectionWait(t *testing.T) {
-	s := &fakeGuard{}
-	d, b, r, on := startGuarded(t, s)
-	on(r.submit(d))
-	w := <-b.calls
-	on(func() {
-		s.sending = RejectRequest
-		if w.StillAllowed() {
-			t.Error("it is still sent")
+	guard := &fakeGuard{}
+	d, backend, replier, run := startGuarded(t, guard)
+	run(replier.submit(d))
+	call := <-backend.calls
+	run(func() {
+		guard.sendDecision = RejectRequest
+		if call.StillAllowed() {
+			t.Error("the rejected attempt is still allowed")
 		}
-		w.Done(AttemptResult{Result: policy.Misdirected})
+		call.Done(AttemptResult{Result: policy.Misdirected})
 	})
-	end := <-r.ended
-	on(func() {
-		if end != "refused" || d.OpenRequests() != 0 {
-			t.Errorf("%s, %d open", end, d.OpenRequests())
+	answer := <-replier.ended
+	run(func() {
+		if answer != "rejected" || d.OpenRequests() != 0 {
+			t.Errorf("got %s, %d open, want rejected, 0", answer, d.OpenRequests())
 		}
 	})
 }
@@ -102,21 +103,22 @@
 
 func (*decliningVerifier) AcceptAnswer(time.Duration, *Request) bool { return false }
 
-// An answer that a guard does not accept is not served: the request has failed, once, and is not sent again.
+// An answer that a guard does not accept must not be served: the request fails once and is not sent again.
 func TestGuardDeclinesAnswer(t *testing.T) {
-	d, b, r, on := startGuarded(t, &fakeGuard{})
+	d, backend, replier, run := startGuarded(t, &fakeGuard{})
 	verifier := &decliningVerifier{}
-	on(func() { d.AddGuard(verifier) })
-	on(r.submit(d))
-	w := <-b.calls
-	on(func() { w.Done(AttemptResult{Result: policy.OK, Answer: "too late"}) })
-	end := <-r.ended
-	on(func() {
-		if end != "failed" || d.OpenRequests() != 0 || len(b.calls) != 0 || len(verifier.ended) != 1 || verifier.ended[0].Served {
-			t.Errorf("%s, %d open, %d further attempts; the guard heard of %+v", end, d.OpenRequests(), len(b.calls), verifier.ended)
+	run(func() { d.AddGuard(verifier) })
+	run(replier.submit(d))
+	call := <-backend.calls
+	run(func() { call.Done(AttemptResult{Result: policy.OK, Answer: "too late"}) })
+	answer := <-replier.ended
+	run(func() {
+		if answer != "failed" || d.OpenRequests() != 0 || len(backend.calls) != 0 || len(verifier.ended) != 1 || verifier.ended[0].Served {
+			t.Errorf("got %s, %d open, %d further attempts, want failed, 0, 0; final answers reported to the guard: %+v",
+				answer, d.OpenRequests(), len(backend.calls), verifier.ended)
 		}
 	})
-	if len(r.ended) > 0 {
-		t.Error("a second answer")
+	if len(replier.ended) > 0 {
+		t.Error("the client got a second answer")
 	}
 }
