--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -45,8 +45,8 @@
 func (p *policyActions) Fail(id uint32) { p.actions.add(concludeRequest{request: id}) }
 
 // CancelAttempt queues the cancellation of an attempt whose outcome is no longer needed.
-func (p *policyActions) CancelAttempt(id uint32, attempt int) {
-	p.actions.add(cancelAttempt{request: id, attempt: attempt})
+func (p *policyActions) CancelAttempt(id uint32, number int) {
+	p.actions.add(cancelAttempt{request: id, attempt: number})
 }
 
 // Probe queues a health check of a server.
