--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -19,94 +19,95 @@
 		Granted bool
 	}
 	var results []result
-	for i, c := range []Command{
-		{Name: "lists", Holder: "a", Duration: duration, Now: at(0)},       // granted to a: token 1
+	for i, command := range []Command{
+		{Name: "lists", Holder: "a", Duration: duration, Now: at(0)},       // granted to a with token 1
 		{Name: "lists", Holder: "b", Duration: duration, Now: at(1000)},    // denied: a holds it
 		{Name: "lists", Holder: "a", Duration: duration, Now: at(2000)},    // a renews: token 1, until 5 s
-		{Name: "lists", Holder: "b", Duration: duration, Now: at(5500)},    // denied: within the clock drift it is still a's
-		{Name: "lists", Holder: "b", Duration: duration, Now: at(6000)},    // granted to b: token 5
-		{Name: "lists", Holder: "a", Duration: duration, Now: at(4000)},    // denied: a late clock, the lessor's time stays at 6 s
-		{Release: true, Name: "lists", Holder: "a", Now: at(6100)},         // not a's to release
+		{Name: "lists", Holder: "b", Duration: duration, Now: at(5500)},    // denied: a holds it until the clock drift has passed
+		{Name: "lists", Holder: "b", Duration: duration, Now: at(6000)},    // granted to b with token 5
+		{Name: "lists", Holder: "a", Duration: duration, Now: at(4000)},    // denied: an earlier time stamp, the lessor's time stays at 6 s
+		{Release: true, Name: "lists", Holder: "a", Now: at(6100)},         // ignored: b holds it
 		{Release: true, Name: "lists", Holder: "b", Now: at(6200)},         // b releases it
-		{Name: "lists", Holder: "a", Duration: duration, Now: at(6300)},    // granted at once: token 9
-		{Name: "round/g1", Holder: "b", Duration: duration, Now: at(6300)}, // another name: its own lease
+		{Name: "lists", Holder: "a", Duration: duration, Now: at(6300)},    // granted immediately with token 9
+		{Name: "round/g1", Holder: "b", Duration: duration, Now: at(6300)}, // granted: another lease
 	} {
-		current, granted := lessor.Apply(c, uint64(i+1), 0)
-		if !c.Release {
+		current, granted := lessor.Apply(command, uint64(i+1), 0)
+		if !command.Release {
 			results = append(results, result{current.Holder, current.Token, granted})
 		}
 	}
 	want := []result{{"a", 1, true}, {"a", 1, false}, {"a", 1, true}, {"a", 1, false}, {"b", 5, true}, {"b", 5, false},
 		{"a", 9, true}, {"b", 10, true}}
-	if d := cmp.Diff(want, results); d != "" {
-		t.Error(d)
+	if diff := cmp.Diff(want, results); diff != "" {
+		t.Error(diff)
 	}
 	if _, granted := lessor.Apply(Command{Name: "lists", Holder: "b", Duration: duration, Now: at(60000)}, 11, 1); granted {
 		t.Error("a command stamped in an earlier raft term is granted")
 	}
-	text, err := json.Marshal(&lessor)
+	encoded, err := json.Marshal(&lessor)
 	lessor = Lessor{MaxClockDrift: lessor.MaxClockDrift}
-	if err != nil || json.Unmarshal(text, &lessor) != nil || json.Unmarshal([]byte("{"), &lessor) == nil {
-		t.Errorf("the lessor does not survive a snapshot: %v", err)
+	if err != nil || json.Unmarshal(encoded, &lessor) != nil || json.Unmarshal([]byte("{"), &lessor) == nil {
+		t.Errorf("restoring the lessor from a snapshot failed, or invalid JSON was accepted: %v", err)
 	}
 	if holder, token := lessor.Holder("lists"); holder != "a" || token != 9 {
 		t.Errorf("holder %q with token %d, want a with 9", holder, token)
 	}
 }
 
-// The holder stops acting a clock drift before the duration is over, counted from its request, and when its request is denied.
+// The holder must stop acting when the duration less the clock drift has passed since its request, and when a request is denied.
 func TestLocalLease(t *testing.T) {
-	s := time.Second
-	h := LocalLease{MaxClockDrift: s}
-	if _, ok := h.ValidToken(0); ok {
-		t.Fatal("acts without a lease")
+	second := time.Second
+	localLease := LocalLease{MaxClockDrift: second}
+	if _, ok := localLease.ValidToken(0); ok {
+		t.Fatal("the zero LocalLease is valid")
 	}
-	h.HandleResponse(10*s, Lease{Name: "lists", Holder: "a", Token: 7, Duration: 3 * s}, true) // the response came late: the duration counts from 10 s
-	if token, ok := h.ValidToken(11 * s); !ok || token != 7 {
-		t.Errorf("at 11 s: %d %v, want 7", token, ok)
+	// The duration counts from the request at 10 s, although the response comes later.
+	localLease.HandleResponse(10*second, Lease{Name: "lists", Holder: "a", Token: 7, Duration: 3 * second}, true)
+	if token, ok := localLease.ValidToken(11 * second); !ok || token != 7 {
+		t.Errorf("at 11 s: got %d %v, want 7 true", token, ok)
 	}
-	if _, ok := h.ValidToken(12 * s); ok {
-		t.Error("acts at 12 s, a clock drift before the duration is over")
+	if _, ok := localLease.ValidToken(12 * second); ok {
+		t.Error("valid at 12 s, a clock drift before the end of the duration")
 	}
-	if h.RenewAt() != 11*s || h.RenewDeadline() != 12*s {
-		t.Errorf("renews at %v, acts until %v, want 11 s and 12 s", h.RenewAt(), h.RenewDeadline())
+	if localLease.RenewAt() != 11*second || localLease.RenewDeadline() != 12*second {
+		t.Errorf("RenewAt %v, RenewDeadline %v, want 11 s and 12 s", localLease.RenewAt(), localLease.RenewDeadline())
 	}
-	h.HandleResponse(9*s, Lease{}, false) // a response that was overtaken
-	h.HandleResponse(11*s, Lease{Token: 5, Duration: 9 * s}, true)
-	if token, ok := h.ValidToken(11 * s); !ok || token != 7 {
-		t.Errorf("after overtaken responses: %d %v, want 7", token, ok)
+	localLease.HandleResponse(9*second, Lease{}, false) // a stale response
+	localLease.HandleResponse(11*second, Lease{Token: 5, Duration: 9 * second}, true)
+	if token, ok := localLease.ValidToken(11 * second); !ok || token != 7 {
+		t.Errorf("after stale responses: got %d %v, want 7 true", token, ok)
 	}
-	h.HandleResponse(11*s, Lease{}, false)
-	if _, ok := h.ValidToken(11 * s); ok || h.RenewDeadline() != 0 {
-		t.Error("acts after a denial")
+	localLease.HandleResponse(11*second, Lease{}, false)
+	if _, ok := localLease.ValidToken(11 * second); ok || localLease.RenewDeadline() != 0 {
+		t.Error("valid after a denial")
 	}
 }
 
 func TestFence(t *testing.T) {
-	var f Fence
-	for _, c := range []struct {
+	var fence Fence
+	for _, test := range []struct {
 		name  Name
 		token uint64
 		want  bool
 	}{{"lists", 5, true}, {"lists", 5, true}, {"lists", 3, false}, {"round/g1", 3, true}, {"lists", 9, true}, {"lists", 5, false}} {
-		if got := f.Admit(c.name, c.token); got != c.want {
-			t.Errorf("%s %d: %v, want %v", c.name, c.token, got, c.want)
+		if got := fence.Admit(test.name, test.token); got != test.want {
+			t.Errorf("Admit(%s, %d): got %v, want %v", test.name, test.token, got, test.want)
 		}
 	}
 }
 
 func TestShouldActAlone(t *testing.T) {
-	s := time.Second
-	if ShouldActAlone(4*s, 0, 3*s, 0.5) || !ShouldActAlone(5*s, 0, 3*s, 0.5) {
-		t.Error("a pooler acts alone after a duration and its jitter, not before")
+	second := time.Second
+	if ShouldActAlone(4*second, 0, 3*second, 0.5) || !ShouldActAlone(5*second, 0, 3*second, 0.5) {
+		t.Error("ShouldActAlone must be false until a duration and the jitter have passed, and true afterwards")
 	}
 }
 
-// Whatever poolers request and whenever, however late requests and responses come and leaders change: a new holder's lease begins
-// only after the last one may have acted, by real time, and tokens of new holders only grow.
+// With any sequence of requests, delays and leader changes, at most one pooler may consider its lease valid at any real time, and
+// the tokens of new holders must not decrease.
 func TestNoTwoHolders(t *testing.T) {
-	ms := func(t *rapid.T, least, most int, what string) time.Duration {
-		return time.Duration(rapid.IntRange(least, most).Draw(t, what)) * time.Millisecond
+	ms := func(t *rapid.T, minimum, maximum int, label string) time.Duration {
+		return time.Duration(rapid.IntRange(minimum, maximum).Draw(t, label)) * time.Millisecond
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		lessor := Lessor{MaxClockDrift: ms(t, 0, 500, "clock drift")}
@@ -118,44 +119,44 @@
 		for _, name := range []string{"a", "b", "c"} {
 			leases[name] = &LocalLease{MaxClockDrift: lessor.MaxClockDrift}
 		}
-		newest := uint64(0)
+		newestToken := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			now += ms(t, 0, 2000, "step")
 			requestedAt := now
 			now += ms(t, 0, 300, "network delay")
-			stale := rapid.SampledFrom(clocks).Draw(t, "a clock of some leader so far")
+			earlierClock := rapid.SampledFrom(clocks).Draw(t, "earlier clock")
 			if rapid.IntRange(0, 4).Draw(t, "new leader") == 0 {
 				raftTerm++
-				now += ms(t, 0, 3000, "without a leader")
+				now += ms(t, 0, 3000, "time without a leader")
 				clock = lessor.StartClock(raftTerm, now)
 				clocks = append(clocks, clock)
 			}
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "holder")
-			c := Command{Name: "lists", Holder: name, Duration: ms(t, 100, 3000, "duration"), Now: clock.At(now), RaftTerm: raftTerm,
+			command := Command{Name: "lists", Holder: name, Duration: ms(t, 100, 3000, "duration"), Now: clock.At(now), RaftTerm: raftTerm,
 				Release: rapid.IntRange(0, 9).Draw(t, "release") == 0}
-			if rapid.IntRange(0, 4).Draw(t, "an old stamp") == 0 {
-				c.Now, c.RaftTerm = stale.At(now), stale.RaftTerm
+			if rapid.IntRange(0, 4).Draw(t, "stale time stamp") == 0 {
+				command.Now, command.RaftTerm = earlierClock.At(now), earlierClock.RaftTerm
 			}
-			if c.Release {
+			if command.Release {
 				leases[name].Drop()
 			}
-			current, granted := lessor.Apply(c, uint64(i+1), raftTerm)
-			if rapid.IntRange(0, 3).Draw(t, "the response is lost") == 0 || c.Release {
+			current, granted := lessor.Apply(command, uint64(i+1), raftTerm)
+			if rapid.IntRange(0, 3).Draw(t, "response lost") == 0 || command.Release {
 				continue
 			}
 			leases[name].HandleResponse(requestedAt, current, granted)
-			if _, acts := leases[name].ValidToken(now); !acts || !granted {
+			if _, valid := leases[name].ValidToken(now); !valid || !granted {
 				continue
 			}
-			for other, h := range leases {
-				if token, acts := h.ValidToken(now); acts && other != name {
-					t.Fatalf("at %v %s may act by token %d and %s by %d", now, name, current.Token, other, token)
+			for other, otherLease := range leases {
+				if token, valid := otherLease.ValidToken(now); valid && other != name {
+					t.Fatalf("at %v both %s with token %d and %s with token %d have a valid lease", now, name, current.Token, other, token)
 				}
 			}
-			if current.Token < newest {
-				t.Fatalf("token %d after %d", current.Token, newest)
+			if current.Token < newestToken {
+				t.Fatalf("granted token %d after token %d", current.Token, newestToken)
 			}
-			newest = current.Token
+			newestToken = current.Token
 		}
 	})
 }
