--- a/internal/fleet/discoveryleader/announcement.go
+++ b/internal/fleet/discoveryleader/announcement.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Announcement is what the leader tells the fleet: the list that it handed on last. Announcements are ordered by Token, then
+// Announcement identifies the server list that the leader has distributed last. Announcements are ordered by Token, then by
 // Sequence.
 type Announcement struct {
-	Token    uint64 `json:"token"` // of the leader's lease
-	Sequence uint64 `json:"seq"`   // counts the lists announced under the lease; 0: none yet
+	Token    uint64 `json:"token"` // fencing token of the leader's lease
+	Sequence uint64 `json:"seq"`   // number of lists announced under the lease so far; 0: none
 	Holder   string `json:"holder"`
-	Source   string `json:"source"` // the pooler that has the list: the leader's name in the fleet
+	Source   string `json:"source"` // pooler to fetch the list from: the leader's name in the fleet
 }
 
-// Before reports whether a is older than other.
+// Before reports whether the announcement is older than other.
 func (a Announcement) Before(other Announcement) bool {
 	return a.Token < other.Token || a.Token == other.Token && a.Sequence < other.Sequence
 }
 
-// fetchSpacing spreads the fetches of a fleet after a new list, by the number of its poolers: one that serves the list serves
-// some hundred a second beside its own work.
+// fetchSpacing is the average interval between two fetches of a new list, over all poolers of the fleet. The pooler that serves
+// the list can serve some hundred fetches per second beside its own work.
 const fetchSpacing = 5 * time.Millisecond
 
-// listState is which list the fleet has, and which one this pooler.
+// listState records the newest list of the fleet and the list that is in force at this pooler.
 type listState struct {
-	newest         Announcement  // the newest announcement, of another leader or of this pooler itself
-	installed      Announcement  // the newest announcement that the list in force is not older than
-	lastHeardAt    time.Duration // when the last announcement came that was not refused
-	missingSince   time.Duration // since when the list of the newest announcement has been missing here
-	addressUnknown bool          // the list of the newest announcement can't be used here
-	fetchInFlight  bool
-	nextFetchAt    time.Duration
+	newest         Announcement  // newest announcement, of another leader or of this pooler itself
+	installed      Announcement  // newest announcement whose list is no newer than the list in force
+	leaderSeenAt   time.Duration // last accepted announcement or list, start, or end of this pooler's own lease
+	missingSince   time.Duration // time since which the newest list has been missing here
+	addressUnknown bool          // a fetched list names a server whose address is not known here; no list is fetched
+	fetchInFlight  bool          // a fetch has been requested and has not ended
+	nextFetchAt    time.Duration // earliest time of the next fetch
 }
 
 // missing reports whether the list of the newest announcement is not in force here.
--- a/internal/fleet/discoveryleader/decide.go
+++ b/internal/fleet/discoveryleader/decide.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// decide finds what is to be done at now.
+// decide returns the actions that are due at now, and updates the state as if they had been executed.
 func (p *Participant) decide(now time.Duration) (actions Actions) {
 	if !p.started {
 		return actions
@@ -18,7 +18,8 @@
 	return actions
 }
 
-// decideRequest sends a request for the lease, or for its renewal, when one is due and this pooler is a candidate.
+// decideRequest reports whether to request or renew the lease: a request is due, none is in flight, and this pooler is a
+// candidate. If so, it records the request as in flight.
 func (p *Participant) decideRequest(now time.Duration, leading bool) bool {
 	if p.FollowOnly || p.requests.inFlight || p.Outdated(now) || now < p.nextRequestDue(leading) {
 		return false
@@ -28,8 +29,8 @@
 	return true
 }
 
-// decideWatch has the own watch open while the list is wanted and this pooler is the leader, can't use the leader's list, or
-// has heard of no leader for long enough.
+// decideWatch reports whether to open or to close this pooler's own watch. The watch is open while the policy wants the list and
+// this pooler is the leader, can't use the leader's list, or has reached fallbackAt.
 func (p *Participant) decideWatch(now time.Duration, leading bool) (openWatch, closeWatch bool) {
 	needed := p.watch.wanted && (leading || p.list.addressUnknown || now >= p.fallbackAt())
 	switch {
@@ -44,8 +45,8 @@
 	return false, false
 }
 
-// decideAnnouncement repeats the leader's newest announcement three times in a lease duration, and makes the first one under
-// a lease that came while the watch was open.
+// decideAnnouncement returns the leader's newest announcement if it is due, three times per lease duration. If the lease was
+// granted after the watch had delivered a list, it first numbers that list as the first one under the lease.
 func (p *Participant) decideAnnouncement(now time.Duration) Announcement {
 	if !p.watch.delivered {
 		return Announcement{}
@@ -62,7 +63,8 @@
 	return p.list.newest
 }
 
-// decideFetch fetches the newest announcement's list when it is missing here, one fetch at a time.
+// decideFetch returns the newest announcement if its list is missing here, a fetch is due and none is in flight, and records the
+// fetch as in flight.
 func (p *Participant) decideFetch(now time.Duration) Announcement {
 	if !p.list.missing() || p.list.fetchInFlight || p.list.addressUnknown || now < p.list.nextFetchAt {
 		return Announcement{}
@@ -71,38 +73,39 @@
 	return p.list.newest
 }
 
-// fallbackAt is when this pooler acts alone, counted from the last announcement; one whose list does not come does not count.
+// fallbackAt returns the time at which this pooler opens its own watch without being the leader. It counts from leaderSeenAt, or
+// from missingSince if that is earlier: announcements whose list can't be fetched do not postpone the fallback.
 func (p *Participant) fallbackAt() time.Duration {
-	from := p.list.lastHeardAt
+	since := p.list.leaderSeenAt
 	if p.list.missing() {
-		from = min(from, p.list.missingSince)
+		since = min(since, p.list.missingSince)
 	}
-	return from + 2*p.LeaseDuration + time.Duration(p.JitterFraction*float64(p.LeaseDuration))
+	return since + 2*p.LeaseDuration + time.Duration(p.JitterFraction*float64(p.LeaseDuration))
 }
 
-// NextTimerAt is when HandleTimer is owed next, at the latest.
+// NextTimerAt returns the latest time at which the caller must call HandleTimer next.
 func (p *Participant) NextTimerAt(now time.Duration) time.Duration {
 	leading := p.requests.valid(now)
 	next := now + p.LeaseDuration
-	consider := func(at time.Duration) {
+	wakeAt := func(at time.Duration) {
 		if at > now {
 			next = min(next, at)
 		}
 	}
 	if !p.FollowOnly && !p.requests.inFlight {
-		consider(p.nextRequestDue(leading))
+		wakeAt(p.nextRequestDue(leading))
 	}
 	switch {
 	case leading:
-		consider(p.requests.lease.RenewDeadline())
-		consider(p.nextAnnouncementAt)
+		wakeAt(p.requests.lease.RenewDeadline())
+		wakeAt(p.nextAnnouncementAt)
 	case p.watch.wanted && !p.watch.open:
-		consider(p.fallbackAt())
+		wakeAt(p.fallbackAt())
 	}
 	if p.list.missing() {
-		consider(p.list.missingSince + p.MaxListLag)
+		wakeAt(p.list.missingSince + p.MaxListLag)
 		if !p.list.fetchInFlight && !p.list.addressUnknown {
-			consider(p.list.nextFetchAt)
+			wakeAt(p.list.nextFetchAt)
 		}
 	}
 	return next
--- a/internal/fleet/discoveryleader/fleet_test.go
+++ b/internal/fleet/discoveryleader/fleet_test.go
@@ -11,32 +11,33 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// world is a fleet of participants around one lessor, in simulated time, with announcements and requests that get lost.
-type world struct {
-	t      *rapid.T
-	lessor lease.Lessor
-	clock  lease.Clock
-	index  uint64
-	now    time.Duration
-	nodes  []*node
-	newest uint64 // token of the newest announcement
+// simulation is a fleet of participants and one lessor in simulated time. Announcements, fetches and lease requests may be lost.
+type simulation struct {
+	t           *rapid.T
+	lessor      lease.Lessor
+	clock       lease.Clock
+	index       uint64
+	now         time.Duration
+	nodes       []*node
+	newestToken uint64 // token of the newest announcement
 }
 
+// node is one simulated pooler.
 type node struct {
-	participant     *Participant
-	watchOpen       bool
-	requestInFlight bool
-	stalled         bool
-	listSince       time.Duration // since when it has been without a list, at the earliest
+	participant      *Participant
+	watchOpen        bool
+	requestInFlight  bool
+	stalled          bool
+	withoutListSince time.Duration // time since which the node may have been without a source of lists
 }
 
-// carryOut carries out a node's actions, and checks that only the leader announces.
-func (w *world) carryOut(n *node, actions Actions) {
+// execute executes a node's actions.
+func (s *simulation) execute(n *node, actions Actions) {
 	if actions.CloseWatch {
 		n.watchOpen = false
 	}
 	if actions.ReleaseLease {
-		w.apply(n, true)
+		s.apply(n, true)
 	}
 	if actions.OpenWatch {
 		n.watchOpen = true
@@ -45,144 +46,146 @@
 		n.requestInFlight = true
 	}
 	if actions.Announce.Token > 0 {
-		w.announce(n, actions.Announce)
+		s.announce(n, actions.Announce)
 	}
 	if actions.FetchList.Sequence > 0 {
-		w.fetch(n, actions.FetchList)
+		s.fetch(n, actions.FetchList)
 	}
 }
 
-// announce brings an announcement to some of the other nodes.
-func (w *world) announce(n *node, a Announcement) {
-	if a.Token < w.newest {
-		w.t.Fatalf("at %v %s announces by token %d after %d", w.now, n.participant.Name, a.Token, w.newest)
-	}
-	w.newest = a.Token
-	for _, other := range w.nodes {
+// announce delivers an announcement to a random subset of the other nodes. It fails the test if tokens decrease or if another
+// node may announce at the same time.
+func (s *simulation) announce(n *node, announcement Announcement) {
+	if announcement.Token < s.newestToken {
+		s.t.Fatalf("at %v %s announces with token %d after token %d", s.now, n.participant.Name, announcement.Token, s.newestToken)
+	}
+	s.newestToken = announcement.Token
+	for _, other := range s.nodes {
 		if other == n {
 			continue
 		}
-		if _, leading := other.participant.Token(w.now); leading {
-			w.t.Fatalf("at %v %s announces while %s may", w.now, n.participant.Name, other.participant.Name)
+		if _, leading := other.participant.Token(s.now); leading {
+			s.t.Fatalf("at %v %s announces while %s is the leader", s.now, n.participant.Name, other.participant.Name)
 		}
-		if !other.stalled && rapid.IntRange(0, 3).Draw(w.t, "announcement lost") > 0 {
-			actions, _ := other.participant.HandleAnnouncement(w.now, a)
-			w.carryOut(other, actions)
+		if !other.stalled && rapid.IntRange(0, 3).Draw(s.t, "announcement lost") > 0 {
+			actions, _ := other.participant.HandleAnnouncement(s.now, announcement)
+			s.execute(other, actions)
 		}
 	}
 }
 
-// fetch brings a list to a node, or fails.
-func (w *world) fetch(n *node, a Announcement) {
-	if rapid.IntRange(0, 3).Draw(w.t, "fetch lost") == 0 {
-		w.carryOut(n, n.participant.HandleFetchFailed(w.now))
+// fetch delivers a list to a node or fails, at random. It fails the test if the node goes back to an older list.
+func (s *simulation) fetch(n *node, announcement Announcement) {
+	if rapid.IntRange(0, 3).Draw(s.t, "fetch lost") == 0 {
+		s.execute(n, n.participant.HandleFetchFailed(s.now))
 		return
 	}
 	before := n.participant.Installed()
-	actions, install := n.participant.HandleList(w.now, a)
+	actions, install := n.participant.HandleList(s.now, announcement)
 	if install && n.participant.Installed().Before(before) {
-		w.t.Fatalf("%s goes back from %v to %v", n.participant.Name, before, n.participant.Installed())
+		s.t.Fatalf("%s goes back from list %v to %v", n.participant.Name, before, n.participant.Installed())
 	}
-	w.carryOut(n, actions)
+	s.execute(n, actions)
 }
 
-func (w *world) apply(n *node, release bool) (lease.Lease, bool) {
-	w.index++
-	return w.lessor.Apply(lease.Command{Release: release, Name: LeaseName, Holder: n.participant.Name, Duration: leaseDuration, Now: w.clock.At(w.now)}, w.index, 0)
+// apply applies a node's request for the lease, or its release, to the lessor.
+func (s *simulation) apply(n *node, release bool) (lease.Lease, bool) {
+	s.index++
+	return s.lessor.Apply(lease.Command{Release: release, Name: LeaseName, Holder: n.participant.Name, Duration: leaseDuration, Now: s.clock.At(s.now)}, s.index, 0)
 }
 
-// stall stalls a node, or has it go on, by chance.
-func (w *world) stall(n *node) {
-	switch what := rapid.IntRange(0, 60).Draw(w.t, "event"); {
-	case what == 0:
+// stall stalls or resumes a node at random.
+func (s *simulation) stall(n *node) {
+	switch draw := rapid.IntRange(0, 60).Draw(s.t, "event"); {
+	case draw == 0:
 		n.stalled = true
-	case what < 10:
+	case draw < 10:
 		n.stalled = false
 	}
 }
 
-// respond answers a node's request for the lease, or fails.
-func (w *world) respond(n *node) {
+// respond delivers the voters' response to a node's lease request, or an error, at random.
+func (s *simulation) respond(n *node) {
 	n.requestInFlight = false
-	if rapid.IntRange(0, 4).Draw(w.t, "voters out") == 0 {
-		w.carryOut(n, n.participant.HandleLeaseResponse(w.now, lease.Lease{}, false, errors.New("out")))
+	if rapid.IntRange(0, 4).Draw(s.t, "voters unreachable") == 0 {
+		s.execute(n, n.participant.HandleLeaseResponse(s.now, lease.Lease{}, false, errors.New("voters unreachable")))
 		return
 	}
-	current, granted := w.apply(n, false)
-	w.carryOut(n, n.participant.HandleLeaseResponse(w.now, current, granted, nil))
+	current, granted := s.apply(n, false)
+	s.execute(n, n.participant.HandleLeaseResponse(s.now, current, granted, nil))
 }
 
-// watch brings a list by a node's own watch, or ends the watch, by chance.
-func (w *world) watch(n *node) {
-	switch what := rapid.IntRange(0, 20).Draw(w.t, "list"); {
-	case n.watchOpen && what == 0:
+// watch delivers a list from a node's own watch, or ends the watch, at random.
+func (s *simulation) watch(n *node) {
+	switch draw := rapid.IntRange(0, 20).Draw(s.t, "list"); {
+	case n.watchOpen && draw == 0:
 		n.watchOpen = false
-		w.carryOut(n, n.participant.HandleWatchFailed(w.now))
-		w.carryOut(n, n.participant.HandleListWanted(w.now))
-		n.listSince = w.now
-	case n.watchOpen && what < 5:
-		w.carryOut(n, n.participant.HandleWatchUpdate(w.now))
+		s.execute(n, n.participant.HandleWatchFailed(s.now))
+		s.execute(n, n.participant.HandleListWanted(s.now))
+		n.withoutListSince = s.now
+	case n.watchOpen && draw < 5:
+		s.execute(n, n.participant.HandleWatchUpdate(s.now))
 	}
 }
 
-// step has a node meet what happens to it at this time, and checks that it has a way to a list.
-func (w *world) step(n *node) {
-	w.stall(n)
+// step runs one time step of a node. It fails the test if the node has been without a source of lists for too long.
+func (s *simulation) step(n *node) {
+	s.stall(n)
 	if n.stalled {
-		n.listSince = w.now
+		n.withoutListSince = s.now
 		return
 	}
 	if n.requestInFlight {
-		w.respond(n)
+		s.respond(n)
 	}
-	w.watch(n)
-	w.carryOut(n, n.participant.HandleTimer(w.now))
-	if n.watchOpen || w.now-n.participant.list.lastHeardAt < leaseDuration/2 {
-		n.listSince = w.now
+	s.watch(n)
+	s.execute(n, n.participant.HandleTimer(s.now))
+	if n.watchOpen || s.now-n.participant.list.leaderSeenAt < leaseDuration/2 {
+		n.withoutListSince = s.now
 	}
-	if w.now-n.listSince > n.participant.MaxFallbackDelay()+leaseDuration {
-		w.t.Fatalf("at %v %s has been without a list since %v", w.now, n.participant.Name, n.listSince)
+	if s.now-n.withoutListSince > n.participant.MaxFallbackDelay()+leaseDuration {
+		s.t.Fatalf("at %v %s has been without a source of lists since %v", s.now, n.participant.Name, n.withoutListSince)
 	}
 }
 
-// Whatever is lost and whoever stalls: one leader acts at a time, tokens and lists never go back, and nobody who wants the
-// list is without a watch or a leader's announcement for longer than MaxFallbackDelay, but for a stall.
+// With any losses and stalls, at most one leader may act at a time, tokens and lists must never go back, and a node that wants
+// the list must not be without both a watch and a leader's announcements for longer than MaxFallbackDelay, unless it stalls.
 func TestOneLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, lessor: lease.Lessor{MaxClockDrift: 100 * time.Millisecond}}
+		s := &simulation{t: t, lessor: lease.Lessor{MaxClockDrift: 100 * time.Millisecond}}
 		for i := range rapid.IntRange(2, 5).Draw(t, "poolers") {
-			p := newParticipant()
-			p.Name = fmt.Sprint("n", i)
-			p.JitterFraction = float64(i) / 5
-			n := &node{participant: p}
-			w.nodes = append(w.nodes, n)
-			w.carryOut(n, p.HandleListWanted(0))
+			participant := newParticipant()
+			participant.Name = fmt.Sprint("n", i)
+			participant.JitterFraction = float64(i) / 5
+			n := &node{participant: participant}
+			s.nodes = append(s.nodes, n)
+			s.execute(n, participant.HandleListWanted(0))
 		}
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
-			w.now += time.Duration(rapid.IntRange(10, 400).Draw(t, "ms")) * time.Millisecond
-			for _, n := range w.nodes {
-				w.step(n)
+			s.now += time.Duration(rapid.IntRange(10, 400).Draw(t, "ms")) * time.Millisecond
+			for _, n := range s.nodes {
+				s.step(n)
 			}
 		}
 	})
 }
 
-// A pooler with FollowOnly requests no lease, whatever it does not hear; without an announcement it calls the discovery service
-// itself.
+// A pooler with FollowOnly must never request the lease. Without announcements it must open its own watch on the discovery
+// service.
 func TestFollowOnly(t *testing.T) {
-	p := Participant{Options: Options{Name: "n", LeaseDuration: time.Second, JitterFraction: 0.5, FollowOnly: true}}
+	participant := Participant{Options: Options{Name: "n", LeaseDuration: time.Second, JitterFraction: 0.5, FollowOnly: true}}
 	opened := false
-	for now, actions := time.Duration(0), p.HandleListWanted(0); now < 10*time.Second; actions = p.HandleTimer(now) {
+	for now, actions := time.Duration(0), participant.HandleListWanted(0); now < 10*time.Second; actions = participant.HandleTimer(now) {
 		if actions.RequestLease {
-			t.Fatalf("it requests the lease after %v", now)
+			t.Fatalf("a FollowOnly pooler requests the lease after %v", now)
 		}
-		if actions.OpenWatch && now > p.MaxFallbackDelay() {
-			t.Errorf("alone after %v, want %v at the most", now, p.MaxFallbackDelay())
+		if actions.OpenWatch && now > participant.MaxFallbackDelay() {
+			t.Errorf("opened its own watch after %v, want at most %v", now, participant.MaxFallbackDelay())
 		}
 		opened = opened || actions.OpenWatch
-		now = p.NextTimerAt(now)
+		now = participant.NextTimerAt(now)
 	}
 	if !opened {
-		t.Error("it never calls the discovery service")
+		t.Error("the pooler never opens its own watch")
 	}
 }
--- a/internal/fleet/discoveryleader/lease_requests.go
+++ b/internal/fleet/discoveryleader/lease_requests.go
@@ -6,14 +6,14 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// leaseRequests is this pooler's lease and its requests for it, of which one at a time is in flight.
+// leaseRequests holds this pooler's lease and the state of its requests for it. At most one request is in flight.
 type leaseRequests struct {
-	lease             lease.LocalLease
-	inFlight          bool
-	sentAt            time.Duration // of the last request
-	nextAt            time.Duration // the next request is sent no earlier
-	votersSilent      bool          // the voters did not answer the last request
-	votersSilentSince time.Duration // when the first of the unanswered requests was sent
+	lease           lease.LocalLease
+	inFlight        bool
+	sentAt          time.Duration // time of the last request
+	nextAt          time.Duration // earliest time of the next request
+	unanswered      bool          // the voters did not respond to the last request
+	unansweredSince time.Duration // time of the first of the consecutive unanswered requests
 }
 
 // valid reports whether this pooler may act as the leader at now.
@@ -22,35 +22,35 @@
 	return valid
 }
 
-// handleResponse takes the voters' response to the request in flight.
+// handleResponse processes the voters' response to the request in flight. A non-nil err means that there was none.
 func (r *leaseRequests) handleResponse(granted lease.Lease, ok bool, err error) {
 	r.inFlight = false
 	switch {
 	case err == nil:
-		r.votersSilent = false
+		r.unanswered = false
 		r.lease.HandleResponse(r.sentAt, granted, ok)
-	case !r.votersSilent:
-		r.votersSilent = true
-		r.votersSilentSince = r.sentAt
+	case !r.unanswered:
+		r.unanswered = true
+		r.unansweredSince = r.sentAt
 	}
 }
 
-// silentFor reports whether the voters have not answered for a duration.
-func (r *leaseRequests) silentFor(now, d time.Duration) bool {
-	return r.votersSilent && now-r.votersSilentSince >= d
+// unansweredFor reports whether the voters have not responded for at least the duration d.
+func (r *leaseRequests) unansweredFor(now, d time.Duration) bool {
+	return r.unanswered && now-r.unansweredSince >= d
 }
 
-// scheduleRequest bounds when the next request is sent, after a response or a failure at now.
+// scheduleRequest sets the earliest time of the next request, after a response or a failure at now.
 func (p *Participant) scheduleRequest(now time.Duration) {
 	switch {
 	case p.requests.valid(now):
-		p.requests.nextAt = now + p.LeaseDuration/12 // after a renewal that failed there is time for another
-	case p.requests.silentFor(now, p.LeaseDuration):
-		// If the voters hear this pooler and it does not hear them, each request gives it a lease that it does not know of:
-		// others must have time to request the lease once that has expired.
+		p.requests.nextAt = now + p.LeaseDuration/12 // leaves time to retry a failed renewal
+	case p.requests.unansweredFor(now, p.LeaseDuration):
+		// The requests may reach the voters while the responses are lost. Each request then grants this pooler a lease that it
+		// does not know of, so other poolers need time to request the lease after that one has expired.
 		p.requests.nextAt = now + 2*p.LeaseDuration
 	default:
-		// All poolers that hear nothing request the lease some twice in its duration.
+		// Each pooler that receives no announcements requests the lease about twice per lease duration.
 		p.requests.nextAt = max(p.requests.nextAt, now+p.jittered(p.LeaseDuration/2))
 	}
 }
@@ -62,19 +62,19 @@
 	}
 	if p.requests.lease.RenewDeadline() > 0 {
 		p.requests.lease.Drop()
-		p.list.lastHeardAt = now
-		if p.requests.votersSilent {
+		p.list.leaderSeenAt = now
+		if p.requests.unanswered {
 			p.requests.nextAt = now + 2*p.LeaseDuration // as in scheduleRequest
 		}
 	}
 	return false
 }
 
-// nextRequestDue is when to send the next request: to renew, or once no leader has been heard of for half a lease duration or
-// more.
+// nextRequestDue returns the time at which to send the next request: the time for the renewal if this pooler is the leader, or
+// else a jittered lease duration after a leader was last seen. It is never earlier than nextAt.
 func (p *Participant) nextRequestDue(leading bool) time.Duration {
 	if leading {
 		return max(p.requests.lease.RenewAt(), p.requests.nextAt)
 	}
-	return max(p.list.lastHeardAt+p.jittered(p.LeaseDuration), p.requests.nextAt)
+	return max(p.list.leaderSeenAt+p.jittered(p.LeaseDuration), p.requests.nextAt)
 }
--- a/internal/fleet/discoveryleader/minimum_version_test.go
+++ b/internal/fleet/discoveryleader/minimum_version_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestMinimumVersion(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		minimum        MinimumVersion
 		build          string
 		configRevision uint64
@@ -18,8 +18,8 @@
 		{MinimumVersion{ConfigRevision: 7}, "v1.4.0", 7, false},
 		{MinimumVersion{Build: "v1.4.0", ConfigRevision: 7}, "v1.3.0", 8, true},
 	} {
-		if got := c.minimum.Excludes(c.build, c.configRevision); got != c.want {
-			t.Errorf("%+v excludes %s on %d: %v", c.minimum, c.build, c.configRevision, got)
+		if got := test.minimum.Excludes(test.build, test.configRevision); got != test.want {
+			t.Errorf("%+v.Excludes(%s, %d): got %v, want %v", test.minimum, test.build, test.configRevision, got, test.want)
 		}
 	}
 }
--- a/internal/fleet/discoveryleader/participant.go
+++ b/internal/fleet/discoveryleader/participant.go
@@ -1,18 +1,18 @@
-// Package discoveryleader decides what one pooler does so that a single pooler of the fleet, the leader, polls the discovery
-// service for all. By the lease of package lease it decides whether to request the lease, to act as the leader, to follow
-// another leader, or to act alone.
+// Package discoveryleader implements one pooler's part in the leader election for the discovery service: a single pooler of the
+// fleet, the leader, polls the discovery service for all. With a lease of package lease, a pooler requests the lease, acts as the
+// leader, follows another leader, or falls back to its own watch.
 //
-// The leader alone keeps a watch on the discovery service and announces each server list to the fleet. The others fetch the
-// announced lists, and open a watch of their own only while no leader is heard of. What holds:
-//   - A list is announced only while the lease is valid, with the lease's token and a number that grows under it
-//     (Announcement).
-//   - An announcement or list older than one seen before is refused (fencing): a leader that was stalled can't turn the fleet
-//     back.
-//   - A pooler is never without a way to a list for longer than MaxFallbackDelay: the lease only saves calls.
+// Only the leader keeps a watch on the discovery service. It announces each server list to the fleet. The other poolers fetch the
+// announced lists, and open their own watch only while they know of no leader. Invariants:
+//   - A list is announced only while the lease is valid, with the lease's token and a sequence number that increases under the
+//     lease (Announcement).
+//   - An announcement or list older than one already seen is refused (fencing), so that a leader that was stalled can't revert
+//     the fleet to an old list.
+//   - A pooler is without a source of lists for at most MaxFallbackDelay: the lease only saves calls of the discovery service.
 //
-// The package does no I/O, reads no clock and starts no goroutine. A Participant belongs to one goroutine, the pooler's event
-// loop, which reports what happened and when, and carries out the Actions that each report returns. The package does not
-// decide which servers are used, nor who holds the lease.
+// The package does no I/O, reads no clock and starts no goroutine. A Participant is used by one goroutine, the pooler's event
+// loop, which reports events with their times and executes the Actions that each call returns. The package does not decide
+// which servers are used, nor who holds the lease.
 package discoveryleader
 
 import (
@@ -24,62 +24,63 @@
 // LeaseName is the name of the leader's lease.
 const LeaseName lease.Name = "lists"
 
-// Options are one pooler's settings as a participant.
+// Options configures a Participant.
 type Options struct {
 	Name           string        // this pooler's name in the fleet
-	LeaseDuration  time.Duration // requested of the voters
+	LeaseDuration  time.Duration // duration to request from the voters
 	MaxClockDrift  time.Duration // as in lease.Lessor
-	JitterFraction float64       // from 0 up to 1, by the pooler's own seed: when it requests, fetches and falls back, among all poolers
-	PoolerCount    int           // of the fleet, over which fetches are spread
-	// FollowOnly has this pooler never request the lease; other poolers are the candidates.
+	JitterFraction float64       // from 0 up to 1, from the pooler's own seed; spreads the requests, fetches and fallbacks of the poolers
+	PoolerCount    int           // number of poolers in the fleet, over which fetches are spread
+	// FollowOnly excludes this pooler from the candidates: it never requests the lease.
 	FollowOnly bool
-	// MaxListLag is how long this pooler may lack a list that the fleet has, while neither a fetch nor its own watch brings the
-	// list, before it is Outdated; 0: no bound.
+	// MaxListLag is how long this pooler may lack the newest list of the fleet, from neither a fetch nor its own watch, before
+	// it is Outdated; 0 means no limit.
 	MaxListLag time.Duration
 }
 
-// Actions are what the caller has to carry out, in this order.
+// Actions are the actions that the caller must execute, in the order of the fields.
 type Actions struct {
-	CloseWatch   bool         // close the own watch on the discovery service
-	ReleaseLease bool         // release the lease at the voters: the leader has stopped acting
-	OpenWatch    bool         // open the own watch
-	RequestLease bool         // request or renew the lease; HandleLeaseResponse is owed
-	Announce     Announcement // Token above 0: announce this to the fleet, before the RenewDeadline
-	FetchList    Announcement // Sequence above 0: fetch this list from its Source; HandleList or HandleFetchFailed is owed
+	CloseWatch   bool         // close this pooler's watch on the discovery service
+	ReleaseLease bool         // release the lease at the voters; this pooler has stopped acting as the leader
+	OpenWatch    bool         // open this pooler's watch on the discovery service
+	RequestLease bool         // request or renew the lease, then call HandleLeaseResponse
+	Announce     Announcement // if Token is above 0: announce this to the fleet before the RenewDeadline
+	FetchList    Announcement // if Sequence is above 0: fetch this list from its Source, then call HandleList or HandleFetchFailed
 }
 
-// Participant is one pooler's part in the polling of the discovery service. Its times are on the pooler's monotonic clock. It
-// is not safe for use by several goroutines.
+// Participant is one pooler's state in the leader election for the discovery service. Its times are on the pooler's monotonic
+// clock. It is not safe for concurrent use.
 type Participant struct {
 	Options
 
-	started            bool // the list has been wanted once
+	started            bool // set by the first HandleListWanted
 	excluded           bool // the operators no longer allow this pooler's version
 	requests           leaseRequests
 	watch              watchState
 	list               listState
-	nextAnnouncementAt time.Duration
+	nextAnnouncementAt time.Duration // when this pooler is the leader
 }
 
 // watchState is the pooler's own watch on the discovery service.
 type watchState struct {
-	wanted    bool // the policy waits for the list
+	wanted    bool // the policy has requested the list
 	open      bool
-	delivered bool // the watch has brought a list since it was opened
+	delivered bool // the watch has delivered a list since it was opened
 }
 
-// HandleListWanted reports that the policy asks for the list: at its start, and after a watch has failed.
+// HandleListWanted reports that the policy requests the list, which it does at its start and after a watch has failed.
 func (p *Participant) HandleListWanted(now time.Duration) Actions {
 	if !p.started {
 		p.started = true
-		p.list.lastHeardAt = now
+		p.list.leaderSeenAt = now
 		p.requests.lease.MaxClockDrift = p.MaxClockDrift
 	}
 	p.watch.wanted = true
 	return p.decide(now)
 }
 
-// HandleLeaseResponse reports the voters' response to the last RequestLease. With err the voters decided nothing.
+// HandleLeaseResponse reports the voters' response to the last RequestLease. ok reports whether the lease was granted. A non-nil
+// err means that there was no decision.
 func (p *Participant) HandleLeaseResponse(now time.Duration, granted lease.Lease, ok bool, err error) Actions {
 	p.requests.handleResponse(granted, ok, err)
 	p.scheduleRequest(now)
@@ -89,8 +90,8 @@
 	return p.decide(now)
 }
 
-// adoptLease begins the announcements under a lease that this pooler has just been granted, unless another leader's newer
-// token has been seen meanwhile.
+// adoptLease resets the announcements for a lease that this pooler has just been granted. It drops the lease if a newer token of
+// another leader has been seen in the meantime.
 func (p *Participant) adoptLease(granted lease.Lease) {
 	switch {
 	case granted.Token > p.list.newest.Token:
@@ -101,13 +102,13 @@
 	}
 }
 
-// HandleAnnouncement reports an announcement of the fleet. refused says that it was older than one seen before.
+// HandleAnnouncement reports an announcement received from the fleet. refused reports whether it is older than one already seen.
 func (p *Participant) HandleAnnouncement(now time.Duration, a Announcement) (actions Actions, refused bool) {
 	if a.Before(p.list.newest) || a.Token == 0 {
 		return p.decide(now), true
 	}
 	if a.Token > p.list.newest.Token {
-		p.requests.lease.Drop() // another pooler has the lease: this pooler's is over, whatever its clock says
+		p.requests.lease.Drop() // another pooler holds the lease, even if this one's has not expired by its own clock
 	}
 	if p.list.newest.Before(a) {
 		if !p.list.missing() {
@@ -116,11 +117,11 @@
 		p.list.nextFetchAt = now + time.Duration(p.JitterFraction*float64(fetchSpacing)*float64(p.PoolerCount))
 	}
 	p.list.newest = a
-	p.list.lastHeardAt = now
+	p.list.leaderSeenAt = now
 	return p.decide(now), false
 }
 
-// HandleList reports a list that came with its announcement. install says whether the list may be put in force.
+// HandleList reports a list received with its announcement. install reports whether the caller must put the list in force.
 func (p *Participant) HandleList(now time.Duration, a Announcement) (actions Actions, install bool) {
 	p.list.fetchInFlight = false
 	if a.Sequence == 0 || a.Before(p.list.installed) || a.Token < p.list.newest.Token {
@@ -134,45 +135,45 @@
 		p.list.newest = a
 	}
 	p.list.installed = a
-	p.list.lastHeardAt = now
+	p.list.leaderSeenAt = now
 	return p.decide(now), install
 }
 
-// HandleLeaderToken reports an action of a leader that is not about the list, by its token. valid says whether to believe it.
+// HandleLeaderToken reports the token of a leader's action other than an announcement. valid reports whether to accept the action.
 func (p *Participant) HandleLeaderToken(now time.Duration, token uint64) (actions Actions, valid bool) {
 	return p.decide(now), token > 0 && token >= p.list.newest.Token
 }
 
-// SetExcluded reports whether the operators exclude this pooler's version. An excluded pooler releases its lease and requests
-// none.
+// SetExcluded sets whether the operators exclude this pooler's version. An excluded pooler releases its lease and does not request
+// it.
 func (p *Participant) SetExcluded(now time.Duration, excluded bool) Actions {
 	p.excluded = excluded
 	release := excluded && p.requests.valid(now)
 	if release {
 		p.requests.lease.Drop()
-		p.list.lastHeardAt = now
+		p.list.leaderSeenAt = now
 	}
 	actions := p.decide(now)
 	actions.ReleaseLease = actions.ReleaseLease || release
 	return actions
 }
 
-// HandleFetchFailed reports that the last FetchList has failed.
+// HandleFetchFailed reports that the last FetchList failed.
 func (p *Participant) HandleFetchFailed(now time.Duration) Actions {
 	p.list.fetchInFlight = false
 	p.list.nextFetchAt = now + p.jittered(p.LeaseDuration/3)
 	return p.decide(now)
 }
 
-// HandleUnknownAddress reports that the list last fetched names a server whose address from here is not known: this pooler
-// calls the discovery service itself, once.
+// HandleUnknownAddress reports that the last fetched list names a server whose address is not known to this pooler. The pooler
+// opens its own watch until that delivers a list.
 func (p *Participant) HandleUnknownAddress(now time.Duration) Actions {
 	p.list.fetchInFlight = false
 	p.list.addressUnknown = true
 	return p.decide(now)
 }
 
-// HandleWatchUpdate reports that the own watch has brought a list, or a change of it.
+// HandleWatchUpdate reports that this pooler's own watch has delivered a list or a change of it.
 func (p *Participant) HandleWatchUpdate(now time.Duration) Actions {
 	p.watch.delivered = true
 	p.list.addressUnknown = false
@@ -180,18 +181,18 @@
 		p.list.newest.Sequence++
 		p.nextAnnouncementAt = now
 	}
-	p.list.installed = p.list.newest // a follower's own list came after the leader's announcement: it is as new
+	p.list.installed = p.list.newest // also at a follower: its own list arrived after the leader's announcement, so it is at least as new
 	return p.decide(now)
 }
 
-// HandleWatchFailed reports that the own watch has ended, or could not be opened. The policy will ask for the list again. A
-// leader that can't reach the discovery service leaves the lease to other poolers.
+// HandleWatchFailed reports that this pooler's own watch has ended or could not be opened. The policy will request the list again.
+// A leader that can't reach the discovery service releases the lease, so that another pooler can request it.
 func (p *Participant) HandleWatchFailed(now time.Duration) Actions {
 	p.watch = watchState{}
 	release := p.requests.valid(now)
 	if release {
 		p.requests.lease.Drop()
-		p.list.lastHeardAt = now
+		p.list.leaderSeenAt = now
 		p.requests.nextAt = now + 2*p.LeaseDuration
 	}
 	actions := p.decide(now)
@@ -199,7 +200,8 @@
 	return actions
 }
 
-// HandleShutdown reports that the pooler shuts down: it has stopped acting, and the lease is free for others at once.
+// HandleShutdown reports that the pooler shuts down and has stopped acting as the leader. Its lease is released, so that another
+// pooler can request it immediately.
 func (p *Participant) HandleShutdown(now time.Duration) Actions {
 	actions := Actions{CloseWatch: p.watch.open, ReleaseLease: p.requests.valid(now)}
 	p.requests.lease.Drop()
@@ -208,31 +210,31 @@
 	return actions
 }
 
-// HandleTimer reports that NextTimerAt has come.
+// HandleTimer reports that the time returned by NextTimerAt has been reached.
 func (p *Participant) HandleTimer(now time.Duration) Actions { return p.decide(now) }
 
-// Token is the lease's fencing token, while this pooler is the leader and may act.
+// Token returns the lease's fencing token, and whether this pooler may act as the leader at now.
 func (p *Participant) Token(now time.Duration) (token uint64, valid bool) {
 	return p.requests.lease.ValidToken(now)
 }
 
-// RenewDeadline is when this pooler must stop acting as the leader; 0 while it has no lease.
+// RenewDeadline returns the time at which this pooler must stop acting as the leader, or 0 if it has no lease.
 func (p *Participant) RenewDeadline() time.Duration { return p.requests.lease.RenewDeadline() }
 
-// Installed is the newest announcement that the list in force is not older than.
+// Installed returns the newest announcement whose list is no newer than the list in force.
 func (p *Participant) Installed() Announcement { return p.list.installed }
 
-// Outdated reports whether this pooler acts on what the fleet has left behind, and may take no writes: its version is
-// excluded, or it has lacked the fleet's list for longer than MaxListLag.
+// Outdated reports whether this pooler is behind its fleet and must not accept writes: its version is excluded, or it has lacked
+// the fleet's newest list for at least MaxListLag.
 func (p *Participant) Outdated(now time.Duration) bool {
 	return p.excluded || p.MaxListLag > 0 && p.list.missing() && now >= p.list.missingSince+p.MaxListLag
 }
 
-// MaxFallbackDelay is the longest that a pooler waits without hearing of a leader before it acts alone: two lease durations,
-// in which a lost leader's lease ends and another is elected, and one for the jitter.
+// MaxFallbackDelay returns the longest time for which a pooler without a leader waits before it opens its own watch: two lease
+// durations, in which a lost leader's lease expires and another leader is elected, and one for the jitter.
 func (p *Participant) MaxFallbackDelay() time.Duration { return 3 * p.LeaseDuration }
 
-// jittered is from half of d up to one and a half of it, by the pooler's JitterFraction.
+// jittered returns a duration from 0.5*d up to 1.5*d, depending on the pooler's JitterFraction.
 func (p *Participant) jittered(d time.Duration) time.Duration {
 	return d/2 + time.Duration(p.JitterFraction*float64(d))
 }
