--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -10,12 +10,12 @@
 // called by the backend, by the attempt's timeout, or by the dispatcher if the request was never sent.
 type attempt struct {
 	request   *OpenRequest
-	number    int // counts the attempts of the request from 0
-	server    uint32
-	startedAt time.Duration
-	allowedAt time.Duration // when the policy last allowed it to be sent to its server
-	call      Call          // nil: never handed to the backend
-	timeout   *Timer
+	number    int           // counts the attempts of the request from 0
+	server    uint32        // id of the server
+	startedAt time.Duration // Unix time of the call of startAttempt
+	allowedAt time.Duration // Unix time at which the policy last allowed the attempt to be sent
+	call      Call          // nil: never passed to the backend
+	timeout   *Timer        // nil: never passed to the backend
 }
 
 // startAttempt sends a request to the server that the policy chose at chosenAt. On timeout, the connection is closed before
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
 // Package dispatch executes the decisions of the load-balancing policy. A Dispatcher owns one policy.Router, the open requests,
-// their attempts, the timers and the clock. Its only own decision is whether a request is admitted, and it knows no wire
-// protocol: frontends submit requests and forward the answers to clients, and a Backend sends attempts and probes to the
-// servers.
+// their attempts, the timers and the clock. The only decision that it makes itself is whether a request is admitted. It is
+// independent of wire protocols: frontends submit requests and forward the answers to clients, and a Backend sends attempts and
+// probes to the servers.
 //
 // A request passes through these functions:
 //
@@ -25,7 +25,7 @@
 // Options configures a Dispatcher.
 type Options struct {
 	Settings     policy.Settings
-	Seed         uint64
+	Seed         uint64        // seed of the policy's random choices
 	MaxOpen      int           // maximum number of open requests; further ones are rejected
 	ProbeTimeout time.Duration // timeout of a health check, from when it is connected
 	Watch        func()        // subscribes to the list of servers; the caller reports its end as policy.ListFailed
--- a/internal/dispatch/final_answer.go
+++ b/internal/dispatch/final_answer.go
@@ -68,7 +68,8 @@
 	o.removeIfSettled()
 }
 
-// rejectByGuard ends a request that a guard has decided not to send. The policy is notified by the outcome of the attempt.
+// rejectByGuard ends a request whose attempt a guard has rejected. It rejects the request, or fails it if an earlier attempt may
+// have been executed and the class is not idempotent. The outcome of the attempt reports the end to the policy.
 func (o *OpenRequest) rejectByGuard() {
 	if o.ended {
 		return
--- a/internal/fleet/discoveryleader/announcement.go
+++ b/internal/fleet/discoveryleader/announcement.go
@@ -25,11 +25,11 @@
 	newest         Announcement  // newest announcement, of another leader or of this pooler itself
 	installed      Announcement  // newest announcement whose list is no newer than the list in force
 	leaderSeenAt   time.Duration // last accepted announcement or list, start, or end of this pooler's own lease
-	missingSince   time.Duration // time since which the newest list has been missing here
-	addressUnknown bool          // a fetched list names a server whose address is not known here; no list is fetched
+	missingSince   time.Duration // time since which this pooler has lacked the newest list
+	addressUnknown bool          // a fetched list names a server whose address this pooler does not know; no list is fetched
 	fetchInFlight  bool          // a fetch has been requested and has not ended
 	nextFetchAt    time.Duration // earliest time of the next fetch
 }
 
-// missing reports whether the list of the newest announcement is not in force here.
+// missing reports whether this pooler lacks the list of the newest announcement.
 func (l *listState) missing() bool { return l.newest.Sequence > 0 && l.installed != l.newest }
--- a/internal/fleet/discoveryleader/decide.go
+++ b/internal/fleet/discoveryleader/decide.go
@@ -63,8 +63,8 @@
 	return p.list.newest
 }
 
-// decideFetch returns the newest announcement if its list is missing here, a fetch is due and none is in flight, and records the
-// fetch as in flight.
+// decideFetch returns the newest announcement if this pooler lacks its list, a fetch is due and none is in flight. If so, it
+// records the fetch as in flight.
 func (p *Participant) decideFetch(now time.Duration) Announcement {
 	if !p.list.missing() || p.list.fetchInFlight || p.list.addressUnknown || now < p.list.nextFetchAt {
 		return Announcement{}
--- a/internal/fleet/discoveryleader/participant.go
+++ b/internal/fleet/discoveryleader/participant.go
@@ -45,7 +45,7 @@
 	OpenWatch    bool         // open this pooler's watch on the discovery service
 	RequestLease bool         // request or renew the lease, then call HandleLeaseResponse
 	Announce     Announcement // if Token is above 0: announce this to the fleet before the RenewDeadline
-	FetchList    Announcement // if Sequence is above 0: fetch this list from its Source, then call HandleList or HandleFetchFailed
+	FetchList    Announcement // if Sequence is above 0: fetch this list from its Source, then call HandleList, HandleUnknownAddress or HandleFetchFailed
 }
 
 // Participant is one pooler's state in the leader election for the discovery service. Its times are on the pooler's monotonic
@@ -58,7 +58,7 @@
 	requests           leaseRequests
 	watch              watchState
 	list               listState
-	nextAnnouncementAt time.Duration // when this pooler is the leader
+	nextAnnouncementAt time.Duration // time of the next announcement while this pooler is the leader
 }
 
 // watchState is the pooler's own watch on the discovery service.
@@ -181,7 +181,7 @@
 		p.list.newest.Sequence++
 		p.nextAnnouncementAt = now
 	}
-	p.list.installed = p.list.newest // also at a follower: its own list arrived after the leader's announcement, so it is at least as new
+	p.list.installed = p.list.newest // for a follower too: its list arrived after the announcement, so it is as new
 	return p.decide(now)
 }
 
--- a/internal/fleet/lease/lessor.go
+++ b/internal/fleet/lease/lessor.go
@@ -101,8 +101,8 @@
 	return current.Holder, current.Token
 }
 
-// lookup returns the entry of a lease, and whether it keeps the lease from others at now: until its expiry and the clock
-// drift are over.
+// lookup returns the entry of a lease, and whether the lease is reserved for its holder at now. It is, until the maximum clock
+// drift has passed after its expiry.
 func (l *Lessor) lookup(name Name, now time.Duration) (e entry, reserved bool) {
 	e, found := l.leases[name]
 	return e, found && now < e.ExpiresAt+l.MaxClockDrift
@@ -115,7 +115,7 @@
 	}
 }
 
-// denial returns the response to a request for a lease that another pooler holds: the entry's lease with the time left of it.
+// denial returns the response to a request for a lease that another pooler holds: that pooler's lease with its remaining time.
 func (*Lessor) denial(name Name, e entry, now time.Duration) Lease {
 	return Lease{Name: name, Holder: e.Holder, Token: e.Token, Duration: e.ExpiresAt - now}
 }
