--- a/internal/dispatch/drain_reserve.go
+++ b/internal/dispatch/drain_reserve.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// sendWindow is the length of a window over which the longest send is measured. A send counts in its window and the one after,
-// since a machine that was overloaded a moment ago may be so again.
+// sendWindow is the length of a window over which the longest send is measured. A send counts in its window and the next one, so
+// for one to two windows, since a machine that was overloaded a moment ago may be so again.
 const sendWindow = 5 * time.Second
 
 // drainReserve computes the part of a drain's grace period that must stay unused: the longest time that a recent send took
@@ -11,7 +11,7 @@
 // longer. Its times are Unix times on the loop's clock. It is used on the loop only.
 type drainReserve struct {
 	currentLongest, previousLongest time.Duration // the longest send of the current window and of the previous one
-	windowEnd                       time.Duration // of the current window
+	windowEnd                       time.Duration // end of the current window
 	listDelay                       time.Duration // from the announcement of a list to its arrival
 	listDelayExpiresAt              time.Duration // when listDelay no longer counts
 }
--- a/internal/dispatch/final_answer.go
+++ b/internal/dispatch/final_answer.go
@@ -11,7 +11,7 @@
 	Served             bool
 	Rejected           bool          // if neither Served nor Rejected is set, the request failed
 	Answer             any           // content of a served answer; nil for guards if the answer was streamed to the client
-	Server             string        // name of the server that served the request; set only if there are guards
+	Server             string        // name of the server that sent the answer; set only for guards, and not for a streamed answer
 	ArrivedAt, EndedAt time.Duration // Unix times of the request's last byte and of the final answer; set only for guards
 }
 
@@ -19,7 +19,7 @@
 type answerClient struct {
 	reply      Replier
 	answer     FinalAnswer
-	retryAfter time.Duration // with a rejection; 0: none
+	retryAfter time.Duration // retry delay sent with a rejection; 0: none
 }
 
 func (a answerClient) execute(*Dispatcher) {
