--- a/internal/fleet/replication/announcement.go
+++ b/internal/fleet/replication/announcement.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// announcement says that no version newer than Version was known to a majority of the voters at an instant.
+// announcement is a broadcast message that announces the newest version. At the confirmation time no majority of the voters had a
+// newer version.
 type announcement struct {
 	Version             uint64        `json:"version"`
-	ConfirmedAtUnixNano int64         `json:"as_of_ns"`        // the instant, on the sender's clock
-	Age                 time.Duration `json:"age_ns"`          // from the instant until the sending, on the sender's monotonic clock
-	Delta               *Delta        `json:"delta,omitempty"` // what has changed lately; nil if that is too large
+	ConfirmedAtUnixNano int64         `json:"as_of_ns"`        // confirmation time, on the sender's wall clock
+	Age                 time.Duration `json:"age_ns"`          // from the confirmation time until sending, on the sender's monotonic clock
+	Delta               *Delta        `json:"delta,omitempty"` // recent changes; nil if there are none or they exceed maxDeltaSize
 }
 
-// ConfirmationTime returns the instant of an announcement on this process's clock: confirmedAtUnixNano is the instant on the sender's
-// clock, and age what the sender's monotonic clock counted until it sent the announcement. Of what the two clocks say the older counts.
-// All machines read one wall clock, so an announcement that was delayed, or sent by a process that had stalled, is as old as it is;
-// and the sender's count keeps a clock here that was set back from making an announcement younger. A clock here that is behind by some
-// time can make a delayed announcement too young by that time at most.
+// ConfirmationTime converts an announcement's confirmation time to this process's clock. confirmedAtUnixNano is the confirmation time
+// on the sender's wall clock, and age is the time that passed on the sender's monotonic clock until it sent the announcement.
+//
+// The announcement's age is the larger of age and the difference of the wall clocks. The machines' wall clocks are synchronized, so
+// their difference includes delays on the network and stalls of the sender. age is a lower bound that holds even after the wall clock
+// of this process was set back. If this process's clock is slow, a delayed announcement appears younger than it is, by that clock error at most.
 func ConfirmationTime(now time.Time, confirmedAtUnixNano int64, age time.Duration) time.Time {
 	byWallClock := now.Sub(time.Unix(0, confirmedAtUnixNano))
 	return now.Add(-max(byWallClock, age, 0))
 }
 
-// announcer makes the announcements of the process whose voter leads. What has changed since the heartbeat before the last goes with
-// each, so that a lost datagram is made up for by the next. It is not safe for concurrent use.
+// announcer builds the announcements of the process whose voter is the leader. Each announcement carries the changes since the
+// heartbeat before the last one, so that it makes up for one lost datagram. An announcer is not safe for concurrent use.
 type announcer struct {
 	interval    time.Duration // between heartbeats
-	heartbeatAt time.Time     // the last heartbeat; the zero time: there was none
-	last        Snapshot      // at the last heartbeat
-	base        Snapshot      // at the heartbeat before the last, from which deltas are made
+	heartbeatAt time.Time     // time of the last heartbeat; zero before the first
+	last        Snapshot      // snapshot at the last heartbeat
+	base        Snapshot      // snapshot at the heartbeat before the last; base of the deltas
 }
 
-// next returns the announcement of a version that was the newest at an instant. current is the replica's snapshot, which is of the
-// log, and may be newer than what is confirmed.
+// next returns an announcement that version was the newest at confirmedAt. current is the replica's snapshot, which is a state of
+// the log and may be newer than version.
 func (a *announcer) next(version uint64, confirmedAt time.Time, current Snapshot) announcement {
 	next := announcement{Version: version, ConfirmedAtUnixNano: confirmedAt.UnixNano()}
 	if !a.heartbeatAt.IsZero() {
@@ -48,7 +50,7 @@
 	return next
 }
 
-// recordHeartbeat makes current the snapshot of the last heartbeat.
+// recordHeartbeat records a heartbeat that was sent with the snapshot current.
 func (a *announcer) recordHeartbeat(current Snapshot) {
 	a.base = a.last
 	if a.heartbeatAt.IsZero() {
@@ -58,26 +60,26 @@
 	a.heartbeatAt = time.Now()
 }
 
-// confirmedVersion is a version that was the newest in the log at an instant of this process's clock.
+// confirmedVersion is a version that was the newest in the log as of an instant.
 type confirmedVersion struct {
 	version     uint64
-	at          time.Time
-	announcedBy string // the member that announced it; "": this process knows it from the voters
+	at          time.Time // instant, on this process's clock
+	announcedBy string    // member that announced the version; empty if it was learned from the voters
 }
 
-// supersedes reports whether v says more than other: it is of a newer version, or of a later instant.
+// supersedes reports whether v has a newer version than other, or the same version and a later instant.
 func (v confirmedVersion) supersedes(other confirmedVersion) bool {
 	return v.version > other.version || v.version == other.version && v.at.After(other.at)
 }
 
-// announcementTracker remembers the newest of the versions that were announced. It is safe for concurrent use.
+// announcementTracker tracks the newest announced version. It is safe for concurrent use.
 type announcementTracker struct {
 	mu             sync.Mutex // guards the fields below
 	newest         confirmedVersion
-	lastObservedAt time.Time // when anything was last announced, or the tracker was made
+	lastObservedAt time.Time // time of the last call of observe, or of the tracker's creation
 }
 
-// observe records a version that was announced, and returns the newest.
+// observe records an announced version, and returns the newest one recorded so far.
 func (t *announcementTracker) observe(v confirmedVersion) confirmedVersion {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,15 +90,15 @@
 	return t.newest
 }
 
-// newestVersion returns the newest version that was announced.
+// newestVersion returns the newest version recorded so far.
 func (t *announcementTracker) newestVersion() confirmedVersion {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.newest
 }
 
-// silence returns for how long nothing was announced.
-func (t *announcementTracker) silence() time.Duration {
+// timeSinceLast returns the time since a version was last announced.
+func (t *announcementTracker) timeSinceLast() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Since(t.lastObservedAt)
--- a/internal/fleet/replication/catch_up.go
+++ b/internal/fleet/replication/catch_up.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// fetchSpreadPerMember spreads the fetches of a fleet after a change, by so much for each member.
+	// fetchSpreadPerMember is the interval over which fetches are spread after a change, per member of the fleet.
 	fetchSpreadPerMember = 5 * time.Millisecond
-	// memberFetchTimeout bounds the wait for a member's answer before another member is queried.
+	// memberFetchTimeout is the maximum wait for a member's response before another member is queried.
 	memberFetchTimeout = 500 * time.Millisecond
-	// voterFetchTimeout bounds a fetch from the voters.
+	// voterFetchTimeout is the timeout of a fetch from the voters.
 	voterFetchTimeout = 2 * time.Second
-	// maxSilentHeartbeats is for how many heartbeats nothing may be announced before the voters are queried.
-	maxSilentHeartbeats = 5
+	// maxMissedHeartbeats is the number of heartbeat intervals without an announcement after which the voters are queried.
+	maxMissedHeartbeats = 5
 )
 
 // SnapshotFetcher fetches snapshots from the voters.
 type SnapshotFetcher interface {
-	// Fetch returns the documents if they are newer than a version; newer reports whether they are. With sure it asks the leading
-	// voter, whose answer says that nothing newer was in the log, otherwise any voter.
-	Fetch(ctx context.Context, since uint64, sure bool) (s Snapshot, newer bool, err error)
+	// Fetch returns a snapshot if the queried voter has one that is newer than the version since; newer reports whether it has. If
+	// linearizable is set, Fetch queries the leader, whose snapshot is the newest in the log at the time of the request. Otherwise it
+	// queries any voter.
+	Fetch(ctx context.Context, since uint64, linearizable bool) (s Snapshot, newer bool, err error)
 }
 
-// catchUp brings the replica up to the newest version that was announced. When nothing is announced for maxSilentHeartbeats it asks
-// the voters.
+// catchUp fetches newer versions whenever one is announced, until ctx ends. If there are no announcements for maxMissedHeartbeats, it
+// queries the voters.
 func (r *Replicator) catchUp(ctx context.Context) {
-	maxSilence := maxSilentHeartbeats * r.HeartbeatInterval
+	maxGap := maxMissedHeartbeats * r.HeartbeatInterval
 	jitter := time.Duration(r.JitterFraction * float64(r.HeartbeatInterval))
 	for ctx.Err() == nil {
-		timer := time.NewTimer(maxSilence + jitter)
+		timer := time.NewTimer(maxGap + jitter)
 		select {
 		case <-ctx.Done():
 		case <-r.newerAnnounced:
 			r.fetchNewest(ctx)
 		case <-timer.C:
-			if r.announcements.silence() >= maxSilence && r.Voters != nil {
+			if r.announcements.timeSinceLast() >= maxGap && r.Voters != nil {
 				r.fetchFromVoters(ctx)
 			}
 		}
@@ -45,8 +46,9 @@
 	}
 }
 
-// fetchNewest fetches until the replica has the newest version that was announced: from any member, then from the member that
-// announced it, then from the voters, and again.
+// fetchNewest fetches snapshots until the replica has the newest announced version or ctx ends. Its attempts cycle through a random
+// member, the member that announced the version, and the voters. Before the first attempt it waits, for a time that depends on
+// JitterFraction, so that the members don't all fetch at once.
 func (r *Replicator) fetchNewest(ctx context.Context) {
 	sleep(ctx, time.Duration(r.JitterFraction*float64(fetchSpreadPerMember)*float64(r.Bus.Size())))
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -68,29 +70,30 @@
 	}
 }
 
-// randomMember returns another member, drawn at random; "" if there is none.
+// randomMember returns another member, chosen at random, or "" if there is none.
 func (r *Replicator) randomMember() string {
-	drawn := ""
+	chosen := ""
 	others := 0
 	for _, member := range r.Bus.Members() {
 		if member == r.Bus.Self() {
 			continue
 		}
 		others++
-		if rand.IntN(others) == 0 { // so each of the others is drawn with the same probability
-			drawn = member
+		if rand.IntN(others) == 0 { // reservoir sampling: each of the others is equally likely
+			chosen = member
 		}
 	}
-	return drawn
+	return chosen
 }
 
-// fetchFromMember asks a member for its snapshot, and waits for the answer, which handleSnapshot installs.
+// fetchFromMember requests a snapshot from a member and waits for the response, which handleSnapshot installs. It returns after
+// memberFetchTimeout at the latest.
 func (r *Replicator) fetchFromMember(ctx context.Context, member string) {
 	if member == "" {
 		return
 	}
 	select {
-	case <-r.answerReceived: // of an earlier request, after its timeout
+	case <-r.responseReceived: // discard a response to an earlier request that timed out
 	default:
 	}
 	body, err := json.Marshal(fetchRequest(r.Replica.Version()))
@@ -103,12 +106,13 @@
 		return
 	}
 	select {
-	case <-r.answerReceived:
+	case <-r.responseReceived:
 	case <-ctx.Done():
 	}
 }
 
-// fetchFromVoters asks the leading voter, whose answer confirms the replica, or any voter where the leading one does not answer.
+// fetchFromVoters fetches a snapshot from the leader, whose response also confirms the replica. If the leader can't be reached, it
+// fetches from any voter.
 func (r *Replicator) fetchFromVoters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, voterFetchTimeout)
 	defer cancel()
@@ -119,7 +123,7 @@
 		snapshot, newer, err = r.Voters.Fetch(ctx, r.Replica.Version(), false)
 	}
 	if err != nil {
-		r.Log.Warn().Err(err).Msg("replication: documents can't be fetched from the voters")
+		r.Log.Warn().Err(err).Msg("replication: fetching documents from the voters failed")
 		return
 	}
 	version := r.Replica.Version()
--- a/internal/fleet/replication/delta.go
+++ b/internal/fleet/replication/delta.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// maxDeltaSize bounds the keys and values that an announcement carries, in bytes: the announcement is a datagram of a few packets.
-// Larger changes are fetched.
+// maxDeltaSize is the maximum size in bytes of the keys and values in an announcement, which is sent as a datagram of a few packets.
+// Replicas fetch larger changes.
 const maxDeltaSize = 4 << 10
 
-// Delta is what has changed from one version of the documents to a later one. It brings a replica of any version from BaseVersion up
-// to, but not with, Version to Version:
-//   - A document that was last written up to BaseVersion and that the delta does not name is the same in all versions between, as a
-//     document that is deleted and made again gets a version that it never had.
-//   - A document that was written after BaseVersion and that the delta does not name has been removed again by Version.
+// Delta is the difference between two versions of the documents. It brings a replica of any version in [BaseVersion, Version) to
+// Version. For documents that the delta does not list this follows from their versions:
+//   - A document of a version up to BaseVersion is the same in all versions between, since a document that is deleted and created again
+//     gets a new version.
+//   - A document of a version after BaseVersion was removed again by Version.
 type Delta struct {
 	BaseVersion uint64     `json:"since"`
 	Version     uint64     `json:"version"`
-	Documents   []Document `json:"docs,omitempty"`
-	RemovedKeys []string   `json:"gone,omitempty"`
+	Documents   []Document `json:"docs,omitempty"` // documents written after BaseVersion
+	RemovedKeys []string   `json:"gone,omitempty"` // sorted
 }
 
-// diffSnapshots returns what has changed from one snapshot of the log to a later one. ok is false if nothing has, or if the delta is
-// too large for an announcement.
+// diffSnapshots returns the delta between two snapshots. ok is false if to is not newer than from, or if the delta exceeds
+// maxDeltaSize.
 func diffSnapshots(from, to Snapshot) (d Delta, ok bool) {
 	d.BaseVersion = from.Version
 	d.Version = to.Version
@@ -40,8 +40,8 @@
 	return d, from.Version < to.Version && size <= maxDeltaSize
 }
 
-// ApplyTo returns the snapshot that the delta makes of s. ok is false if s is not between the delta's versions, or if the delta holds
-// what no log can have made.
+// ApplyTo returns the snapshot that results from applying the delta to s. It returns s and false if the version of s is not in
+// [BaseVersion, Version), or if the delta contains an invalid document.
 func (d Delta) ApplyTo(s Snapshot) (next Snapshot, ok bool) {
 	if s.Version < d.BaseVersion || s.Version >= d.Version {
 		return s, false
--- a/internal/fleet/replication/history.go
+++ b/internal/fleet/replication/history.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// Bounds of a History: two hours of 4,000 changes a day are 333 versions. A replica of an older version is brought up to date by a
-// snapshot.
+// Limits of a History. At 4,000 changes a day historyRetention covers 333 versions. A replica of a version that is no longer in the
+// history needs a snapshot.
 const (
 	historyRetention   = 2 * time.Hour
 	maxHistoryVersions = 4096
 	maxRemovedKeyBytes = 256 << 10
 )
 
-// History is what must be kept of earlier versions to tell what has changed since each: which versions there were, and which keys
-// were removed. Of the documents' values only those of the newest version are kept, so a document that changes often is sent once.
-// It is not safe for concurrent use. The zero History has recorded no version.
+// History records versions of the documents and computes deltas from them to the newest version. Of earlier versions it keeps only
+// the version number and the removed keys. Values are kept for the newest version alone, so a delta contains each changed document
+// once, however often it has changed. The zero History is empty. A History is not safe for concurrent use.
 type History struct {
-	// FullReplacement says that each version replaces all documents, by a writer that may not have seen the version before. The
-	// versions of the documents then tell nothing about other versions of the whole: changes are found by comparing the recorded
-	// snapshots, and a replica of a version that was not recorded here needs a snapshot.
+	// FullReplacement must be set if each version replaces all documents and its writer may not have seen the previous version. The
+	// versions of the documents then don't show what has changed, so Record compares their values, and a replica of a version that was
+	// not recorded here needs a snapshot.
 	FullReplacement bool
 
 	newest          Snapshot
-	versions        []recordedVersion // oldest first; each is a base for deltas
-	removedKeyBytes int               // of all versions
+	versions        []recordedVersion // oldest first; each can be the base of a delta
+	removedKeyBytes int               // total size of the removed keys of all versions
 }
 
-// recordedVersion is a version that was recorded, and the keys of the version recorded before that are missing in it. It is kept for
-// historyRetention from when the next version was recorded: until then every replica is at it.
+// recordedVersion is a recorded version of the documents. It is kept until historyRetention has passed since the next version was
+// recorded, because all replicas stay at a version until there is a newer one.
 type recordedVersion struct {
 	version     uint64
 	recordedAt  time.Time
-	removedKeys []string
+	removedKeys []string // keys that the previous recorded version had and this one lacks
 }
 
-// Record adds a version that is newer than all those recorded; any other is ignored.
+// Record records a snapshot. A snapshot that is not newer than the newest recorded one is ignored.
 func (h *History) Record(s Snapshot) {
 	if s.Version <= h.newest.Version && len(h.versions) > 0 {
 		return
@@ -57,7 +57,7 @@
 	h.trim()
 }
 
-// trim drops the oldest versions until the history is within its bounds. The newest version always stays.
+// trim drops the oldest versions until the history is within its limits. The newest version always stays.
 func (h *History) trim() {
 	dropped := 0
 	for dropped < len(h.versions)-1 && h.mustDrop(dropped) {
@@ -69,19 +69,21 @@
 	h.versions = slices.Delete(h.versions, 0, dropped)
 }
 
-// mustDrop reports whether the version at an index, the oldest that is left, is over a bound. It is followed by another version.
+// mustDrop reports whether the history exceeds a limit while the version at index oldest is its oldest one. A newer version must
+// follow at oldest+1.
 func (h *History) mustDrop(oldest int) bool {
 	expired := time.Since(h.versions[oldest+1].recordedAt) > historyRetention
 	tooMany := len(h.versions)-oldest > maxHistoryVersions
 	return expired || tooMany || h.removedKeyBytes > maxRemovedKeyBytes
 }
 
-// restampDocuments returns s with the version of each document changed to the recorded version at which its value last changed.
-func restampDocuments(old, s Snapshot) Snapshot {
+// restampDocuments returns s with the version of each document set to the recorded version that last changed its value. previous is
+// the snapshot recorded before s.
+func restampDocuments(previous, s Snapshot) Snapshot {
 	restamped := Snapshot{Version: s.Version, Documents: make(map[string]Document, len(s.Documents))}
 	for key, document := range s.Documents {
 		document.Version = s.Version
-		if same, ok := old.Documents[key]; ok && bytes.Equal(same.Value, document.Value) {
+		if same, ok := previous.Documents[key]; ok && bytes.Equal(same.Value, document.Value) {
 			document.Version = same.Version
 		}
 		restamped.Documents[key] = document
@@ -89,17 +91,17 @@
 	return restamped
 }
 
-// Version returns the newest version that was recorded.
+// Version returns the newest recorded version.
 func (h *History) Version() uint64 { return h.newest.Version }
 
-// Snapshot returns the newest snapshot that was recorded.
+// Snapshot returns the newest recorded snapshot.
 func (h *History) Snapshot() Snapshot { return h.newest }
 
-// DeltaSince returns the delta that brings a replica of a version to the newest version. ok is false if the version is older than
-// what is kept, or the newest already: the replica needs a snapshot, or nothing.
+// DeltaSince returns a delta that brings a replica of the given version to the newest version. ok is false if the replica needs a
+// snapshot, because its version is too old or was not recorded, or if the replica already has the newest version.
 //
-// The delta begins at the newest recorded version that is not newer than the replica's. Between the two the replica may have seen
-// documents that were removed before the next version was recorded here; Delta.ApplyTo drops those.
+// The delta's base is the newest recorded version that is not newer than the replica's. If the replica's version itself was not
+// recorded, the replica may have documents that were removed before the next version was recorded here; Delta.ApplyTo drops them.
 func (h *History) DeltaSince(version uint64) (d Delta, ok bool) {
 	base, recorded := slices.BinarySearchFunc(h.versions, version, func(r recordedVersion, version uint64) int {
 		return cmp.Compare(r.version, version)
@@ -124,7 +126,7 @@
 	return d, true
 }
 
-// removedSince returns the keys, sorted, that were removed after the version at an index and are not in the newest version.
+// removedSince returns the keys that were removed after the version at index base and that the newest version lacks, sorted.
 func (h *History) removedSince(base int) []string {
 	var removed []string
 	for _, recorded := range h.versions[base+1:] {
--- a/internal/fleet/replication/leadership_test.go
+++ b/internal/fleet/replication/leadership_test.go
@@ -62,7 +62,7 @@
 		c.poolers[i].partitioned = !c.poolers[i].partitioned
 		c.poolers[i].SetPartitioned(c.poolers[i].partitioned)
 	case 1:
-		c.poolers[i].LoseAnswers(2)
+		c.poolers[i].DropResponses(2)
 	case 2:
 		c.poolers[i].end()
 		c.poolers[i] = c.start(i)
--- a/internal/fleet/replication/persister.go
+++ b/internal/fleet/replication/persister.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// saveRetryInterval is how long after a failed save the replica is saved again: a disk that is full may have room later.
+	// saveRetryInterval is the delay before a failed save is retried. A full disk may have free space again later.
 	saveRetryInterval = time.Second
-	// confirmationSaveInterval is how often a replica that has not changed is saved only because it was confirmed anew.
+	// confirmationSaveInterval is the minimum time between saves of a replica that was confirmed again but has not changed.
 	confirmationSaveInterval = time.Minute
 )
 
-// Persister keeps the newest snapshot of a replica on disk, on a goroutine of its own, so that a slow or full disk delays nothing
-// else. It is safe for concurrent use.
+// Persister saves a replica's newest snapshot to disk, on a goroutine of its own so that a slow or full disk does not block the
+// replica's users. It is safe for concurrent use.
 type Persister struct {
 	dir     string
 	replica *Replica
-	// onChange hears when saving begins to fail, with the error, and when it succeeds again, with nil.
+	// onChange is called with the error when saves start to fail, and with nil when they succeed again.
 	onChange func(error)
 
 	mu           sync.Mutex // guards the fields below
-	savedVersion uint64
-	saveErr      error // of the last save
+	savedVersion uint64     // version on disk
+	saveErr      error      // error of the last save
 }
 
-// StartPersister saves a replica into a directory until ctx ends. The directory must hold what the replica began with. onChange is
-// called on the persister's goroutine, when saving begins to fail, with the error, and when it succeeds again, with nil.
+// StartPersister starts a Persister, which saves the replica into a directory until ctx ends. The directory must contain the snapshot
+// that the replica was created with. onChange is called on the persister's goroutine, with the error when saves start to fail and with
+// nil when they succeed again.
 func StartPersister(ctx context.Context, dir string, r *Replica, onChange func(error)) *Persister {
 	p := &Persister{dir: dir, replica: r, onChange: onChange, savedVersion: r.Version()}
 	go p.run(ctx) // ends with ctx
 	return p
 }
 
-// Saved returns the version on disk, and why a newer one can't be saved; nil means that nothing prevents it.
+// Saved returns the version on disk, and the error of the last save or nil if it succeeded.
 func (p *Persister) Saved() (version uint64, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.savedVersion, p.saveErr
 }
 
-// run saves the replica when it changes, when its confirmation on disk has grown old, and again after a failure.
+// run saves the replica after each change and at intervals while it is confirmed, and retries failed saves, until ctx ends.
 func (p *Persister) run(ctx context.Context) {
 	lastSaveAt := time.Now()
 	for {
@@ -52,7 +53,7 @@
 		}
 		wait := confirmationSaveInterval
 		if _, err := p.Saved(); err != nil {
-			changed = nil // a change does not make the disk writable
+			changed = nil // retry at intervals only, however often the replica changes
 			wait = saveRetryInterval
 		}
 		timer := time.NewTimer(wait)
@@ -67,14 +68,14 @@
 	}
 }
 
-// mustSave reports whether the disk lacks the replica's version, or a confirmation that is due to be saved.
+// mustSave reports whether the replica has a version that is not on disk yet, or a confirmation that is due to be saved.
 func (p *Persister) mustSave(lastSaveAt time.Time) bool {
 	savedVersion, _ := p.Saved()
 	confirmationDue := time.Since(lastSaveAt) >= confirmationSaveInterval && p.replica.ConfirmedAt().After(lastSaveAt)
 	return p.replica.Version() > savedVersion || confirmationDue
 }
 
-// save writes the replica's snapshot, and calls onChange where the outcome differs from that of the save before.
+// save saves the replica's snapshot, and calls onChange if the save failed and the previous one succeeded, or vice versa.
 func (p *Persister) save() {
 	snapshot := p.replica.Snapshot()
 	err := SaveSnapshot(p.dir, snapshot, p.replica.ConfirmedAt())
--- a/internal/fleet/replication/replica.go
+++ b/internal/fleet/replication/replica.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Replica is a pooler's copy of the documents. It is safe for concurrent use, and no method blocks. Its documents are those of one
-// version, and its version never falls.
+// Replica is a pooler's copy of the documents. It holds the documents of exactly one version, which never decreases. It is safe for
+// concurrent use, and no method blocks.
 type Replica struct {
 	mu          sync.Mutex // guards the fields below
 	snapshot    Snapshot
-	installedAt time.Time     // when snapshot was installed; the zero time: the replica began with it
-	confirmedAt time.Time     // as of when the replica was last known to be current; the zero time: never
+	installedAt time.Time     // when snapshot was installed; zero if the replica was created with it
+	confirmedAt time.Time     // latest instant as of which the replica is known to have been current; zero if there is none
 	changed     chan struct{} // closed, and replaced, when a snapshot is installed
 }
 
 var _ View = (*Replica)(nil)
 
-// NewReplica returns a replica that begins with the snapshot that was loaded from disk, or with an empty one.
+// NewReplica returns a replica with an initial snapshot, which was loaded from disk or is empty.
 func NewReplica(s Snapshot) *Replica {
 	return &Replica{snapshot: s, changed: make(chan struct{})}
 }
 
-// Install replaces the documents if those of s are newer, and reports whether they were.
+// Install replaces the documents with those of s if s is newer, and reports whether it is.
 func (r *Replica) Install(s Snapshot) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,22 +36,22 @@
 	return true
 }
 
-// Confirm records that the newest version in the log at an instant was version. The replica is confirmed as of that instant only if
-// it had that version: a replica that lags may differ from the log in any document. ok is false if the replica had a newer version
-// before that instant: the replica is then of another log, which was lost, and nothing that is said of this log confirms it.
-func (r *Replica) Confirm(version uint64, at time.Time) (ok bool) {
+// Confirm records that version was the newest version in the log at the instant asOf. The replica is confirmed as of that instant
+// unless its own version is older, in which case any of its documents may differ from the log. ok is false if the replica already had
+// a newer version at that instant: then it stems from another log, which was lost, and the current log can't confirm it.
+func (r *Replica) Confirm(version uint64, asOf time.Time) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if version < r.snapshot.Version && at.After(r.installedAt) {
+	if version < r.snapshot.Version && asOf.After(r.installedAt) {
 		return false
 	}
-	if version <= r.snapshot.Version && at.After(r.confirmedAt) {
-		r.confirmedAt = at
+	if version <= r.snapshot.Version && asOf.After(r.confirmedAt) {
+		r.confirmedAt = asOf
 	}
 	return true
 }
 
-// Snapshot returns the documents of the replica, all of one version.
+// Snapshot returns the replica's current snapshot.
 func (r *Replica) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/replication/replicationtest/replicationtest.go
+++ b/internal/fleet/replication/replicationtest/replicationtest.go
@@ -1,7 +1,7 @@
-// Package replicationtest is a consensus cluster within one process, for tests of components that share documents: the real document
-// table and the real lessor behind one mutex, without a log or a network. A pooler's Client is cut off, or loses the answers to requests
-// that took effect; its View lags, or is cut off. The package reads the time from package time, so testing/synctest can provide the
-// clock. It is for tests alone.
+// Package replicationtest simulates a consensus cluster within one process, for tests of components that share documents. It uses the
+// real document table and the real lessor behind a mutex, without a log or a network. Faults can be injected: a pooler's Client can be
+// partitioned or lose the responses to requests that took effect, and its View can be delayed or partitioned. The package uses the
+// clock of package time, so it works within testing/synctest. It is for tests only.
 package replicationtest
 
 import (
@@ -14,35 +14,36 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// ErrUnreachable is the error of a request that did not reach the cluster, or whose answer was lost. Whether the request took effect
-// is open.
+// ErrUnreachable is the error of a request that did not reach the cluster or whose response was lost. The request may have taken
+// effect.
 var ErrUnreachable = errors.New("replicationtest: no voter answered")
 
 const (
-	// partitionedCallTimeout is how long a partitioned client's call takes to fail, if its context does not end earlier.
+	// partitionedCallTimeout is the time after which a partitioned client's call fails, if its context does not end earlier.
 	partitionedCallTimeout = time.Second
-	// raftTerm and raftEpoch are those of the only leader that the cluster ever has.
+	// raftTerm and raftEpoch belong to the cluster's only leader; there are no elections.
 	raftTerm  = 1
 	raftEpoch = 1
 )
 
-// Cluster is the voters' state. It is safe for concurrent use.
+// Cluster is the replicated state of the voters. It is safe for concurrent use.
 type Cluster struct {
 	startedAt time.Time
 
 	mu        sync.Mutex // guards the fields below
-	index     uint64     // of the last log entry
+	index     uint64     // log index of the last entry
 	documents replication.DocumentTable
 	leases    lease.Lessor
 	views     []*View
 }
 
-// New returns a cluster without documents and leases. maxClockDrift is lease.Lessor's.
+// New returns a cluster without documents and leases. maxClockDrift is the value of lease.Lessor.MaxClockDrift.
 func New(maxClockDrift time.Duration) *Cluster {
 	return &Cluster{startedAt: time.Now(), leases: lease.Lessor{MaxClockDrift: maxClockDrift}}
 }
 
-// nextEntry begins the next entry of the log, and advances the lessor's time to it. The caller holds the mutex.
+// nextEntry starts the next log entry: it advances the lessor's time to the current time and returns the entry's index and time. The
+// caller must hold c.mu.
 func (c *Cluster) nextEntry() (index uint64, now time.Duration) {
 	c.index++
 	now = time.Since(c.startedAt)
@@ -50,7 +51,7 @@
 	return c.index, now
 }
 
-// apply applies a write as the next entry, and distributes the documents if the write is accepted. The caller holds the mutex.
+// apply applies a write as the next log entry, and updates the views if the write is accepted. The caller must hold c.mu.
 func (c *Cluster) apply(w replication.Write) (version uint64, err error) {
 	index, _ := c.nextEntry()
 	version, err = c.documents.Apply(w, index, &c.leases)
@@ -60,7 +61,7 @@
 	return version, err
 }
 
-// distribute brings all views to the cluster's documents, at once or after their delay. The caller holds the mutex.
+// distribute sends the cluster's documents to all views. The caller must hold c.mu.
 func (c *Cluster) distribute() {
 	snapshot := c.documents.Snapshot()
 	for _, view := range c.views {
@@ -68,15 +69,15 @@
 	}
 }
 
-// Client is one pooler's connection to the cluster. It implements replication.Store and replication.LeaseClient, and is safe for
-// concurrent use.
+// Client is a pooler's client of the cluster. It implements replication.Store and replication.LeaseClient, and is safe for concurrent
+// use.
 type Client struct {
 	cluster *Cluster
 	holder  string
 
-	mu            sync.Mutex // guards the fields below
-	partitioned   bool
-	answersToLose int
+	mu              sync.Mutex // guards the fields below
+	partitioned     bool
+	responsesToDrop int
 }
 
 var (
@@ -84,30 +85,31 @@
 	_ replication.LeaseClient = (*Client)(nil)
 )
 
-// Client returns a connection to the cluster, of a pooler that holds its leases under a name.
+// Client returns a client for a pooler that holds its leases under the name holder.
 func (c *Cluster) Client(holder string) *Client { return &Client{cluster: c, holder: holder} }
 
-// SetPartitioned makes every later call fail without effect, or heals that.
+// SetPartitioned sets whether later calls fail without reaching the cluster.
 func (c *Client) SetPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.partitioned = partitioned
 }
 
-// LoseAnswers makes the next n calls that reach the cluster take effect and fail with ErrUnreachable.
-func (c *Client) LoseAnswers(n int) {
+// DropResponses makes the next n calls that reach the cluster fail with ErrUnreachable after they have taken effect.
+func (c *Client) DropResponses(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answersToLose = n
+	c.responsesToDrop = n
 }
 
-// Campaign campaigns for a lease through this client until ctx ends.
-func (c *Client) Campaign(ctx context.Context, name lease.Name, o replication.CandidateOptions) replication.Leadership {
-	return replication.Campaign(ctx, c, name, o)
+// Campaign calls replication.Campaign with this client.
+func (c *Client) Campaign(ctx context.Context, name lease.Name, opts replication.CandidateOptions) replication.Leadership {
+	return replication.Campaign(ctx, c, name, opts)
 }
 
-// call calls do while the cluster's mutex is held, unless the client is partitioned.
-func (c *Client) call(ctx context.Context, do func()) error {
+// call calls operation with the cluster's mutex held. If the client is partitioned, it blocks until ctx ends or
+// partitionedCallTimeout has passed, and returns ErrUnreachable.
+func (c *Client) call(ctx context.Context, operation func()) error {
 	if c.isPartitioned() {
 		timer := time.NewTimer(partitionedCallTimeout)
 		defer timer.Stop()
@@ -121,9 +123,9 @@
 		return err
 	}
 	c.cluster.mu.Lock()
-	do()
+	operation()
 	c.cluster.mu.Unlock()
-	if c.losesAnswer() {
+	if c.dropsResponse() {
 		return ErrUnreachable
 	}
 	return nil
@@ -135,25 +137,25 @@
 	return c.partitioned
 }
 
-// losesAnswer reports whether the answer to the call that has just taken effect is lost.
-func (c *Client) losesAnswer() bool {
+// dropsResponse reports whether the response to the current call is dropped, and counts it against DropResponses.
+func (c *Client) dropsResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answersToLose == 0 {
+	if c.responsesToDrop == 0 {
 		return false
 	}
-	c.answersToLose--
+	c.responsesToDrop--
 	return true
 }
 
 // Put implements replication.Store.
-func (c *Client) Put(ctx context.Context, key string, expect uint64, value []byte, f replication.Fence) (version uint64, err error) {
-	var refused error
+func (c *Client) Put(ctx context.Context, key string, expectedVersion uint64, value []byte, fence replication.Fence) (version uint64, err error) {
+	var refusal error
 	err = c.call(ctx, func() {
-		version, refused = c.cluster.apply(replication.Write{Key: key, ExpectedVersion: expect, Value: value, Fence: f})
+		version, refusal = c.cluster.apply(replication.Write{Key: key, ExpectedVersion: expectedVersion, Value: value, Fence: fence})
 	})
 	if err == nil {
-		err = refused
+		err = refusal
 	}
 	if err != nil {
 		return 0, err
@@ -186,7 +188,7 @@
 	})
 }
 
-// View is a pooler's replica, which follows the cluster at once while it is neither partitioned nor delayed. It implements
+// View is a pooler's replica. It receives the cluster's changes immediately unless it is partitioned or delayed. It implements
 // replication.View, and is safe for concurrent use.
 type View struct {
 	*replication.Replica
@@ -199,7 +201,7 @@
 
 var _ replication.View = (*View)(nil)
 
-// View returns a replica that has what the cluster has.
+// View returns a new replica with the cluster's current documents.
 func (c *Cluster) View() *View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,8 +210,8 @@
 	return view
 }
 
-// Restart returns the view of a pooler that restarts from its disk while it is partitioned: it has the documents that v has, and is
-// not confirmed. v is partitioned from then on.
+// Restart returns the view of a pooler that restarts from its disk while it is partitioned. The new view has v's documents and is
+// not confirmed. Restart also partitions v.
 func (v *View) Restart() *View {
 	v.SetPartitioned(true)
 	v.cluster.mu.Lock()
@@ -219,9 +221,10 @@
 	return restarted
 }
 
-// SetPartitioned cuts the view off, so that it grows old, or heals that: it then has what the cluster has.
+// SetPartitioned sets whether the view is partitioned. While it is, the view receives no changes and is not confirmed. When the
+// partition heals, the view gets the cluster's current documents.
 func (v *View) SetPartitioned(partitioned bool) {
-	v.ConfirmedAt() // confirms the replica as of now, before the cut
+	v.ConfirmedAt() // confirms the replica as of now, before the partition
 	v.mu.Lock()
 	v.partitioned = partitioned
 	v.mu.Unlock()
@@ -235,21 +238,22 @@
 	v.ConfirmedAt()
 }
 
-// SetDelay sets how much later than the cluster the view has each later change.
+// SetDelay sets the delay with which the view receives later changes.
 func (v *View) SetDelay(delay time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.delay = delay
 }
 
-// link returns whether the view is partitioned, and its delay.
+// link returns the current state of the link to the cluster.
 func (v *View) link() (partitioned bool, delay time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.partitioned, v.delay
 }
 
-// receive installs a snapshot after the view's delay, unless the view is partitioned now or then.
+// receive installs a snapshot after the view's delay. The snapshot is dropped if the view is partitioned when it is sent or when the
+// delay ends.
 func (v *View) receive(snapshot replication.Snapshot) {
 	partitioned, delay := v.link()
 	switch {
@@ -265,7 +269,7 @@
 	}
 }
 
-// ConfirmedAt implements replication.View: a view that is not partitioned is confirmed as of now, less its delay.
+// ConfirmedAt implements replication.View. A view that is not partitioned is confirmed as of the current time minus its delay.
 func (v *View) ConfirmedAt() time.Time {
 	partitioned, delay := v.link()
 	if !partitioned {
--- a/internal/fleet/replication/replicator.go
+++ b/internal/fleet/replication/replicator.go
@@ -11,58 +11,60 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// topic is what a message between replicators is about. On the bus it stands behind the replica's name.
+// topic is the kind of a message between replicators. On the bus it is prefixed with the replica's name.
 type topic string
 
-// The topics. Their texts are those of the wire.
+// Topics, as sent on the wire.
 const (
-	topicAnnouncement topic = "/word"  // to all members: announcement, by the process whose voter leads
-	topicFetch        topic = "/want"  // to one member: fetchRequest
-	topicSnapshot     topic = "/state" // the answer: the sender's Snapshot, or an empty body if it is not newer
+	topicAnnouncement topic = "/word"  // broadcast by the process whose voter is the leader; the body is an announcement
+	topicFetch        topic = "/want"  // request to a member; the body is a fetchRequest
+	topicSnapshot     topic = "/state" // response; the body is the sender's Snapshot, or empty if that is not newer
 )
 
-// fetchRequest asks for a snapshot that is newer than a version.
+// fetchRequest is a request for a snapshot. Its value is the version of the requester's replica.
 type fetchRequest uint64
 
-// defaultReplicaName is the name on the bus of the replica of the fleet's documents.
+// defaultReplicaName is the bus name of the replica of the fleet's shared documents.
 const defaultReplicaName = "shared"
 
 const (
-	// maxTransfers bounds the snapshots on their way to other members at once. A member whose request finds none free asks another.
+	// maxTransfers is the maximum number of snapshots sent to other members at the same time. Further requests are dropped, and the
+	// requesters query another member.
 	maxTransfers = 4
-	// minAnnouncementInterval is the least time between two announcements: each is a datagram to every member.
+	// minAnnouncementInterval is the minimum time between two announcements, each of which is a datagram to every member.
 	minAnnouncementInterval = 50 * time.Millisecond
-	// snapshotSendTimeout bounds the sending of a snapshot to another member.
+	// snapshotSendTimeout is the timeout of sending a snapshot to another member.
 	snapshotSendTimeout = 2 * time.Second
 )
 
-// ReplicatorOptions say which replica is kept up to date, and from what.
+// ReplicatorOptions configure a Replicator.
 type ReplicatorOptions struct {
-	Name    string // of the replica, among those on the bus; empty: defaultReplicaName
+	Name    string // bus name of the replica; defaults to defaultReplicaName
 	Bus     bus.Bus
 	Replica *Replica
-	Voters  SnapshotFetcher // nil: no voter can be queried
-	// Confirm returns the newest version in the log and an instant as of which it was the newest; ok is false while this process
-	// does not lead. It is consensus.Voter.ConfirmVersion, or, for another replica, of the process that writes it. nil: this process never
-	// leads.
-	Confirm           func() (version uint64, at time.Time, ok bool)
-	HeartbeatInterval time.Duration // between announcements: a third of a lease's term
-	JitterFraction    float64       // from 0 up to 1: this pooler's place among those that fetch at once
+	Voters  SnapshotFetcher // nil if no voter can be queried
+	// Confirm returns the newest version in the log and an instant as of which it was the newest. ok is false if this process is not
+	// the leader. For the shared documents it is consensus.Voter.ConfirmVersion; for other replicas it is provided by the process that
+	// writes them. nil means that this process is never the leader.
+	Confirm           func() (version uint64, asOf time.Time, ok bool)
+	HeartbeatInterval time.Duration // between announcements; a third of a lease's term
+	JitterFraction    float64       // in [0, 1); delays this pooler's fetches relative to those of the other members
 	Log               zerolog.Logger
 }
 
-// Replicator keeps a replica as new as what can be reached: by announcements of the process whose voter leads, by snapshots of any
-// member that has the announced version, and by the voters as the last resort.
+// Replicator keeps a replica up to date. It applies announcements of the process whose voter is the leader, fetches snapshots from
+// members that have the announced version, and queries the voters as a last resort.
 type Replicator struct {
 	ReplicatorOptions
-	announcements  announcementTracker
-	transferSlots  chan struct{} // holds an element for each snapshot on its way to a member
-	newerAnnounced chan struct{} // wakes catchUp: a version newer than the replica's was announced
-	answerReceived chan struct{} // wakes fetchFromMember: a member has answered a fetchRequest
-	logForeignOnce sync.Once
+	announcements       announcementTracker
+	transferSlots       chan struct{} // semaphore of maxTransfers; holds an element for each snapshot being sent
+	newerAnnounced      chan struct{} // wakes catchUp when a version newer than the replica's is announced
+	responseReceived    chan struct{} // wakes fetchFromMember when a member responds to a fetchRequest
+	logReplicaAheadOnce sync.Once
 }
 
-// StartReplicator keeps a replica up to date until ctx ends. It returns at once. The handlers that it sets on the bus stay there.
+// StartReplicator starts a Replicator, which runs until ctx ends, and returns without waiting for it. The handlers that it registers
+// on the bus are not removed.
 func StartReplicator(ctx context.Context, o ReplicatorOptions) {
 	if o.Name == "" {
 		o.Name = defaultReplicaName
@@ -71,7 +73,7 @@
 		ReplicatorOptions: o,
 		transferSlots:     make(chan struct{}, maxTransfers),
 		newerAnnounced:    make(chan struct{}, 1),
-		answerReceived:    make(chan struct{}, 1),
+		responseReceived:  make(chan struct{}, 1),
 	}
 	r.announcements.lastObservedAt = time.Now()
 	o.Bus.Handle(r.busTopic(topicAnnouncement), r.handleAnnouncement)
@@ -83,10 +85,10 @@
 	go r.catchUp(ctx) // ends with ctx
 }
 
-// busTopic returns a topic as it stands on the bus.
+// busTopic returns the name of a topic on the bus.
 func (r *Replicator) busTopic(t topic) string { return r.Name + string(t) }
 
-// announce announces the newest version at each heartbeat and at each change, while this process leads.
+// announce broadcasts the newest version at each heartbeat and after each change while this process is the leader, until ctx ends.
 func (r *Replicator) announce(ctx context.Context) {
 	announcements := announcer{interval: r.HeartbeatInterval}
 	for ctx.Err() == nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// handleAnnouncement applies an announcement's delta if it fits, and confirms the replica.
+// handleAnnouncement applies an announcement's delta if it applies to the replica's version, and confirms the replica.
 func (r *Replicator) handleAnnouncement(from string, body []byte) {
 	var a announcement
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -125,12 +127,12 @@
 	r.observe(confirmedVersion{version: a.Version, at: confirmedAt, announcedBy: from})
 }
 
-// observe records a version that was the newest at an instant, confirms the replica by the newest that is known, and wakes catchUp if
-// the replica lags.
+// observe records an announced version, confirms the replica with the newest one recorded, and wakes catchUp if the replica lags
+// behind.
 func (r *Replicator) observe(v confirmedVersion) {
 	newest := r.announcements.observe(v)
 	if !r.Replica.Confirm(newest.version, newest.at) {
-		r.logForeign(newest.version)
+		r.logReplicaAhead(newest.version)
 	}
 	if newest.version > r.Replica.Version() {
 		select {
@@ -140,16 +142,17 @@
 	}
 }
 
-// logForeign logs, once, that the replica is of a log that the voters no longer have. Where clocks differ by more than an announcement
-// takes, the line can be about an announcement that was overtaken by the replica; that announcement then confirms nothing.
-func (r *Replicator) logForeign(announced uint64) {
-	r.logForeignOnce.Do(func() {
-		r.Log.Warn().Uint64("announced_version", announced).Uint64("replica_version", r.Replica.Version()).
-			Msg("replication: replica is newer than the voters' log; if that log has begun anew, stop this pooler, empty shared.dir and start it")
+// logReplicaAhead logs, once, that the replica is newer than an announced version, which means that it stems from a log that the
+// voters have lost. If clocks differ by more than an announcement's delay, the line can also be caused by an announcement that arrived
+// after the replica had moved on; such an announcement confirms nothing.
+func (r *Replicator) logReplicaAhead(announcedVersion uint64) {
+	r.logReplicaAheadOnce.Do(func() {
+		r.Log.Warn().Uint64("announced_version", announcedVersion).Uint64("replica_version", r.Replica.Version()).
+			Msg("replication: replica is newer than the voters' log; if that log was recreated, stop this pooler, empty shared.dir and start it again")
 	})
 }
 
-// handleFetch sends the replica's snapshot to a member, if it is newer than the member's.
+// handleFetch responds to a member's fetchRequest on a new goroutine. Without a free transfer slot it drops the request.
 func (r *Replicator) handleFetch(from string, body []byte) {
 	var request fetchRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -158,15 +161,15 @@
 	select {
 	case r.transferSlots <- struct{}{}:
 	default:
-		return // the member asks another
+		return // the requester queries another member after its timeout
 	}
-	go func() { // ends with the sending, which snapshotSendTimeout bounds
+	go func() { // ends once the snapshot is sent, after snapshotSendTimeout at the latest
 		defer func() { <-r.transferSlots }()
 		r.sendSnapshot(from, uint64(request))
 	}()
 }
 
-// sendSnapshot answers a member's request for a snapshot that is newer than a version.
+// sendSnapshot sends the replica's snapshot to a member, or an empty body if the snapshot is not newer than the version since.
 func (r *Replicator) sendSnapshot(to string, since uint64) {
 	var body []byte
 	if snapshot := r.Replica.Snapshot(); snapshot.Version > since {
@@ -178,10 +181,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotSendTimeout)
 	defer cancel()
-	_ = r.Bus.Send(ctx, to, r.busTopic(topicSnapshot), body) // the member asks another
+	_ = r.Bus.Send(ctx, to, r.busTopic(topicSnapshot), body) // after an error the requester queries another member
 }
 
-// handleSnapshot installs the snapshot that a member has sent, if it is newer.
+// handleSnapshot installs a member's snapshot if it is newer than the replica, and wakes fetchFromMember.
 func (r *Replicator) handleSnapshot(from string, body []byte) {
 	if len(body) > 0 {
 		var snapshot Snapshot
@@ -192,12 +195,12 @@
 		r.install(snapshot)
 	}
 	select {
-	case r.answerReceived <- struct{}{}:
+	case r.responseReceived <- struct{}{}:
 	default:
 	}
 }
 
-// install installs a snapshot if it is newer, and confirms the replica by the newest announcement.
+// install installs a snapshot if it is newer than the replica, and confirms the replica with the newest announcement.
 func (r *Replicator) install(s Snapshot) {
 	r.Replica.Install(s)
 	newest := r.announcements.newestVersion()
--- a/internal/fleet/replication/snapshot_file.go
+++ b/internal/fleet/replication/snapshot_file.go
@@ -12,39 +12,39 @@
 	"time"
 )
 
-// The replica on disk is one file, snapshotFileName, in a directory of its own:
+// A replica is stored on disk as one file, snapshotFileName, in a directory of its own:
 //
 //	magic    8 bytes, snapshotFileMagic
-//	length   4 bytes, little-endian: bytes of the text
-//	checksum 4 bytes, little-endian: CRC-32C of the text
-//	text     one JSON object, snapshotFile
+//	length   4 bytes, little-endian: size of the payload in bytes
+//	checksum 4 bytes, little-endian: CRC-32C of the payload
+//	payload  a snapshotFile as a JSON object
 //
 // Invariants:
-//   - The file is never changed in place: a new one is written beside it, synced, renamed over it, and the directory synced. A crash
-//     at any moment leaves the old file or the new one, whole, and perhaps a temporary file beside it.
-//   - A file that is shorter, longer or otherwise not what was written is never read as a snapshot.
+//   - The file is never modified in place. A new file is written to the same directory, synced and renamed over the old one, and then
+//     the directory is synced. A crash at any time leaves either the old or the new file complete, and possibly a temporary file.
+//   - A truncated, extended or otherwise corrupted file is never loaded as a snapshot.
 //
-// Recovery: LoadSnapshot removes temporary files and reads the file. A file that is damaged is ErrDamaged and stays in place until
-// the next SaveSnapshot replaces it; the pooler begins with an empty replica and fetches the documents.
+// Recovery: LoadSnapshot removes temporary files and reads the file. For a damaged file it returns ErrDamaged, and the file stays in
+// place until the next SaveSnapshot replaces it. The pooler then starts with an empty replica and fetches the documents.
 const (
 	snapshotFileName       = "documents"
 	snapshotFileMagic      = "tsdocs1\n"
 	snapshotFileHeaderSize = len(snapshotFileMagic) + 4 + 4
 )
 
-// ErrDamaged is the error of LoadSnapshot for a file that is not what SaveSnapshot wrote.
+// ErrDamaged is the error of LoadSnapshot for a corrupted file.
 var ErrDamaged = errors.New("replication: the snapshot file is damaged")
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// snapshotFile is the text of the file.
+// snapshotFile is the payload of the file.
 type snapshotFile struct {
 	ConfirmedAt time.Time `json:"as_of"`
 	Snapshot    Snapshot  `json:"state"`
 }
 
-// SaveSnapshot writes a replica's snapshot, and when it was last confirmed, into a directory. The zero time stands for never. After an
-// error the file that was there before is unchanged.
+// SaveSnapshot saves a replica's snapshot and the time of its last confirmation, which is zero if there is none, into a directory.
+// After an error an earlier snapshot file is unchanged, unless only the sync of the directory failed.
 func SaveSnapshot(dir string, s Snapshot, confirmedAt time.Time) error {
 	content, err := encodeSnapshotFile(s, confirmedAt)
 	if err != nil {
@@ -55,7 +55,7 @@
 		return fmt.Errorf("replication: write snapshot: %w", err)
 	}
 	if err := os.Rename(temporary, filepath.Join(dir, snapshotFileName)); err != nil {
-		_ = os.Remove(temporary) // LoadSnapshot removes it otherwise
+		_ = os.Remove(temporary) // after an error the next LoadSnapshot removes it
 		return fmt.Errorf("replication: replace snapshot: %w", err)
 	}
 	if err := syncDir(dir); err != nil {
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// writeTemporary writes and syncs a file beside the snapshot file, and returns its name. After an error there is no such file.
+// writeTemporary writes a temporary file in the directory of the snapshot file, syncs it and returns its name. It removes the file if
+// an error occurs.
 func writeTemporary(dir string, content []byte) (name string, err error) {
 	file, err := os.CreateTemp(dir, snapshotFileName+".*")
 	if err != nil {
@@ -88,34 +89,34 @@
 	return file.Name(), nil
 }
 
-// syncDir makes a rename within a directory outlive a crash of the machine.
+// syncDir syncs a directory, so that a rename within it survives a crash of the machine.
 func syncDir(dir string) error {
-	d, err := os.Open(dir)
+	directory, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// encodeSnapshotFile returns the content of the file.
+// encodeSnapshotFile returns the content of a snapshot file.
 func encodeSnapshotFile(s Snapshot, confirmedAt time.Time) ([]byte, error) {
-	text, err := json.Marshal(snapshotFile{ConfirmedAt: confirmedAt, Snapshot: s})
+	payload, err := json.Marshal(snapshotFile{ConfirmedAt: confirmedAt, Snapshot: s})
 	if err != nil {
 		return nil, err
 	}
-	content := make([]byte, 0, snapshotFileHeaderSize+len(text))
+	content := make([]byte, 0, snapshotFileHeaderSize+len(payload))
 	content = append(content, snapshotFileMagic...)
-	content = binary.LittleEndian.AppendUint32(content, uint32(len(text)))
-	content = binary.LittleEndian.AppendUint32(content, crc32.Checksum(text, castagnoliTable))
-	return append(content, text...), nil
+	content = binary.LittleEndian.AppendUint32(content, uint32(len(payload)))
+	content = binary.LittleEndian.AppendUint32(content, crc32.Checksum(payload, castagnoliTable))
+	return append(content, payload...), nil
 }
 
-// LoadSnapshot reads the snapshot in a directory, and when it was last confirmed. Without a file the snapshot is empty. The error of a
-// damaged file is ErrDamaged. Temporary files that a crash has left are removed.
+// LoadSnapshot loads the snapshot in a directory and the time of its last confirmation. It returns an empty snapshot if there is no
+// file, and an error that wraps ErrDamaged if the file is corrupted. It removes temporary files that a crash has left.
 func LoadSnapshot(dir string) (s Snapshot, confirmedAt time.Time, err error) {
 	if temporary, err := filepath.Glob(filepath.Join(dir, snapshotFileName+".*")); err == nil {
 		for _, name := range temporary {
-			_ = os.Remove(name) // a later start tries again; the file is never read
+			_ = os.Remove(name) // on failure the next start retries; temporary files are never read
 		}
 	}
 	content, err := os.ReadFile(filepath.Join(dir, snapshotFileName))
@@ -128,19 +129,19 @@
 	return decodeSnapshotFile(content)
 }
 
-// decodeSnapshotFile reads what encodeSnapshotFile returned. Its error is ErrDamaged.
+// decodeSnapshotFile decodes the content of a snapshot file. Its error wraps ErrDamaged.
 func decodeSnapshotFile(content []byte) (s Snapshot, confirmedAt time.Time, err error) {
 	if len(content) < snapshotFileHeaderSize || string(content[:len(snapshotFileMagic)]) != snapshotFileMagic {
 		return Snapshot{}, time.Time{}, ErrDamaged
 	}
 	length := binary.LittleEndian.Uint32(content[len(snapshotFileMagic):])
 	checksum := binary.LittleEndian.Uint32(content[len(snapshotFileMagic)+4:])
-	text := content[snapshotFileHeaderSize:]
-	if uint64(len(text)) != uint64(length) || crc32.Checksum(text, castagnoliTable) != checksum {
+	payload := content[snapshotFileHeaderSize:]
+	if uint64(len(payload)) != uint64(length) || crc32.Checksum(payload, castagnoliTable) != checksum {
 		return Snapshot{}, time.Time{}, ErrDamaged
 	}
 	var file snapshotFile
-	if err := json.Unmarshal(text, &file); err != nil {
+	if err := json.Unmarshal(payload, &file); err != nil {
 		return Snapshot{}, time.Time{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return file.Snapshot, file.ConfirmedAt, nil
