--- a/internal/fleet/consensus/client_test.go
+++ b/internal/fleet/consensus/client_test.go
@@ -11,42 +11,43 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// A write whose first attempt got no response is not said to be refused when the second is.
+// If the first attempt of a write gets no response and the second is refused, the first may have been applied and caused the refusal.
+// Put must not return ErrConflict then.
 func TestMaybeAppliedWrite(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }()
+	defer func() { _ = listener.Close() }()
 	go func() {
-		for i := 0; ; i++ {
-			c, err := ln.Accept()
+		for attempt := 0; ; attempt++ {
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer func() { _ = c.Close() }()
-				for in := bufio.NewReader(c); i > 0; { // the first attempt gets no response
-					if _, err := in.ReadString('\n'); err != nil {
+				defer func() { _ = conn.Close() }()
+				for reader := bufio.NewReader(conn); attempt > 0; { // the first connection is closed without a response
+					if _, err := reader.ReadString('\n'); err != nil {
 						return
 					}
-					_, _ = c.Write([]byte(`{"refused":"conflict"}` + "\n"))
+					_, _ = conn.Write([]byte(`{"refused":"conflict"}` + "\n"))
 				}
 			}()
 		}
 	}()
-	p := Peer{"s", ln.Addr().String()}
-	c := &Client{Holder: "a", Voters: []Peer{p, p, p}, Timeout: 10 * time.Second}
-	defer c.Close()
-	if _, err := c.Put(t.Context(), replication.Write{Key: "k"}); err == nil || errors.Is(err, replication.ErrConflict) {
-		t.Errorf("after an attempt that may have been applied: %v", err)
+	peer := Peer{"s", listener.Addr().String()}
+	client := &Client{Holder: "a", Voters: []Peer{peer, peer, peer}, Timeout: 10 * time.Second}
+	defer client.Close()
+	if _, err := client.Put(t.Context(), replication.Write{Key: "k"}); err == nil || errors.Is(err, replication.ErrConflict) {
+		t.Errorf("Put after an attempt without a response: got error %v, want one other than ErrConflict", err)
 	}
-	if _, err := c.Put(t.Context(), replication.Write{Key: "k"}); !errors.Is(err, replication.ErrConflict) {
-		t.Errorf("after one that says so itself: %v", err)
+	if _, err := client.Put(t.Context(), replication.Write{Key: "k"}); !errors.Is(err, replication.ErrConflict) {
+		t.Errorf("Put refused at the first attempt: got error %v, want ErrConflict", err)
 	}
-	over, end := context.WithCancel(t.Context())
-	end()
-	if _, err := c.Put(over, replication.Write{Key: "k"}); !errors.Is(err, ErrNoLeader) {
-		t.Errorf("ended: %v", err)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, err := client.Put(ctx, replication.Write{Key: "k"}); !errors.Is(err, ErrNoLeader) {
+		t.Errorf("Put with an ended context: got error %v, want ErrNoLeader", err)
 	}
 }
--- a/internal/fleet/consensus/cluster_test.go
+++ b/internal/fleet/consensus/cluster_test.go
@@ -12,95 +12,101 @@
 
 const electionTimeout = 300 * time.Millisecond
 
-// cluster is a set of voters of this process, each behind a relay of its own on every link.
-type cluster struct {
-	voters      []*Voter
+// testCluster is a set of voters in the test's process. Each voter reaches each of the others through a relay of its own, so that
+// links can be cut one by one. Clients connect to the voters directly.
+type testCluster struct {
+	voters      []*Voter // nil for a voter that is stopped
 	options     []Options
-	links       map[[2]int]*relay.Link // from voter i to voter j
-	clientPeers []Peer                 // as a pooler reaches them
+	links       map[[2]int]*relay.Link // key {i, j}: the link from voter i to voter j
+	clientPeers []Peer                 // the voters' own addresses
 }
 
-func startCluster(t *testing.T, n int) *cluster {
+// startCluster starts n voters, which are closed at the end of the test.
+func startCluster(t *testing.T, n int) *testCluster {
 	t.Helper()
-	g := &cluster{links: map[[2]int]*relay.Link{}}
+	cluster := &testCluster{links: map[[2]int]*relay.Link{}}
 	var addrs []string
 	for range n {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs = append(addrs, ln.Addr().String())
-		_ = ln.Close()
+		addrs = append(addrs, listener.Addr().String())
+		_ = listener.Close()
 	}
 	for i := range n {
-		o := Options{Name: fmt.Sprint("s", i), ListenAddr: addrs[i], Dir: t.TempDir(), MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout}
+		voterOptions := Options{Name: fmt.Sprint("s", i), ListenAddr: addrs[i], Dir: t.TempDir(), MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout}
 		for j := range n {
 			addr := addrs[j]
 			if i != j {
-				l, err := relay.Listen(addr, uint64(i*n+j))
+				link, err := relay.Listen(addr, uint64(i*n+j))
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Cleanup(l.Close)
-				g.links[[2]int{i, j}], addr = l, l.Addr()
+				t.Cleanup(link.Close)
+				cluster.links[[2]int{i, j}], addr = link, link.Addr()
 			}
-			o.Voters = append(o.Voters, Peer{fmt.Sprint("s", j), addr})
+			voterOptions.Voters = append(voterOptions.Voters, Peer{fmt.Sprint("s", j), addr})
 		}
-		g.options = append(g.options, o)
-		g.clientPeers = append(g.clientPeers, Peer{o.Name, addrs[i]})
-		g.voters = append(g.voters, nil)
-		g.start(t, i)
+		cluster.options = append(cluster.options, voterOptions)
+		cluster.clientPeers = append(cluster.clientPeers, Peer{voterOptions.Name, addrs[i]})
+		cluster.voters = append(cluster.voters, nil)
+		cluster.start(t, i)
 	}
 	t.Cleanup(func() {
-		for _, s := range g.voters {
-			if s != nil {
-				s.Close()
+		for _, voter := range cluster.voters {
+			if voter != nil {
+				voter.Close()
 			}
 		}
 	})
-	return g
+	return cluster
 }
 
-func (g *cluster) start(t *testing.T, i int) {
+// start starts voter i.
+func (c *testCluster) start(t *testing.T, i int) {
 	t.Helper()
-	s, err := Start(g.options[i])
+	voter, err := Start(c.options[i])
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.voters[i] = s
+	c.voters[i] = voter
 }
 
-func (g *cluster) stop(i int) {
-	g.voters[i].Close()
-	g.voters[i] = nil
+// stop closes voter i.
+func (c *testCluster) stop(i int) {
+	c.voters[i].Close()
+	c.voters[i] = nil
 }
 
-func (g *cluster) client(t *testing.T, holder string, voters ...Peer) *Client {
-	c := &Client{Holder: holder, Voters: voters, Timeout: 3 * electionTimeout}
-	t.Cleanup(c.Close)
-	return c
+// client returns a client of the given voters, which is closed at the end of the test.
+func (c *testCluster) client(t *testing.T, holder string, voters ...Peer) *Client {
+	newClient := &Client{Holder: holder, Voters: voters, Timeout: 3 * electionTimeout}
+	t.Cleanup(newClient.Close)
+	return newClient
 }
 
-// acquire requests the lease until the voters decide.
-func acquire(t *testing.T, c *Client, term time.Duration) (lease.Lease, bool) {
+// acquire requests the lease "lists" until the voters decide, and returns the current lease and whether it was granted to the client.
+func acquire(t *testing.T, client *Client, term time.Duration) (lease.Lease, bool) {
 	t.Helper()
 	for range 50 {
-		if g, ok, err := c.Acquire(t.Context(), "lists", term); err == nil {
-			return g, ok
+		if current, granted, err := client.Acquire(t.Context(), "lists", term); err == nil {
+			return current, granted
 		}
 	}
-	t.Fatal("the voters never decide")
+	t.Fatal("the voters did not decide the request for the lease")
 	return lease.Lease{}, false
 }
 
-func (g *cluster) leader(t *testing.T) int {
+// leader waits until a voter is the leader and has started its clock, and returns its index.
+func (c *testCluster) leader(t *testing.T) int {
 	t.Helper()
 	for range 500 {
-		for i, s := range g.voters {
-			if s != nil {
-				s.mu.Lock()
-				leading := s.clock.RaftTerm != 0
-				s.mu.Unlock()
+		for i, voter := range c.voters {
+			if voter != nil {
+				voter.mu.Lock()
+				leading := voter.clock.RaftTerm != 0
+				voter.mu.Unlock()
 				if leading {
 					return i
 				}
@@ -108,31 +114,31 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("no voter leads")
+	t.Fatal("no voter became the leader")
 	return 0
 }
 
-// stopAll stops the voters that run.
-func (g *cluster) stopAll() {
-	for i, v := range g.voters {
+// stopAll closes all running voters.
+func (c *testCluster) stopAll() {
+	for i, v := range c.voters {
 		if v != nil {
-			g.stop(i)
+			c.stop(i)
 		}
 	}
 }
 
-// startAll starts all voters again, which are stopped.
-func (g *cluster) startAll(t *testing.T) {
+// startAll starts all voters. They must all be stopped.
+func (c *testCluster) startAll(t *testing.T) {
 	t.Helper()
-	for i := range g.voters {
-		g.start(t, i)
+	for i := range c.voters {
+		c.start(t, i)
 	}
 }
 
-// snapshotAll has each voter that runs write a snapshot.
-func (g *cluster) snapshotAll(t *testing.T) {
+// snapshotAll makes each running voter write a snapshot.
+func (c *testCluster) snapshotAll(t *testing.T) {
 	t.Helper()
-	for _, v := range g.voters {
+	for _, v := range c.voters {
 		if v == nil {
 			continue
 		}
--- a/internal/fleet/consensus/documents_test.go
+++ b/internal/fleet/consensus/documents_test.go
@@ -8,24 +8,24 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// put writes until the voters decide, and returns what they decided.
-func put(t *testing.T, c *ClientPool, key string, expectedVersion uint64, value string, f replication.Fence) (version uint64, err error) {
+// put retries a write until the voters decide, and returns the new version, ErrConflict or ErrFenced.
+func put(t *testing.T, client *ClientPool, key string, expectedVersion uint64, value string, fence replication.Fence) (version uint64, err error) {
 	t.Helper()
 	for range 50 {
-		version, err = c.Put(t.Context(), key, expectedVersion, []byte(value), f)
+		version, err = client.Put(t.Context(), key, expectedVersion, []byte(value), fence)
 		if err == nil || errors.Is(err, replication.ErrConflict) || errors.Is(err, replication.ErrFenced) {
 			return version, err
 		}
 	}
-	t.Fatal("the voters never decide: ", err)
+	t.Fatal("the voters did not decide the write: ", err)
 	return 0, nil
 }
 
-// awaitFenced writes by a token until its lease is over, and the write is refused.
-func awaitFenced(t *testing.T, c *ClientPool, f replication.Fence) {
+// awaitFenced repeats a fenced write until it is refused because the lease has ended.
+func awaitFenced(t *testing.T, client *ClientPool, fence replication.Fence) {
 	t.Helper()
 	for {
-		_, err := put(t, c, "p/fenced", 0, "x", f)
+		_, err := put(t, client, "p/fenced", 0, "x", fence)
 		if errors.Is(err, replication.ErrFenced) {
 			return
 		}
@@ -36,27 +36,28 @@
 	}
 }
 
-// expectDocument checks a document as the voters have it, once they answer.
-func expectDocument(t *testing.T, c *ClientPool, want replication.Document, when string) {
+// expectDocument reads a document, retrying until a leader responds, and checks its version and value.
+func expectDocument(t *testing.T, client *ClientPool, want replication.Document, situation string) {
 	t.Helper()
 	for range 50 {
-		got, err := c.Read(t.Context(), want.Key)
+		got, err := client.Read(t.Context(), want.Key)
 		if err != nil {
 			continue
 		}
 		if got.Version != want.Version || string(got.Value) != string(want.Value) {
-			t.Errorf("%s: %+v, want %+v", when, got, want)
+			t.Errorf("%s: %+v, want %+v", situation, got, want)
 		}
 		return
 	}
-	t.Errorf("%s: never read", when)
+	t.Errorf("%s: no leader responded to the read", situation)
 }
 
-// fetchUntil fetches all documents, of whichever voter is asked, which may not have caught up yet, until one has a version.
-func fetchUntil(t *testing.T, c *ClientPool, key string, version uint64) (documents replication.Snapshot) {
+// fetchUntil fetches all documents until the document key has the given version. It retries because any voter may respond, including
+// one that lags behind.
+func fetchUntil(t *testing.T, client *ClientPool, key string, version uint64) (documents replication.Snapshot) {
 	t.Helper()
 	for range 500 {
-		next, newer, err := c.Fetch(t.Context(), documents.Version, false)
+		next, newer, err := client.Fetch(t.Context(), documents.Version, false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,27 +69,27 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%s is of version %d in documents of version %d, want %d", key, documents.Documents[key].Version, documents.Version, version)
+	t.Fatalf("%s has version %d in documents of version %d, want %d", key, documents.Documents[key].Version, documents.Version, version)
 	return documents
 }
 
-// startDocuments starts three voters and a pool of clients for each of two poolers.
-func startDocuments(t *testing.T) (g *cluster, a, b *ClientPool) {
+// startDocuments starts three voters and returns them with the client pools of two poolers.
+func startDocuments(t *testing.T) (cluster *testCluster, a, b *ClientPool) {
 	t.Helper()
-	g = startCluster(t, 3)
-	a = NewClientPool(2, "a", g.clientPeers, 3*electionTimeout)
-	b = NewClientPool(2, "b", g.clientPeers, 3*electionTimeout)
+	cluster = startCluster(t, 3)
+	a = NewClientPool(2, "a", cluster.clientPeers, 3*electionTimeout)
+	b = NewClientPool(2, "b", cluster.clientPeers, 3*electionTimeout)
 	t.Cleanup(a.Close)
 	t.Cleanup(b.Close)
-	return g, a, b
+	return cluster, a, b
 }
 
-// Documents are written by version and under a lease's token, up to a size; an old holder's write is refused.
+// A write is refused if the document has another version, if its value is too large, or if the lease of its fence has ended.
 func TestDocumentWrites(t *testing.T) {
-	g, a, b := startDocuments(t)
-	granted, ok := acquire(t, g.client(t, "a", g.clientPeers...), time.Second)
+	cluster, a, b := startDocuments(t)
+	granted, ok := acquire(t, cluster.client(t, "a", cluster.clientPeers...), time.Second)
 	if !ok {
-		t.Fatal("no lease")
+		t.Fatal("the lease was not granted")
 	}
 	fence := replication.Fence{Lease: "lists", Token: granted.Token}
 	version, err := put(t, a, "p/x", 0, "1", fence)
@@ -96,23 +97,23 @@
 		t.Fatalf("version %d, %v", version, err)
 	}
 	if _, err := put(t, b, "p/x", 0, "2", replication.Fence{}); !errors.Is(err, replication.ErrConflict) {
-		t.Errorf("over a version that was not read: %v", err)
+		t.Errorf("write with a wrong expected version: got error %v, want ErrConflict", err)
 	}
 	tooLarge := make([]byte, replication.MaxDocumentSize+1)
 	if _, err := b.Put(t.Context(), "p/y", 0, tooLarge, replication.Fence{}); !errors.Is(err, replication.ErrTooLarge) {
-		t.Errorf("too large: %v", err)
+		t.Errorf("write of a value that is too large: got error %v, want ErrTooLarge", err)
 	}
-	// The lease's duration and the clock drift go by: its token is no longer valid, though nobody else has the lease.
+	// Once the lease's duration and the clock drift have passed, its token is invalid, even if nobody else has acquired the lease.
 	awaitFenced(t, a, fence)
 }
 
-// Documents are read as of the last write and fetched whole, and outlive the leader and a restart of all; the leader alone
-// confirms their version.
+// Reads are linearizable and fetches are complete. The documents survive the loss of the leader and a restart of all voters from
+// snapshots. Only the leader confirms their version.
 func TestDocumentReads(t *testing.T) {
-	g, a, b := startDocuments(t)
-	granted, ok := acquire(t, g.client(t, "a", g.clientPeers...), time.Minute)
+	cluster, a, b := startDocuments(t)
+	granted, ok := acquire(t, cluster.client(t, "a", cluster.clientPeers...), time.Minute)
 	if !ok {
-		t.Fatal("no lease")
+		t.Fatal("the lease was not granted")
 	}
 	first, err := put(t, a, "p/x", 0, "1", replication.Fence{Lease: "lists", Token: granted.Token})
 	if err != nil {
@@ -120,31 +121,31 @@
 	}
 	largest := make([]byte, replication.MaxDocumentSize)
 	if _, err := b.Put(t.Context(), "p/z", 0, largest, replication.Fence{}); err != nil {
-		t.Errorf("the largest: %v", err)
+		t.Errorf("write of a value of the maximum size: %v", err)
 	}
-	g.stop(g.leader(t))
+	cluster.stop(cluster.leader(t))
 	second, err := put(t, b, "p/x", first, "2", replication.Fence{})
 	if err != nil || second <= first {
 		t.Fatalf("version %d after %d, %v", second, first, err)
 	}
 	want := replication.Document{Key: "p/x", Version: second, Value: []byte("2")}
-	expectDocument(t, a, want, "the old leader stopped")
-	g.snapshotAll(t)
-	g.stopAll()
-	g.startAll(t)
-	expectDocument(t, a, want, "all restarted from snapshots")
+	expectDocument(t, a, want, "after the leader was stopped")
+	cluster.snapshotAll(t)
+	cluster.stopAll()
+	cluster.startAll(t)
+	expectDocument(t, a, want, "after all voters restarted from snapshots")
 	documents := fetchUntil(t, a, "p/x", second)
 	if got := len(documents.Documents["p/z"].Value); got != len(largest) {
-		t.Errorf("fetched %d documents, the largest of %d bytes", len(documents.Documents), got)
+		t.Errorf("fetched %d documents; p/z has %d bytes", len(documents.Documents), got)
 	}
 	if _, newer, err := a.Fetch(t.Context(), documents.Version, true); newer || err != nil {
-		t.Errorf("nothing newer: %v %v", newer, err)
+		t.Errorf("fetch since the newest version: newer %v, error %v", newer, err)
 	}
-	leader := g.leader(t)
-	if version, at, ok := g.voters[leader].ConfirmVersion(); !ok || version != documents.Version || time.Since(at) > time.Minute {
-		t.Errorf("the leader confirms %d at %v: %v", version, at, ok)
+	leader := cluster.leader(t)
+	if version, asOf, ok := cluster.voters[leader].ConfirmVersion(); !ok || version != documents.Version || time.Since(asOf) > time.Minute {
+		t.Errorf("the leader confirmed version %d as of %v: %v", version, asOf, ok)
 	}
-	if _, _, ok := g.voters[(leader+1)%3].ConfirmVersion(); ok {
-		t.Error("a voter that does not lead confirms")
+	if _, _, ok := cluster.voters[(leader+1)%3].ConfirmVersion(); ok {
+		t.Error("a voter that is not the leader confirmed a version")
 	}
 }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -41,13 +41,13 @@
 		"conflict":        refusalName(replication.ErrConflict), "fenced": refusalName(replication.ErrFenced), "large": refusalName(replication.ErrTooLarge)})
 	for name, err := range map[string]error{"conflict": replication.ErrConflict, "fenced": replication.ErrFenced, "large": replication.ErrTooLarge} {
 		if !errors.Is(refusalErrors[name], err) {
-			t.Errorf("the refusal %q reads as %v, want %v", name, refusalErrors[name], err)
+			t.Errorf("refusal %q: got error %v, want %v", name, refusalErrors[name], err)
 		}
 	}
 }
 
-// Log entries and the snapshot that they lead to are as they always were: the stored entries are applied, the table's snapshot is
-// the stored one, and a table that is restored from it writes the same again.
+// Log entries and snapshots keep their stored form: the entries of the golden file can be applied, the resulting snapshot equals the
+// golden one, and a state machine restored from it writes the same snapshot.
 func TestStoredLogAndSnapshot(t *testing.T) {
 	goldentest.CheckJSONOf(t, "command.json", goldentest.Filled[command](t))
 	commands := []command{
@@ -58,18 +58,18 @@
 		{Command: lease.Command{Now: 24, RaftTerm: 2}, Put: &replication.Write{Key: "limits/set", ExpectedVersion: 2, Value: []byte("newer limits")}},
 	}
 	var log []byte
-	for _, c := range commands {
-		text, err := json.Marshal(c)
+	for _, cmd := range commands {
+		encoded, err := json.Marshal(cmd)
 		if err != nil {
 			t.Fatal(err)
 		}
-		log = append(append(log, text...), '\n')
+		log = append(append(log, encoded...), '\n')
 	}
 	applied := &stateMachine{onDocumentsChanged: func(replication.Snapshot) {}}
 	for i, line := range bytes.Split(bytes.TrimSpace(goldentest.Check(t, "log.jsonl", log)), []byte("\n")) {
-		a, ok := applied.Apply(&raft.Log{Index: uint64(i + 1), Term: 2, Data: line}).(response)
-		if released := i == 3; !ok || a.OK == released || a.Error != "" {
-			t.Errorf("entry %d: got the answer %+v", i+1, a)
+		resp, ok := applied.Apply(&raft.Log{Index: uint64(i + 1), Term: 2, Data: line}).(response)
+		if released := i == 3; !ok || resp.OK == released || resp.Error != "" {
+			t.Errorf("entry %d: got response %+v", i+1, resp)
 		}
 	}
 	stored := goldentest.Check(t, "snapshot.json", append(snapshotOf(t, applied), '\n'))
@@ -78,132 +78,132 @@
 		t.Fatal(err)
 	}
 	if got := snapshotOf(t, restored); !bytes.Equal(got, bytes.TrimSpace(stored)) {
-		t.Errorf("a restored table writes\n%s, want\n%s", got, stored)
+		t.Errorf("snapshot of the restored state machine:\n%s, want\n%s", got, stored)
 	}
 }
 
-// snapshotOf is the text of a table's snapshot.
-func snapshotOf(t *testing.T, from *stateMachine) []byte {
+// snapshotOf returns the encoded snapshot of a state machine.
+func snapshotOf(t *testing.T, state *stateMachine) []byte {
 	t.Helper()
-	s, err := from.Snapshot()
+	snapshot, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	sink := &memorySink{}
-	if err := s.Persist(sink); err != nil {
+	if err := snapshot.Persist(sink); err != nil {
 		t.Fatal(err)
 	}
 	return sink.Bytes()
 }
 
-// memorySink is a snapshot sink that keeps what it is given.
+// memorySink is a raft.SnapshotSink that stores the snapshot in memory.
 type memorySink struct{ bytes.Buffer }
 
 func (*memorySink) ID() string    { return "memory" }
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// storedDB is the log of a voter that has granted a lease and taken two documents, as its build left it on the disk.
+// storedDB is the compressed log file of a voter that granted a lease and accepted writes of two documents, written by an earlier build.
 const storedDB = "testdata/raft.db.gz"
 
-// A voter starts on the log that an earlier build left on the disk, and knows all that is in it.
+// A voter starts with a log file that an earlier build wrote, and serves the log's documents and lease.
 func TestStoredLogIsServed(t *testing.T) {
 	dir := t.TempDir()
 	if goldentest.Recording() {
 		recordDB(t)
 	}
-	packed, err := os.Open(storedDB)
+	file, err := os.Open(storedDB)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = packed.Close() }()
-	plain, err := gzip.NewReader(packed)
+	defer func() { _ = file.Close() }()
+	decompressed, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := io.ReadAll(plain)
+	content, err := io.ReadAll(decompressed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "raft.db"), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "raft.db"), content, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, c := startAlone(t, dir)
-	defer s.Close()
-	defer c.Close()
+	voter, client := startAlone(t, dir)
+	defer voter.Close()
+	defer client.Close()
 	ctx := t.Context()
 	for key, want := range map[string]string{"limits/set": "newer limits", "purge/plan": "plan"} {
-		if doc, err := c.Read(ctx, key); err != nil || string(doc.Value) != want {
+		if doc, err := client.Read(ctx, key); err != nil || string(doc.Value) != want {
 			t.Errorf("%s: got %q, %v, want %q", key, doc.Value, err, want)
 		}
 	}
-	g, ok, err := c.Acquire(ctx, "lists", time.Second)
-	if err != nil || ok || !strings.HasPrefix(g.Holder, "pooler-1") {
-		t.Errorf("got %+v, %v, %v, want a denial for the stored lease of pooler-1", g, ok, err)
+	current, granted, err := client.Acquire(ctx, "lists", time.Second)
+	if err != nil || granted || !strings.HasPrefix(current.Holder, "pooler-1") {
+		t.Errorf("got %+v, %v, %v, want a denial for the stored lease of pooler-1", current, granted, err)
 	}
 }
 
-// recordDB writes storedDB anew.
+// recordDB rewrites storedDB.
 func recordDB(t *testing.T) {
 	t.Helper()
 	dir, ctx := t.TempDir(), t.Context()
-	s, c := startAlone(t, dir)
-	limits, err := c.Put(ctx, "limits/set", 0, []byte("limits"), replication.Fence{})
+	voter, client := startAlone(t, dir)
+	limitsVersion, err := client.Put(ctx, "limits/set", 0, []byte("limits"), replication.Fence{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Put(ctx, "limits/set", limits, []byte("newer limits"), replication.Fence{}); err != nil {
+	if _, err := client.Put(ctx, "limits/set", limitsVersion, []byte("newer limits"), replication.Fence{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Put(ctx, "purge/plan", 0, []byte("plan"), replication.Fence{}); err != nil {
+	if _, err := client.Put(ctx, "purge/plan", 0, []byte("plan"), replication.Fence{}); err != nil {
 		t.Fatal(err)
 	}
-	holder := NewClientPool(1, "pooler-1/1", c.voters(), 5*time.Second)
+	holder := NewClientPool(1, "pooler-1/1", client.voters(), 5*time.Second)
 	if _, ok, err := holder.Acquire(ctx, "lists", 1000*time.Hour); err != nil || !ok {
 		t.Fatal(ok, err)
 	}
 	holder.Close()
-	c.Close()
-	s.Close()
-	text, err := os.ReadFile(filepath.Join(dir, "raft.db"))
+	client.Close()
+	voter.Close()
+	content, err := os.ReadFile(filepath.Join(dir, "raft.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var packed bytes.Buffer
-	w, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	var compressed bytes.Buffer
+	writer, err := gzip.NewWriterLevel(&compressed, gzip.BestCompression)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Write(text); err != nil {
+	if _, err := writer.Write(content); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(storedDB, packed.Bytes(), 0o644); err != nil {
+	if err := os.WriteFile(storedDB, compressed.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// voters are those that the idle clients ask.
-func (c *ClientPool) voters() []Peer {
-	one := <-c.idle
-	defer func() { c.idle <- one }()
-	return one.Voters
+// voters returns the voters that the pool is configured with. It waits for an idle client.
+func (p *ClientPool) voters() []Peer {
+	client := <-p.idle
+	defer func() { p.idle <- client }()
+	return client.Voters
 }
 
-// startAlone starts a set of one voter on a directory, with a client of it.
+// startAlone starts a cluster of one voter with its log in dir, and returns the voter and a client pool for it.
 func startAlone(t *testing.T, dir string) (*Voter, *ClientPool) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []Peer{{Name: "s0", Addr: ln.Addr().String()}}
-	_ = ln.Close()
-	s, err := Start(Options{Name: "s0", ListenAddr: all[0].Addr, Dir: dir, Voters: all, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout})
+	peers := []Peer{{Name: "s0", Addr: listener.Addr().String()}}
+	_ = listener.Close()
+	voter, err := Start(Options{Name: "s0", ListenAddr: peers[0].Addr, Dir: dir, Voters: peers, MaxClockDrift: 100 * time.Millisecond, ElectionTimeout: electionTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, NewClientPool(1, "pooler-2/1", all, 10*time.Second)
+	return voter, NewClientPool(1, "pooler-2/1", peers, 10*time.Second)
 }
--- a/internal/fleet/consensus/voter_set_test.go
+++ b/internal/fleet/consensus/voter_set_test.go
@@ -10,21 +10,21 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// putOnce writes a document that must not exist, until it is there.
-func putOnce(t *testing.T, c *ClientPool, key string) {
+// putOnce creates a document, retrying until the document exists.
+func putOnce(t *testing.T, client *ClientPool, key string) {
 	t.Helper()
 	for range 100 {
-		if _, err := c.Put(t.Context(), key, 0, []byte("x"), replication.Fence{}); err == nil {
+		if _, err := client.Put(t.Context(), key, 0, []byte("x"), replication.Fence{}); err == nil {
 			return
 		}
-		if d, err := c.Read(t.Context(), key); err == nil && d.Version > 0 {
+		if document, err := client.Read(t.Context(), key); err == nil && document.Version > 0 {
 			return
 		}
 	}
-	t.Fatalf("%s is never written", key)
+	t.Fatalf("document %s was not written", key)
 }
 
-// voterNames are the voters as a voter's raft engine has them; nil if it can't tell.
+// voterNames returns the names of the voters in a voter's raft configuration, or nil if the engine does not return it.
 func voterNames(v *Voter) (names []string) {
 	future := v.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -36,10 +36,11 @@
 	return names
 }
 
-// awaitVoters waits until all voters but the one removed know a set of a size without it; removed "": none is.
-func (g *cluster) awaitVoters(t *testing.T, size int, removed string) {
+// awaitVoters waits until the configurations of all running voters have the given size and lack the removed voter. The configuration
+// of the removed voter itself is ignored. removed is empty if no voter was removed.
+func (c *testCluster) awaitVoters(t *testing.T, size int, removed string) {
 	t.Helper()
-	known := func(v *Voter) bool {
+	reached := func(v *Voter) bool {
 		if v == nil || v.options.Name == removed {
 			return true
 		}
@@ -47,18 +48,18 @@
 		return len(names) == size && !slices.Contains(names, removed)
 	}
 	for range 1000 {
-		if !slices.ContainsFunc(g.voters, func(v *Voter) bool { return !known(v) }) {
+		if !slices.ContainsFunc(c.voters, func(v *Voter) bool { return !reached(v) }) {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("not in time: all know %d voters", size)
+	t.Fatalf("timeout: not all voters have a configuration of %d voters", size)
 }
 
-// addVoters starts further voters, which join the set, and returns the peers of all.
-func (g *cluster) addVoters(t *testing.T, count int) (all []Peer) {
+// addVoters starts further voters, which join the cluster, and returns the peers of all voters.
+func (c *testCluster) addVoters(t *testing.T, count int) (all []Peer) {
 	t.Helper()
-	all = slices.Clone(g.clientPeers)
+	all = slices.Clone(c.clientPeers)
 	for range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -67,8 +68,8 @@
 		all = append(all, Peer{fmt.Sprint("s", len(all)), listener.Addr().String()})
 		_ = listener.Close()
 	}
-	for i := len(g.voters); i < len(all); i++ {
-		g.options = append(g.options, Options{
+	for i := len(c.voters); i < len(all); i++ {
+		c.options = append(c.options, Options{
 			Name:            all[i].Name,
 			ListenAddr:      all[i].Addr,
 			Dir:             t.TempDir(),
@@ -77,46 +78,47 @@
 			MaxClockDrift:   100 * time.Millisecond,
 			ElectionTimeout: electionTimeout,
 		})
-		g.voters = append(g.voters, nil)
-		g.start(t, i)
+		c.voters = append(c.voters, nil)
+		c.start(t, i)
 	}
 	return all
 }
 
-// Two voters are added to three that run, and one of the three is removed, by files of which the newest counts wherever it is
-// seen first; what was written stays, and the set then tolerates the loss of two.
+// Two voters are added to a cluster of three and one of the original voters is removed, while voters have files of different revisions.
+// The newest revision wins, whichever voter has it. Documents are kept, and with the removed voter stopped the cluster of four
+// tolerates the loss of another voter.
 func TestSetVoters(t *testing.T) {
-	g := startCluster(t, 3)
-	c := NewClientPool(1, "a", g.clientPeers, 3*electionTimeout)
-	t.Cleanup(c.Close)
-	putOnce(t, c, "p/before")
-	all := g.addVoters(t, 2)
-	leader := g.leader(t)
-	g.voters[leader].SetVoters(1, all)
-	g.awaitVoters(t, 5, "")
+	cluster := startCluster(t, 3)
+	client := NewClientPool(1, "a", cluster.clientPeers, 3*electionTimeout)
+	t.Cleanup(client.Close)
+	putOnce(t, client, "p/before")
+	all := cluster.addVoters(t, 2)
+	leader := cluster.leader(t)
+	cluster.voters[leader].SetVoters(1, all)
+	cluster.awaitVoters(t, 5, "")
 	removed := (leader + 1) % 3
-	rest := slices.Delete(slices.Clone(all), removed, removed+1)
-	for i, v := range g.voters {
+	remaining := slices.Delete(slices.Clone(all), removed, removed+1)
+	for i, v := range cluster.voters {
 		if i != removed {
-			v.SetVoters(2, rest)
+			v.SetVoters(2, remaining)
 		}
 	}
-	g.voters[removed].SetVoters(1, all) // an older file
-	g.awaitVoters(t, 4, all[removed].Name)
-	putOnce(t, c, "p/after")
-	g.stop(removed)
-	g.stop(leader) // three of four are left
-	d := NewClientPool(1, "b", all, 3*electionTimeout)
-	t.Cleanup(d.Close)
+	cluster.voters[removed].SetVoters(1, all) // an older revision
+	cluster.awaitVoters(t, 4, all[removed].Name)
+	putOnce(t, client, "p/after")
+	cluster.stop(removed)
+	cluster.stop(leader) // three of four are left
+	newClient := NewClientPool(1, "b", all, 3*electionTimeout)
+	t.Cleanup(newClient.Close)
 	for range 100 {
-		document, err := d.Read(t.Context(), "p/before")
+		document, err := newClient.Read(t.Context(), "p/before")
 		if err != nil {
 			continue
 		}
 		if document.Version == 0 {
-			t.Error("what was written before is lost")
+			t.Error("the document written before the changes is lost")
 		}
 		return
 	}
-	t.Error("the new set never answers")
+	t.Error("no leader responded after the changes")
 }
