--- a/internal/fleet/replication/announcement_test.go
+++ b/internal/fleet/replication/announcement_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// An announcement is as old as the older of the two clocks says, whatever the clock here does.
+// ConfirmationTime uses the larger of the sender's age and the difference of the wall clocks, whether the message was delayed or the
+// receiver's clock is slow.
 func TestConfirmationTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for _, c := range []struct{ confirmedAt, age, want time.Duration }{
+	for _, test := range []struct{ confirmedAt, age, want time.Duration }{
 		{999 * time.Second, time.Second, time.Second},
-		{990 * time.Second, time.Second, 10 * time.Second},     // delayed
-		{2000 * time.Second, 3 * time.Second, 3 * time.Second}, // the clock here is behind
+		{990 * time.Second, time.Second, 10 * time.Second},     // the message was delayed
+		{2000 * time.Second, 3 * time.Second, 3 * time.Second}, // the receiver's clock is slow
 		{2000 * time.Second, -time.Second, 0},
 	} {
-		if got := now.Sub(ConfirmationTime(now, int64(c.confirmedAt), c.age)); got != c.want {
-			t.Errorf("%+v: it is %v old", c, got)
+		if got := now.Sub(ConfirmationTime(now, int64(test.confirmedAt), test.age)); got != test.want {
+			t.Errorf("%+v: got an age of %v", test, got)
 		}
 	}
 }
--- a/internal/fleet/replication/golden_test.go
+++ b/internal/fleet/replication/golden_test.go
@@ -25,38 +25,38 @@
 	goldentest.CheckJSONOf(t, "word.json", goldentest.Filled[announcement](t))
 }
 
-// Documents that the log has made are kept in a snapshot as they always were.
+// The document table keeps the encoding that earlier builds wrote into raft snapshots.
 func TestStoredDocs(t *testing.T) {
-	var docs, read DocumentTable
+	var table, decoded DocumentTable
 	for index, key := range []string{"limits/set", "purge/plan", "shards/map"} {
-		if _, err := docs.Apply(Write{Key: key, Value: []byte(key)}, uint64(index+5), &lease.Lessor{}); err != nil {
+		if _, err := table.Apply(Write{Key: key, Value: []byte(key)}, uint64(index+5), &lease.Lessor{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	text, err := json.Marshal(&docs)
+	encoded, err := json.Marshal(&table)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := goldentest.Check(t, "docs.json", append(text, '\n'))
-	if err := json.Unmarshal(stored, &read); err != nil {
+	stored := goldentest.Check(t, "docs.json", append(encoded, '\n'))
+	if err := json.Unmarshal(stored, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if read.Version() != 7 || read.Get("purge/plan").Version != 6 || read.totalSize != docs.totalSize {
-		t.Errorf("got version %d, purge/plan %+v and %d bytes, want 7, 6 and %d", read.Version(), read.Get("purge/plan"), read.totalSize, docs.totalSize)
+	if decoded.Version() != 7 || decoded.Get("purge/plan").Version != 6 || decoded.totalSize != table.totalSize {
+		t.Errorf("got version %d, purge/plan %+v and %d bytes, want 7, 6 and %d", decoded.Version(), decoded.Get("purge/plan"), decoded.totalSize, table.totalSize)
 	}
 }
 
-// The copy on disk has its mark, length and checksum as it always had, and is read from a folder under its old name.
+// The snapshot file keeps its name, magic, length and checksum, and a file of an earlier build can be loaded.
 func TestStoredCopy(t *testing.T) {
-	asOf := time.Date(2026, time.December, 2, 17, 35, 0, 123456789, time.UTC)
-	text, err := encodeSnapshotFile(goldenState(), asOf)
+	confirmedAt := time.Date(2026, time.December, 2, 17, 35, 0, 123456789, time.UTC)
+	content, err := encodeSnapshotFile(goldenState(), confirmedAt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Check(t, "documents", text)
-	state, at, err := LoadSnapshot("testdata")
-	if err != nil || state.Version != 9 || string(state.Documents["purge/plan"].Value) != "plan" || !at.Equal(asOf) {
-		t.Errorf("got %+v as of %v, %v", state, at, err)
+	goldentest.Check(t, "documents", content)
+	state, loadedConfirmedAt, err := LoadSnapshot("testdata")
+	if err != nil || state.Version != 9 || string(state.Documents["purge/plan"].Value) != "plan" || !loadedConfirmedAt.Equal(confirmedAt) {
+		t.Errorf("got %+v confirmed at %v, error %v", state, loadedConfirmedAt, err)
 	}
 	goldentest.CheckNames(t, map[string]string{"documents": snapshotFileName, "tsdocs1\n": snapshotFileMagic})
 }
--- a/internal/fleet/replication/history_test.go
+++ b/internal/fleet/replication/history_test.go
@@ -11,75 +11,75 @@
 	"pgregory.net/rapid"
 )
 
-// Of any history of writes, of which some versions are recorded, the delta since any version that a replica may have makes the newest
-// version of it: also where the replica has documents that were written and removed between two recorded versions.
+// For any sequence of writes of which some versions are recorded, DeltaSince brings a replica of any version since the first recorded
+// one to the newest version, including a replica with documents that were written and removed between two recorded versions.
 func TestHistoryDeltaSince(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table DocumentTable
-		var h History
+		var history History
 		var all []Snapshot
 		firstRecorded := -1
 		for i := range rapid.IntRange(1, 40).Draw(t, "writes") {
-			w := Write{Key: fmt.Sprint("p/", rapid.IntRange(0, 5).Draw(t, "key")), Value: []byte(fmt.Sprint(i))}
-			if w.ExpectedVersion = table.Get(w.Key).Version; w.ExpectedVersion > 0 && rapid.IntRange(0, 2).Draw(t, "deleted") == 0 {
-				w.Value = nil
+			write := Write{Key: fmt.Sprint("p/", rapid.IntRange(0, 5).Draw(t, "key")), Value: []byte(fmt.Sprint(i))}
+			if write.ExpectedVersion = table.Get(write.Key).Version; write.ExpectedVersion > 0 && rapid.IntRange(0, 2).Draw(t, "deleted") == 0 {
+				write.Value = nil
 			}
-			if _, err := table.Apply(w, uint64(i+3), nil); err != nil {
+			if _, err := table.Apply(write, uint64(i+3), nil); err != nil {
 				t.Fatal(err)
 			}
 			all = append(all, table.Snapshot())
 			if rapid.Bool().Draw(t, "recorded") {
-				h.Record(table.Snapshot())
+				history.Record(table.Snapshot())
 				if firstRecorded < 0 {
 					firstRecorded = i
 				}
 			}
 		}
-		h.Record(table.Snapshot())
+		history.Record(table.Snapshot())
 		newest := table.Snapshot()
-		for i, s := range all[:len(all)-1] {
-			d, ok := h.DeltaSince(s.Version)
+		for i, snapshot := range all[:len(all)-1] {
+			delta, ok := history.DeltaSince(snapshot.Version)
 			if want := firstRecorded >= 0 && i >= firstRecorded; ok != want {
-				t.Fatalf("since %d: %v, want %v", s.Version, ok, want)
+				t.Fatalf("delta since %d: ok %v, want %v", snapshot.Version, ok, want)
 			}
 			if !ok {
 				continue
 			}
-			next, follows := d.ApplyTo(s)
-			if !follows || next.Version != newest.Version || !reflect.DeepEqual(next.Documents, newest.Documents) {
-				t.Fatalf("from %v by %+v: %v, want %v", s, d, next, newest)
+			next, applied := delta.ApplyTo(snapshot)
+			if !applied || next.Version != newest.Version || !reflect.DeepEqual(next.Documents, newest.Documents) {
+				t.Fatalf("%v after the delta %+v: %v, want %v", snapshot, delta, next, newest)
 			}
 		}
 	})
 }
 
-// The history is bounded in time and in number, and there is no delta since a version that is older.
+// A history is bounded in time and in the number of versions, and provides no delta since a version that it has dropped.
 func TestHistoryBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var h History
+		var history History
 		documents := map[string]Document{}
-		for v := uint64(1); v <= maxHistoryVersions+10; v++ {
-			documents["p/a"] = Document{"p/a", v, []byte("x")}
-			h.Record(Snapshot{v, maps.Clone(documents)})
+		for version := uint64(1); version <= maxHistoryVersions+10; version++ {
+			documents["p/a"] = Document{"p/a", version, []byte("x")}
+			history.Record(Snapshot{version, maps.Clone(documents)})
 		}
-		if _, ok := h.DeltaSince(10); ok || len(h.versions) != maxHistoryVersions {
-			t.Errorf("%d versions are kept", len(h.versions))
+		if _, ok := history.DeltaSince(10); ok || len(history.versions) != maxHistoryVersions {
+			t.Errorf("the history has %d versions, or a delta since a dropped one", len(history.versions))
 		}
-		if d, ok := h.DeltaSince(11); !ok || len(d.Documents) != 1 {
-			t.Errorf("%+v %v: of a document that changed often its newest version alone", d, ok)
+		if delta, ok := history.DeltaSince(11); !ok || len(delta.Documents) != 1 {
+			t.Errorf("got delta %+v, ok %v, want only the newest version of the changed document", delta, ok)
 		}
 		time.Sleep(historyRetention + time.Second)
-		h.Record(Snapshot{maxHistoryVersions + 20, documents})
-		if _, ok := h.DeltaSince(maxHistoryVersions + 9); ok || len(h.versions) != 2 {
-			t.Errorf("%d versions are kept after two hours", len(h.versions))
+		history.Record(Snapshot{maxHistoryVersions + 20, documents})
+		if _, ok := history.DeltaSince(maxHistoryVersions + 9); ok || len(history.versions) != 2 {
+			t.Errorf("the history has %d versions after two hours, want 2", len(history.versions))
 		}
-		if _, ok := h.DeltaSince(maxHistoryVersions + 10); !ok {
-			t.Error("what was the newest version for two quiet hours is no base for a delta to the next one")
+		if _, ok := history.DeltaSince(maxHistoryVersions + 10); !ok {
+			t.Error("no delta since the version that was the newest for two hours")
 		}
 		time.Sleep(historyRetention + time.Second)
-		h.Record(Snapshot{maxHistoryVersions + 30, documents})
-		if _, ok := h.DeltaSince(maxHistoryVersions + 10); ok || len(h.versions) != 2 {
-			t.Errorf("%d versions are kept, two hours after another took its place", len(h.versions))
+		history.Record(Snapshot{maxHistoryVersions + 30, documents})
+		if _, ok := history.DeltaSince(maxHistoryVersions + 10); ok || len(history.versions) != 2 {
+			t.Errorf("the history has %d versions two hours after the newest was superseded, want 2", len(history.versions))
 		}
 	})
 }
--- a/internal/fleet/replication/leadership_test.go
+++ b/internal/fleet/replication/leadership_test.go
@@ -17,105 +17,106 @@
 )
 
 const (
-	campaignTerm  = 3 * time.Second
-	campaignDrift = 100 * time.Millisecond
-	// leaderlessBound is for how long there may be no leader while all poolers can ask: the lost leader's term and drift, the wait of the
-	// next with its jitter, and two requests that fail.
-	leaderlessBound = 2*campaignTerm + 2*campaignDrift + campaignTerm/2
+	leaseTerm  = 3 * time.Second
+	clockDrift = 100 * time.Millisecond
+	// maxLeaderlessTime is the maximum time without a leader while all poolers can reach the voters: the lost leader's term and drift, the
+	// next leader's wait and jitter, and two failed requests.
+	maxLeaderlessTime = 2*leaseTerm + 2*clockDrift + leaseTerm/2
 )
 
 // campaigner is a pooler that campaigns for the lease.
 type campaigner struct {
 	*replicationtest.Client
 	replication.Leadership
-	end         context.CancelFunc
+	cancel      context.CancelFunc
 	partitioned bool
 }
 
-// campaign is some poolers that campaign for one lease, and what was seen of it.
+// campaign is a set of poolers that campaign for one lease, and the observations that check needs.
 type campaign struct {
-	t                  *testing.T
-	cluster            *replicationtest.Cluster
-	poolers            []*campaigner
-	starts             int
-	lastToken          uint64
-	withoutLeaderSince time.Time
+	t               *testing.T
+	cluster         *replicationtest.Cluster
+	poolers         []*campaigner
+	starts          int // number of pooler processes started
+	lastToken       uint64
+	leaderlessSince time.Time
 }
 
-// start starts a pooler's process.
+// start starts the process of pooler i.
 func (c *campaign) start(i int) *campaigner {
 	c.starts++
-	client := c.cluster.Client(fmt.Sprint("n", i, "/", c.starts)) // a restarted pooler does not own what its predecessor held
-	ctx, end := context.WithCancel(c.t.Context())
-	options := replication.CandidateOptions{LeaseTerm: campaignTerm, MaxClockDrift: campaignDrift, JitterFraction: float64(i) / 3}
-	return &campaigner{Client: client, end: end, Leadership: client.Campaign(ctx, "d", options)}
+	client := c.cluster.Client(fmt.Sprint("n", i, "/", c.starts)) // the name is new, so a restarted pooler does not own its predecessor's lease
+	ctx, cancel := context.WithCancel(c.t.Context())
+	options := replication.CandidateOptions{LeaseTerm: leaseTerm, MaxClockDrift: clockDrift, JitterFraction: float64(i) / 3}
+	return &campaigner{Client: client, cancel: cancel, Leadership: client.Campaign(ctx, "d", options)}
 }
 
-// inject injects a fault: below 3 a cut or its heal, below 6 two lost answers, below 9 a restart; of the pooler by the remainder.
+// inject injects a fault into the pooler fault%3. Faults 0 to 2 partition the pooler or heal its partition, 3 to 5 drop two responses,
+// and 6 to 8 restart it. Higher values inject nothing.
 func (c *campaign) inject(fault int) {
-	i := fault % 3
+	pooler := fault % 3
 	if fault < 9 {
-		c.withoutLeaderSince = time.Now() // the bound counts from the last fault: further faults may put a new leader off
+		c.leaderlessSince = time.Now() // the bound counts from the last fault, since each fault may delay the next leader
 	}
 	switch fault / 3 {
 	case 0:
-		c.poolers[i].partitioned = !c.poolers[i].partitioned
-		c.poolers[i].SetPartitioned(c.poolers[i].partitioned)
+		c.poolers[pooler].partitioned = !c.poolers[pooler].partitioned
+		c.poolers[pooler].SetPartitioned(c.poolers[pooler].partitioned)
 	case 1:
-		c.poolers[i].DropResponses(2)
+		c.poolers[pooler].DropResponses(2)
 	case 2:
-		c.poolers[i].end()
-		c.poolers[i] = c.start(i)
+		c.poolers[pooler].cancel()
+		c.poolers[pooler] = c.start(pooler)
 	}
 }
 
-// check checks that no two poolers lead, that tokens grow, and that there is a leader within the bound.
+// check checks that at most one pooler is the leader, that tokens never decrease, and that there is a leader within maxLeaderlessTime.
 func (c *campaign) check() {
 	leading := 0
-	for _, p := range c.poolers {
-		token, until, ok := p.Token()
+	for _, pooler := range c.poolers {
+		token, until, ok := pooler.Token()
 		if !ok {
 			continue
 		}
 		leading++
 		if token < c.lastToken || !until.After(time.Now()) {
-			c.t.Errorf("token %d after token %d, until %v", token, c.lastToken, until)
+			c.t.Errorf("got token %d after token %d, until %v", token, c.lastToken, until)
 		}
 		c.lastToken = token
 	}
 	if leading > 1 {
-		c.t.Errorf("%d poolers lead at once", leading)
+		c.t.Errorf("%d poolers are leaders at the same time", leading)
 	}
-	if leading == 1 || slices.ContainsFunc(c.poolers, func(p *campaigner) bool { return p.partitioned }) {
-		c.withoutLeaderSince = time.Now()
+	if leading == 1 || slices.ContainsFunc(c.poolers, func(pooler *campaigner) bool { return pooler.partitioned }) {
+		c.leaderlessSince = time.Now()
 	}
-	if time.Since(c.withoutLeaderSince) > leaderlessBound {
-		c.t.Errorf("nobody has led for %v", time.Since(c.withoutLeaderSince))
+	if time.Since(c.leaderlessSince) > maxLeaderlessTime {
+		c.t.Errorf("no leader for %v", time.Since(c.leaderlessSince))
 	}
 }
 
-// finish ends all poolers, and checks that none leads afterwards.
+// finish stops all poolers, and checks that none is the leader afterwards.
 func (c *campaign) finish() {
-	for _, p := range c.poolers {
-		p.SetPartitioned(false)
-		p.end()
+	for _, pooler := range c.poolers {
+		pooler.SetPartitioned(false)
+		pooler.cancel()
 	}
-	time.Sleep(2 * campaignTerm)
-	for _, p := range c.poolers {
-		if _, _, ok := p.Token(); ok {
-			c.t.Error("a pooler that has ended leads")
+	time.Sleep(2 * leaseTerm)
+	for _, pooler := range c.poolers {
+		if _, _, ok := pooler.Token(); ok {
+			c.t.Error("a stopped pooler is the leader")
 		}
 	}
 }
 
-// Poolers campaign for one lease while their links to the voters are cut, answers are lost and poolers end: no two lead at once,
-// tokens grow, and while all can ask, some pooler leads again within the bound of docs/shared.md.
+// Poolers campaign for one lease while they are partitioned from the voters, lose responses and restart. There is at most one leader at
+// a time, tokens never decrease, and while all poolers can reach the voters, there is a new leader within the bound of docs/shared.md.
 func TestCampaign(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		faults := rapid.SliceOfN(rapid.IntRange(0, 14), 30, 30).Draw(rt, "faults") // from 9 on: no fault
-		faults = append(faults, 9, 9, 9, 9, 9, 9)                                  // long enough for the bound after the last fault
+		faults := rapid.SliceOfN(rapid.IntRange(0, 14), 30, 30).Draw(rt, "faults") // 9 and above inject no fault
+		faults = append(faults, 9, 9, 9, 9, 9, 9)                                  // longer than the bound, after the last fault
 		synctest.Test(t, func(t *testing.T) {
-			c := &campaign{t: t, cluster: replicationtest.New(campaignDrift), withoutLeaderSince: time.Now()}
+			c := &campaign{t: t, cluster: replicationtest.New(clockDrift), leaderlessSince: time.Now()}
 			for i := range 3 {
 				c.poolers = append(c.poolers, c.start(i))
 			}
@@ -132,61 +133,62 @@
 	})
 }
 
-// A leader learns at once that its lease has ended, even while its request for a renewal hangs.
+// The leadership ends with the lease, even while the request for a renewal is blocked. The lease can be acquired again afterwards, and is
+// released when the campaign ends.
 func TestLeadershipExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := replicationtest.New(100 * time.Millisecond)
-		c := cluster.Client("a")
-		ctx, end := context.WithCancel(t.Context())
-		leadership := replication.Campaign(ctx, c, "d", replication.CandidateOptions{LeaseTerm: 3 * time.Second, MaxClockDrift: 100 * time.Millisecond})
+		client := cluster.Client("a")
+		ctx, cancel := context.WithCancel(t.Context())
+		leadership := replication.Campaign(ctx, client, "d", replication.CandidateOptions{LeaseTerm: 3 * time.Second, MaxClockDrift: 100 * time.Millisecond})
 		<-leadership.Changed()
-		token, until, ok := leadership.Token()
-		if _, err := c.Put(ctx, "p/a", 0, []byte("1"), replication.Fence{Lease: "d", Token: token}); err != nil || !ok {
-			t.Error(ok, err)
+		token, until, leading := leadership.Token()
+		if _, err := client.Put(ctx, "p/a", 0, []byte("1"), replication.Fence{Lease: "d", Token: token}); err != nil || !leading {
+			t.Error(leading, err)
 		}
-		c.SetPartitioned(true)
+		client.SetPartitioned(true)
 		lost := leadership.Changed()
 		<-lost
-		if _, _, ok := leadership.Token(); ok || time.Now().Before(until) {
-			t.Errorf("leads: %v, %v before the end of the lease", ok, time.Until(until))
+		if _, _, leading := leadership.Token(); leading || time.Now().Before(until) {
+			t.Errorf("leader: %v, %v before the end of the lease", leading, time.Until(until))
 		}
-		c.SetPartitioned(false)
-		if _, err := c.Put(ctx, "p/a", 1, []byte("1"), replication.Fence{Lease: "d", Token: token + 9}); !errors.Is(err, replication.ErrFenced) {
+		client.SetPartitioned(false)
+		if _, err := client.Put(ctx, "p/a", 1, []byte("1"), replication.Fence{Lease: "d", Token: token + 9}); !errors.Is(err, replication.ErrFenced) {
 			t.Error(err)
 		}
 		<-leadership.Changed()
-		end()
+		cancel()
 		<-leadership.Done()
-		if _, ok, err := cluster.Client("b").Acquire(t.Context(), "d", time.Second); !ok || err != nil {
-			t.Errorf("after its release the lease is not free at once: %v", err)
+		if _, granted, err := cluster.Client("b").Acquire(t.Context(), "d", time.Second); !granted || err != nil {
+			t.Errorf("the lease was not free immediately after its release: %v", err)
 		}
 	})
 }
 
-// unansweredLeases is a client whose requests reach the voters, and that gets no answer from some time on.
-type unansweredLeases struct {
+// responseLosingLeases is a LeaseClient whose requests reach the voters. Responses after the time since are lost.
+type responseLosingLeases struct {
 	replication.LeaseClient
 	since time.Time
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-func (u unansweredLeases) Acquire(ctx context.Context, name lease.Name, term time.Duration) (lease.Lease, bool, error) {
-	granted, ok, err := u.LeaseClient.Acquire(ctx, name, term)
-	if time.Now().After(u.since) {
-		return lease.Lease{}, false, errNoAnswer
+func (l responseLosingLeases) Acquire(ctx context.Context, name lease.Name, term time.Duration) (lease.Lease, bool, error) {
+	granted, ok, err := l.LeaseClient.Acquire(ctx, name, term)
+	if time.Now().After(l.since) {
+		return lease.Lease{}, false, errNoResponse
 	}
 	return granted, ok, err
 }
 
-// A leader whose requests reach the voters, but that gets no answers, does not keep the lease from others.
+// A leader that can send requests to the voters but loses all responses does not keep the lease: another pooler can acquire it.
 func TestUnansweredLeaderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const term, drift = 3 * time.Second, 100 * time.Millisecond
 		cluster := replicationtest.New(drift)
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		options := replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift}
-		first := replication.Campaign(ctx, unansweredLeases{cluster.Client("a"), time.Now().Add(2 * term)}, "d", options)
+		first := replication.Campaign(ctx, responseLosingLeases{cluster.Client("a"), time.Now().Add(2 * term)}, "d", options)
 		<-first.Changed()
 		second := replication.Campaign(ctx, cluster.Client("b"), "d", options)
 		lost := first.Changed()
@@ -194,9 +196,9 @@
 		select {
 		case <-second.Changed():
 		case <-time.After(2 * term):
-			t.Error("nobody else has the lease two terms after the unanswered leader has lost it")
+			t.Error("no other pooler acquired the lease within two terms after the first leader lost it")
 		}
-		end()
+		cancel()
 		<-first.Done()
 		<-second.Done()
 	})
--- a/internal/fleet/replication/replicationtest/replicationtest_test.go
+++ b/internal/fleet/replication/replicationtest/replicationtest_test.go
@@ -9,7 +9,8 @@
 	"threadsail/internal/fleet/replication/replicationtest"
 )
 
-// A view follows the cluster, grows old while it is partitioned, and restarts from what it held, unconfirmed.
+// A view follows the cluster. While it is partitioned, it keeps its documents and the time of its last confirmation. After a restart it
+// has the same documents and is not confirmed.
 func TestView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := replicationtest.New(0)
@@ -35,7 +36,7 @@
 		}
 		restarted.SetPartitioned(false)
 		if got := restarted.List("p/"); len(got) != 2 || got[0].Key != "p/a" || !restarted.ConfirmedAt().Equal(time.Now()) || restarted.Version() != 2 {
-			t.Errorf("healed: %v, confirmed %v", got, restarted.ConfirmedAt())
+			t.Errorf("after the partition healed: %v, confirmed %v", got, restarted.ConfirmedAt())
 		}
 	})
 }
--- a/internal/fleet/replication/replicator_test.go
+++ b/internal/fleet/replication/replicator_test.go
@@ -13,7 +13,7 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// fakeVoters is a SnapshotFetcher with one snapshot.
+// fakeVoters is a SnapshotFetcher that returns a fixed snapshot, or fails if unreachable is set.
 type fakeVoters struct {
 	mu          sync.Mutex
 	snapshot    replication.Snapshot
@@ -31,9 +31,9 @@
 	return v.snapshot, v.snapshot.Version > since, nil
 }
 
-// Twelve poolers, one of them with the leading voter, in a network that loses and duplicates datagrams: a change reaches all of them
-// through each other; a pooler that is cut off from the others asks a voter; the replica of a pooler that is cut off from all grows
-// old, and catches up once the cut is healed.
+// Twelve poolers, of which n0 has the leader, replicate over a network that loses and duplicates datagrams. A change reaches all of
+// them without a fetch from the voters. A pooler that is isolated from the other members fetches from the voters. A pooler that is
+// isolated from the voters too is no longer confirmed, and catches up after the partition heals.
 func TestReplicator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat = time.Second
@@ -42,56 +42,56 @@
 		network.SetLoss(0.2, 0.2)
 		voters := &fakeVoters{}
 		unreachable := &fakeVoters{unreachable: true}
-		ctx, end := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		var replicas []*replication.Replica
 		for i := range 12 {
 			replica := replication.NewReplica(replication.Snapshot{})
 			replicas = append(replicas, replica)
-			o := replication.ReplicatorOptions{Bus: network.Join(fmt.Sprint("n", i)), Replica: replica, Voters: voters, HeartbeatInterval: heartbeat, JitterFraction: float64(i) / 12}
+			options := replication.ReplicatorOptions{Bus: network.Join(fmt.Sprint("n", i)), Replica: replica, Voters: voters, HeartbeatInterval: heartbeat, JitterFraction: float64(i) / 12}
 			if i == 0 {
-				o.Confirm = func() (uint64, time.Time, bool) { return replica.Version(), time.Now(), true }
+				options.Confirm = func() (uint64, time.Time, bool) { return replica.Version(), time.Now(), true }
 			}
 			if i == 11 {
-				o.Voters = unreachable
+				options.Voters = unreachable
 			}
-			replication.StartReplicator(ctx, o)
+			replication.StartReplicator(ctx, options)
 		}
 		change := func(version uint64) {
-			s := replication.Snapshot{Version: version, Documents: map[string]replication.Document{"p/a": {Key: "p/a", Version: version, Value: []byte("x")}}}
+			snapshot := replication.Snapshot{Version: version, Documents: map[string]replication.Document{"p/a": {Key: "p/a", Version: version, Value: []byte("x")}}}
 			voters.mu.Lock()
-			voters.snapshot = s
+			voters.snapshot = snapshot
 			voters.mu.Unlock()
-			replicas[0].Install(s)
+			replicas[0].Install(snapshot)
 		}
-		wantCurrent := func(what string, version uint64, replicas ...*replication.Replica) {
+		expectCurrent := func(situation string, version uint64, replicas ...*replication.Replica) {
 			t.Helper()
-			for i, c := range replicas {
-				if d, _ := c.Get("p/a"); c.Version() != version || d.Version != version || time.Since(c.ConfirmedAt()) > 5*heartbeat {
-					t.Errorf("%s: replica %d is at %d, confirmed %v ago", what, i, c.Version(), time.Since(c.ConfirmedAt()))
+			for i, replica := range replicas {
+				if document, _ := replica.Get("p/a"); replica.Version() != version || document.Version != version || time.Since(replica.ConfirmedAt()) > 5*heartbeat {
+					t.Errorf("%s: replica %d has version %d, confirmed %v ago", situation, i, replica.Version(), time.Since(replica.ConfirmedAt()))
 				}
 			}
 		}
 		change(5)
 		time.Sleep(5 * heartbeat)
-		wantCurrent("a change", 5, replicas...)
+		expectCurrent("after a change", 5, replicas...)
 		if voters.fetches > 0 {
-			t.Errorf("the voters were asked %d times", voters.fetches)
+			t.Errorf("the voters were queried %d times", voters.fetches)
 		}
 		network.SetIsolated("n10", true)
 		network.SetIsolated("n11", true)
-		cutAt := time.Now()
+		isolatedAt := time.Now()
 		time.Sleep(heartbeat)
 		change(9)
 		time.Sleep(8 * heartbeat)
-		wantCurrent("in a cut", 9, replicas[:11]...)
-		if c := replicas[11]; c.Version() != 5 || c.ConfirmedAt().After(cutAt) {
-			t.Errorf("cut off from all: version %d, confirmed %v after the cut", c.Version(), c.ConfirmedAt().Sub(cutAt))
+		expectCurrent("during the partition", 9, replicas[:11]...)
+		if replica := replicas[11]; replica.Version() != 5 || replica.ConfirmedAt().After(isolatedAt) {
+			t.Errorf("isolated from all: version %d, confirmed %v after the partition", replica.Version(), replica.ConfirmedAt().Sub(isolatedAt))
 		}
 		network.SetIsolated("n10", false)
 		network.SetIsolated("n11", false)
 		time.Sleep(5 * heartbeat)
-		wantCurrent("healed", 9, replicas...)
-		end()
+		expectCurrent("after the partition healed", 9, replicas...)
+		cancel()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/fleet/replication/snapshot_file_test.go
+++ b/internal/fleet/replication/snapshot_file_test.go
@@ -9,69 +9,69 @@
 	"time"
 )
 
-// testSnapshot returns a snapshot of two documents, of which p/a was written at the version.
+// testSnapshot returns a snapshot with the document p/a, which was written at the given version, and an older document.
 func testSnapshot(version uint64, value string) Snapshot {
 	return Snapshot{Version: version, Documents: map[string]Document{"p/a": {"p/a", version, []byte(value)}, "p/b": {"p/b", 1, []byte{}}}}
 }
 
-// A file that is cut at any byte, has any bit flipped or is too long is ErrDamaged, and is replaced by the next save.
+// A file that was truncated, extended or had a bit flipped is reported as ErrDamaged, and the next save replaces it.
 func TestSnapshotFileDamaged(t *testing.T) {
 	dir := t.TempDir()
 	confirmedAt := time.Now()
 	if err := SaveSnapshot(dir, testSnapshot(7, "some value"), confirmedAt); err != nil {
 		t.Fatal(err)
 	}
-	name := filepath.Join(dir, snapshotFileName)
-	whole, err := os.ReadFile(name)
+	path := filepath.Join(dir, snapshotFileName)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantDamaged := func(what string, at int, content []byte) {
-		if err := os.WriteFile(name, content, 0o600); err != nil {
+	expectDamaged := func(damage string, offset int, content []byte) {
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if s, _, err := LoadSnapshot(dir); !errors.Is(err, ErrDamaged) || s.Version != 0 {
-			t.Fatalf("%s %d: version %d, %v", what, at, s.Version, err)
+		if loaded, _, err := LoadSnapshot(dir); !errors.Is(err, ErrDamaged) || loaded.Version != 0 {
+			t.Fatalf("%s %d: loaded version %d, error %v, want ErrDamaged", damage, offset, loaded.Version, err)
 		}
 	}
-	for i := range whole {
-		wantDamaged("cut at", i, whole[:i])
-		flipped := bytes.Clone(whole)
+	for i := range original {
+		expectDamaged("truncated at", i, original[:i])
+		flipped := bytes.Clone(original)
 		flipped[i] ^= 1 << (i % 8)
-		wantDamaged("flipped at", i, flipped)
+		expectDamaged("bit flipped at", i, flipped)
 	}
-	wantDamaged("longer than", len(whole), append(bytes.Clone(whole), 0))
-	if err := SaveSnapshot(dir, testSnapshot(8, "after it"), confirmedAt); err != nil { // a damaged file does not prevent it
+	expectDamaged("extended after", len(original), append(bytes.Clone(original), 0))
+	if err := SaveSnapshot(dir, testSnapshot(8, "after it"), confirmedAt); err != nil { // the damaged file must not prevent the save
 		t.Fatal(err)
 	}
-	s, loadedConfirmedAt, err := LoadSnapshot(dir)
-	if err != nil || s.Version != 8 || string(s.Documents["p/a"].Value) != "after it" || !loadedConfirmedAt.Equal(confirmedAt) {
-		t.Errorf("%+v confirmed at %v, %v", s, loadedConfirmedAt, err)
+	loaded, loadedConfirmedAt, err := LoadSnapshot(dir)
+	if err != nil || loaded.Version != 8 || string(loaded.Documents["p/a"].Value) != "after it" || !loadedConfirmedAt.Equal(confirmedAt) {
+		t.Errorf("loaded %+v confirmed at %v, error %v", loaded, loadedConfirmedAt, err)
 	}
 }
 
-// A crash while a snapshot is written leaves the file before it, whatever had been written, and the temporary file is removed.
+// After a crash during a save the previous file is loaded, however much of the new one was written, and the temporary file is removed.
 func TestSnapshotFileCrash(t *testing.T) {
 	dir := t.TempDir()
 	if err := SaveSnapshot(dir, testSnapshot(7, "old"), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	next, err := encodeSnapshotFile(testSnapshot(8, "new"), time.Time{})
+	content, err := encodeSnapshotFile(testSnapshot(8, "new"), time.Time{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range next {
-		if err := os.WriteFile(filepath.Join(dir, snapshotFileName+".123"), next[:i], 0o600); err != nil {
+	for i := range content {
+		if err := os.WriteFile(filepath.Join(dir, snapshotFileName+".123"), content[:i], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if s, _, err := LoadSnapshot(dir); err != nil || s.Version != 7 {
-			t.Fatalf("cut at %d: version %d, %v", i, s.Version, err)
+		if loaded, _, err := LoadSnapshot(dir); err != nil || loaded.Version != 7 {
+			t.Fatalf("crash after %d bytes: loaded version %d, error %v", i, loaded.Version, err)
 		}
 	}
-	if left, _ := os.ReadDir(dir); len(left) != 1 {
-		t.Errorf("%v is left", left)
+	if entries, _ := os.ReadDir(dir); len(entries) != 1 {
+		t.Errorf("got the files %v, want the snapshot file alone", entries)
 	}
-	if s, _, err := LoadSnapshot(t.TempDir()); err != nil || s.Version != 0 {
-		t.Errorf("of an empty directory: %v %v", s, err)
+	if loaded, _, err := LoadSnapshot(t.TempDir()); err != nil || loaded.Version != 0 {
+		t.Errorf("loaded from an empty directory: %v, error %v", loaded, err)
 	}
 }
--- a/internal/fleet/replication/snapshot_test.go
+++ b/internal/fleet/replication/snapshot_test.go
@@ -7,27 +7,27 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// A snapshot that no log can have made is refused, and one that is accepted is encoded and decoded without loss.
+// Snapshots with duplicate or invalid documents are refused. An accepted snapshot survives encoding and decoding unchanged.
 func FuzzSnapshot(f *testing.F) {
 	f.Add([]byte(`{"version":3,"docs":[{"key":"a","version":2,"value":"eA=="}]}`))
 	f.Add([]byte(`{"version":1,"docs":[{"key":"a","version":2,"value":"eA=="}]}`))
 	f.Add([]byte(`{"version":3,"docs":[{"key":"a","version":2,"value":"eA=="},{"key":"a","version":3,"value":""}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var s, again replication.Snapshot
-		if json.Unmarshal(text, &s) != nil {
+		var snapshot, decoded replication.Snapshot
+		if json.Unmarshal(text, &snapshot) != nil {
 			return
 		}
-		for k, d := range s.Documents {
-			if k != d.Key || d.Version == 0 || d.Version > s.Version || d.Value == nil {
-				t.Errorf("%+v in version %d", d, s.Version)
+		for key, document := range snapshot.Documents {
+			if key != document.Key || document.Version == 0 || document.Version > snapshot.Version || document.Value == nil {
+				t.Errorf("accepted document %+v in a snapshot of version %d", document, snapshot.Version)
 			}
 		}
-		out, err := json.Marshal(s)
+		encoded, err := json.Marshal(snapshot)
 		if err == nil {
-			err = json.Unmarshal(out, &again)
+			err = json.Unmarshal(encoded, &decoded)
 		}
-		if err != nil || again.Version != s.Version || len(again.Documents) != len(s.Documents) {
-			t.Errorf("%s becomes %s, %v", text, out, err)
+		if err != nil || decoded.Version != snapshot.Version || len(decoded.Documents) != len(snapshot.Documents) {
+			t.Errorf("%s was encoded as %s, error %v", text, encoded, err)
 		}
 	})
 }
--- a/internal/fleet/replication/table_test.go
+++ b/internal/fleet/replication/table_test.go
@@ -14,7 +14,7 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// tableModel is a plain model of the documents and of the one lease, beside the table and the lessor that it is compared with.
+// tableModel holds a DocumentTable and a lessor, and a simple model of the documents and of one lease to compare them with.
 type tableModel struct {
 	table  replication.DocumentTable
 	leases lease.Lessor
@@ -24,10 +24,10 @@
 	documents map[string]replication.Document
 	holder    string
 	token     uint64
-	expires   time.Duration // of the lease, without the drift
+	expires   time.Duration // end of the lease, without the clock drift
 }
 
-// modelDrift is the lessor's drift, and modelTerm the lease's term.
+// Clock drift of the lessor and term of the lease, in the model's time units.
 const (
 	modelDrift = 10
 	modelTerm  = 50
@@ -44,29 +44,29 @@
 	}
 }
 
-// drawWrite draws a write that names the right version, or another one, or a fence.
+// drawWrite draws a write, whose expected version may be wrong and which may have a fence with the current or an older token.
 func (m *tableModel) drawWrite(t *rapid.T) replication.Write {
 	key := rapid.SampledFrom([]string{"p/a", "p/b", "q"}).Draw(t, "key")
-	w := replication.Write{Key: key, Value: []byte(rapid.String().Draw(t, "value")), ExpectedVersion: m.documents[key].Version}
+	write := replication.Write{Key: key, Value: []byte(rapid.String().Draw(t, "value")), ExpectedVersion: m.documents[key].Version}
 	if rapid.Bool().Draw(t, "other version") {
-		w.ExpectedVersion = uint64(rapid.IntRange(0, int(m.index)).Draw(t, "expect"))
+		write.ExpectedVersion = uint64(rapid.IntRange(0, int(m.index)).Draw(t, "expect"))
 	}
 	if rapid.IntRange(0, 3).Draw(t, "delete") == 0 {
-		w.Value = nil
+		write.Value = nil
 	}
 	if rapid.Bool().Draw(t, "fenced") {
-		w.Fence = replication.Fence{Lease: "d", Token: m.token - min(m.token, uint64(rapid.IntRange(0, 1).Draw(t, "old")))}
+		write.Fence = replication.Fence{Lease: "d", Token: m.token - min(m.token, uint64(rapid.IntRange(0, 1).Draw(t, "old")))}
 	}
-	return w
+	return write
 }
 
-// fenceHolds reports whether a fence holds by the model.
-func (m *tableModel) fenceHolds(f replication.Fence) bool {
+// fenceHolds reports whether a fence holds according to the model.
+func (m *tableModel) fenceHolds(fence replication.Fence) bool {
 	isHeld := m.holder != "" && m.token != 0 && m.now < m.expires+modelDrift
-	return f == replication.Fence{} || isHeld && f.Token == m.token
+	return fence == replication.Fence{} || isHeld && fence.Token == m.token
 }
 
-// write applies a write to the table and to the model, and compares what becomes of it.
+// write applies a write to the table and to the model, and compares the results.
 func (m *tableModel) write(t *rapid.T, w replication.Write) {
 	m.leases.AdvanceTime(m.now, 1, 1)
 	before := m.table.Snapshot()
@@ -78,7 +78,7 @@
 		}
 	case w.ExpectedVersion != m.documents[w.Key].Version:
 		if !errors.Is(err, replication.ErrConflict) {
-			t.Fatalf("expected %d of %d: %v", w.ExpectedVersion, m.documents[w.Key].Version, err)
+			t.Fatalf("write with expected version %d of a document at %d: %v", w.ExpectedVersion, m.documents[w.Key].Version, err)
 		}
 	case err != nil || version != m.index || m.table.Version() != m.index:
 		t.Fatalf("version %d at index %d, %v", version, m.index, err)
@@ -88,14 +88,14 @@
 		m.documents[w.Key] = replication.Document{Key: w.Key, Version: m.index, Value: w.Value}
 	}
 	if err != nil && m.table.Version() != before.Version {
-		t.Fatal("a refused write has changed the version")
+		t.Fatal("a refused write changed the version")
 	}
 }
 
 // compare compares the table's documents with the model's.
 func (m *tableModel) compare(t *rapid.T) {
 	if len(m.table.Snapshot().Documents) != len(m.documents) {
-		t.Fatalf("%v, want %v", m.table.Snapshot(), m.documents)
+		t.Fatalf("table has %v, want %v", m.table.Snapshot(), m.documents)
 	}
 	for key, want := range m.documents {
 		if got := m.table.Get(key); got.Version != want.Version || !bytes.Equal(got.Value, want.Value) {
@@ -104,12 +104,12 @@
 	}
 }
 
-// restore replaces the table by one that is decoded from its encoding.
+// restore encodes the table and replaces it with the decoded copy.
 func (m *tableModel) restore(t *rapid.T) {
-	text, err := json.Marshal(&m.table)
+	encoded, err := json.Marshal(&m.table)
 	var restored replication.DocumentTable
 	if err == nil {
-		err = json.Unmarshal(text, &restored)
+		err = json.Unmarshal(encoded, &restored)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -117,32 +117,32 @@
 	m.table = restored
 }
 
-// Writes, leases and restores from snapshots, in any order, agree with a plain model: a write is accepted if its fence holds and its
-// expected version is the document's, versions only grow, and a refused write changes nothing.
+// Any sequence of writes, lease requests and restores agrees with the model: a write is accepted if its fence holds and its expected
+// version is that of the document, versions increase, and a refused write changes nothing.
 func TestDocumentTableApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := tableModel{leases: lease.Lessor{MaxClockDrift: modelDrift}, documents: map[string]replication.Document{}}
+		model := tableModel{leases: lease.Lessor{MaxClockDrift: modelDrift}, documents: map[string]replication.Document{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			m.index += uint64(rapid.IntRange(1, 3).Draw(t, "gap"))
-			m.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "pause"))
+			model.index += uint64(rapid.IntRange(1, 3).Draw(t, "gap"))
+			model.now += time.Duration(rapid.IntRange(0, 30).Draw(t, "pause"))
 			if rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
-				m.acquire(t)
+				model.acquire(t)
 				continue
 			}
-			m.write(t, m.drawWrite(t))
-			m.compare(t)
+			model.write(t, model.drawWrite(t))
+			model.compare(t)
 			if rapid.IntRange(0, 5).Draw(t, "restore") == 0 {
-				m.restore(t)
+				model.restore(t)
 			}
 		}
 	})
 }
 
-// The table refuses a document that is too large, one without a key, and what is over its bounds in bytes and in number.
+// The table refuses a document that is too large or lacks a key, and documents beyond the limits of total size and number.
 func TestDocumentTableBounds(t *testing.T) {
 	var table replication.DocumentTable
-	put := func(key string, bytes int) error {
-		_, err := table.Apply(replication.Write{Key: key, Value: make([]byte, bytes)}, table.Version()+1, &lease.Lessor{})
+	put := func(key string, size int) error {
+		_, err := table.Apply(replication.Write{Key: key, Value: make([]byte, size)}, table.Version()+1, &lease.Lessor{})
 		return err
 	}
 	if err := put("big", replication.MaxDocumentSize+1); !errors.Is(err, replication.ErrTooLarge) {
@@ -151,19 +151,19 @@
 	if err := put("", 1); !errors.Is(err, replication.ErrTooLarge) {
 		t.Error(err)
 	}
-	countFitting := func(bytes int) int {
-		n := 0
-		for put(fmt.Sprint(n), bytes) == nil {
-			n++
+	countFitting := func(size int) int {
+		count := 0
+		for put(fmt.Sprint(count), size) == nil {
+			count++
 		}
-		return n
+		return count
 	}
-	// The keys take some of the last document's bytes.
-	if n := countFitting(replication.MaxDocumentSize); n != replication.MaxTotalSize/replication.MaxDocumentSize-1 {
-		t.Errorf("%d largest documents fit", n)
+	// The keys count too, so the last document does not fit.
+	if count := countFitting(replication.MaxDocumentSize); count != replication.MaxTotalSize/replication.MaxDocumentSize-1 {
+		t.Errorf("%d documents of the maximum size fit", count)
 	}
 	table = replication.DocumentTable{}
-	if n := countFitting(1); n != replication.MaxDocuments {
-		t.Errorf("%d documents fit", n)
+	if count := countFitting(1); count != replication.MaxDocuments {
+		t.Errorf("%d documents fit", count)
 	}
 }
