--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -20,14 +20,14 @@
 	"threadsail/internal/goldentest"
 )
 
-func goldenState() replication.Snapshot {
+func goldenSnapshot() replication.Snapshot {
 	return replication.Snapshot{Version: 9, Documents: map[string]replication.Document{"purge/plan": {Key: "purge/plan", Version: 9, Value: []byte("plan")}}}
 }
 
 func TestMessageForms(t *testing.T) {
 	goldentest.CheckJSONOf(t, "ask.json", goldentest.Filled[request](t))
 	full := goldentest.Filled[response](t)
-	state := goldenState()
+	state := goldenSnapshot()
 	full.State = &state
 	goldentest.CheckJSONOf(t, "answer.json", full)
 	goldentest.CheckJSONOf(t, "set.json", goldentest.Filled[voterSet](t))
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -27,7 +27,7 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// Peer is the name of a voter's pooler and the address at which this process reaches the voter.
+// Peer is a voter. Name is the name of its pooler, and Addr the address at which this process reaches it.
 type Peer struct{ Name, Addr string }
 
 // Options are the settings of a voter.
@@ -71,24 +71,24 @@
 }
 
 // Start opens the log in Options.Dir and starts a voter. Without a log it bootstraps the cluster, unless Options.Join is set;
-// otherwise it continues from the log. It returns an error if the address can't be listened on or the log can't be opened. The
-// caller must call Close.
-func Start(o Options) (*Voter, error) {
-	listener, err := net.Listen("tcp", o.ListenAddr)
+// otherwise it continues from the log. It returns an error if it can't listen on the address or open the log. The caller must
+// call Close.
+func Start(opts Options) (*Voter, error) {
+	listener, err := net.Listen("tcp", opts.ListenAddr)
 	if err != nil {
 		return nil, fmt.Errorf("consensus: listen: %w", err)
 	}
-	if o.OnDocumentsChanged == nil {
-		o.OnDocumentsChanged = func(replication.Snapshot) {}
+	if opts.OnDocumentsChanged == nil {
+		opts.OnDocumentsChanged = func(replication.Snapshot) {}
 	}
 	v := &Voter{
-		options:   o,
-		log:       o.Log,
-		state:     &stateMachine{lessor: lease.Lessor{MaxClockDrift: o.MaxClockDrift}, onDocumentsChanged: o.OnDocumentsChanged},
+		options:   opts,
+		log:       opts.Log,
+		state:     &stateMachine{lessor: lease.Lessor{MaxClockDrift: opts.MaxClockDrift}, onDocumentsChanged: opts.OnDocumentsChanged},
 		startedAt: time.Now(),
 		shutdown:  make(chan struct{}),
 	}
-	v.streams = newStreamLayer(listener, v.shutdown, o.Traffic)
+	v.streams = newStreamLayer(listener, v.shutdown, opts.Traffic)
 	if err := v.startRaft(); err != nil {
 		_ = listener.Close()
 		if v.boltStore != nil {
@@ -96,7 +96,7 @@
 		}
 		return nil, fmt.Errorf("consensus: start: %w", err)
 	}
-	v.SetVoters(o.VotersRevision, o.Voters)
+	v.SetVoters(opts.VotersRevision, opts.Voters)
 	v.goroutines.Go(v.acceptConnections)
 	v.goroutines.Go(v.followLeadership)
 	v.goroutines.Go(v.reconcileVoters)
--- a/internal/fleet/replication/announcement.go
+++ b/internal/fleet/replication/announcement.go
@@ -63,13 +63,13 @@
 // confirmedVersion is a version that was the newest in the log as of an instant.
 type confirmedVersion struct {
 	version     uint64
-	at          time.Time // instant, on this process's clock
+	asOf        time.Time // instant, on this process's clock
 	announcedBy string    // member that announced the version; empty if it was learned from the voters
 }
 
 // supersedes reports whether v has a newer version than other, or the same version and a later instant.
 func (v confirmedVersion) supersedes(other confirmedVersion) bool {
-	return v.version > other.version || v.version == other.version && v.at.After(other.at)
+	return v.version > other.version || v.version == other.version && v.asOf.After(other.asOf)
 }
 
 // announcementTracker tracks the newest announced version. It is safe for concurrent use.
--- a/internal/fleet/replication/catch_up.go
+++ b/internal/fleet/replication/catch_up.go
@@ -23,7 +23,7 @@
 	// Fetch returns a snapshot if the queried voter has one that is newer than the version since; newer reports whether it has. If
 	// linearizable is set, Fetch queries the leader, whose snapshot is the newest in the log at the time of the request. Otherwise it
 	// queries any voter.
-	Fetch(ctx context.Context, since uint64, linearizable bool) (s Snapshot, newer bool, err error)
+	Fetch(ctx context.Context, since uint64, linearizable bool) (snapshot Snapshot, newer bool, err error)
 }
 
 // catchUp fetches newer versions whenever one is announced, until ctx ends. If there are no announcements for maxMissedHeartbeats, it
@@ -132,6 +132,6 @@
 		version = snapshot.Version
 	}
 	if confirmed {
-		r.observe(confirmedVersion{version: version, at: requestedAt})
+		r.observe(confirmedVersion{version: version, asOf: requestedAt})
 	}
 }
--- a/internal/fleet/replication/golden_test.go
+++ b/internal/fleet/replication/golden_test.go
@@ -9,7 +9,7 @@
 	"threadsail/internal/goldentest"
 )
 
-func goldenState() Snapshot {
+func goldenSnapshot() Snapshot {
 	return Snapshot{Version: 9, Documents: map[string]Document{
 		"limits/set": {Key: "limits/set", Version: 7, Value: []byte(`{"revision":3}`)},
 		"purge/plan": {Key: "purge/plan", Version: 9, Value: []byte("plan")},
@@ -20,13 +20,13 @@
 	goldentest.CheckJSONOf(t, "doc.json", goldentest.Filled[Document](t))
 	goldentest.CheckJSONOf(t, "write.json", goldentest.Filled[Write](t))
 	goldentest.CheckJSONOf(t, "saved.json", goldentest.Filled[encodedSnapshot](t))
-	goldentest.CheckJSONOf(t, "state.json", goldenState())
+	goldentest.CheckJSONOf(t, "state.json", goldenSnapshot())
 	goldentest.CheckJSONOf(t, "delta.json", goldentest.Filled[Delta](t))
 	goldentest.CheckJSONOf(t, "word.json", goldentest.Filled[announcement](t))
 }
 
 // The document table keeps the encoding that earlier builds wrote into raft snapshots.
-func TestStoredDocs(t *testing.T) {
+func TestStoredDocumentTable(t *testing.T) {
 	var table, decoded DocumentTable
 	for index, key := range []string{"limits/set", "purge/plan", "shards/map"} {
 		if _, err := table.Apply(Write{Key: key, Value: []byte(key)}, uint64(index+5), &lease.Lessor{}); err != nil {
@@ -47,9 +47,9 @@
 }
 
 // The snapshot file keeps its name, magic, length and checksum, and a file of an earlier build can be loaded.
-func TestStoredCopy(t *testing.T) {
+func TestStoredSnapshotFile(t *testing.T) {
 	confirmedAt := time.Date(2026, time.December, 2, 17, 35, 0, 123456789, time.UTC)
-	content, err := encodeSnapshotFile(goldenState(), confirmedAt)
+	content, err := encodeSnapshotFile(goldenSnapshot(), confirmedAt)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/replication/replicator.go
+++ b/internal/fleet/replication/replicator.go
@@ -65,21 +65,21 @@
 
 // StartReplicator starts a Replicator, which runs until ctx ends, and returns without waiting for it. The handlers that it registers
 // on the bus are not removed.
-func StartReplicator(ctx context.Context, o ReplicatorOptions) {
-	if o.Name == "" {
-		o.Name = defaultReplicaName
+func StartReplicator(ctx context.Context, opts ReplicatorOptions) {
+	if opts.Name == "" {
+		opts.Name = defaultReplicaName
 	}
 	r := &Replicator{
-		ReplicatorOptions: o,
+		ReplicatorOptions: opts,
 		transferSlots:     make(chan struct{}, maxTransfers),
 		newerAnnounced:    make(chan struct{}, 1),
 		responseReceived:  make(chan struct{}, 1),
 	}
 	r.announcements.lastObservedAt = time.Now()
-	o.Bus.Handle(r.busTopic(topicAnnouncement), r.handleAnnouncement)
-	o.Bus.Handle(r.busTopic(topicFetch), r.handleFetch)
-	o.Bus.Handle(r.busTopic(topicSnapshot), r.handleSnapshot)
-	if o.Confirm != nil {
+	opts.Bus.Handle(r.busTopic(topicAnnouncement), r.handleAnnouncement)
+	opts.Bus.Handle(r.busTopic(topicFetch), r.handleFetch)
+	opts.Bus.Handle(r.busTopic(topicSnapshot), r.handleSnapshot)
+	if opts.Confirm != nil {
 		go r.announce(ctx) // ends with ctx
 	}
 	go r.catchUp(ctx) // ends with ctx
@@ -94,7 +94,7 @@
 	for ctx.Err() == nil {
 		changed := r.Replica.Changed()
 		if version, confirmedAt, ok := r.Confirm(); ok {
-			r.observe(confirmedVersion{version: version, at: confirmedAt})
+			r.observe(confirmedVersion{version: version, asOf: confirmedAt})
 			next := announcements.next(version, confirmedAt, r.Replica.Snapshot())
 			if body, err := json.Marshal(next); err == nil {
 				r.Bus.Broadcast(r.busTopic(topicAnnouncement), body)
@@ -124,14 +124,14 @@
 			r.Replica.Install(next)
 		}
 	}
-	r.observe(confirmedVersion{version: a.Version, at: confirmedAt, announcedBy: from})
+	r.observe(confirmedVersion{version: a.Version, asOf: confirmedAt, announcedBy: from})
 }
 
 // observe records an announced version, confirms the replica with the newest one recorded, and wakes catchUp if the replica lags
 // behind.
 func (r *Replicator) observe(v confirmedVersion) {
 	newest := r.announcements.observe(v)
-	if !r.Replica.Confirm(newest.version, newest.at) {
+	if !r.Replica.Confirm(newest.version, newest.asOf) {
 		r.logReplicaAhead(newest.version)
 	}
 	if newest.version > r.Replica.Version() {
@@ -204,5 +204,5 @@
 func (r *Replicator) install(s Snapshot) {
 	r.Replica.Install(s)
 	newest := r.announcements.newestVersion()
-	r.Replica.Confirm(newest.version, newest.at)
+	r.Replica.Confirm(newest.version, newest.asOf)
 }
--- a/internal/fleet/replication/snapshot_file.go
+++ b/internal/fleet/replication/snapshot_file.go
@@ -45,8 +45,8 @@
 
 // SaveSnapshot saves a replica's snapshot and the time of its last confirmation, which is zero if there is none, into a directory.
 // After an error an earlier snapshot file is unchanged, unless only the sync of the directory failed.
-func SaveSnapshot(dir string, s Snapshot, confirmedAt time.Time) error {
-	content, err := encodeSnapshotFile(s, confirmedAt)
+func SaveSnapshot(dir string, snapshot Snapshot, confirmedAt time.Time) error {
+	content, err := encodeSnapshotFile(snapshot, confirmedAt)
 	if err != nil {
 		return fmt.Errorf("replication: encode snapshot: %w", err)
 	}
@@ -99,8 +99,8 @@
 }
 
 // encodeSnapshotFile returns the content of a snapshot file.
-func encodeSnapshotFile(s Snapshot, confirmedAt time.Time) ([]byte, error) {
-	payload, err := json.Marshal(snapshotFile{ConfirmedAt: confirmedAt, Snapshot: s})
+func encodeSnapshotFile(snapshot Snapshot, confirmedAt time.Time) ([]byte, error) {
+	payload, err := json.Marshal(snapshotFile{ConfirmedAt: confirmedAt, Snapshot: snapshot})
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 
 // LoadSnapshot loads the snapshot in a directory and the time of its last confirmation. It returns an empty snapshot if there is no
 // file, and an error that wraps ErrDamaged if the file is corrupted. It removes temporary files that a crash has left.
-func LoadSnapshot(dir string) (s Snapshot, confirmedAt time.Time, err error) {
+func LoadSnapshot(dir string) (snapshot Snapshot, confirmedAt time.Time, err error) {
 	if temporary, err := filepath.Glob(filepath.Join(dir, snapshotFileName+".*")); err == nil {
 		for _, name := range temporary {
 			_ = os.Remove(name) // on failure the next start retries; temporary files are never read
@@ -130,7 +130,7 @@
 }
 
 // decodeSnapshotFile decodes the content of a snapshot file. Its error wraps ErrDamaged.
-func decodeSnapshotFile(content []byte) (s Snapshot, confirmedAt time.Time, err error) {
+func decodeSnapshotFile(content []byte) (snapshot Snapshot, confirmedAt time.Time, err error) {
 	if len(content) < snapshotFileHeaderSize || string(content[:len(snapshotFileMagic)]) != snapshotFileMagic {
 		return Snapshot{}, time.Time{}, ErrDamaged
 	}
