--- a/internal/fleet/outlier/aggregation.go
+++ b/internal/fleet/outlier/aggregation.go
@@ -6,44 +6,45 @@
 	"strings"
 )
 
-// maxNamedObservers bounds the observers that a finding names.
+// maxNamedObservers is the maximum number of observers that a finding lists by name.
 const maxNamedObservers = 8
 
-// Finding is what the joined reports of all observers say of one server, and what that rests on.
+// Finding is the aggregated evidence of all observers about one server or tenant.
 type Finding struct {
 	Server                           string
-	Good, Failed, Slow               uint32 // attempts, of observers that count
-	Complainers, Zones               int    // observers that complain, and their zones
-	Satisfied                        int    // observers that have evidence and do not complain
-	LostPrimary, LostPrimaryZones    int    // observers for which it lost the place of its group's primary, and their zones
-	ComplainerNames                  []string
-	complaintWeight, satisfiedWeight float64 // of the observations
-	// Elsewhere is the median over observers of the share of their attempts at other servers that failed or were slow.
-	Elsewhere float64
+	Good, Failed, Slow               uint32   // attempts by outcome; complaints of unreliable observers are excluded
+	Complainers, Zones               int      // number of observers that complain, and of their zones
+	Satisfied                        int      // number of observers that have evidence and do not complain
+	LostPrimary, LostPrimaryZones    int      // number of observers that lost the server as their group's primary, and of their zones
+	ComplainerNames                  []string // at most maxNamedObservers
+	complaintWeight, satisfiedWeight float64  // total weights of the observations that do, and do not, complain
+	// FailureRateElsewhere is the median over observers of the share of their attempts at other servers that failed or were slow.
+	FailureRateElsewhere float64
 }
 
-// String tells the evidence in the log.
+// String returns the evidence as text for the log.
 func (f Finding) String() string {
-	return fmt.Sprintf("%d observers in %d zones against %d others; %d failed, %d slow, %d good; elsewhere %.2f bad; %s",
-		f.Complainers, f.Zones, f.Satisfied, f.Failed, f.Slow, f.Good, f.Elsewhere, strings.Join(f.ComplainerNames, ","))
+	return fmt.Sprintf("%d observers in %d zones complain, %d do not; attempts: %d failed, %d slow, %d good; failure rate elsewhere: %.2f; complaining: %s",
+		f.Complainers, f.Zones, f.Satisfied, f.Failed, f.Slow, f.Good, f.FailureRateElsewhere, strings.Join(f.ComplainerNames, ","))
 }
 
-// isUnreliable reports whether an observer's complaints do not count: it complains of more than half of the servers that it has evidence
-// of, so that its own link is the likelier cause. Where more than half of all servers fail no server is ejected, which the share of a
-// group would forbid anyway.
+// isUnreliable reports whether the complaints of an observer are ignored. An observer that complains about more than half of the servers
+// for which it has evidence more likely has a bad link itself. As a consequence no server is ejected while more than half of all servers
+// fail, which the limit on ejected members of a group would prevent anyway.
 func isUnreliable(r Report) bool { return 2*r.Complaints > r.ServersSeen }
 
-// aggregateServers joins the reports' observations of servers. The findings follow from the set of reports alone, whatever their order.
+// aggregateServers aggregates the observations of servers and returns the findings by server. The result does not depend on the order of
+// the reports.
 func aggregateServers(reports []observerReport) map[string]Finding {
 	findings := aggregate(reports, serversOf, isUnreliable)
 	for server, finding := range findings {
-		finding.Elsewhere = failureShareElsewhere(reports, server)
+		finding.FailureRateElsewhere = failureRateElsewhere(reports, server)
 		findings[server] = finding
 	}
 	return findings
 }
 
-// aggregateTenants joins the reports' observations of tenants, by tenant.
+// aggregateTenants aggregates the observations of tenants and returns the findings by tenant.
 func aggregateTenants(reports []observerReport) map[string]Finding {
 	return aggregate(reports, tenantsOf, func(Report) bool { return false })
 }
@@ -51,8 +52,8 @@
 func serversOf(r observerReport) []Observation { return r.Servers }
 func tenantsOf(r observerReport) []Observation { return r.Tenants }
 
-// complainedAbout returns the servers or tenants that any report complains of, or has lost as a primary.
-func complainedAbout(reports []observerReport, observationsOf func(observerReport) []Observation) map[string]bool {
+// reportableNames returns the names of the servers or tenants with at least one reportable observation: a complaint or a lost primary.
+func reportableNames(reports []observerReport, observationsOf func(observerReport) []Observation) map[string]bool {
 	names := map[string]bool{}
 	for _, r := range reports {
 		for _, o := range observationsOf(r) {
@@ -64,16 +65,16 @@
 	return names
 }
 
-// failureShareElsewhere returns how bad all other servers are to the median observer: on a day when everything is slow or fails, as on
-// overloaded machines, no one server is the cause.
-func failureShareElsewhere(reports []observerReport, server string) float64 {
+// failureRateElsewhere returns the median over observers of the failure rate at all servers other than server, or 0 with fewer than
+// minElsewhereObservers observers. While everything fails or is slow, as on overloaded machines, no single server is the cause.
+func failureRateElsewhere(reports []observerReport, server string) float64 {
 	var shares []float64
 	for _, r := range reports {
 		var observation Observation
 		if i := slices.IndexFunc(r.Servers, func(o Observation) bool { return o.Server == server }); i >= 0 {
 			observation = r.Servers[i]
 		}
-		if share, ok := r.failureShareElsewhere(observation); ok {
+		if share, ok := r.failureRateElsewhere(observation); ok {
 			shares = append(shares, share)
 		}
 	}
@@ -84,14 +85,15 @@
 	return shares[len(shares)/2]
 }
 
-// findingBuilder is a finding while observations are added.
+// findingBuilder accumulates observations into a finding.
 type findingBuilder struct {
 	Finding
-	zones            map[string]bool // of complainers
-	lostPrimaryZones map[string]bool
+	zones            map[string]bool // zones of the complaining observers
+	lostPrimaryZones map[string]bool // zones of the observers that lost the primary
 }
 
-// aggregate joins observations by their server. unreliable reports whether a report's complaints do not count.
+// aggregate groups the observations selected by observationsOf by their server and returns one finding for each. unreliable reports
+// whether the complaints of a report are ignored. aggregate sorts reports in place.
 func aggregate(reports []observerReport, observationsOf func(observerReport) []Observation, unreliable func(Report) bool) map[string]Finding {
 	slices.SortFunc(reports, func(a, b observerReport) int { return strings.Compare(a.observer, b.observer) })
 	builders := map[string]*findingBuilder{}
@@ -112,7 +114,7 @@
 	return findings
 }
 
-// add adds one observer's observation.
+// add adds one observation of an observer. A complaint of an unreliable observer is ignored.
 func (b *findingBuilder) add(r observerReport, o Observation, unreliable bool) {
 	if o.LostPrimary {
 		b.LostPrimary++
--- a/internal/fleet/outlier/aggregation_test.go
+++ b/internal/fleet/outlier/aggregation_test.go
@@ -7,24 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// Fewer liars than MinObservers, or liars in fewer zones than MinZones, eject no server, whatever they report and however little the others
-// see; nor do any number of them that is outweighed.
-func TestLiars(t *testing.T) {
+// Faulty observers that are fewer than MinObservers, or in fewer than MinZones zones, cannot eject a server or report its primary down,
+// whatever they report and however little evidence the other observers have.
+func TestFaultyObservers(t *testing.T) {
 	servers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		few := rapid.Bool().Draw(t, "few")
 		var reports []observerReport
-		liars := rapid.IntRange(0, 8).Draw(t, "liars")
+		faultyObservers := rapid.IntRange(0, 8).Draw(t, "faulty observers")
 		if few {
-			liars = min(liars, testSettings.MinObservers-1)
+			faultyObservers = min(faultyObservers, testSettings.MinObservers-1)
 		}
-		for i := range liars {
+		for i := range faultyObservers {
 			r := drawReport(t, servers)
 			if !few {
 				r.Zone = "z1"
 			}
-			r.Complaints, r.ServersSeen = 0, 100 // it hides how much it complains
-			reports = append(reports, observerReport{fmt.Sprint("liar", i), r})
+			r.Complaints, r.ServersSeen = 0, 100 // hides its complaints, so that it is not unreliable
+			reports = append(reports, observerReport{fmt.Sprint("faulty", i), r})
 		}
 		for i := range rapid.IntRange(0, 5).Draw(t, "honest") {
 			r := Report{Zone: rapid.SampledFrom([]string{"z1", "z2"}).Draw(t, "zone"), ServersSeen: 3}
@@ -41,8 +41,8 @@
 	})
 }
 
-// Many liars in many zones weigh no more than as many honest observers.
-func TestMajority(t *testing.T) {
+// Observers that report huge numbers of failures weigh no more than the same number of observers with good answers.
+func TestObserverWeightIsBounded(t *testing.T) {
 	var reports []observerReport
 	for i := range 10 {
 		o := Observation{Server: "a", Failed: 1 << 31, Slow: 1 << 31}
@@ -56,7 +56,7 @@
 	}
 }
 
-// An observer that complains of most of what it sees has a bad link: its complaints do not count, its good answers do.
+// An observer that complains about most of the servers that it sees has a bad link: its complaints are ignored, its good answers count.
 func TestUnreliableObserver(t *testing.T) {
 	var reports []observerReport
 	for i := range 4 {
@@ -65,18 +65,19 @@
 	}
 	findings := aggregateServers(reports)
 	if f := findings["a"]; f.Complainers > 0 || testSettings.shouldEject(f, false) {
-		t.Errorf("a: got %v, want no complainers", f)
+		t.Errorf("a: got %v, want no complaining observers", f)
 	}
 	if f := findings["c"]; f.Satisfied != 4 {
-		t.Errorf("c: got %v, want 4 others", f)
+		t.Errorf("c: got %v, want 4 satisfied observers", f)
 	}
 }
 
-// Where everything fails and is slow no server is ejected; one that is by far the worst is, and a few failures are not enough.
-func TestEverythingIsBad(t *testing.T) {
+// A server is ejected only if its failure rate is far above that of the other servers: neither when all servers fail or are slow, nor
+// after too few failures.
+func TestFailuresElsewhere(t *testing.T) {
 	for _, c := range []struct {
 		observation      Observation
-		failed, attempts int // at all servers
+		failed, attempts int // of each observer, at all servers
 		want             bool
 	}{
 		{Observation{Failed: 3, Good: 3}, 3, 20, true},
@@ -84,8 +85,8 @@
 		{Observation{Slow: 3, Good: 2}, 10, 20, false},
 		{Observation{Failed: 5}, 12, 20, true},
 		{Observation{Failed: 1}, 1, 20, false},
-		{Observation{Failed: 2}, 2, 2, true},    // nothing else is seen
-		{Observation{Failed: 6}, 20, 20, false}, // nothing else is any better
+		{Observation{Failed: 2}, 2, 2, true},    // no attempts at other servers
+		{Observation{Failed: 6}, 20, 20, false}, // all other servers fail too
 	} {
 		c.observation.Server = "a"
 		var reports []observerReport
@@ -93,7 +94,7 @@
 			reports = append(reports, observerReport{fmt.Sprint("n", i), Report{Zone: fmt.Sprint("z", i), ServersSeen: 4, Complaints: 1,
 				FailedAttempts: c.failed, Attempts: c.attempts, Servers: []Observation{c.observation}}})
 		}
-		reports = append(reports, observerReport{"liar", Report{ServersSeen: 4, FailedAttempts: 1 << 30, Attempts: 1 << 30}})
+		reports = append(reports, observerReport{"faulty", Report{ServersSeen: 4, FailedAttempts: 1 << 30, Attempts: 1 << 30}})
 		if got := testSettings.shouldEject(aggregateServers(reports)["a"], false); got != c.want {
 			t.Errorf("%+v, %d of %d: got %v, want %v", c.observation, c.failed, c.attempts, got, c.want)
 		}
--- a/internal/fleet/outlier/cluster_test.go
+++ b/internal/fleet/outlier/cluster_test.go
@@ -20,26 +20,26 @@
 // clusterServers are the servers of a cluster's one group.
 var clusterServers = []string{"a", "b", "c", "d"}
 
-// ownProbeInterval is how long a testPooler that has left a server waits before it tries it again.
+// ownProbeInterval is the time between two attempts of a testPooler at a server that it avoids.
 const ownProbeInterval = 3 * time.Second
 
-// testPooler is a pooler as the component sees one: it sends reads to the servers of one group, leaves a server after two failures or by
-// the fleet's ejection, and tries it then each ownProbeInterval.
+// testPooler simulates a pooler with a Component. It sends reads to the servers of one group. It avoids a server after consecutiveFailures
+// failures, or while the fleet ejects it, and then sends it one read each ownProbeInterval.
 type testPooler struct {
 	*Component
 	name         string
-	readInterval time.Duration // the mean
+	readInterval time.Duration // mean time between reads
 	isBad        func(server string) bool
 	idle         atomic.Bool
 	primaryDowns atomic.Int32
 	stop         context.CancelFunc
-	lastSentAt   map[string]time.Time // by server; of the reading goroutine, as are failures
-	failures     map[string]int       // in a row
+	lastSentAt   map[string]time.Time // by server; used only by the goroutine of read
+	failures     map[string]int       // consecutive failures by server; used only by the goroutine of read
 
 	mu         sync.Mutex // guards the fields below
 	ejected    map[string]bool
 	records    []audit.Record
-	badSendsAt map[string][]time.Time // reads to servers that were bad for this pooler
+	badSendsAt map[string][]time.Time // by server: times of the reads sent while the server was bad for this pooler
 }
 
 // SetEjected implements Host.
@@ -55,14 +55,14 @@
 // Members implements Host.
 func (p *testPooler) Members() map[int][]string { return map[int][]string{0: clusterServers} }
 
-// ejects reports whether the pooler leaves a server by the fleet's ejection.
+// ejects reports whether the pooler avoids a server because the fleet ejects it.
 func (p *testPooler) ejects(server string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ejected[server]
 }
 
-// countEjected counts the servers that the pooler leaves by the fleet's ejection.
+// countEjected returns the number of servers that the pooler avoids because the fleet ejects them.
 func (p *testPooler) countEjected() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	p.records = append(p.records, r)
 }
 
-// read sends reads to servers at random, until ctx ends.
+// read sends reads to randomly chosen servers until ctx is done.
 func (p *testPooler) read(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		select {
@@ -96,10 +96,10 @@
 	}
 }
 
-// readFrom sends a read to a server, unless the pooler has left it.
+// readFrom sends a read to a server, unless the pooler avoids the server and has sent it a read within ownProbeInterval.
 func (p *testPooler) readFrom(now time.Time, server string) {
-	hasLeft := p.failures[server] >= consecutiveFailures || p.ejects(server)
-	if hasLeft && now.Sub(p.lastSentAt[server]) < ownProbeInterval {
+	avoidsServer := p.failures[server] >= consecutiveFailures || p.ejects(server)
+	if avoidsServer && now.Sub(p.lastSentAt[server]) < ownProbeInterval {
 		return
 	}
 	p.lastSentAt[server] = now
@@ -118,16 +118,16 @@
 	p.Observe(server, 0, Failure, time.Second)
 }
 
-// cluster is poolers in three zones on one network, in a synctest bubble.
+// cluster is a set of poolers in three zones on one network. It must run in a synctest bubble.
 type cluster struct {
 	network *bustest.Network
 	poolers []*testPooler
 	seed    uint64
-	ctx     context.Context // of all poolers
+	ctx     context.Context // parent of the contexts of all poolers
 	running sync.WaitGroup
 }
 
-// startCluster starts n poolers; isBad tells when a server is bad for one of them.
+// startCluster starts n poolers. isBad reports whether a server currently fails the reads of a pooler.
 func startCluster(t *testing.T, n int, seed uint64, readInterval time.Duration, isBad func(pooler int, server string) bool) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &cluster{network: bustest.New(seed), poolers: make([]*testPooler, n), seed: seed, ctx: ctx}
@@ -141,7 +141,7 @@
 	return c
 }
 
-// startPooler starts the i-th pooler, in the place of one that was there.
+// startPooler starts the i-th pooler and replaces the previous one, if any.
 func (c *cluster) startPooler(i int, readInterval time.Duration, isBad func(server string) bool) {
 	ctx, stop := context.WithCancel(c.ctx)
 	p := &testPooler{name: fmt.Sprint("n", i), readInterval: readInterval, isBad: isBad, stop: stop, lastSentAt: map[string]time.Time{},
@@ -153,7 +153,7 @@
 	c.running.Go(func() { p.read(ctx, rand.New(rand.NewPCG(c.seed, uint64(i)))) })                           // ends with ctx
 }
 
-// names returns the names of the poolers from one to another.
+// names returns the names of the poolers with indices in [from, to).
 func (c *cluster) names(from, to int) (names []string) {
 	for _, p := range c.poolers[from:to] {
 		names = append(names, p.name)
@@ -161,7 +161,7 @@
 	return names
 }
 
-// countEjecting counts the poolers that leave a server by the fleet's ejection.
+// countEjecting returns the number of poolers that avoid a server because the fleet ejects it.
 func (c *cluster) countEjecting(server string) (n int) {
 	for _, p := range c.poolers {
 		if p.ejects(server) {
@@ -171,7 +171,7 @@
 	return n
 }
 
-// countEjections counts the ejections of a server that have ever begun at any pooler.
+// countEjections returns the number of ejections of a server that have begun so far, at all poolers together.
 func (c *cluster) countEjections(server string) (n int) {
 	for _, p := range c.poolers {
 		p.mu.Lock()
@@ -185,7 +185,7 @@
 	return n
 }
 
-// requireNoEjections fails if a server was ever ejected by any pooler.
+// requireNoEjections fails the test if any pooler has ever ejected one of the servers.
 func (c *cluster) requireNoEjections(t *testing.T, servers ...string) {
 	t.Helper()
 	for _, server := range servers {
@@ -195,7 +195,7 @@
 	}
 }
 
-// countBadSends counts the reads that went to a server while it was bad, from one time to another.
+// countBadSends returns the number of reads that were sent to a server while it was bad, after from and up to to.
 func (c *cluster) countBadSends(server string, from, to time.Time) (n int) {
 	for _, p := range c.poolers {
 		p.mu.Lock()
@@ -209,19 +209,19 @@
 	return n
 }
 
-// broadcasts returns how many broadcasts the network has carried.
+// broadcasts returns the number of broadcasts on the network so far.
 func (c *cluster) broadcasts() int {
 	_, broadcasts := c.network.MessageCounts()
 	return broadcasts
 }
 
-// requireWithin waits until something holds, for so long at most, and returns how long it took.
-func requireWithin(t *testing.T, limit time.Duration, what string, holds func() bool) time.Duration {
+// requireWithin waits until condition returns true and returns how long that took. It fails the test if that takes longer than limit.
+func requireWithin(t *testing.T, limit time.Duration, description string, condition func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
-	for !holds() {
+	for !condition() {
 		if time.Since(start) > limit {
-			t.Fatalf("not within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, description)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/fleet/outlier/component.go
+++ b/internal/fleet/outlier/component.go
@@ -11,48 +11,49 @@
 	"threadsail/internal/fleet"
 )
 
-// topicReport is the topic of reports.
+// topicReport is the topic on which reports are broadcast.
 const topicReport = "verdict"
 
 const (
-	// evaluationInterval is the time between two evaluations; a fleet of more than 100 has 1 ms for each pooler, as each evaluation takes
-	// so much longer.
+	// evaluationInterval is the minimum time between two evaluations. In a fleet of more than 100 poolers the interval is 1 ms for each
+	// pooler, as the cost of an evaluation grows with the fleet.
 	evaluationInterval = 100 * time.Millisecond
-	// trafficLogInterval is the time between two lines on the reports' traffic.
+	// trafficLogInterval is the time between two log lines about report traffic.
 	trafficLogInterval = 10 * time.Second
-	// membersInterval is the time between two looks at the fleet's members: of hundreds that takes longer than to evaluate in a calm.
+	// membersInterval is the time between two reads of the fleet's members. With hundreds of members, reading them takes longer than an
+	// evaluation without complaints.
 	membersInterval = time.Second
 )
 
-// Host carries ejections out at this pooler. Its methods may be called on any goroutine and must not wait.
+// Host enforces the fleet's ejections at this pooler. Its methods may be called from any goroutine and must not block.
 type Host interface {
-	// SetEjected tells that the fleet ejects a server, or no longer; the pooler weighs that against its own evidence.
+	// SetEjected sets whether the fleet ejects a server. The host combines this with the pooler's own evidence.
 	SetEjected(server string, ejected bool)
-	// ReportPrimaryDown tells that several poolers have lost a group's primary.
+	// ReportPrimaryDown reports that enough poolers have lost the primary of a group.
 	ReportPrimaryDown(group int)
-	// Members returns the servers that are listed as ready, by group, as of lately.
+	// Members returns, by group, the servers that were listed as ready when the host last refreshed them.
 	Members() map[int][]string
 }
 
-// Component is the fleet's outlier detection at one pooler. It is a fleet.Component, and a dispatch.Guard that keeps reads off an ejected
-// server while other poolers probe it. MaySend must not be asked about a request that only one member of its group can serve: a write, or
-// a read of what was written just now. It is safe for use by several goroutines.
+// Component is one pooler's part of the fleet's outlier detection. It implements fleet.Component, and a dispatch.Guard that sends reads to
+// other servers than an ejected one while other poolers probe it. MaySend must not be called for a request that only one member of its
+// group can serve: a write, or a read that must see the latest write. Component is safe for concurrent use.
 type Component struct {
 	settings Settings
 	host     Host
-	jitter   float64 // of this pooler's ejections, so that not all poolers return to a server at once
+	jitter   float64 // in [0, 1): lengthens this pooler's ejections, so that the poolers do not all return to a server at once
 
 	mu         sync.Mutex // guards the fields below
-	fleet      []string   // poolers that are alive
+	fleet      []string   // names of the poolers that are alive
 	local      localEvidence
-	reports    reportStore // of the others
+	reports    reportStore // reports of the other poolers
 	ejections  ejections
 	selection  selection
 	tenants    tenantCounts
-	hotTenants ejections // by tenant
+	hotTenants ejections // findings that a tenant is hot, tracked like ejections, by tenant
 	reporter   reporter
 	notifier   notifier
-	counts     reportCounts
+	counts     reportCounts // since the last traffic log line
 }
 
 var (
@@ -60,7 +61,7 @@
 	_ dispatch.Guard  = (*Component)(nil)
 )
 
-// New returns a component that has seen nothing. zone is the pooler's.
+// New returns a component without any evidence. zone is the zone of this pooler.
 func New(settings Settings, zone string, host Host) *Component {
 	return &Component{
 		settings:   settings,
@@ -76,28 +77,29 @@
 	}
 }
 
-// Observe records the end of an attempt: its outcome, and how long it took.
+// Observe records a finished attempt at a server, for a request of a class, with its outcome and latency.
 func (c *Component) Observe(server string, class int, outcome Outcome, latency time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.local.observe(time.Now(), server, class, outcome, latency)
 }
 
-// LostPrimary records that a server was its group's primary here, and has lost that place by evidence.
+// LostPrimary records that this pooler no longer regards server as the primary of its group.
 func (c *Component) LostPrimary(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.local.recordLostPrimary(time.Now(), server)
 }
 
-// Hot reports whether a tenant makes half of all requests or more at most poolers. It is advice: nothing here acts by it.
+// Hot reports whether a tenant sends at least half of all requests at most poolers. The result is advisory: the package does not act on
+// it.
 func (c *Component) Hot(tenant string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hotTenants.isEjected(tenant)
 }
 
-// Admit implements dispatch.Guard: it admits every request, and counts it for the tenant whose key it names, if any.
+// Admit implements dispatch.Guard. It admits every request, and counts a request with a key for the tenant of that key.
 func (c *Component) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
 	if r.Key != "" {
 		c.mu.Lock()
@@ -107,8 +109,8 @@
 	return dispatch.Admission{}
 }
 
-// MaySend implements dispatch.Guard: it keeps a read off an ejected server unless this pooler is to probe it now, has good answers of it,
-// or knows of no other member that answers.
+// MaySend implements dispatch.Guard. It returns dispatch.SendElsewhere for an ejected server, unless this pooler is one of its current
+// probers, has fresh good answers from it, or knows no other member of the group that is responsive.
 func (c *Component) MaySend(_ time.Duration, _ *dispatch.Request, server string) dispatch.SendDecision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,18 +118,18 @@
 	if !c.selection.ejected[server] || c.selection.probing[server] || c.local.overridesFleet(now, server) {
 		return dispatch.Send
 	}
-	answers := func(member string) bool { return c.local.answers(now, member) }
-	if slices.ContainsFunc(c.selection.alternatives[server], answers) {
+	isResponsive := func(member string) bool { return c.local.isResponsive(now, member) }
+	if slices.ContainsFunc(c.selection.alternatives[server], isResponsive) {
 		return dispatch.SendElsewhere
 	}
 	return dispatch.Send
 }
 
-// RequestEnded implements dispatch.Guard. Attempts say more than final answers, which have no effect.
+// RequestEnded implements dispatch.Guard. It does nothing: outcomes are counted for each attempt (Observe), not for final answers.
 func (c *Component) RequestEnded(time.Duration, *dispatch.Request, dispatch.FinalAnswer) {}
 
-// Run implements fleet.Component: it receives reports, evaluates and reports until ctx ends. It returns no error, as the pooler goes by its
-// own evidence without the fleet's.
+// Run implements fleet.Component. It receives reports, evaluates the evidence and sends reports until ctx is done. It never returns an
+// error: without the fleet's evidence the pooler relies on its own.
 func (c *Component) Run(ctx context.Context, r fleet.Runtime) error {
 	r.Bus.Handle(topicReport, func(from string, body []byte) { c.receive(r, from, body) })
 	traffic := time.NewTicker(trafficLogInterval)
--- a/internal/fleet/outlier/component_test.go
+++ b/internal/fleet/outlier/component_test.go
@@ -6,8 +6,8 @@
 	"threadsail/internal/dispatch"
 )
 
-// A read is kept off an ejected server only where another member has just answered here; not where this pooler is to probe it, or has
-// good answers of it.
+// MaySend avoids an ejected server only if another member has recently answered this pooler, and neither if this pooler is a prober of the
+// server nor if it has had good answers from it.
 func TestMaySend(t *testing.T) {
 	for _, c := range []struct {
 		ejected, probing bool
--- a/internal/fleet/outlier/decisions.go
+++ b/internal/fleet/outlier/decisions.go
@@ -2,38 +2,41 @@
 
 import "slices"
 
-// shouldEject reports whether the evidence is enough to eject a server, or to renew its ejection: enough observers in enough zones complain,
-// the median observer, by weight, among them, and the server is by far worse than the others. Fewer liars or bad links than MinObservers
-// are never enough; more of them are not while observers with good answers outweigh them.
+// shouldEject reports whether the evidence suffices to eject a server, or to renew its ejection: at least MinObservers observers in
+// MinZones zones complain, complaints outweigh satisfied observers, and the server's failure rate far exceeds that of the other servers.
+// Fewer than MinObservers observers with false reports or bad links can never eject a server; more of them cannot while observers with
+// good answers outweigh them.
 func (s Settings) shouldEject(f Finding, renew bool) bool {
 	enoughObservers := f.Complainers >= s.MinObservers && f.Zones >= s.MinZones
 	return enoughObservers && f.complaintWeight > f.satisfiedWeight && s.failureRateExceeded(f, renew)
 }
 
-// failureRateExceeded reports whether a server's attempts, of all observers that count, are enough, and bad enough beside those elsewhere.
-// Where half of what is elsewhere is bad no server is ejected, as that would help nobody.
+// failureRateExceeded reports whether enough attempts at a server failed or were slow, and its failure rate exceeds the rate elsewhere by
+// failureThreshold of what remains up to 1. It is false while the rate elsewhere reaches failureThreshold, as an ejection would only move
+// the requests to servers that fail too.
 func (s Settings) failureRateExceeded(f Finding, renew bool) bool {
-	bad := float64(f.Failed) + float64(f.Slow)
+	failedOrSlow := float64(f.Failed) + float64(f.Slow)
 	needed := minFailuresPerObserver * s.MinObservers
 	if renew {
 		needed = s.MinObservers
 	}
-	if f.Elsewhere >= failureThreshold || bad < float64(needed) {
+	if f.FailureRateElsewhere >= failureThreshold || failedOrSlow < float64(needed) {
 		return false
 	}
-	failureRate := bad / (bad + float64(f.Good))
-	return failureRate-f.Elsewhere >= failureThreshold*(1-f.Elsewhere)
+	failureRate := failedOrSlow / (failedOrSlow + float64(f.Good))
+	return failureRate-f.FailureRateElsewhere >= failureThreshold*(1-f.FailureRateElsewhere)
 }
 
-// shouldClear reports whether the evidence ends an ejection: good answers of several observers outweigh the complaints.
+// shouldClear reports whether the evidence ends an ejection early: at least minClearingObservers observers are satisfied, and they
+// outweigh the complaints.
 func (s Settings) shouldClear(f Finding) bool {
 	return f.Satisfied >= minClearingObservers && f.satisfiedWeight > f.complaintWeight
 }
 
-// sufficientlyReported reports whether a side of a server's case needs no more reports: enough observers are on it, and outweigh the other
-// side twice. So a fleet of hundreds is content with a dozen reports where it agrees; where it does not, all of the smaller side and
-// twice its weight of the other report, and the decision does not change. An observer that falls silent counts for its report's
-// lifetime, and another takes its turn then.
+// sufficientlyReported reports whether further complaints about a server, or further observations without a complaint, can be suppressed:
+// enough observers have reported on that side, with at least twice the weight of the other side. A fleet of hundreds that agrees thus
+// sends about a dozen reports. Where observers disagree, the whole minority reports, and the majority up to twice the minority's weight,
+// which leads to the same decision. An observer that stops reporting counts until its report expires, and another observer reports then.
 func (s Settings) sufficientlyReported(f Finding, complaint bool) bool {
 	enough := sufficientReports * s.MinObservers
 	if complaint {
@@ -42,18 +45,18 @@
 	return f.Satisfied >= enough && f.satisfiedWeight >= 2*f.complaintWeight
 }
 
-// shouldReportPrimaryDown reports whether enough observers in enough zones have lost a server as their group's primary.
+// shouldReportPrimaryDown reports whether at least MinObservers observers in MinZones zones have lost a server as the primary of its group.
 func (s Settings) shouldReportPrimaryDown(f Finding) bool {
 	return f.LostPrimary >= s.MinObservers && f.LostPrimaryZones >= s.MinZones
 }
 
-// maxEjected returns how many of a group's members may be ejected at once: never the last one.
+// maxEjected returns the maximum number of a group's members that may be ejected at once. It is always less than members.
 func (s Settings) maxEjected(members int) int {
 	return max(min(int(s.MaxEjectedShare*float64(members)), members-1), 0)
 }
 
-// selectEjected returns which of a group's members are ejected: of those for which there is an ejection the first by name, as many as are
-// allowed, so that all poolers with the same findings select the same ones.
+// selectEjected returns the members of a group that are ejected: of those that isEjected reports, the first maxEjected in order of name.
+// Poolers with the same findings therefore select the same members.
 func (s Settings) selectEjected(members []string, isEjected func(string) bool) (selected []string) {
 	members = slices.Clone(members)
 	slices.Sort(members)
--- a/internal/fleet/outlier/decisions_test.go
+++ b/internal/fleet/outlier/decisions_test.go
@@ -7,11 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// Where all agree a dozen report; where a few complain all of them do, and twice their weight of the others.
+// Where all observers agree, a dozen reports suffice. Where a minority complains, all of it reports, and of the majority up to twice the
+// minority's weight.
 func TestSufficientReports(t *testing.T) {
 	for _, c := range []struct {
 		finding              Finding
-		complaint, satisfied bool // that side needs no more reports
+		complaint, satisfied bool // whether each side is sufficiently reported
 	}{
 		{Finding{Complainers: 12, complaintWeight: 70}, true, false},
 		{Finding{Complainers: 11, complaintWeight: 70}, false, false},
@@ -26,7 +27,8 @@
 	}
 }
 
-// Of a group's members at most the share is ejected, never the last one, and all poolers select the same.
+// At most the share MaxEjectedShare of a group's members is ejected, never the last member, and the selection does not depend on the order
+// of the members.
 func TestSelectEjected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings
--- a/internal/fleet/outlier/doc.go
+++ b/internal/fleet/outlier/doc.go
@@ -1,26 +1,29 @@
-// Package outlier detects outliers among the servers of a whole fleet and ejects them, as Envoy's outlier detection does for one
-// proxy: each pooler alone sees too little of a server to tell a bad server from a bad link, and loses requests before it knows.
+// Package outlier implements fleet-wide outlier detection and ejection of servers. It extends what Envoy's outlier detection does for one
+// proxy to all poolers of a fleet: a single pooler sends too few requests to a server to distinguish a bad server from a bad network link,
+// and would lose requests before it could.
 //
-// It decides which servers the fleet ejects, and for how long. Every pooler counts the outcomes of its own attempts (localEvidence),
-// reports them to the others while it has something to complain of (Report, reporter), keeps the newest report of each (reportStore),
-// joins them (aggregateServers), and decides for itself by functions of the joined evidence alone (Settings.shouldEject,
-// Settings.shouldClear). There is no leader, no agreement, and nothing is written to the voters' log: poolers that hold the same reports
-// decide the same, and in a partition each side goes by what it sees.
+// The package decides which servers the fleet ejects, and for how long. Every pooler counts the outcomes of its own attempts
+// (localEvidence), broadcasts them to the other poolers while it has a complaint about a server (Report, reporter), stores the newest
+// report of each observer (reportStore), aggregates the reports (aggregateServers), and decides independently using functions of the
+// aggregated evidence alone (Settings.shouldEject, Settings.shouldClear). There is no leader and no consensus, and nothing is written to
+// the voters' log: poolers that hold the same reports make the same decisions, and during a partition each side decides from the reports
+// that it receives.
 //
-// It owns a pooler's evidence, the reports that it holds, and its ejections, all bounded. Component may be called from any goroutine, and
-// its guard's methods never wait; Run is the one goroutine that evaluates, reports and tells the Host.
+// The package owns a pooler's local evidence, the stored reports and the ejections, all of bounded size. The methods of Component may be
+// called from any goroutine, and its dispatch.Guard methods never block on I/O. Run is the only goroutine that evaluates the evidence,
+// sends reports and notifies the Host.
 //
-// It does not carry ejections out, probe servers by itself, or take writes off a primary: the caller owes the outcomes of attempts
-// (Component.Observe, Component.LostPrimary), the members of groups (Host.Members), and what Host is told.
+// The package does not enforce ejections, send probes, or redirect writes from a primary. The caller must supply the outcomes of attempts
+// (Component.Observe, Component.LostPrimary) and the members of each group (Host.Members), and act on the Host notifications.
 //
 // Invariants:
-//   - Fewer observers than Settings.MinObservers, or in fewer zones than Settings.MinZones, eject no server, whatever they report. An
-//     observer that complains of most servers does not count, and more of them do not count while good answers of others outweigh
-//     them.
-//   - Of a group's members no more than Settings.MaxEjectedShare are ejected, and never the last one.
-//   - A pooler with good answers of its own that are younger than freshEvidenceSpan does not eject the server.
-//   - An ejection ends. No pooler ejects a server that is good again for longer than Settings.MaxStaleEjection.
-//   - The state is bounded: maxObservers reports of maxReportSize bytes, maxServers servers.
+//   - Fewer than Settings.MinObservers observers, or observers in fewer than Settings.MinZones zones, never eject a server, whatever they
+//     report. Complaints of an observer that complains about most servers are ignored. A larger number of complaining observers does not
+//     eject a server either while the good answers of other observers outweigh their complaints.
+//   - At most the share Settings.MaxEjectedShare of a group's members is ejected, and never the last member.
+//   - A pooler that has had good answers itself within freshEvidenceWindow, and no bad one, does not eject the server.
+//   - Every ejection ends. No pooler ejects a server that has recovered for longer than Settings.MaxStaleEjection.
+//   - The state is bounded: at most maxObservers reports of maxReportSize bytes, and maxServers servers.
 //
-// docs/verdicts.md has the rules and their bounds. The topic, the settings and the journal keep the name "verdict".
+// docs/verdicts.md describes the rules and derives their bounds. The topic, the settings and the journal keep the earlier name "verdict".
 package outlier
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// ejection is what this pooler holds of one server that has been, or may be, ejected. What holds: it is active from startedAt up to until
-// at the most, and until is that of the last one where it is not.
+// ejection is the ejection state of one server. An active ejection lasts from startedAt until no later than until. For an inactive one,
+// until is the end of the most recent ejection, or zero if there was none.
 type ejection struct {
-	evidenceSince    time.Time // since when there is enough evidence without a break; the zero time: there is not
+	evidenceSince    time.Time // start of uninterrupted sufficient evidence; zero while the evidence is insufficient
 	startedAt, until time.Time
 	active           bool
-	consecutive      int // ejections in a row
-	finding          Finding
+	consecutive      int     // number of consecutive ejections and renewals, up to maxEjectionMultiplier
+	finding          Finding // evidence for the most recent ejection or renewal
 }
 
-// changeKind is what happens to an ejection.
+// changeKind is a transition of an ejection. Its value is the text of the log line.
 type changeKind string
 
-// The kinds of changes, as the log names them.
+// The transitions of an ejection.
 const (
 	changeBegun   changeKind = "ejected"
 	changeRenewed changeKind = "ejection renewed"
@@ -27,32 +27,32 @@
 	changeExpired changeKind = "ejection expired"
 )
 
-// change is an ejection that begins, is renewed or ends.
+// change is a transition of a server's ejection, with the state after it.
 type change struct {
 	server string
 	kind   changeKind
 	ejection
 }
 
-// ejections are those of this pooler by server, or by hot tenant. It is not safe for use by several goroutines.
+// ejections holds the ejection state of this pooler by server, or by tenant for hot tenants. It is not safe for concurrent use.
 type ejections map[string]*ejection
 
-// isEjected reports whether a server's ejection is in force.
+// isEjected reports whether a server has an active ejection.
 func (e ejections) isEjected(server string) bool { return e[server] != nil && e[server].active }
 
-// update takes in the current findings, and returns what has changed, by server. jitter, from 0 up to 1, lengthens ejections by up to a
-// quarter.
+// update updates all ejections with the current findings and returns the changes, sorted by server. jitter, in the range [0, 1), lengthens
+// ejections by up to a quarter.
 func (e ejections) update(now time.Time, settings Settings, findings map[string]Finding, jitter float64) (changes []change) {
 	for server, finding := range findings {
 		if e[server] == nil && settings.shouldEject(finding, false) && len(e) < maxServers {
 			e[server] = &ejection{}
 		}
 	}
-	for server, one := range e {
-		kind := one.update(now, settings, findings[server], jitter)
+	for server, state := range e {
+		kind := state.update(now, settings, findings[server], jitter)
 		if kind != "" {
-			changes = append(changes, change{server, kind, *one})
-		} else if one.isForgotten(now) {
+			changes = append(changes, change{server, kind, *state})
+		} else if state.isRemovable(now) {
 			delete(e, server)
 		}
 	}
@@ -60,8 +60,9 @@
 	return changes
 }
 
-// update takes in the current finding. An ejection begins once enough evidence has stood for confirmationDelay, lasts for the base
-// ejection time as many times as it is the n-th in a row, is renewed by evidence that stands then, and ends early where it is cleared.
+// update updates the ejection with the current finding and returns the change, or "" for none. An ejection begins once the evidence has
+// been sufficient for confirmationDelay. The n-th consecutive one lasts for n times the base ejection time. When it is over, sufficient
+// evidence renews it. It ends early if the evidence clears it.
 func (e *ejection) update(now time.Time, settings Settings, finding Finding, jitter float64) changeKind {
 	enough := settings.shouldEject(finding, e.active)
 	switch {
@@ -85,25 +86,25 @@
 	return ""
 }
 
-// begin begins an ejection, or renews the one in force.
+// begin begins an ejection, or renews an active one.
 func (e *ejection) begin(now time.Time, settings Settings, finding Finding, jitter float64) changeKind {
 	kind := changeBegun
 	switch {
 	case e.active:
 		kind = changeRenewed
-	case now.Sub(e.until) >= ejectionMemory:
+	case now.Sub(e.until) >= ejectionRetention:
 		e.consecutive = 0
 	}
 	e.active = true
 	e.consecutive = min(e.consecutive+1, maxEjectionMultiplier)
 	e.startedAt = now
 	e.finding = finding
-	length := float64(e.consecutive) * float64(settings.BaseEjectionTime) * (1 + jitter/4)
-	e.until = now.Add(time.Duration(length))
+	duration := float64(e.consecutive) * float64(settings.BaseEjectionTime) * (1 + jitter/4)
+	e.until = now.Add(time.Duration(duration))
 	return kind
 }
 
-// isForgotten reports whether the ejection is over for so long that the next one is a first one.
-func (e *ejection) isForgotten(now time.Time) bool {
-	return !e.active && e.evidenceSince.IsZero() && now.Sub(e.until) >= ejectionMemory
+// isRemovable reports whether the ejection ended at least ejectionRetention ago, so that the next one would not be consecutive.
+func (e *ejection) isRemovable(now time.Time) bool {
+	return !e.active && e.evidenceSince.IsZero() && now.Sub(e.until) >= ejectionRetention
 }
--- a/internal/fleet/outlier/ejections_test.go
+++ b/internal/fleet/outlier/ejections_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// An ejection needs evidence that stands, lasts for its time, longer each time, ends early by good answers, and is forgotten.
+// An ejection needs sufficient evidence for the whole confirmation delay, lasts longer with each consecutive ejection, ends early after
+// enough good answers, and is removed some time after its end.
 func TestEjectionLifecycle(t *testing.T) {
 	active, now := ejections{}, time.Unix(1000, 0)
 	bad := Finding{Server: "a", Complainers: 3, Zones: 2, Failed: 9, complaintWeight: 9}
@@ -16,10 +17,10 @@
 	}{
 		{0, bad, ""},
 		{confirmationDelay - 1, bad, ""},
-		{0, Finding{}, ""}, // it did not stand
+		{0, Finding{}, ""}, // insufficient evidence restarts the confirmation delay
 		{0, bad, ""},
 		{confirmationDelay, bad, changeBegun},
-		{testSettings.BaseEjectionTime - 1, Finding{}, ""}, // nobody knows better
+		{testSettings.BaseEjectionTime - 1, Finding{}, ""}, // no evidence either way: the ejection lasts for its full duration
 		{1, Finding{}, changeExpired},
 		{0, bad, ""},
 		{confirmationDelay, bad, changeBegun},
@@ -31,7 +32,7 @@
 		{0, bad, ""},
 		{confirmationDelay, bad, changeBegun},
 		{maxEjectionMultiplier * testSettings.BaseEjectionTime, Finding{}, changeExpired},
-		{ejectionMemory, Finding{}, ""},
+		{ejectionRetention, Finding{}, ""},
 	} {
 		now = now.Add(step.after)
 		got := changeKind("")
@@ -43,6 +44,6 @@
 		}
 	}
 	if len(active) > 0 {
-		t.Error("an ejection that is long over is not forgotten")
+		t.Error("an ejection that ended long ago is still stored")
 	}
 }
--- a/internal/fleet/outlier/latency.go
+++ b/internal/fleet/outlier/latency.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// slowFactor is from how many times the usual latency an answer is slow: a queue of two or three requests is none.
+	// slowFactor is the multiple of the baseline latency from which an answer is slow. It is above the delay that a queue of two or three
+	// requests causes.
 	slowFactor     = 4.0
 	minSlowLatency = 20 * time.Millisecond
-	// latencyStep is by which factor an estimate moves with each answer.
+	// latencyStep is the factor by which each answer moves an estimate.
 	latencyStep = 1.05
-	// minLatencySamples is after how many answers an estimate counts.
+	// minLatencySamples is the number of answers from which an estimate contributes to the baseline.
 	minLatencySamples     = 5
 	latencyUpdateInterval = time.Second
-	maxClasses            = 64 // of which a server's latency is estimated
+	maxClasses            = 64 // number of classes for which a server's latency is estimated
 )
 
-// latencyEstimate follows the median latency of a server for a class: a step up or down with each answer, so that no single answer moves
-// it far.
+// latencyEstimate estimates the median latency of a server for one class. Each answer moves the estimate up or down by the factor
+// latencyStep, so that a single answer has little effect.
 type latencyEstimate struct {
 	median  time.Duration
 	samples int
@@ -36,15 +37,15 @@
 	}
 }
 
-// usualLatencies are the usual latencies by class. Each is the lower median of the servers' medians, where each server counts once
-// whatever it is sent, so that a slow server does not become the measure of itself.
-type usualLatencies struct {
+// baselineLatencies holds the baseline latency of each class: the lower median of the servers' median latencies. Each server counts once,
+// regardless of how many requests it receives, so that a slow server does not raise the baseline that it is compared with.
+type baselineLatencies struct {
 	byClass   map[int]time.Duration
 	updatedAt time.Time
 }
 
-// update computes the usual latencies anew, if that is due. A server alone has nothing to be compared with.
-func (u *usualLatencies) update(now time.Time, servers map[string]*serverRecord) {
+// update recomputes the baselines if latencyUpdateInterval has passed. A class that only one server has answered has no baseline.
+func (u *baselineLatencies) update(now time.Time, servers map[string]*serverRecord) {
 	if now.Sub(u.updatedAt) < latencyUpdateInterval {
 		return
 	}
@@ -66,10 +67,10 @@
 	}
 }
 
-// isSlow reports whether a latency is slow for a class. Where the class has no usual latency, it is slow from a limit on.
-func (u *usualLatencies) isSlow(class int, latency, limit time.Duration) bool {
-	if usual := u.byClass[class]; usual > 0 {
-		return latency >= minSlowLatency && float64(latency) >= slowFactor*float64(usual)
+// isSlow reports whether a latency is slow for a class. Without a baseline for the class, it reports whether the latency is at least limit.
+func (u *baselineLatencies) isSlow(class int, latency, limit time.Duration) bool {
+	if baseline := u.byClass[class]; baseline > 0 {
+		return latency >= minSlowLatency && float64(latency) >= slowFactor*float64(baseline)
 	}
 	return latency >= limit
 }
--- a/internal/fleet/outlier/local_evidence.go
+++ b/internal/fleet/outlier/local_evidence.go
@@ -10,37 +10,40 @@
 )
 
 const (
-	// evidenceSpan is how old an attempt may be to count. A server without its turn is tried each 3 s, and each attempt must stand until
-	// the next, yet no longer, so that good probes end an ejection soon.
-	evidenceSpan = 3500 * time.Millisecond
-	// maxRecentAttempts is how many attempts count, the last ones.
+	// evidenceWindow is the maximum age of an attempt that counts as evidence. A server that a pooler avoids is tried every 3 s. Each
+	// such attempt must count until the next one, but not much longer, so that successful probes end an ejection soon.
+	evidenceWindow = 3500 * time.Millisecond
+	// maxRecentAttempts is the maximum number of attempts that count, the most recent ones.
 	maxRecentAttempts = 6
-	// consecutiveFailures is after how many bad attempts in a row a pooler leaves a server by itself; one that was silent counts as many.
+	// consecutiveFailures is the number of consecutive failed or slow attempts after which a pooler avoids a server on its own evidence. A
+	// timeout counts as this many failures.
 	consecutiveFailures = 2
-	// serverMemory is how long after its last good answer a server still is one that the observer sees.
-	serverMemory = 10 * time.Second
-	// freshEvidenceSpan is how young minFreshGood good answers, and no bad one, must be to outrank the fleet's ejection.
-	freshEvidenceSpan = 2 * time.Second
-	minFreshGood      = 2
-	maxServers        = 512 // that one observer counts
-	maxLostPrimaries  = 64  // primaries whose loss it remembers
-	// minSilentLatency is from when no answer is a failure where the usual latency is not known; a client that gives up sooner says
-	// nothing of the server.
-	minSilentLatency = 150 * time.Millisecond
+	// serverRetention is how long a server is kept after its last good answer when there is no newer evidence.
+	serverRetention = 10 * time.Second
+	// freshEvidenceWindow is the time within which an observer needs minFreshGood good answers, and no failed or slow attempt, to override
+	// the fleet's ejection.
+	freshEvidenceWindow = 2 * time.Second
+	minFreshGood        = 2
+	maxServers          = 512 // number of servers that one observer records
+	maxLostPrimaries    = 64  // number of lost primaries that one observer records
+	// minTimeoutLatency is the time without an answer from which an attempt has failed when the class has no baseline latency. If a client
+	// gives up sooner, that is no evidence against the server.
+	minTimeoutLatency = 150 * time.Millisecond
 )
 
-// Outcome is what one attempt tells of its server.
+// Outcome is the result of one attempt, as evidence about its server.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of attempts.
 const (
-	Success     Outcome = iota // an answer
-	Failure                    // no connection, a broken one, or an error that another server did not give
-	Timeout                    // no answer in the time that it was given
-	slowSuccess                // an answer, after slowFactor times the usual latency
+	Success     Outcome = iota // the server answered
+	Failure                    // the connection failed or broke, or the server returned an error that another server did not return
+	Timeout                    // the server did not answer in the time allowed
+	slowSuccess                // the server answered, but isSlow reported its latency
 )
 
-// FromResult returns what an attempt's result, as dispatch.Dispatcher.OnOutcome has it, tells of its server; ok: anything.
+// FromResult converts the result of an attempt, as reported by dispatch.Dispatcher.OnOutcome, to an outcome. ok is false if the result is
+// no evidence about the server.
 func FromResult(result policy.Result) (outcome Outcome, ok bool) {
 	switch result {
 	case policy.OK:
@@ -53,16 +56,16 @@
 	return 0, false // refused or redirected: the server may be busy, or not the primary
 }
 
-// attempt is an attempt that has ended.
+// attempt is a finished attempt.
 type attempt struct {
 	at      time.Time
 	outcome Outcome
 }
 
-// serverRecord is what this observer has seen of one server.
+// serverRecord is the local evidence about one server.
 type serverRecord struct {
-	attempts   [maxRecentAttempts]attempt // a ring
-	nextIndex  int                        // of the oldest attempt
+	attempts   [maxRecentAttempts]attempt // ring buffer
+	nextIndex  int                        // index of the oldest attempt, which the next one replaces
 	lastGoodAt time.Time
 	latencies  map[int]*latencyEstimate // by class
 }
@@ -72,12 +75,12 @@
 	r.nextIndex = (r.nextIndex + 1) % maxRecentAttempts
 }
 
-// last returns the i-th attempt from the end; 1 is the last one.
+// last returns the i-th most recent attempt, counting from 1.
 func (r *serverRecord) last(i int) attempt {
 	return r.attempts[(r.nextIndex-i+maxRecentAttempts)%maxRecentAttempts]
 }
 
-// observeLatency takes an answer's latency into the estimate of its class.
+// observeLatency updates the latency estimate of a class, unless there are already maxClasses estimates of other classes.
 func (r *serverRecord) observeLatency(class int, latency time.Duration) {
 	estimate := r.latencies[class]
 	if estimate == nil {
@@ -90,18 +93,18 @@
 	estimate.observe(latency)
 }
 
-// localEvidence is the evidence of this observer itself. It is not safe for use by several goroutines.
+// localEvidence is the evidence that this pooler has collected itself. It is not safe for concurrent use.
 type localEvidence struct {
 	servers       map[string]*serverRecord
-	lostPrimaries map[string]time.Time // when a server lost the place of its group's primary here
-	usual         usualLatencies
+	lostPrimaries map[string]time.Time // by server: when this pooler lost it as the primary of its group
+	baselines     baselineLatencies
 }
 
 func newLocalEvidence() localEvidence {
-	return localEvidence{servers: map[string]*serverRecord{}, lostPrimaries: map[string]time.Time{}, usual: usualLatencies{byClass: map[int]time.Duration{}}}
+	return localEvidence{servers: map[string]*serverRecord{}, lostPrimaries: map[string]time.Time{}, baselines: baselineLatencies{byClass: map[int]time.Duration{}}}
 }
 
-// observe counts an attempt.
+// observe records an attempt. A success counts as slow if its latency is slow for its class.
 func (e *localEvidence) observe(now time.Time, server string, class int, outcome Outcome, latency time.Duration) {
 	record := e.record(now, server)
 	if record == nil {
@@ -112,8 +115,8 @@
 		e.observeTimeout(now, record, class, latency)
 		return
 	case Success:
-		e.usual.update(now, e.servers)
-		slow := e.usual.isSlow(class, latency, math.MaxInt64)
+		e.baselines.update(now, e.servers)
+		slow := e.baselines.isSlow(class, latency, math.MaxInt64)
 		record.observeLatency(class, latency)
 		if slow {
 			outcome = slowSuccess
@@ -124,9 +127,9 @@
 	record.add(now, outcome)
 }
 
-// observeTimeout counts an attempt without an answer, if it was given the time for one.
+// observeTimeout records an attempt without an answer as consecutiveFailures failures. It ignores an attempt that was given up too soon.
 func (e *localEvidence) observeTimeout(now time.Time, record *serverRecord, class int, latency time.Duration) {
-	if !e.usual.isSlow(class, latency, minSilentLatency) {
+	if !e.baselines.isSlow(class, latency, minTimeoutLatency) {
 		return
 	}
 	for range consecutiveFailures {
@@ -134,7 +137,7 @@
 	}
 }
 
-// record returns a server's record; nil: there are too many servers.
+// record returns the record of a server, a new one if there is none, or nil if there are maxServers others.
 func (e *localEvidence) record(now time.Time, server string) *serverRecord {
 	if record := e.servers[server]; record != nil {
 		return record
@@ -150,7 +153,7 @@
 	return record
 }
 
-// recordLostPrimary records that a server has lost the place of its group's primary here.
+// recordLostPrimary records that this pooler has lost a server as the primary of its group.
 func (e *localEvidence) recordLostPrimary(now time.Time, server string) {
 	e.sweep(now)
 	if len(e.lostPrimaries) < maxLostPrimaries {
@@ -158,9 +161,9 @@
 	}
 }
 
-// observation returns what was seen of a server within a span: its last attempts; or the last bad ones alone if consecutiveFailures or
-// more were bad in a row. This pooler has left the server then, and gets little further evidence: what it saw before is over, and would
-// outvote the failures for as long as it counts.
+// observation returns the observation of a server from its most recent attempts within span. If the latest consecutiveFailures or more
+// attempts failed or were slow, only these count: the pooler avoids the server then and gets little new evidence, so that older good
+// answers would outweigh the failures until they leave the window.
 func (e *localEvidence) observation(now time.Time, server string, span time.Duration) Observation {
 	o := Observation{Server: server}
 	record := e.servers[server]
@@ -187,42 +190,43 @@
 	return o
 }
 
-// overridesFleet reports whether this observer's own fresh evidence outranks the fleet's ejection of a server: good answers, and no other.
+// overridesFleet reports whether this pooler's own fresh evidence overrides the fleet's ejection of a server: at least minFreshGood good
+// answers within freshEvidenceWindow, and no failed or slow attempt.
 func (e *localEvidence) overridesFleet(now time.Time, server string) bool {
-	o := e.observation(now, server, freshEvidenceSpan)
+	o := e.observation(now, server, freshEvidenceWindow)
 	return o.Good >= minFreshGood && o.Failed+o.Slow == 0
 }
 
-// answers reports whether a server has answered here within evidenceSpan, and not mostly failed.
-func (e *localEvidence) answers(now time.Time, server string) bool {
-	o := e.observation(now, server, evidenceSpan)
+// isResponsive reports whether a server has given this pooler a good answer within evidenceWindow, and this pooler has no complaint.
+func (e *localEvidence) isResponsive(now time.Time, server string) bool {
+	o := e.observation(now, server, evidenceWindow)
 	return o.Good > 0 && !o.complains()
 }
 
-// sweep forgets the servers and primaries of which nothing was seen for a while.
+// sweep removes the servers without recent evidence, and the lost primaries older than evidenceWindow.
 func (e *localEvidence) sweep(now time.Time) {
 	for server, record := range e.servers {
-		if now.Sub(record.lastGoodAt) >= serverMemory && e.observation(now, server, evidenceSpan).weight() == 0 {
+		if now.Sub(record.lastGoodAt) >= serverRetention && e.observation(now, server, evidenceWindow).weight() == 0 {
 			delete(e.servers, server)
 		}
 	}
 	for server, lostAt := range e.lostPrimaries {
-		if now.Sub(lostAt) >= evidenceSpan {
+		if now.Sub(lostAt) >= evidenceWindow {
 			delete(e.lostPrimaries, server)
 		}
 	}
 }
 
-// observations returns an observation of each server of which anything was seen within evidenceSpan, reportable ones first; and how many
-// servers the observer sees at all.
+// observations returns the observations of all servers with evidence within evidenceWindow, reportable ones first. serversSeen is the
+// number of these servers and of the recorded servers without recent evidence.
 func (e *localEvidence) observations(now time.Time) (observations []Observation, serversSeen int) {
 	e.sweep(now)
-	silent := 0
+	idle := 0
 	for server := range e.servers {
-		o := e.observation(now, server, evidenceSpan)
+		o := e.observation(now, server, evidenceWindow)
 		_, o.LostPrimary = e.lostPrimaries[server]
 		if o.weight() == 0 && !o.LostPrimary {
-			silent++
+			idle++
 			continue
 		}
 		observations = append(observations, o)
@@ -233,10 +237,10 @@
 		}
 	}
 	slices.SortFunc(observations, compareObservations)
-	return observations, silent + len(observations)
+	return observations, idle + len(observations)
 }
 
-// compareObservations orders reportable observations before others, and then by server.
+// compareObservations orders reportable observations before others, and observations of the same kind by server.
 func compareObservations(a, b Observation) int {
 	switch {
 	case a.isReportable() == b.isReportable():
@@ -247,7 +251,7 @@
 	return 1
 }
 
-// newReport returns a report of all observations of servers, without the tenants and the sender's own fields.
+// newReport returns a report of all observations of servers. The caller fills in the tenants, StartedAt, Zone and Sequence.
 func (e *localEvidence) newReport(now time.Time) Report {
 	r := Report{SentAt: now.UnixNano()}
 	r.Servers, r.ServersSeen = e.observations(now)
--- a/internal/fleet/outlier/local_evidence_test.go
+++ b/internal/fleet/outlier/local_evidence_test.go
@@ -10,7 +10,7 @@
 	slowLatency  = 300 * time.Millisecond
 )
 
-// timeline is an observer whose attempts are a tenth of a second apart.
+// timeline is the evidence of an observer that makes an attempt every 100 ms.
 type timeline struct {
 	localEvidence
 	now time.Time
@@ -18,8 +18,8 @@
 
 func newTimeline() *timeline { return &timeline{newLocalEvidence(), time.Unix(1000, 0)} }
 
-// newBusyTimeline begins with answers of servers a and b, of a light class 0 and a heavy class 1.
-func newBusyTimeline() *timeline {
+// newTimelineWithBaselines returns a timeline with answers from the servers a and b, for a fast class 0 and a slow class 1.
+func newTimelineWithBaselines() *timeline {
 	line := newTimeline()
 	for range 20 {
 		line.succeed("a", 0, usualLatency, 1)
@@ -30,7 +30,7 @@
 	return line
 }
 
-// succeed makes a server answer so many times.
+// succeed records a number of answers from a server.
 func (l *timeline) succeed(server string, class int, latency time.Duration, times int) {
 	for range times {
 		l.now = l.now.Add(100 * time.Millisecond)
@@ -38,74 +38,76 @@
 	}
 }
 
-// of returns the observation of a server now.
-func (l *timeline) of(server string) Observation { return l.observation(l.now, server, evidenceSpan) }
+// observationOf returns the current observation of a server.
+func (l *timeline) observationOf(server string) Observation {
+	return l.observation(l.now, server, evidenceWindow)
+}
 
-// A slow server is told from slow requests, from one slow answer, and from a slow day at all servers.
+// A slow server is distinguished from a class of slow requests, from a single slow answer, and from general slowness of all servers.
 func TestSlowServer(t *testing.T) {
-	line := newBusyTimeline()
+	line := newTimelineWithBaselines()
 	line.succeed("a", 0, slowLatency, 1)
-	if o := line.of("a"); o.complains() || o.Slow != 1 {
+	if o := line.observationOf("a"); o.complains() || o.Slow != 1 {
 		t.Errorf("one slow answer: got %+v, want no complaint", o)
 	}
 	line.succeed("b", 0, usualLatency, 5)
 	line.succeed("a", 0, slowLatency, 5)
-	if o := line.of("a"); !o.complains() {
+	if o := line.observationOf("a"); !o.complains() {
 		t.Errorf("a slow server: got %+v, want a complaint", o)
 	}
 	for range 60 {
 		line.succeed("a", 0, slowLatency, 1)
 		line.succeed("b", 0, usualLatency, 1)
 	}
-	if o := line.of("a"); !o.complains() {
-		t.Errorf("a server that stays slow: got %+v, want a complaint, as it must not become the measure", o)
+	if o := line.observationOf("a"); !o.complains() {
+		t.Errorf("a server that stays slow: got %+v, want a complaint, as it must not raise the baseline", o)
 	}
 	for range 80 {
 		line.succeed("a", 0, slowLatency, 1)
 		line.succeed("b", 0, slowLatency, 1)
 	}
-	if o := line.of("a"); o.complains() {
+	if o := line.observationOf("a"); o.complains() {
 		t.Errorf("all servers are slow: got %+v, want no complaint", o)
 	}
 }
 
-// A server alone is compared with nothing.
-func TestSlowServerAlone(t *testing.T) {
+// The answers of a single server are never slow, as there is no baseline to compare them with.
+func TestSlowServerWithoutBaseline(t *testing.T) {
 	line := newTimeline()
 	line.succeed("a", 0, usualLatency, 20)
 	line.succeed("a", 0, time.Second, 1)
-	if o := line.of("a"); o.Slow > 0 {
+	if o := line.observationOf("a"); o.Slow > 0 {
 		t.Errorf("got %+v, want no slow answer", o)
 	}
 }
 
-// A server that does not answer has failed, unless the client gave up early.
-func TestSilentServer(t *testing.T) {
-	line := newBusyTimeline()
+// A timeout counts as consecutiveFailures failures, unless the client gave up too soon.
+func TestTimeout(t *testing.T) {
+	line := newTimelineWithBaselines()
 	for range 80 {
 		line.succeed("a", 0, slowLatency, 1)
 		line.succeed("b", 0, slowLatency, 1)
 	}
 	line.observe(line.now, "b", 0, Timeout, 200*time.Millisecond)
-	if o := line.of("b"); o.Failed > 0 {
-		t.Errorf("a hurried client: got %+v, want no failure", o)
+	if o := line.observationOf("b"); o.Failed > 0 {
+		t.Errorf("client gave up after 200 ms: got %+v, want no failure", o)
 	}
 	line.observe(line.now, "b", 0, Timeout, 2*time.Second)
-	if o := line.of("b"); o.Failed != consecutiveFailures || o.Good > 0 {
-		t.Errorf("silence: got %+v, want %d failures alone", o, consecutiveFailures)
+	if o := line.observationOf("b"); o.Failed != consecutiveFailures || o.Good > 0 {
+		t.Errorf("no answer in 2 s: got %+v, want only %d failures", o, consecutiveFailures)
 	}
 }
 
-// Two failures in a row stand alone, as the pooler has left the server then; one stands beside the answers before it.
+// After two consecutive failures earlier answers no longer count, as the pooler avoids the server then. After a single failure they do.
 func TestConsecutiveFailures(t *testing.T) {
-	line := newBusyTimeline()
+	line := newTimelineWithBaselines()
 	line.succeed("b", 0, usualLatency, maxRecentAttempts)
 	line.observe(line.now, "b", 0, Failure, 0)
-	if o := line.of("b"); o.complains() || o.Good == 0 {
+	if o := line.observationOf("b"); o.complains() || o.Good == 0 {
 		t.Errorf("one failure: got %+v, want no complaint", o)
 	}
 	line.observe(line.now, "b", 0, Failure, 0)
-	if o := line.of("b"); o.Good > 0 || o.Failed != 2 {
-		t.Errorf("a second in a row: got %+v, want 2 failures alone", o)
+	if o := line.observationOf("b"); o.Good > 0 || o.Failed != 2 {
+		t.Errorf("two consecutive failures: got %+v, want only 2 failures", o)
 	}
 }
--- a/internal/fleet/outlier/main_test.go
+++ b/internal/fleet/outlier/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the package where a goroutine outlives the tests.
+// TestMain runs the tests and fails if a goroutine is still running after them.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/fleet/outlier/report_store_test.go
+++ b/internal/fleet/outlier/report_store_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawReports draws reports of several observers, and returns each observer's newest too.
+// drawReports draws reports of several observers, and also returns the newest report of each observer.
 func drawReports(t *rapid.T, now time.Time) (sent []observerReport, newest map[string]Report) {
 	newest = map[string]Report{}
 	for range rapid.IntRange(0, 20).Draw(t, "reports") {
@@ -19,7 +19,7 @@
 			return o.observer == r.observer && o.StartedAt == r.StartedAt && o.Sequence == r.Sequence
 		}
 		if slices.ContainsFunc(sent, isKnown) {
-			continue // an observer never reports two things under one number
+			continue // an observer never sends two different reports with the same sequence number
 		}
 		r.SentAt = now.UnixNano()
 		sent = append(sent, r)
@@ -30,8 +30,8 @@
 	return sent, newest
 }
 
-// Reports may be lost, come twice, late and in any order: the store ends with each observer's newest that came, and the findings follow
-// from these alone.
+// Reports may arrive twice and in any order. The store ends up with the newest report of each observer, and the findings depend only on
+// these.
 func TestReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -51,7 +51,7 @@
 			}
 			findings = append(findings, fmt.Sprint(aggregateServers(store.current(now))))
 			if expired := store.current(now.Add(time.Second)); len(expired) > 0 {
-				t.Fatalf("got %d reports that count after their lifetime", len(expired))
+				t.Fatalf("got %d current reports after their lifetime, want none", len(expired))
 			}
 		}
 		if d := cmp.Diff(findings[0], findings[1]); d != "" {
@@ -60,7 +60,8 @@
 	})
 }
 
-// A report that was on its way for longer than it could count, or whose clock is that wrong, is refused.
+// The store rejects a report older than its lifetime and maxClockSkew together: it was delayed for too long, or the sender's clock is
+// wrong.
 func TestOldReports(t *testing.T) {
 	now, lifetime := time.Unix(1000, 0), time.Second
 	for _, c := range []struct {
@@ -73,13 +74,13 @@
 		got := store.add(now, "n", Report{StartedAt: 1, Sequence: 1, SentAt: now.Add(-c.age).UnixNano()}, lifetime)
 		expiresAt := store.reports["n"].expiresAt
 		if got != c.want || got && !expiresAt.Equal(now.Add(c.expiresIn)) {
-			t.Errorf("%v old: got %v, counting for %v, want %v and %v", c.age, got, expiresAt.Sub(now), c.want, c.expiresIn)
+			t.Errorf("report %v old: got stored %v, expiring in %v, want %v and %v", c.age, got, expiresAt.Sub(now), c.want, c.expiresIn)
 		}
 	}
 }
 
-// Whatever comes, the state keeps to its bounds.
-func TestBounded(t *testing.T) {
+// The sizes of all state stay within their limits, however many observers, servers and classes there are.
+func TestStateIsBounded(t *testing.T) {
 	now, store, local, active := time.Unix(1000, 0), newReportStore(), newLocalEvidence(), ejections{}
 	finding := Finding{Complainers: 3, Zones: 2, Failed: 6, complaintWeight: 1}
 	for i := range 3 * maxObservers {
@@ -92,12 +93,12 @@
 	if len(store.reports) > maxObservers || len(local.servers) > maxServers || len(local.lostPrimaries) > maxLostPrimaries || len(active) > maxServers {
 		t.Errorf("got %d reports, %d servers, %d lost primaries, %d ejections", len(store.reports), len(local.servers), len(local.lostPrimaries), len(active))
 	}
-	now = now.Add(reportMemory + time.Second) // what is old makes room
+	now = now.Add(sequenceRetention + time.Second) // old entries are removed to make room
 	if !store.add(now, "new", Report{StartedAt: 1, Sequence: 1, SentAt: now.UnixNano()}, time.Second) || len(store.reports) != 1 {
-		t.Errorf("got %d reports after all have been forgotten, want the new one", len(store.reports))
+		t.Errorf("got %d reports after the retention time, want only the new one", len(store.reports))
 	}
 	local.observe(now, "new", 0, Success, 0)
 	if got, _ := local.observations(now); len(got) != 1 || got[0].Server != "new" {
-		t.Errorf("got the observations %v, want the new server's", got)
+		t.Errorf("got observations %v, want only that of the new server", got)
 	}
 }
--- a/internal/fleet/outlier/report_test.go
+++ b/internal/fleet/outlier/report_test.go
@@ -11,7 +11,7 @@
 
 var testSettings = Settings{MinObservers: 3, MinZones: 2, MaxEjectedShare: 0.5, BaseEjectionTime: 5 * time.Second}
 
-// drawReport draws a report on some servers: what an honest observer could count, or anything that can be decoded.
+// drawReport draws a report about a subset of servers. Its complaint count is consistent with its observations.
 func drawReport(t *rapid.T, servers []string) Report {
 	r := Report{StartedAt: int64(rapid.IntRange(1, 3).Draw(t, "started at")), Sequence: uint64(rapid.IntRange(1, 5).Draw(t, "sequence")),
 		Zone: rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"), ServersSeen: len(servers)}
@@ -25,8 +25,8 @@
 	return r
 }
 
-// What is broadcast fits into a datagram, complaints first, and is decoded to what it was.
-func TestReport(t *testing.T) {
+// An encoded report is at most maxReportSize bytes long and decodes to the original, except for omitted servers at the end of the list.
+func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var servers []string
 		for i := range rapid.IntRange(0, 20).Draw(t, "servers") {
@@ -49,7 +49,7 @@
 	})
 }
 
-// A report of any bytes is decoded to what an observer can have counted or refused, and ejects no server by itself.
+// Any input is rejected or decoded to a consistent report, and a single report cannot eject a server.
 func FuzzDecode(f *testing.F) {
 	f.Add((&Report{StartedAt: 1, Sequence: 2, SentAt: 3, Zone: "z1", ServersSeen: 2, Complaints: 1, Servers: []Observation{{Server: "a", Failed: 3, LostPrimary: true}, {Server: "b", Good: 1}}}).encode())
 	f.Add([]byte(`{"e":1,"l":[{"s":"a"},{"s":"a"}]}`))
--- a/internal/fleet/outlier/reporter.go
+++ b/internal/fleet/outlier/reporter.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// reporter decides when this pooler reports, and what. It is not safe for use by several goroutines.
+// reporter decides when this pooler sends a report, and which observations it contains. It is not safe for concurrent use.
 type reporter struct {
 	startedAt    int64 // Unix ns
 	zone         string
-	sequence     uint64
-	complained   map[string]bool // servers that the last report complains of
-	nextReportAt time.Time       // not before
+	sequence     uint64          // of the last report
+	complained   map[string]bool // servers that the last report complains about
+	nextReportAt time.Time       // earliest time of the next report
 }
 
-// reportingContext is what the others' reports ask of this pooler.
+// reportingContext is the fleet's state that determines which observations this pooler must report.
 type reportingContext struct {
-	settings  Settings
-	accused   map[string]bool // servers that others complain of
-	findings  map[string]Finding
-	isEjected func(server string) bool
-	fleetSize int
+	settings         Settings
+	reportedByOthers map[string]bool // servers of which another observer reports a complaint or a lost primary
+	findings         map[string]Finding
+	isEjected        func(server string) bool
+	fleetSize        int
 }
 
-// due returns the report that is due now, encoded; nil: none is. A pooler reports while it complains, while it has evidence of a server
-// that another complains of or that is ejected, as long as its side needs reports, and once more to withdraw a complaint: a calm fleet is
-// silent.
-func (r *reporter) due(now time.Time, report Report, c reportingContext) []byte {
+// dueReport returns the encoded report that is due now, or nil. A pooler reports its complaints, and its evidence about servers that
+// another observer has reported or that are ejected, while further reports are needed (sufficientlyReported). It sends one more report to
+// withdraw a complaint. While no pooler complains, no reports are sent.
+func (r *reporter) dueReport(now time.Time, report Report, c reportingContext) []byte {
 	report.Servers = slices.DeleteFunc(report.Servers, func(o Observation) bool {
-		return !o.isReportable() && !c.accused[o.Server] && !c.isEjected(o.Server)
+		return !o.isReportable() && !c.reportedByOthers[o.Server] && !c.isEjected(o.Server)
 	})
 	complaints := complaintsOf(report.Servers)
 	if now.Before(r.nextReportAt) || !c.isNeeded(report) && !r.withdraws(complaints) {
@@ -43,14 +43,14 @@
 	return report.encode()
 }
 
-// isNeeded reports whether a report has tenants, a lost primary, or an observation whose side needs more reports.
+// isNeeded reports whether a report contains tenants, a lost primary, or an observation that is not yet sufficiently reported.
 func (c reportingContext) isNeeded(report Report) bool {
 	return len(report.Tenants) > 0 || slices.ContainsFunc(report.Servers, func(o Observation) bool {
 		return o.LostPrimary || !c.settings.sufficientlyReported(c.findings[o.Server], o.complains())
 	})
 }
 
-// withdraws reports whether the last report complains of a server that these complaints do not have.
+// withdraws reports whether the last report complained about a server that is not in complaints.
 func (r *reporter) withdraws(complaints map[string]bool) bool {
 	for server := range r.complained {
 		if !complaints[server] {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// complaintsOf returns the servers that observations complain of.
+// complaintsOf returns the servers that the observations complain about.
 func complaintsOf(observations []Observation) map[string]bool {
 	complaints := map[string]bool{}
 	for _, o := range observations {
@@ -71,7 +71,7 @@
 	return complaints
 }
 
-// reportCounts counts reports and their bytes since they were logged last.
+// reportCounts counts reports and their bytes since the last traffic log line.
 type reportCounts struct{ sent, sentBytes, received, receivedBytes int }
 
 func (c *reportCounts) addSent(bytes int) {
--- a/internal/fleet/outlier/reporter_test.go
+++ b/internal/fleet/outlier/reporter_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// A pooler reports when it complains or is asked, at its own pace, and once more to withdraw a complaint.
+// A pooler reports its complaints, and servers that others have reported, at most once in a report interval, and sends one more report to
+// withdraw a complaint.
 func TestReporter(t *testing.T) {
 	const silent = -1
 	bad := Report{ServersSeen: 2, Complaints: 1, Servers: []Observation{{Server: "a", Failed: 2}, {Server: "b", Good: 1}}}
 	good := Report{ServersSeen: 2, Servers: []Observation{{Server: "a", Good: 2}, {Server: "b", Good: 1}}}
 	r, now := reporter{zone: "z1"}, time.Unix(1000, 0)
 	for i, step := range []struct {
-		after   time.Duration
-		report  Report
-		accused map[string]bool
-		want    int // observations; silent: there is no report
+		after            time.Duration
+		report           Report
+		reportedByOthers map[string]bool
+		want             int // number of reported observations, or silent for no report
 	}{{0, good, nil, silent}, {0, bad, nil, 1}, {minReportInterval / 2, bad, nil, silent}, {minReportInterval, good, nil, 0},
 		{2 * minReportInterval, good, nil, silent}, {0, good, map[string]bool{"b": true}, 1},
 		{2 * minReportInterval, good, map[string]bool{"c": true}, silent}, {2 * minReportInterval, good, nil, silent}} {
 		now = now.Add(step.after)
 		step.report.Servers = slices.Clone(step.report.Servers)
-		text := r.due(now, step.report, reportingContext{settings: testSettings, accused: step.accused, isEjected: ejections{}.isEjected, fleetSize: 5})
+		text := r.dueReport(now, step.report, reportingContext{settings: testSettings, reportedByOthers: step.reportedByOthers, isEjected: ejections{}.isEjected, fleetSize: 5})
 		got := silent
 		if text != nil {
 			report, err := decode(text)
--- a/internal/fleet/outlier/selection.go
+++ b/internal/fleet/outlier/selection.go
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// selection is which servers are ejected now, within the limits of their groups. It is not safe for use by several goroutines.
+// selection holds the servers that are currently ejected, within the limits of their groups. It is not safe for concurrent use.
 type selection struct {
 	ejected      map[string]bool
 	alternatives map[string][]string // by ejected server: the members of its group that are not ejected
-	probing      map[string]bool     // ejected servers that this pooler is to probe now
+	probing      map[string]bool     // by ejected server: whether this pooler is one of its current probers
 }
 
 func newSelection() selection {
 	return selection{ejected: map[string]bool{}, alternatives: map[string][]string{}, probing: map[string]bool{}}
 }
 
-// update selects anew, by the groups' members. self and fleet are the names of this pooler and of all.
+// update recomputes the selection from the members of the groups. self is the name of this pooler, and fleet holds the names of all.
 func (s *selection) update(now time.Time, settings Settings, isEjected func(string) bool, groups map[int][]string, self string, fleet []string) {
 	clear(s.ejected)
 	clear(s.alternatives)
@@ -37,16 +37,17 @@
 	}
 }
 
-// isProber reports whether a pooler is one of the few that probe an ejected server now. Who they are follows from the time and the names
-// alone; poolers whose clocks or members differ may probe beside each other, or leave a turn out.
+// isProber reports whether the pooler self is one of the few that currently probe an ejected server. It uses rendezvous hashing over the
+// names and the current probeInterval, so no coordination is needed. Poolers with different clocks or members may select too many probers
+// or too few for an interval.
 func (s Settings) isProber(now time.Time, self string, fleet []string, server string) bool {
 	turn := strconv.FormatInt(now.UnixNano()/int64(probeInterval), 10)
 	rank := func(pooler string) uint64 { return xxhash.Sum64String(pooler + "\x00" + server + "\x00" + turn) }
-	own, before := rank(self), 0
+	own, lowerRanked := rank(self), 0
 	for _, pooler := range fleet {
 		if pooler != self && rank(pooler) < own {
-			before++
+			lowerRanked++
 		}
 	}
-	return before < max(minProbers*s.MinObservers, int(proberShare*float64(len(fleet))))
+	return lowerRanked < max(minProbers*s.MinObservers, int(proberShare*float64(len(fleet))))
 }
--- a/internal/fleet/outlier/settings.go
+++ b/internal/fleet/outlier/settings.go
@@ -2,37 +2,41 @@
 
 import "time"
 
-// Settings are what the operators set.
+// Settings holds the operator's settings for outlier detection.
 type Settings struct {
-	MinObservers     int           // that must complain of a server before it is ejected
-	MinZones         int           // that these observers must be in
-	MaxEjectedShare  float64       // of a group's members that may be ejected; one is always left
-	BaseEjectionTime time.Duration // of a first ejection; the n-th in a row is n times as long, up to maxEjectionMultiplier
+	MinObservers     int           // minimum number of observers that must complain about a server before it is ejected
+	MinZones         int           // minimum number of zones in which these observers must be
+	MaxEjectedShare  float64       // maximum share of a group's members that may be ejected; at least one member always remains
+	BaseEjectionTime time.Duration // duration of a first ejection; the n-th consecutive one lasts n times as long, up to maxEjectionMultiplier
 }
 
 const (
-	// failureThreshold is the share of an observer's attempts at a server, failed or slow, from which it complains of the server.
+	// failureThreshold is the share of failed or slow attempts from which an observer complains about a server.
 	failureThreshold = 0.5
-	// minFailuresPerObserver times MinObservers bad attempts are needed for an ejection: two of each of three poolers, or one of each of
-	// six that see less. Half as many renew an ejection, as few poolers probe an ejected server.
+	// minFailuresPerObserver, multiplied by MinObservers, is the number of failed or slow attempts that an ejection needs: with the factor
+	// 2, two from each of three poolers, or one from each of six with less traffic. One for each of MinObservers renews an ejection, as only
+	// a few poolers probe an ejected server.
 	minFailuresPerObserver = 2
-	// minElsewhereObservers must see other servers for these to be a measure: one observer could be a liar.
+	// minElsewhereObservers is the minimum number of observers with evidence about other servers for a failure rate elsewhere. A single
+	// observer could report false numbers.
 	minElsewhereObservers = 3
-	// sufficientReports times MinObservers reports are enough for one side: the loss of a few changes nothing.
+	// sufficientReports, multiplied by MinObservers, is the number of agreeing reports that suffices, so that losing a few has no effect.
 	sufficientReports = 4
-	// minClearingObservers with good answers end an ejection: one could be the only one whose link is good.
+	// minClearingObservers is the minimum number of satisfied observers that ends an ejection early. A single one could be the only pooler
+	// with a good link.
 	minClearingObservers = 2
-	// confirmationDelay is how long enough evidence must stand before an ejection, so that others can speak against it: SWIM's suspicion.
+	// confirmationDelay is how long the evidence must be sufficient before an ejection begins, so that other observers can contradict it, as
+	// in the suspicion mechanism of SWIM.
 	confirmationDelay = 500 * time.Millisecond
-	// maxEjectionMultiplier bounds an ejection's length, in base ejection times.
+	// maxEjectionMultiplier is the maximum duration of an ejection, in base ejection times and before jitter.
 	maxEjectionMultiplier = 6
-	// ejectionMemory is how long after the end of an ejection the next one is still a further one in a row.
-	ejectionMemory = time.Minute
-	// probeInterval is how long a few poolers may probe an ejected server before it is others' turn: each pooler's own probes are as far
-	// apart.
+	// ejectionRetention is the time after the end of an ejection within which the next one still counts as consecutive.
+	ejectionRetention = time.Minute
+	// probeInterval is how long a set of poolers probes an ejected server before another set takes over. It equals the interval between a
+	// pooler's own probes.
 	probeInterval = 3 * time.Second
-	// minProbers times MinObservers poolers probe at a time, so that their evidence alone can renew an ejection; of a large fleet the
-	// proberShare.
+	// minProbers, multiplied by MinObservers, is the minimum number of poolers that probe an ejected server at a time, so that their
+	// evidence alone can renew the ejection. In a large fleet the number is the proberShare of the poolers.
 	minProbers  = 2
 	proberShare = 1.0 / 20
 )
@@ -40,24 +44,25 @@
 const (
 	minReportInterval = 500 * time.Millisecond
 	maxReportInterval = 5 * time.Second
-	// maxClockSkew is the most by which poolers' wall clocks are taken to differ. A report that is older than its lifetime and this is
-	// refused: it waited in a stalled process's buffers, or a clock is wrong.
+	// maxClockSkew is the assumed maximum difference between the poolers' wall clocks. A report older than its lifetime and maxClockSkew
+	// together is rejected: it was buffered in a stalled process, or a clock is wrong.
 	maxClockSkew = 2 * time.Second
 )
 
-// reportInterval returns how often a pooler of a fleet of a size reports when it has something to report: each pooler then receives at
-// most 50 reports a second in a fleet of up to 250, which take some 10 ms of processor time on a busy machine.
+// reportInterval returns the mean time between the reports of one pooler while it has something to report. In a fleet of up to 250 poolers
+// each then receives at most 50 reports a second, which take about 10 ms of processor time on a busy machine.
 func reportInterval(fleetSize int) time.Duration {
 	return min(max(time.Duration(fleetSize)*20*time.Millisecond, minReportInterval), maxReportInterval)
 }
 
-// reportLifetime returns how long a report counts unless a newer one comes: one of two may be lost.
+// reportLifetime returns how long a report counts unless a newer one replaces it. It spans two reports, so that one of them may be lost.
 func reportLifetime(fleetSize int) time.Duration { return reportInterval(fleetSize) * 5 / 2 }
 
-// MaxStaleEjection returns the longest time for which any pooler of a fleet of a size may eject a server that is good again, whatever its
-// clients see, without a single good answer: the last complaint is evidenceSpan old when it is reported, and counts for a report's
-// lifetime, longer where clocks differ (twice the skew: one clock is ahead, and the report slow by as much); an ejection that begins or is
-// renewed by it at its very end lasts for the longest ejection time and its jitter.
+// MaxStaleEjection returns the maximum time for which any pooler of a fleet may eject a server after it has recovered, even if no pooler
+// gets a good answer from it. It is the sum of the following: the evidence of the last complaint may be evidenceWindow old when it is
+// reported; the report counts for its lifetime, and for up to twice maxClockSkew longer, if the sender's clock is ahead and the report is
+// delayed by as much; and an ejection that begins or is renewed just before the report expires lasts for the maximum ejection time and its
+// jitter.
 func (s Settings) MaxStaleEjection(fleetSize int) time.Duration {
-	return evidenceSpan + reportLifetime(fleetSize) + 2*maxClockSkew + maxEjectionMultiplier*s.BaseEjectionTime*5/4
+	return evidenceWindow + reportLifetime(fleetSize) + 2*maxClockSkew + maxEjectionMultiplier*s.BaseEjectionTime*5/4
 }
--- a/internal/fleet/outlier/tenants.go
+++ b/internal/fleet/outlier/tenants.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// hotShare is the share of an observer's requests from which a tenant is hot to it. For the fleet the weighted median of observers
-	// counts: a tenant that is hot at a few poolers alone is theirs to limit.
+	// hotShare is the share of an observer's requests from which a tenant is hot for that observer. A tenant is hot for the fleet if it is
+	// for the weighted majority of observers. Limiting a tenant that is hot at only a few poolers is left to those poolers.
 	hotShare = 0.5
-	// minHotRequests is below how many requests shares are chance.
+	// minHotRequests is the minimum number of requests for shares to be significant.
 	minHotRequests = 2 * maxRecentAttempts
-	// maxTenants bounds the tenants that an observer counts in half an evidenceSpan; later ones are counted as others.
+	// maxTenants is the maximum number of tenants that an observer counts separately in half an evidenceWindow. Requests of further tenants
+	// count only towards the total.
 	maxTenants         = 256
 	maxReportedTenants = 4
 )
 
-// tenantCounts counts requests by tenant over the last half to whole evidenceSpan. It is not safe for use by several goroutines.
+// tenantCounts counts requests by tenant in two consecutive halves of an evidenceWindow. It is not safe for concurrent use.
 type tenantCounts struct {
 	rotatedAt            time.Time
 	current, previous    map[string]uint32
@@ -34,32 +35,34 @@
 	}
 }
 
-// rotate begins another half of an evidenceSpan, if the last one is over.
+// rotate starts a new half of the window if the current one is over.
 func (c *tenantCounts) rotate(now time.Time) {
 	age := now.Sub(c.rotatedAt)
-	if c.current != nil && age < evidenceSpan/2 {
+	if c.current != nil && age < evidenceWindow/2 {
 		return
 	}
 	c.previous, c.previousTotal = c.current, c.total
-	if age >= evidenceSpan {
+	if age >= evidenceWindow {
 		c.previous, c.previousTotal = nil, 0
 	}
 	c.current, c.total = map[string]uint32{}, 0
 	c.rotatedAt = now
 }
 
-// observation returns a tenant's share of the requests in the form of a server's attempts: Failed is its own part.
+// observation returns a tenant's share of the requests as an observation, so that the rules for servers apply: Failed is the tenant's
+// share, scaled so that hotShare corresponds to failureThreshold, and Good is the rest of maxRecentAttempts.
 func (c *tenantCounts) observation(tenant string) Observation {
-	all, own := c.total+c.previousTotal, c.current[tenant]+c.previous[tenant]
-	if all < minHotRequests || own == all { // a tenant alone is hot to nobody
+	requests, own := c.total+c.previousTotal, c.current[tenant]+c.previous[tenant]
+	if requests < minHotRequests || own == requests { // a tenant without others is not hot
 		return Observation{Server: tenant}
 	}
-	share := float64(own) / float64(all)
+	share := float64(own) / float64(requests)
 	failed := uint32(min(share*failureThreshold/hotShare, 1) * maxRecentAttempts)
 	return Observation{Server: tenant, Failed: failed, Good: maxRecentAttempts - failed}
 }
 
-// observations returns those of hot tenants, and of tenants that others report as hot.
+// observations returns the observations of hot tenants and of tenants that other observers report as hot, at most maxReportedTenants,
+// those with the largest shares first.
 func (c *tenantCounts) observations(now time.Time, reported map[string]bool) (observations []Observation) {
 	c.rotate(now)
 	for tenant := range c.candidates(reported) {
@@ -74,7 +77,7 @@
 	return observations[:min(len(observations), maxReportedTenants)]
 }
 
-// candidates returns the tenants that have requests here and a name that can be reported, and those that others report.
+// candidates returns the tenants with requests at this pooler whose names are valid in a report, and the tenants that others report.
 func (c *tenantCounts) candidates(reported map[string]bool) map[string]bool {
 	names := map[string]bool{}
 	for _, counts := range []map[string]uint32{c.current, c.previous} {
--- a/internal/fleet/outlier/tenants_test.go
+++ b/internal/fleet/outlier/tenants_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// tenantFleet is nine poolers that count requests by tenant, of which the first ones are busy with the tenant "big".
+// tenantFleet simulates nine poolers that count requests by tenant. At the first busy poolers most requests are from the tenant "big".
 type tenantFleet struct {
 	now     time.Time
-	busy    int // poolers
+	busy    int // number of poolers
 	counts  [9]tenantCounts
 	reports []observerReport
 	hot     ejections
 }
 
-// step counts ten requests at each pooler, and joins their reports.
+// step records ten requests at each pooler, and aggregates the poolers' reports.
 func (f *tenantFleet) step(bigIsThere bool) {
-	f.now = f.now.Add(evidenceSpan / 4)
-	reported := complainedAbout(f.reports, tenantsOf)
+	f.now = f.now.Add(evidenceWindow / 4)
+	reported := reportableNames(f.reports, tenantsOf)
 	f.reports = f.reports[:0]
 	for i := range f.counts {
 		for k := range 10 {
@@ -34,7 +34,8 @@
 	f.hot.update(f.now, testSettings, aggregateTenants(f.reports), 0)
 }
 
-// A tenant that makes most requests at most poolers is hot; one that does at a few is not, nor anybody in a calm; and it ends.
+// A tenant that sends most of the requests at most poolers is hot, and one that does so at only a few is not. No tenant stays hot without
+// requests.
 func TestHotTenant(t *testing.T) {
 	for busy, want := range map[int]bool{2: false, 4: false, 7: true} {
 		f := tenantFleet{now: time.Unix(1000, 0), busy: busy, hot: ejections{}}
