--- a/internal/policy/concurrency_window_test.go
+++ b/internal/policy/concurrency_window_test.go
@@ -97,7 +97,7 @@
 		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(c.poolers))
 			for range 200 { // answers that show a queue
-				host.now += windowCutInterval
+				host.now += windowDecreaseInterval
 				host.setLatencyRatio(host.server(1), 3)
 				host.router.advanceClock(host.now)
 				host.router.adjustWindow(host.server(1))
--- a/internal/policy/counters.go
+++ b/internal/policy/counters.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// counterLogInterval is how often the counters are logged. A line costs as much processor time
-	// as a request or two.
+	// counterLogInterval is the minimum interval between two logs of the counters. Logging a line
+	// takes as much CPU time as one or two requests.
 	counterLogInterval = 5 * time.Second
-	// countersPerLine keeps a line within the length that a log takes.
+	// countersPerLine is the maximum number of counters in a line, which limits its length.
 	countersPerLine = 4
 )
 
-// probeReason is why a probe is sent, as the log has it.
+// probeReason is the reason for a probe, as it appears in the log.
 type probeReason string
 
-// The reasons of probes.
+// The reasons for probes.
 const (
-	probeForPing     probeReason = "ping"     // the recorded primary's steady ping
-	probeForRound    probeReason = "round"    // a round finds the primary
-	probeForPosition probeReason = "position" // a read may need the position
-	probeForRefresh  probeReason = "refresh"  // queued reads need the position
-	probeForTrial    probeReason = "trial"    // an ejected server must answer before it is tried
+	probeForPing     probeReason = "ping"     // periodic ping of the recorded primary
+	probeForRound    probeReason = "round"    // probe round of a group without a recorded primary
+	probeForPosition probeReason = "position" // position of a replica that a read may need
+	probeForRefresh  probeReason = "refresh"  // positions of the replicas of a group with queued reads
+	probeForTrial    probeReason = "trial"    // unreachable ejected server, before a trial request
 )
 
-// reasonCounters counts by reason the probes that were sent and the requests that were not served
-// since the last log lines, so that the logs of a fleet can be added up. Nothing is decided by
-// them.
+// reasonCounters counts the probes sent and the requests not served, by reason, since the counters
+// were last logged. The logs of all poolers can be added up. No decision reads the counters.
 type reasonCounters struct {
 	loggedAt time.Duration
 	counts   map[string]int
 }
 
-// countReason counts one event, and logs the counters when they are due.
+// countReason increments the counter of a reason and logs the counters if counterLogInterval has
+// passed.
 func (r *Router) countReason(reason string) {
 	c := &r.counters
 	if c.counts == nil {
@@ -49,7 +49,7 @@
 	r.logCounters()
 }
 
-// logCounters logs the counters, sorted by their reasons, and starts them anew.
+// logCounters logs the counters, sorted by reason, and resets them.
 func (r *Router) logCounters() {
 	c := &r.counters
 	entries := make([]string, 0, len(c.counts))
@@ -64,13 +64,13 @@
 	clear(c.counts)
 }
 
-// sendProbe probes a server and counts the reason.
+// sendProbe sends a probe to a server and counts the reason.
 func (r *Router) sendProbe(s *server, reason probeReason) {
 	r.actions.Probe(s.ID)
 	r.countReason("probe-" + string(reason))
 }
 
-// countUnserved counts why a request that gets its final answer now has found no server.
+// countUnserved counts the reasons why a request that is being rejected or failed was not served.
 func (r *Router) countUnserved(req *request) {
 	reason := "end-" + req.class.Name
 	if len(req.attempts) > 0 {
@@ -81,29 +81,29 @@
 		reason += "-again"
 	}
 	if req.class.needsPrimary() {
-		r.countReason(reason + "-" + r.primaryObstacle(req))
+		r.countReason(reason + "-" + r.primaryBlockingReason(req))
 		return
 	}
-	var obstacles []string
+	var blockingReasons []string
 	for _, s := range req.group.members {
 		if s != req.group.primary {
-			obstacles = append(obstacles, r.obstacle(req, s))
+			blockingReasons = append(blockingReasons, r.blockingReason(req, s))
 		}
 	}
-	slices.Sort(obstacles)
-	r.countReason(reason + "-" + strings.Join(slices.Compact(obstacles), "+"))
+	slices.Sort(blockingReasons)
+	r.countReason(reason + "-" + strings.Join(slices.Compact(blockingReasons), "+"))
 }
 
-// primaryObstacle names what keeps the recorded primary from taking a request.
-func (r *Router) primaryObstacle(req *request) string {
+// primaryBlockingReason returns the reason why the recorded primary cannot take a request.
+func (r *Router) primaryBlockingReason(req *request) string {
 	if req.group.primary == nil {
 		return "noprimary"
 	}
-	return r.obstacle(req, req.group.primary)
+	return r.blockingReason(req, req.group.primary)
 }
 
-// obstacle names what keeps a server from taking a request.
-func (r *Router) obstacle(req *request, s *server) string {
+// blockingReason returns the reason why a server cannot take a request, or "free" if there is none.
+func (r *Router) blockingReason(req *request, s *server) string {
 	switch {
 	case s.State != Ready:
 		return "drain"
@@ -113,7 +113,7 @@
 		return "lost"
 	case s != req.group.primary && !r.freshEnough(req, s):
 		return "stale"
-	case r.now < s.pause.until:
+	case r.now < s.backoff.until:
 		return "paused"
 	case float64(s.outstanding.count()) >= s.window.limit():
 		return "window"
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// Endpoints: what a change of the endpoint list means for a server, how a draining server is left,
-// and when the list is polled.
+// Endpoints: applying changes of the endpoint list, draining servers, and polling the list.
 
 const (
-	// MaxListRetryDelay is the longest wait from a failed poll of the list to the next one: with it
-	// a change of the list is known 6 s later, also when a poll fails.
+	// MaxListRetryDelay is the maximum delay from a failed poll of the list to the next one. With it,
+	// a change of the list is known within 6 s even if a poll fails.
 	MaxListRetryDelay = 1500 * time.Millisecond
-	// MaxFirstPollDelay is the longest wait from a start to the first poll of the list.
+	// MaxFirstPollDelay is the maximum delay from a pooler's start to its first poll of the list.
 	MaxFirstPollDelay = 3 * time.Second
-	// listPollSpacing is the span between the first polls of two poolers: a list service bore some
-	// ten a second of 80.
+	// listPollSpacing is the interval between the first polls of two poolers. A list service handled
+	// about ten polls a second from 80 poolers.
 	listPollSpacing = 80 * time.Millisecond
-	// removedServerRetention is how long a server that has left the list is remembered.
+	// removedServerRetention is how long the state of a removed server is kept.
 	removedServerRetention = time.Minute
 )
 
-// HandleList applies an endpoint list. After ListFailed the old list stays in force and is polled
-// again.
+// HandleList applies an endpoint list. On ListFailed the previous list remains in effect and another
+// poll is scheduled.
 func (r *Router) HandleList(now time.Duration, kind ListKind, entries []Member) {
 	r.advanceClock(now)
-	if kind == ListFailed { // the old list stays in force
+	if kind == ListFailed {
 		r.scheduleListPoll(r.jitter(r.fleet.listRetryDelay))
 		return
 	}
@@ -41,7 +40,7 @@
 	}
 }
 
-// scheduleListPoll schedules a poll of the list unless one is scheduled.
+// scheduleListPoll schedules a poll of the list unless polling is off or a poll is already scheduled.
 func (r *Router) scheduleListPoll(after time.Duration) {
 	if !r.settings.PollList || r.listPollScheduled {
 		return
@@ -53,8 +52,9 @@
 	})
 }
 
-// serverFor returns the server of an entry and creates it if need be; nil if it was removed before
-// it was known. Its slow start counts from the latest start that an entry has reported.
+// serverFor returns the server of an entry, creating it if it does not exist. It returns nil for an
+// unknown server that is listed as removed. The slow start of the server begins at the latest start
+// time that its entries have reported.
 func (r *Router) serverFor(m Member) *server {
 	s := r.servers.byID[m.ID]
 	if s == nil && m.State == Removed {
@@ -69,11 +69,11 @@
 		r.servers.add(s)
 		r.addMember(s)
 	}
-	s.slowStart.since = max(s.slowStart.since, m.StartedAt)
+	s.slowStart.startedAt = max(s.slowStart.startedAt, m.StartedAt)
 	return s
 }
 
-// updateMember applies a server's entry.
+// updateMember applies an entry of the list to its server.
 func (r *Router) updateMember(s *server, m Member) {
 	if m.State != Ready {
 		r.withdraw(s, m.State)
@@ -81,7 +81,7 @@
 	}
 	restarted := m.StartedAt > s.StartedAt && m.StartedAt > s.role.asOf
 	if restarted && s.role.current == RolePrimary {
-		r.observeReplicaClaim(s, m.StartedAt) // a process that starts again comes back as a replica
+		r.observeReplicaClaim(s, m.StartedAt) // a restarted process is a replica at first
 	}
 	r.addMember(s)
 	s.Member = m
@@ -90,26 +90,26 @@
 	if g.primary == s {
 		g.outage.primaryRemoved = false
 	}
-	if r.takesListedPrimary(g, s) {
+	if r.acceptsListedPrimary(g, s) {
 		g.primary = s
-		s.role.claimedAt = max(s.role.claimedAt, r.now-typicalFailover)
-		event := PrimaryEvent{Kind: PrimaryListed, Group: g.id, Server: s.ID, AsOf: s.role.claimedAt}
+		s.role.primaryAsOf = max(s.role.primaryAsOf, r.now-typicalFailoverDuration)
+		event := PrimaryEvent{Kind: PrimaryListed, Group: g.id, Server: s.ID, AsOf: s.role.primaryAsOf}
 		r.actions.PrimaryChanged(event)
 	}
 	g.updateWeightsDiffer()
 }
 
-// takesListedPrimary reports whether a server that the list names as primary is recorded without
-// evidence. That is so at the start of a large fleet, where probe rounds by all poolers would be a
-// storm: the entry, some seconds old, stands until there is an answer.
-func (r *Router) takesListedPrimary(g *group, s *server) bool {
+// acceptsListedPrimary reports whether a server that the list names as primary is recorded without
+// further evidence. This applies when a large fleet starts, since probe rounds by all poolers would
+// overload the servers. The entry may be some seconds old; it is used until the first answer arrives.
+func (r *Router) acceptsListedPrimary(g *group, s *server) bool {
 	if !r.fleet.isLarge || !s.Primary || s.role.current != RoleUnknown || g.outage.startedAt != 0 {
 		return false
 	}
 	return g.primary == nil || g.primary.role.current == RoleUnknown
 }
 
-// withdrawUnlisted withdraws the servers that a complete list does not name.
+// withdrawUnlisted treats the servers that are missing from a complete list as removed.
 func (r *Router) withdrawUnlisted(listed map[uint32]bool) {
 	for _, s := range r.servers.ordered {
 		if s.listed && !listed[s.ID] && s.State != Removed {
@@ -118,8 +118,8 @@
 	}
 }
 
-// withdraw stops the use of a server that drains or has left the list: of reads at once, of writes
-// once its grace period is over, less a margin.
+// withdraw stops the use of a server that is draining or removed: for reads immediately, for writes
+// at the end of its drain grace period, less a margin.
 func (r *Router) withdraw(s *server, state MemberState) {
 	if state == Draining {
 		s.wasDraining = true
@@ -131,7 +131,8 @@
 	if state == Removed {
 		g := r.groupFor(s.Group)
 		if g.primary == s {
-			// Another member may be about to be promoted, so that no write is tried at one of them.
+			// Another member may be about to be promoted: until one reports itself primary, no write is
+			// sent to a guessed primary.
 			g.outage.primaryRemoved = true
 		}
 		r.schedule(removedServerRetention, func() { r.forgetRemovedServer(s) })
@@ -144,31 +145,31 @@
 	r.schedule(max(s.sendUntil-r.now, 0), func() { r.endGracePeriod(s) })
 }
 
-// endGracePeriod takes a server out of its group unless it was listed as ready again, or its grace
-// period lasts longer.
+// endGracePeriod removes a server from its group unless it has been listed as ready again or its grace
+// period has been extended.
 func (r *Router) endGracePeriod(s *server) {
 	if s.State == Ready || r.now < s.sendUntil {
 		return
 	}
 	r.removeMember(s)
-	if r.dropPrimary(s, "has left") {
+	if r.dropPrimary(s, "reached the end of its drain grace period") {
 		r.groupFor(s.Group).outage.primaryRemoved = true
 	}
 }
 
-// gracePeriodOver reports whether a server that drains is sent nothing more: when less of its grace
-// period is left, less the events' interval, than a send has lately taken, and sendMargin at the
-// least.
+// gracePeriodOver reports whether the drain grace period of a server is too short for another send.
+// The time reserved for a send is its recent maximum duration, but at least sendMargin, plus
+// Settings.EventInterval.
 func (r *Router) gracePeriodOver(s *server) bool {
 	return s.sendUntil > 0 && r.now >= s.sendUntil-max(r.reported.sendDuration-sendMargin, 0)
 }
 
-// SetSendDuration sets the longest time that a send has lately taken, from its choice to its last
-// byte.
+// SetSendDuration sets the recent maximum time that a send has taken, from the choice of its server to
+// its last byte.
 func (r *Router) SetSendDuration(d time.Duration) { r.reported.sendDuration = d }
 
-// forgetRemovedServer drops a server that has left the list for good, once nothing of it is under
-// way: over a long time every server is replaced.
+// forgetRemovedServer deletes the state of a removed server once it has no outstanding attempts or
+// probes. Without it, a long-running pooler would accumulate every server that was ever listed.
 func (r *Router) forgetRemovedServer(s *server) {
 	switch {
 	case s.State != Removed || r.servers.byID[s.ID] != s:
--- a/internal/policy/group.go
+++ b/internal/policy/group.go
@@ -8,31 +8,31 @@
 	"threadsail/internal/rendezvous"
 )
 
-// group is what a Router knows of one group of replicated servers.
+// group is the state that a Router keeps for one group of replicated servers.
 type group struct {
 	id               int
 	members          []*server
-	primary          *server // the recorded primary, nil for none
+	primary          *server // the recorded primary; nil if there is none
 	outage           primaryOutage
 	ping             pingSchedule
 	round            probeRound
 	queue            requestQueue
 	ranking          replicaRanking
 	lastRequestAt    time.Duration
-	roundRobinOffset int  // the member that the next read's turn starts at
-	weightsDiffer    bool // its members differ in ReadWeight
+	roundRobinOffset int  // index of the member at which the next read starts its search, modulo the members
+	weightsDiffer    bool // whether the members differ in ReadWeight
 }
 
-// replicaRanking is the order in which this pooler prefers the ready replicas of a group. It holds
-// until these, or the settings, change.
+// replicaRanking caches the order in which this pooler prefers the ready replicas of a group. It is
+// valid until the set of ready replicas or the settings change.
 type replicaRanking struct {
-	replicas []*server // the ready replicas that were ranked, in the order of the members
-	ranked   []*server
+	replicas []*server // the ready replicas that were ranked, in member order
+	ranked   []*server // the same replicas, most preferred first
 }
 
 func (k *replicaRanking) invalidate() { k.replicas = nil }
 
-// groupFor returns the group of a number and creates it if need be.
+// groupFor returns the group with the given ID, creating it if it does not exist.
 func (r *Router) groupFor(id int) *group {
 	g := r.groups[id]
 	if g == nil {
@@ -42,7 +42,7 @@
 	return g
 }
 
-// sortedGroups returns all groups by their numbers.
+// sortedGroups returns all groups, sorted by ID.
 func (r *Router) sortedGroups() []*group {
 	sorted := make([]*group, 0, len(r.groups))
 	for _, id := range slices.Sorted(maps.Keys(r.groups)) {
@@ -51,7 +51,7 @@
 	return sorted
 }
 
-// addMember makes a server a member of its group.
+// addMember adds a server to the members of its group unless it is one already.
 func (r *Router) addMember(s *server) {
 	if s.listed {
 		return
@@ -61,18 +61,17 @@
 	g.members = append(g.members, s)
 }
 
-// removeMember takes a server out of its group.
+// removeMember removes a server from the members of its group.
 func (r *Router) removeMember(s *server) {
 	s.listed = false
 	g := r.groupFor(s.Group)
 	if i := slices.Index(g.members, s); i >= 0 {
-		// A loop over the members may be under way: they are copied to a new slice.
+		// A caller may be iterating over the members, so that the slice must not be modified in place.
 		g.members = append(g.members[:i:i], g.members[i+1:]...)
 	}
 }
 
-// updateWeightsDiffer finds out whether the members differ in weight: where they do, reads go by
-// weighted turns.
+// updateWeightsDiffer recomputes weightsDiffer, which selects weighted round robin for reads.
 func (g *group) updateWeightsDiffer() {
 	g.weightsDiffer = slices.ContainsFunc(g.members, func(s *server) bool {
 		return max(s.ReadWeight, 1) != max(g.members[0].ReadWeight, 1)
@@ -82,24 +81,24 @@
 // isReadyReplica reports whether a member is listed as ready and is not the recorded primary.
 func (g *group) isReadyReplica(s *server) bool { return s != g.primary && s.State == Ready }
 
-// mostLaggedReplica returns the replica with the lowest known position of those that are ready and
-// not ejected.
+// mostLaggedReplica returns the replica with the lowest known position among those that are ready and
+// not ejected, or nil if there is none.
 func (g *group) mostLaggedReplica() *server {
-	var last *server
+	var mostLagged *server
 	for _, s := range g.members {
 		if !g.isReadyReplica(s) || s.ejection.ejected {
 			continue
 		}
-		if last == nil || s.replication.position < last.replication.position {
-			last = s
+		if mostLagged == nil || s.replication.position < mostLagged.replication.position {
+			mostLagged = s
 		}
 	}
-	return last
+	return mostLagged
 }
 
 // rankedReplicas returns the ready replicas of a group in the order in which this pooler prefers
-// them: first its home, of which each replica is given as many poolers, then the others by the
-// pooler's own ranking.
+// them. The assignment spreads the homes of all poolers evenly over the replicas (see
+// rendezvous.Order).
 func (r *Router) rankedReplicas(g *group) []*server {
 	ready := r.servers.scratch[:0]
 	for _, s := range g.members {
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -5,77 +5,76 @@
 	"time"
 )
 
-// Health check: what the end of an attempt says of its server, and which servers are silent or out
-// of reach.
+// Health check: evaluating the results of attempts, and detecting silent and unreachable servers.
 
 const (
-	// silenceMeanLatencies: a server is silent when its attempts have waited for this many mean
-	// latencies, summed over them, since it last answered any. That is rare by chance, also where
-	// latencies have a heavy tail.
-	silenceMeanLatencies = 10.0
-	// minSilence is the shortest wait that counts as silence.
+	// silenceThreshold is the total waiting time of a server's attempts since its last answer, in mean
+	// latencies, from which the server is considered silent. Slow answers rarely add up to it by
+	// chance, even if latencies have a heavy tail.
+	silenceThreshold = 10.0
+	// minSilence is the minimum time that one attempt must have waited at a silent server.
 	minSilence = 150 * time.Millisecond
-	// minSilenceCheckInterval is the least span between two checks of a server.
+	// minSilenceCheckInterval is the minimum interval between two silence checks of a server.
 	minSilenceCheckInterval = 20 * time.Millisecond
-	// minRestartOutage is how long a server is out of reach at the least when its process has been
-	// restarted.
+	// minRestartOutage is the minimum time that a server is unreachable while its process restarts.
 	minRestartOutage = time.Second
-	// initialPause is how long a server is left alone after it was overloaded. The pause doubles
-	// each time.
-	initialPause = 50 * time.Millisecond
-	// maxPause bounds that pause.
-	maxPause = 800 * time.Millisecond
-	// scarcityDuration is how long no connection to a server is kept idle after it refused some
-	// again and again.
-	scarcityDuration = 10 * time.Second
+	// initialBackoff is how long nothing is sent to a server after it was overloaded or refused a
+	// connection. It doubles each time until an attempt is served.
+	initialBackoff = 50 * time.Millisecond
+	// maxBackoff is the maximum backoff.
+	maxBackoff = 800 * time.Millisecond
+	// connectionScarcityDuration is how long no idle connections to a server are kept after it has
+	// repeatedly refused connections.
+	connectionScarcityDuration = 10 * time.Second
 )
 
-// serverHealth is whether a server answers, on the request path and to probes.
+// serverHealth records whether a server answers requests and probes.
 type serverHealth struct {
-	lastAnswerAt          time.Duration // on the request path; 0 for never, or after a failed connect
-	lastReachedAt         time.Duration // to a request or a probe
-	unreachable           bool          // its last probe failed
-	silent                bool          // attempts wait in vain; no claim to be primary counts meanwhile
+	lastAnswerAt          time.Duration // last answer to a request; 0 for never, or after a failed connect
+	lastReachedAt         time.Duration // last answer to a request or a probe
+	unreachable           bool          // whether its last probe failed
+	silent                bool          // whether attempts stay unanswered; prevents recording it as primary
 	silenceCheckScheduled bool
-	roundProbePending     bool // a running probe round waits for it
+	roundProbePending     bool // whether its probe of the current round is outstanding
 }
 
-// answeredRecently reports whether the server has answered on the request path within
-// recentAnswerAge.
+// answeredRecently reports whether the server has answered a request within recentAnswerAge.
 func (h *serverHealth) answeredRecently(now time.Duration) bool {
 	return now < h.lastAnswerAt+recentAnswerAge
 }
 
-// overloadPause is how long a server is left alone because it has no capacity or connections to
-// spare.
-type overloadPause struct {
-	until              time.Duration
-	length             time.Duration // of the last pause; 0 once an attempt is served
-	connectionScarceAt time.Duration // when it last refused connections again and again; 0 for never
+// overloadBackoff is the exponential backoff of a server that was overloaded or refused a connection.
+type overloadBackoff struct {
+	until               time.Duration
+	length              time.Duration // duration of the last backoff; 0 once an attempt is served
+	connectionsScarceAt time.Duration // time at which it last refused connections repeatedly; 0 for never
 }
 
-func (p *overloadPause) begin(now time.Duration) {
-	p.length = min(max(2*p.length, initialPause), maxPause)
+// begin starts a backoff, twice as long as the last one.
+func (p *overloadBackoff) begin(now time.Duration) {
+	p.length = min(max(2*p.length, initialBackoff), maxBackoff)
 	p.until = now + p.length
 }
 
-// connectionsScarce reports whether a server has refused connections again and again of late.
-func (p *overloadPause) connectionsScarce(now time.Duration) bool {
-	return p.connectionScarceAt > 0 && now < p.connectionScarceAt+scarcityDuration
+// connectionsScarce reports whether the server has repeatedly refused connections within
+// connectionScarcityDuration.
+func (p *overloadBackoff) connectionsScarce(now time.Duration) bool {
+	return p.connectionsScarceAt > 0 && now < p.connectionsScarceAt+connectionScarcityDuration
 }
 
-// observeHealth updates a server's health, latency and window by the end of an attempt.
+// observeHealth updates a server's health, latency and concurrency window from the result of an
+// attempt.
 func (r *Router) observeHealth(a *attempt, result Result) {
 	s := a.server
 	switch result {
 	case TimedOut, Cancelled:
-		if !a.request.clientDisconnected { // a client's own cancel says nothing of the server
+		if !a.request.clientDisconnected { // a cancellation by the client is not related to the server
 			r.observeLatency(s, a, false)
 		}
 	case OK, Misdirected:
 		r.observeAnswer(a, result)
 	case Overloaded:
-		s.pause.begin(r.now)
+		s.backoff.begin(r.now)
 		s.health.lastAnswerAt = r.now
 		s.window.size = max(s.window.size/2, r.fleet.minWindow)
 	case ConnectFailed:
@@ -88,12 +87,12 @@
 		r.observeFailure(s)
 		r.dropPrimary(s, "cannot be reached")
 	}
-	if s.outstanding.count() == 0 && s.pause.connectionsScarce(r.now) {
-		r.actions.CloseIdleConnections(s.ID) // leave the connection to poolers that have none
+	if s.outstanding.count() == 0 && s.backoff.connectionsScarce(r.now) {
+		r.actions.CloseIdleConnections(s.ID) // so that poolers without a connection can open one
 	}
 }
 
-// observeAnswer records that a server has served an attempt or turned it away by its role or
+// observeAnswer records that a server has served an attempt, or has rejected it because of its role or
 // position.
 func (r *Router) observeAnswer(a *attempt, result Result) {
 	s := a.server
@@ -105,9 +104,9 @@
 	if result != OK {
 		return
 	}
-	s.pause.length = 0
+	s.backoff.length = 0
 	if first := a.request.possiblyExecuted; first != nil && first.serverError && first.server != s {
-		// Another server has served the request: the error was the first server's own.
+		// Another server has served the same request, so that the first server caused the error.
 		r.observeFailure(first.server)
 	}
 	latency := r.observeLatency(s, a, true)
@@ -115,15 +114,16 @@
 	r.endEjectionByAnswer(s)
 }
 
-// observeConnectFailure records that no connection came up: connections are scarce, or the server
-// is gone. It is paused for the first, and a probe round finds out about the second if it is the
-// primary.
+// observeConnectFailure records that no connection to a server could be established: its connections
+// are exhausted, or it is down. For the former it starts a backoff. For the latter it starts a probe
+// round if the server is the primary.
 func (r *Router) observeConnectFailure(s *server) {
-	s.pause.begin(r.now)
+	s.backoff.begin(r.now)
 	s.health.lastAnswerAt = 0
-	// One connection may just have broken: it takes three failures with nothing served in between.
-	if s.pause.length > 2*initialPause {
-		s.pause.connectionScarceAt = r.now
+	// A connection may just have broken: connections count as scarce after three failures with
+	// no attempt served in between.
+	if s.backoff.length > 2*initialBackoff {
+		s.backoff.connectionsScarceAt = r.now
 	}
 	r.observeFailure(s)
 	if g := r.groupFor(s.Group); g.primary == s {
@@ -131,31 +131,30 @@
 	}
 }
 
-// observeReachable records an answer to a request or a probe. A server that has been out of reach
-// for longer than a connection takes to come back may have been restarted: it is in slow start
-// then.
+// observeReachable records an answer to a request or a probe. If the server was unreachable for at
+// least minRestartOutage, it may have been restarted, and its slow start begins.
 func (r *Router) observeReachable(s *server) {
 	h := &s.health
 	wasAway := h.unreachable || h.silent || s.ejection.ejected && h.lastAnswerAt == 0
 	if wasAway && r.now >= h.lastReachedAt+minRestartOutage {
-		s.slowStart.since = max(s.slowStart.since, r.now)
+		s.slowStart.startedAt = max(s.slowStart.startedAt, r.now)
 	}
 	h.unreachable = false
 	h.lastReachedAt = r.now
 }
 
-// silence is how long a server's attempts have waited since it last answered.
+// silence describes how long a server's attempts have waited since its last answer.
 type silence struct {
-	waited float64       // in mean latencies, summed over the attempts
-	rate   float64       // what is added to waited a nanosecond; 0 where no attempt counts
-	oldest time.Duration // the longest wait of one attempt
+	waited float64       // waiting time summed over the attempts, in mean latencies
+	rate   float64       // growth of waited per nanosecond; 0 if no attempt is counted
+	oldest time.Duration // longest wait of a single attempt
 }
 
-// detected reports whether the server counts as silent.
-func (w silence) detected() bool { return w.waited >= silenceMeanLatencies && w.oldest >= minSilence }
+// detected reports whether the server is silent.
+func (w silence) detected() bool { return w.waited >= silenceThreshold && w.oldest >= minSilence }
 
-// measureSilence returns how long a server's attempts have waited. An attempt does not count once a
-// later one has been answered: it may be lost, but the server is not silent.
+// measureSilence computes how long a server's attempts have waited. An attempt is not counted once a
+// later one has been answered: the earlier one may be lost, but the server is not silent.
 func (r *Router) measureSilence(s *server) silence {
 	var measured silence
 	for _, a := range s.outstanding.attempts {
@@ -171,8 +170,8 @@
 	return measured
 }
 
-// checkSilence ejects a server that is silent and schedules the next check. It finds hangs, stalls,
-// slow hosts and cut links, where a shallow probe may still succeed.
+// checkSilence ejects a silent server, retries its requests elsewhere and schedules the next check. It
+// detects hangs, stalls, slow hosts and broken links, during which a shallow probe may still succeed.
 func (r *Router) checkSilence(s *server) {
 	s.health.silenceCheckScheduled = false
 	if s.outstanding.count() == 0 {
@@ -186,18 +185,18 @@
 		s.health.silent = true
 		r.eject(s, "is silent")
 		r.dropPrimary(s, "is silent")
-		r.retrySilentElsewhere(s)
+		r.retryRequestsOfSilentServer(s)
 		measured.waited = 0
 	}
-	expected := time.Duration((silenceMeanLatencies - measured.waited) / measured.rate)
+	expected := time.Duration((silenceThreshold - measured.waited) / measured.rate)
 	s.health.silenceCheckScheduled = true
 	r.schedule(max(expected, minSilence-measured.oldest, minSilenceCheckInterval), func() { r.checkSilence(s) })
 }
 
-// retrySilentElsewhere sends the idempotent requests that wait at a silent server to another one,
-// within the retry budget: beside the first attempt where that is allowed, else after its
-// cancellation.
-func (r *Router) retrySilentElsewhere(s *server) {
+// retryRequestsOfSilentServer retries the idempotent requests that wait at a silent server, within the
+// retry budget: with a concurrent attempt if hedging is allowed, otherwise by cancelling the first
+// attempt, whose end triggers the retry.
+func (r *Router) retryRequestsOfSilentServer(s *server) {
 	for _, a := range slices.Clone(s.outstanding.attempts) {
 		req := a.request
 		if req.finished || req.class.Idempotency != Idempotent || req.inFlight > 1 || r.retryBudget < 1 {
--- a/internal/policy/health_check_test.go
+++ b/internal/policy/health_check_test.go
@@ -78,11 +78,11 @@
 	host.sendRequest(2, classNotIdempotent)
 	host.advanceTo(startTime + 10*ms)
 	host.endAttempt(2, 0, Overloaded, RolePrimary)
-	host.advanceTo(startTime + 10*ms + initialPause - ms)
+	host.advanceTo(startTime + 10*ms + initialBackoff - ms)
 	if len(host.attempts[2]) != 1 {
 		t.Fatalf("%d attempts within the pause, want 1", len(host.attempts[2]))
 	}
-	host.advanceTo(startTime + 10*ms + initialPause + 2*positionRefreshInterval)
+	host.advanceTo(startTime + 10*ms + initialBackoff + 2*positionRefreshInterval)
 	if len(host.attempts[2]) != 2 {
 		t.Fatalf("%d attempts after the pause, want 2", len(host.attempts[2]))
 	}
@@ -123,7 +123,7 @@
 			host.advance(away)
 			host.probeFailed(2, ConnectFailed)
 			host.probeAnswered(2, false, host.now)
-			if started := host.server(2).slowStart.since > 0; started != slowStart {
+			if started := host.server(2).slowStart.startedAt > 0; started != slowStart {
 				t.Errorf("slow start %v, want %v", started, slowStart)
 			}
 		})
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -2,36 +2,38 @@
 
 import "time"
 
-// Primary tracking: the record of a group's primary, its ping, and the evidence that changes the
-// record.
+// Primary tracking: recording a group's primary, pinging it, and evaluating evidence about the roles
+// of servers.
 
 const (
-	// primaryPingInterval is the steady interval between two pings of a recorded primary.
+	// primaryPingInterval is the interval between two pings of a recorded primary in a small fleet.
 	primaryPingInterval = 100 * time.Millisecond
-	// maxSmallFleet is the largest number of poolers that each ping every primaryPingInterval:
-	// their pings together take 1% of a primary's time at most.
+	// maxSmallFleet is the maximum number of poolers that each ping every primaryPingInterval. All
+	// their pings together take at most 1% of a primary's time.
 	maxSmallFleet = 5
-	// recentAnswerAge is how long an answer on the request path outweighs failed probes.
+	// recentAnswerAge is how long an answer to a request takes precedence over failed probes.
 	recentAnswerAge = time.Second
-	// firstPingDelay is the span from finding a primary to its first ping.
+	// firstPingDelay is the delay from recording a primary to its first ping.
 	firstPingDelay = 10 * time.Millisecond
-	// typicalHandover is about how long a group has no primary after the old one was demoted.
-	typicalHandover = 700 * time.Millisecond
-	// typicalFailover is about how long a group has no primary after the old one died.
-	typicalFailover = 4 * time.Second
+	// typicalSwitchoverDuration is the approximate time that a group has no primary after a demotion.
+	typicalSwitchoverDuration = 700 * time.Millisecond
+	// typicalFailoverDuration is the approximate time that a group has no primary after the old one
+	// has failed.
+	typicalFailoverDuration = 4 * time.Second
 )
 
-// roleEvidence is what is known of a server's role. Evidence counts by the time that it is true as
-// of: the latest wins, in whatever order it arrives.
+// roleEvidence is the evidence about a server's role. Evidence is ordered by the time for which it
+// holds, not by the time at which it arrives: the latest takes precedence.
 type roleEvidence struct {
-	current   Role
-	asOf      time.Duration // the time of the evidence for it
-	claimedAt time.Duration // the time of the latest evidence that the server is primary
+	current     Role
+	asOf        time.Duration // time for which the evidence for the current role holds
+	primaryAsOf time.Duration // time for which the latest evidence holds that the server is primary
 }
 
-// recordClaim records evidence that the server is primary and reports whether it is now held to be.
-func (e *roleEvidence) recordClaim(asOf time.Duration) bool {
-	e.claimedAt = max(e.claimedAt, asOf)
+// recordPrimaryClaim records evidence that the server is primary and reports whether its current role
+// is now primary.
+func (e *roleEvidence) recordPrimaryClaim(asOf time.Duration) bool {
+	e.primaryAsOf = max(e.primaryAsOf, asOf)
 	if asOf < e.asOf && e.current != RolePrimary {
 		return false
 	}
@@ -40,10 +42,10 @@
 	return true
 }
 
-// recordDenial records evidence that the server is a replica and reports whether it is now held to
-// be.
-func (e *roleEvidence) recordDenial(asOf time.Duration) bool {
-	if asOf < e.asOf || asOf < e.claimedAt {
+// recordReplicaClaim records evidence that the server is a replica and reports whether its current role
+// is now replica.
+func (e *roleEvidence) recordReplicaClaim(asOf time.Duration) bool {
+	if asOf < e.asOf || asOf < e.primaryAsOf {
 		return false
 	}
 	e.current = RoleReplica
@@ -51,35 +53,36 @@
 	return true
 }
 
-// primaryOutage is what is known of a span in which a group has no recorded primary.
+// primaryOutage describes the current or last period in which a group had no recorded primary.
 type primaryOutage struct {
-	confirmed        bool          // a probe round has found no primary
-	primaryRemoved   bool          // the recorded primary has left the list, and no other has shown itself
-	startedAt        time.Duration // when the last primary was dropped; 0 for never
-	expectedDuration time.Duration // how long the group is without a primary then, more or less
+	confirmed        bool          // whether a probe round has found no primary
+	primaryRemoved   bool          // whether the primary was removed from the list and no other is recorded
+	startedAt        time.Duration // time at which the last primary was dropped; 0 for never
+	expectedDuration time.Duration // approximate duration of the outage
 }
 
-// pingSchedule is the next ping of a group's primary.
+// pingSchedule is the schedule of the next ping of a group's primary.
 type pingSchedule struct {
 	scheduled bool
-	dueAt     time.Duration // the ping at another time has been replaced
+	dueAt     time.Duration // a ping timer for any other time is obsolete
 }
 
-// pingPrimary pings the recorded primary and schedules the next ping. All poolers of a large fleet
-// together ping as often as one would, and only groups in use whose primary has not answered since.
+// pingPrimary pings the recorded primary and schedules the next ping. In a large fleet all poolers
+// together ping as often as a single pooler of a small fleet, and a pooler pings only if its group is
+// in use and there is no evidence of the primary within the last ping interval.
 func (r *Router) pingPrimary(g *group) {
 	inUse := !r.fleet.isLarge || r.now < g.lastRequestAt+r.fleet.pingInterval
 	g.ping.scheduled = g.primary != nil && r.settings.ProbesAllowed && inUse
 	if !g.ping.scheduled {
 		return
 	}
-	if !r.fleet.isLarge || r.now >= g.primary.role.claimedAt+r.fleet.pingInterval {
+	if !r.fleet.isLarge || r.now >= g.primary.role.primaryAsOf+r.fleet.pingInterval {
 		r.sendProbe(g.primary, probeForPing)
 	}
 	r.schedulePing(g, r.fleet.pingInterval)
 }
 
-// schedulePing schedules a ping of a group's primary in place of the one that is due.
+// schedulePing schedules a ping of a group's primary, replacing the one already scheduled.
 func (r *Router) schedulePing(g *group, after time.Duration) {
 	dueAt := r.now + after
 	g.ping.scheduled = true
@@ -91,23 +94,24 @@
 	})
 }
 
-// observePrimaryClaim records evidence that a server is primary. The server becomes the record
-// unless the recorded primary has as late a claim, or the server has left the list or is silent.
+// observePrimaryClaim records evidence that a server is primary. The server becomes the recorded
+// primary unless the evidence for the current one is at least as recent, or the server is no member of
+// its group or is silent.
 func (r *Router) observePrimaryClaim(s *server, asOf time.Duration) {
-	if !s.role.recordClaim(asOf) {
+	if !s.role.recordPrimaryClaim(asOf) {
 		return
 	}
 	g := r.groupFor(s.Group)
 	if !s.listed || s.health.silent || g.primary == s {
 		return
 	}
-	if g.primary != nil && g.primary.role.claimedAt >= asOf {
+	if g.primary != nil && g.primary.role.primaryAsOf >= asOf {
 		return
 	}
 	g.primary = s
 	g.outage.confirmed = false
 	g.outage.primaryRemoved = false
-	g.round.leaderUntil = 0
+	g.round.leaderActiveUntil = 0
 	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryFound, Group: g.id, Server: s.ID, AsOf: asOf})
 	if !g.ping.scheduled {
 		r.schedulePing(g, firstPingDelay)
@@ -115,19 +119,19 @@
 	r.dispatchQueued(g)
 }
 
-// observeReplicaClaim records evidence that a server is a replica. A recorded primary that says so
-// has been demoted.
+// observeReplicaClaim records evidence that a server is a replica. If the server is the recorded
+// primary, it has been demoted and is dropped.
 func (r *Router) observeReplicaClaim(s *server, asOf time.Duration) {
-	if !s.role.recordDenial(asOf) {
+	if !s.role.recordReplicaClaim(asOf) {
 		return
 	}
-	if r.dropPrimary(s, "says it is a replica") {
-		r.groupFor(s.Group).outage.expectedDuration = typicalHandover
+	if r.dropPrimary(s, "reports that it is a replica") {
+		r.groupFor(s.Group).outage.expectedDuration = typicalSwitchoverDuration
 	}
 }
 
-// dropPrimary takes a server off the record if it stands there, starts a probe round, and reports
-// whether it stood there.
+// dropPrimary clears the recorded primary and starts a probe round if the server is the recorded
+// primary. It reports whether it was.
 func (r *Router) dropPrimary(s *server, reason string) bool {
 	g := r.groupFor(s.Group)
 	if g.primary != s {
@@ -135,15 +139,15 @@
 	}
 	g.primary = nil
 	g.outage.startedAt = r.now
-	g.outage.expectedDuration = typicalFailover
+	g.outage.expectedDuration = typicalFailoverDuration
 	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryDown, Group: g.id, Server: s.ID, Reason: reason})
 	r.startRound(g)
 	return true
 }
 
-// observeStatus records a server's report of itself.
+// observeStatus records the position, utilization and role that a server reports.
 func (r *Router) observeStatus(s *server, status ServerStatus) {
-	asOf := r.now - primaryPingInterval // where the report does not tell its age
+	asOf := r.now - primaryPingInterval // assumed if the status does not include its age
 	if status.HasPosition {
 		s.replication.advance(status.Position, r.now)
 		if !status.RoleIsCurrent {
@@ -161,9 +165,9 @@
 	}
 }
 
-// ObservePrimary records what the pooler that repeats probe rounds for all found of a group: its
-// primary, as of a time, or none yet. It is evidence like an answer's, and newer evidence of this
-// pooler outweighs it.
+// ObservePrimary records what the round leader has found out about a group: that the server is its
+// primary as of the given time, or, if found is false, that it has no primary yet. The report is
+// treated like an answer of the server: more recent evidence takes precedence over it.
 func (r *Router) ObservePrimary(now time.Duration, group int, id uint32, found bool, asOf time.Duration) {
 	r.advanceClock(now)
 	if s := r.servers.byID[id]; found && s != nil && s.Group == group {
@@ -171,13 +175,13 @@
 		return
 	}
 	if g := r.groups[group]; g != nil && !found {
-		g.round.leaderUntil = r.now + leaderRoundsTrust
+		g.round.leaderActiveUntil = r.now + roundLeaderTimeout
 	}
 }
 
-// ReportPrimaryDown records that another pooler has found a group's primary down. The pooler that
-// repeats rounds for all starts one at once, but not before a round would be repeated anyway: its
-// own pings may notice seconds later only.
+// ReportPrimaryDown records that another pooler has found a group's primary to be down. If this pooler
+// is the round leader, it starts a round, unless the last one began less than roundInterval ago. Its
+// own pings might detect the failure only seconds later.
 func (r *Router) ReportPrimaryDown(now time.Duration, group int) {
 	r.advanceClock(now)
 	g := r.groups[group]
--- a/internal/policy/probe_rounds.go
+++ b/internal/policy/probe_rounds.go
@@ -2,35 +2,34 @@
 
 import "time"
 
-// Probe rounds: all members of a group without a primary are probed until one reports itself
-// primary.
+// Probe rounds: all members of a group without a recorded primary are probed repeatedly until one
+// reports that it is primary.
 
 const (
-	// roundInterval is the span from a round to the next when some member answered.
+	// roundInterval is the interval from a round to the next if at least one member answered.
 	roundInterval = 500 * time.Millisecond
-	// silentRoundInterval is the span from a round to the next when no member answered.
+	// silentRoundInterval is the interval from a round to the next if no member answered.
 	silentRoundInterval = time.Second
-	// minRoundGap is the least span between the starts of two rounds of a group: several failures
-	// at once have one cause.
+	// minRoundGap is the minimum interval between the starts of two rounds of a group. Several
+	// failures at the same time usually have a single cause, for which one round suffices.
 	minRoundGap = 50 * time.Millisecond
-	// leaderRoundsTrust is how long the pooler that repeats rounds for all is believed to go on
-	// with a group after it was heard of: three of its rounds, of which two reports may be lost on
-	// the way.
-	leaderRoundsTrust = 3 * roundInterval
+	// roundLeaderTimeout is how long after its last report the round leader is assumed to continue
+	// the rounds of a group. It spans three rounds, so that two reports may be lost.
+	roundLeaderTimeout = 3 * roundInterval
 )
 
-// probeRound is the running or last round of a group, and when the next one is due.
+// probeRound is the current or last probe round of a group and the schedule of the next one.
 type probeRound struct {
-	pending          int           // members whose answer is outstanding; 0 when no round is running
-	answered         bool          // some member has answered the round
-	startedAt        time.Duration // 0 for never
-	nextAt           time.Duration // a round scheduled for another time has been replaced
-	leaderUntil      time.Duration // until then the round leader repeats this group's rounds
-	initialTriggered bool          // the round that the first request starts is over, under way or not needed
+	pending             int           // number of outstanding probes; 0 if no round is in progress
+	answered            bool          // whether any member has answered
+	startedAt           time.Duration // 0 for never
+	nextAt              time.Duration // due time of the next round; a timer for any other time is obsolete
+	leaderActiveUntil   time.Duration // until then the round leader is assumed to repeat the rounds
+	initialRoundHandled bool          // whether the initial round was started or found unnecessary
 }
 
-// recordAnswer takes a member's answer into the running round and reports whether it was the last
-// one.
+// recordAnswer records that the probe of a member has ended, with or without an answer, and reports
+// whether it was the last outstanding probe of the round.
 func (p *probeRound) recordAnswer(s *server, reached bool) bool {
 	if !s.health.roundProbePending {
 		return false
@@ -41,7 +40,7 @@
 	return p.pending == 0
 }
 
-// nextInterval returns the span from this round to the next.
+// nextInterval returns the interval from the end of this round to the start of the next.
 func (p *probeRound) nextInterval() time.Duration {
 	if p.answered {
 		return roundInterval
@@ -49,13 +48,14 @@
 	return silentRoundInterval
 }
 
-// startRound probes all members of a group in parallel: the one that reports itself primary becomes
-// the record.
+// startRound probes all members of a group in parallel. It does nothing if a round is in progress or
+// probes are not allowed. The round is postponed if the round leader repeats the rounds of the group,
+// or if the last round began less than minRoundGap ago.
 func (r *Router) startRound(g *group) {
 	switch {
 	case g.round.pending > 0 || !r.settings.ProbesAllowed:
 		return
-	case r.now < g.round.leaderUntil && !r.reported.roundLeader:
+	case r.now < g.round.leaderActiveUntil && !r.reported.roundLeader:
 		r.scheduleRound(g, roundInterval)
 		return
 	case g.round.startedAt > 0 && r.now < g.round.startedAt+minRoundGap:
@@ -76,20 +76,20 @@
 	}
 }
 
-// startInitialRound starts the round of a group that is used for the first time. The poolers of a
-// large fleet leave it out where the list names a primary, and for reads that need none.
+// startInitialRound starts a round on the first request for a group. In a large fleet it is omitted if
+// the list names a primary, and reads that do not need the primary do not trigger it.
 func (r *Router) startInitialRound(req *request) {
 	g := req.group
-	if g.round.initialTriggered || r.fleet.isLarge && !req.class.needsPrimary() {
+	if g.round.initialRoundHandled || r.fleet.isLarge && !req.class.needsPrimary() {
 		return
 	}
-	g.round.initialTriggered = true
+	g.round.initialRoundHandled = true
 	if !r.fleet.isLarge || g.primary == nil {
 		r.startRound(g)
 	}
 }
 
-// scheduleRound schedules a round unless one is due sooner.
+// scheduleRound schedules a round unless an earlier one is already scheduled.
 func (r *Router) scheduleRound(g *group, after time.Duration) {
 	dueAt := r.now + after
 	if g.round.nextAt > r.now && g.round.nextAt <= dueAt {
@@ -103,8 +103,8 @@
 	})
 }
 
-// repeatRound starts a round that is due. In a large fleet only the poolers with queued requests
-// for the group do, and the round leader.
+// repeatRound starts a scheduled round if the group still has no recorded primary. In a large fleet
+// only the round leader and the poolers with queued requests for the group repeat rounds.
 func (r *Router) repeatRound(g *group) {
 	if g.primary != nil {
 		return
@@ -114,15 +114,15 @@
 	}
 }
 
-// endRound reports a round without a primary and schedules the next.
+// endRound reports that a round has found no primary and schedules the next round.
 func (r *Router) endRound(g *group) {
 	r.actions.PrimaryChanged(PrimaryEvent{Kind: PrimaryNotFound, Group: g.id, Repeated: g.outage.confirmed})
 	g.outage.confirmed = true
 	r.scheduleRound(g, g.round.nextInterval())
 }
 
-// HandleProbeResult handles the end of a probe: it updates the server's health and role, and ends
-// the round that waited for it.
+// HandleProbeResult handles the result of a probe: it updates the health and role of the server, and
+// ends the probe round if this was its last outstanding probe.
 func (r *Router) HandleProbeResult(now time.Duration, p ProbeResult) {
 	r.advanceClock(now)
 	s := r.servers.byID[p.Server]
@@ -136,8 +136,8 @@
 		r.observeReachable(s)
 		r.observeStatus(s, p.Status)
 	case p.Result == ConnectFailed || !reached && !s.health.answeredRecently(r.now):
-		// Probes fail by themselves: an error, or a timeout soon after an answer on the request
-		// path, is no evidence.
+		// Probes can fail on their own: an error, or a timeout shortly after an answer to a request,
+		// is not evidence that the server is unreachable.
 		s.health.unreachable = true
 		r.dropPrimary(s, "does not answer its ping")
 	}
@@ -147,6 +147,6 @@
 	r.dispatchQueued(g)
 }
 
-// SetRoundLeader has this pooler repeat probe rounds for all poolers, also of groups that it has no
-// requests for, or leaves that to another pooler.
+// SetRoundLeader sets whether this pooler is the round leader, which repeats probe rounds on behalf of
+// all poolers, including rounds of groups for which it has no requests.
 func (r *Router) SetRoundLeader(leader bool) { r.reported.roundLeader = leader }
--- a/internal/policy/probe_rounds_test.go
+++ b/internal/policy/probe_rounds_test.go
@@ -49,7 +49,7 @@
 	}
 	host.sendRequest(3, classLatest)
 	host.router.ObservePrimary(host.now, testGroup, 0, false, 0)
-	if n := host.probesWithin(leaderRoundsTrust - 100*ms); n != 0 {
+	if n := host.probesWithin(roundLeaderTimeout - 100*ms); n != 0 {
 		t.Errorf("%d probes while the leader repeats the rounds", n)
 	}
 	before := len(host.probedServers)
@@ -71,7 +71,7 @@
 	}
 	host.router.ObservePrimary(host.now, testGroup, 0, false, 0)
 	host.probeAnswered(3, true, host.now+2*ms)
-	if host.router.groupFor(testGroup).round.leaderUntil != 0 {
+	if host.router.groupFor(testGroup).round.leaderActiveUntil != 0 {
 		t.Error("with a primary found, the rounds of the next outage are still left to the leader")
 	}
 }
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Router decides for one pooler. The package comment tells how a host uses it.
+// Router routes the requests of one pooler. The package comment describes how a host uses it.
 type Router struct {
 	clock
 	settings Settings
@@ -20,33 +20,35 @@
 
 	servers  serverTable
 	groups   map[int]*group
-	requests map[uint32]*request // by Request.ID, until forgetFinished
+	requests map[uint32]*request // by Request.ID; removed by forgetFinished
 	sessions sessionPositions
 
 	estimates        latencyEstimates
 	overall          overallHealth
-	retryBudget      float64 // repeats of idempotent requests that may be sent now, up to maxRetryBudget
-	positionsOmitted bool    // an answer to a read came without the server's position
+	retryBudget      float64 // number of retries available to idempotent requests, up to maxRetryBudget
+	positionsOmitted bool    // whether an answer to a read has come without the server's position
 
 	listPollScheduled bool
 	reported          hostReports
 }
 
-// hostReports is what the host has reported of itself.
+// hostReports holds what the host has reported about this pooler.
 type hostReports struct {
-	roundLeader  bool          // this pooler repeats probe rounds for all poolers
-	sendDuration time.Duration // the longest time that a send has lately taken, from its choice to its last byte
+	roundLeader  bool          // whether this pooler repeats probe rounds on behalf of the fleet
+	sendDuration time.Duration // recent maximum from the choice of a server to the last byte sent
 }
 
-// fleetParameters is what follows from the number of poolers that share the servers and the list service.
+// fleetParameters holds the limits that depend on the number of poolers, which share the servers and
+// the list service.
 type fleetParameters struct {
-	isLarge         bool          // there are too many poolers for each to ping every primaryPingInterval
-	pingInterval    time.Duration // between two pings of a primary by this pooler
-	minWindow       float64       // the least concurrency window of a server
-	firstPollSpread time.Duration // over which a large fleet spreads its first polls of the list
-	listRetryDelay  time.Duration // the longest wait from a failed poll of the list to the next
+	isLarge         bool          // whether there are more than maxSmallFleet poolers
+	pingInterval    time.Duration // interval between two pings of a primary by this pooler
+	minWindow       float64       // minimum size of a server's concurrency window
+	firstPollSpread time.Duration // span over which a large fleet spreads its first polls of the list
+	listRetryDelay  time.Duration // maximum delay from a failed poll of the list to the next one
 }
 
+// fleetParametersFor computes the limits for the number of poolers in the settings.
 func fleetParametersFor(s *Settings) fleetParameters {
 	poolers := time.Duration(s.Poolers)
 	p := fleetParameters{
@@ -65,7 +67,8 @@
 	return p
 }
 
-// New returns a Router that knows nothing but its settings. The seed determines its random choices.
+// New returns a Router without any servers or requests. The seed determines its random choices. New
+// returns an error if a setting is out of range.
 func New(settings Settings, seed uint64, actions Actions) (*Router, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -84,10 +87,11 @@
 	return r, nil
 }
 
-// UpdateSettings replaces the settings of a running Router. Classes keep their indices: those that
-// there are must stand where they did, and new ones after them. An open request keeps its class,
-// and a new class with the name of an earlier one starts with that one's estimates. What was
-// scheduled or counted by the old settings is as the new ones have it.
+// UpdateSettings replaces the settings of a running Router. Existing classes keep their indices and
+// definitions; new classes must follow them. An open request keeps its class, and a new class with
+// the name of an earlier one starts with the estimates of that class. Scheduled polls and pings,
+// concurrency windows and grace periods are adjusted to the new settings. UpdateSettings returns an
+// error if a setting is out of range or there are fewer classes than before.
 func (r *Router) UpdateSettings(now time.Duration, settings Settings) error {
 	if err := settings.Validate(); err != nil {
 		return err
@@ -97,30 +101,30 @@
 			len(settings.Classes), len(r.settings.Classes))
 	}
 	r.advanceClock(now)
-	oldPace := r.fleet
+	oldFleet := r.fleet
 	oldGrace := r.settings.DrainGracePeriod
 	if settings.TrackSessions && !r.settings.TrackSessions {
-		r.sessions.untrackedPosition = r.now // the writes until now were not remembered by their sessions
+		r.sessions.untrackedPosition = r.now // sessions' writes were not tracked until now
 	}
 	r.applySettings(settings)
-	r.rescheduleListPoll(oldPace)
-	r.updateGroupsAfterSettings(oldPace)
+	r.rescheduleListPoll(oldFleet)
+	r.updateGroupsAfterSettings(oldFleet)
 	r.updateServersAfterSettings(oldGrace)
 	return nil
 }
 
-// applySettings normalizes the settings and makes them the Router's.
+// applySettings normalizes the settings, stores them and adds the new classes.
 func (r *Router) applySettings(settings Settings) {
 	old := r.settings.Classes
 	settings.Poolers = max(settings.Poolers, 1)
 	if settings.OverloadFactor <= 0 || settings.OverloadInterval <= 0 {
-		settings.SlowStartDuration = 0 // no server fails under too much work after its start
+		settings.SlowStartDuration = 0 // servers do not fail from overload after their start
 	}
 	if settings.MaxAttempts == 0 {
 		settings.MaxAttempts = math.MaxInt32
 	}
-	// Open requests point to the old classes, which are never overwritten: new ones go to a new
-	// array.
+	// Open requests hold pointers to the old classes, so that the old array must not be overwritten:
+	// Clip makes append allocate a new one.
 	settings.Classes = append(slices.Clip(old), settings.Classes[len(old):]...)
 	r.settings = settings
 	r.fleet = fleetParametersFor(&r.settings)
@@ -129,25 +133,25 @@
 	}
 }
 
-// addClass completes the settings of a new class and adds its estimates: those of the last earlier
-// class of its name, if there is one.
+// addClass sets the defaults of a new class and adds its estimates, which are copied from the latest
+// earlier class with the same name if there is one.
 func (r *Router) addClass(index int) {
 	classes := r.settings.Classes
 	c := &classes[index]
 	baseline := c.LatencyObjective / baselineObjectiveDivisor
-	if c.LatencyObjective == 0 { // none: the full weight is earned up to the timeout
+	if c.LatencyObjective == 0 { // no objective: the full weight is earned until the timeout
 		c.LatencyObjective = cmp.Or(c.TotalTimeout, time.Hour)
 		baseline = baselineWithoutObjective
 	}
 	estimate := classEstimate{meanLatency: baseline, baseline: latencyBaseline{value: baseline}}
-	for from := index - 1; from >= 0; from-- {
-		if c.Name == "" || classes[from].Name != c.Name {
+	for earlierIndex := index - 1; earlierIndex >= 0; earlierIndex-- {
+		if c.Name == "" || classes[earlierIndex].Name != c.Name {
 			continue
 		}
-		earlier := r.estimates.classes[from]
+		earlier := r.estimates.classes[earlierIndex]
 		estimate.meanLatency = earlier.meanLatency
 		estimate.baseline = earlier.baseline
-		if classes[from].TotalTimeout == c.TotalTimeout {
+		if classes[earlierIndex].TotalTimeout == c.TotalTimeout {
 			estimate.usualTimeout = earlier.usualTimeout
 		}
 		break
@@ -155,8 +159,8 @@
 	r.estimates.classes = append(r.estimates.classes, estimate)
 }
 
-// rescheduleListPoll brings the first poll forward if the old settings spread it over a longer
-// span.
+// rescheduleListPoll schedules an earlier first poll if the new settings spread the first polls over
+// a shorter span.
 func (r *Router) rescheduleListPoll(old fleetParameters) {
 	if r.listPollScheduled && r.fleet.firstPollSpread < old.firstPollSpread {
 		r.listPollScheduled = false
@@ -164,20 +168,22 @@
 	}
 }
 
-// updateGroupsAfterSettings drops what groups hold by the old settings: their ranking, the pings'
-// interval, and the first round, which may be allowed only now.
+// updateGroupsAfterSettings applies new settings to the groups: it invalidates their rankings,
+// reschedules their pings if the interval has changed, and permits the initial round again, as probes
+// may not have been allowed before.
 func (r *Router) updateGroupsAfterSettings(old fleetParameters) {
 	for _, g := range r.sortedGroups() {
 		g.ranking.invalidate()
-		g.round.initialTriggered = false
+		g.round.initialRoundHandled = false
 		if g.ping.scheduled && r.fleet.pingInterval != old.pingInterval {
 			r.schedulePing(g, r.fleet.pingInterval)
 		}
 	}
 }
 
-// updateServersAfterSettings raises windows to the new least one and shortens the grace of servers
-// that drain. A longer grace is for those that drain from now on.
+// updateServersAfterSettings applies new settings to the servers: it raises their windows to the new
+// minimum and shortens the grace periods of draining servers if DrainGracePeriod has decreased. A
+// longer DrainGracePeriod applies only to servers that begin to drain later.
 func (r *Router) updateServersAfterSettings(oldGrace time.Duration) {
 	for _, s := range r.servers.ordered {
 		s.window.size = max(s.window.size, r.fleet.minWindow)
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// server is what a Router knows of one server. Each part stands in a type of its own, with its
-// decisions in the file that the part belongs to.
+// server is the state that a Router keeps for one server. The type of each field is declared next to
+// the decisions that use it, or below.
 type server struct {
 	endpoint
 	role             roleEvidence
@@ -16,25 +16,25 @@
 	ejection         ejection
 	latency          serverLatency
 	window           concurrencyWindow
-	pause            overloadPause
+	backoff          overloadBackoff
 	slowStart        slowStart
 	utilization      reportedUtilization
-	roundRobinCredit float64 // turns that a group with weights owes the server
+	roundRobinCredit float64 // accumulated weight for weighted round robin
 }
 
-// endpoint is a server as the endpoint list has it.
+// endpoint is a server's entry in the endpoint list.
 type endpoint struct {
 	Member
-	listed      bool          // it is among the members of its group
-	sendUntil   time.Duration // no attempt from here on: it drains or was removed; 0 for no limit
-	wasDraining bool          // it has been listed as draining
+	listed      bool          // whether it is a member of its group
+	sendUntil   time.Duration // end of the drain grace period, after which nothing is sent; 0 for no limit
+	wasDraining bool          // whether it has been listed as draining
 }
 
-// outstandingAttempts are the attempts that a server has not answered.
+// outstandingAttempts holds the attempts that a server has not answered.
 type outstandingAttempts struct {
-	attempts             []*attempt    // in the order of their sends
-	lastEndedAt          time.Duration // when an attempt last ended
-	latestAnsweredSendAt time.Duration // when the latest attempt that was answered had been sent
+	attempts             []*attempt    // in the order in which they were sent
+	lastEndedAt          time.Duration // time at which an attempt last ended
+	latestAnsweredSendAt time.Duration // latest send time of the attempts that were answered
 }
 
 func (o *outstandingAttempts) add(a *attempt) { o.attempts = append(o.attempts, a) }
@@ -52,7 +52,7 @@
 
 func (o *outstandingAttempts) count() int { return len(o.attempts) }
 
-// sentSince returns the number of outstanding attempts that were sent at a time or later.
+// sentSince returns the number of outstanding attempts that were sent at or after the given time.
 func (o *outstandingAttempts) sentSince(at time.Duration) int {
 	for i, a := range o.attempts {
 		if a.sentAt >= at {
@@ -62,14 +62,15 @@
 	return 0
 }
 
-// replicationPosition is how much of its group's log a server is known to have applied.
+// replicationPosition is how far a server is known to have applied its group's log.
 type replicationPosition struct {
-	position      time.Duration // clock time up to which all is applied: a lower bound, never lowered
-	advancedAt    time.Duration // when the position was last found to be higher
-	probedAt      time.Duration // when the server was last asked for its position
-	lagRejectedAt time.Duration // when it last turned a read away as too far behind
+	position      time.Duration // lower bound of the applied commit time; never decreases
+	advancedAt    time.Duration // time at which the position last increased
+	probedAt      time.Duration // time of the last probe for the position
+	lagRejectedAt time.Duration // time at which the server last rejected a read because of its lag
 }
 
+// advance raises the position if the given one is higher.
 func (p *replicationPosition) advance(position, now time.Duration) {
 	if position > p.position {
 		p.position = position
@@ -77,17 +78,17 @@
 	}
 }
 
-// reportedUtilization is the load that a server last reported.
+// reportedUtilization is the CPU utilization that a server last reported.
 type reportedUtilization struct {
-	share      float64 // of its cores in use, from 0 to 1
+	share      float64 // fraction of its cores in use, from 0 to 1
 	reportedAt time.Duration
 }
 
-// serverTable holds the servers that the list has named and that are not yet forgotten.
+// serverTable holds all servers that have been listed and whose state has not been deleted.
 type serverTable struct {
 	byID    map[uint32]*server
-	ordered []*server // in the order of their first listing
-	scratch []*server // reused by rankedReplicas
+	ordered []*server // in the order in which they were first listed
+	scratch []*server // buffer that rankedReplicas reuses
 }
 
 func (t *serverTable) add(s *server) {
@@ -100,8 +101,8 @@
 	t.ordered = slices.DeleteFunc(t.ordered, func(other *server) bool { return other == s })
 }
 
-// Unavailable reports whether requests now go past a server: it is unknown, not listed as ready,
-// unreachable or ejected.
+// Unavailable reports whether the server with the given ID is excluded from selection because it is
+// unknown, not listed as ready, unreachable or ejected.
 func (r *Router) Unavailable(id uint32) bool {
 	s := r.servers.byID[id]
 	return s == nil || s.State != Ready || s.ejection.ejected || s.health.unreachable
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -437,8 +437,8 @@
 			started := host.router.inSlowStart(s)
 			if started != (c.since != never) {
 				t.Errorf("in slow start: %v", started)
-			} else if started && s.slowStart.since != startTime+c.since {
-				t.Errorf("in slow start since %v, want %v", s.slowStart.since-startTime, c.since)
+			} else if started && s.slowStart.startedAt != startTime+c.since {
+				t.Errorf("in slow start since %v, want %v", s.slowStart.startedAt-startTime, c.since)
 			}
 		})
 	}
--- a/internal/policy/timers.go
+++ b/internal/policy/timers.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// clock is the latest time that the host has reported. It never goes back.
+// clock holds the latest time that the host has reported. It never decreases.
 type clock struct {
 	now       time.Duration
-	startedAt time.Duration // a second before the first event, so that no rate is taken over an empty span
+	startedAt time.Duration // one second before the first event, so that rates are never computed over zero time
 }
 
-// advanceClock moves the clock forward, or leaves it where it is if the time is earlier.
+// advanceClock sets the clock to the given time unless that is earlier than the clock.
 func (c *clock) advanceClock(now time.Duration) {
 	if c.now == 0 {
 		c.startedAt = now - time.Second
@@ -22,25 +22,25 @@
 	}
 }
 
-// timer is a function that is due at a time.
+// timer is a function to be run at a given time.
 type timer struct {
 	dueAt    time.Duration
-	sequence uint64 // in the order of scheduling: of two timers due at one time the earlier one runs first
+	sequence uint64 // order of scheduling; breaks ties between timers with the same due time
 	run      func()
 }
 
-// timerHeap is a heap of timers, the next due one first. It implements heap.Interface.
+// timerHeap is a min-heap of timers by due time. It implements heap.Interface.
 type timerHeap []timer
 
 // Len returns the number of timers.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less orders timers by their due time, and those due at one time by their sequence.
+// Less orders timers by due time, then by sequence.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].sequence < h[j].sequence
 }
 
-// Swap exchanges two timers.
+// Swap swaps two timers.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push appends a timer.
@@ -55,11 +55,11 @@
 	return last
 }
 
-// timerQueue holds what is to run later. The host keeps one timer for the whole queue.
+// timerQueue holds the pending timers. The host runs a single timer for the whole queue.
 type timerQueue struct {
 	pending  timerHeap
 	sequence uint64
-	armedFor time.Duration // the time that the host's timer is set for; 0 for none
+	armedFor time.Duration // time for which the host's timer is set; 0 if it is not set
 }
 
 func (q *timerQueue) add(dueAt time.Duration, run func()) {
@@ -75,19 +75,19 @@
 	return heap.Pop(&q.pending).(timer), true
 }
 
-// needsArming reports whether the host's timer is not set, or is set for later than the next timer
-// is due.
+// needsArming reports whether the host's timer is not set, or is set for a later time than the first
+// pending timer.
 func (q *timerQueue) needsArming() bool {
 	return len(q.pending) > 0 && (q.armedFor == 0 || q.pending[0].dueAt < q.armedFor)
 }
 
-// schedule runs a function after a span.
+// schedule runs a function after the given delay.
 func (r *Router) schedule(after time.Duration, run func()) {
 	r.timers.add(r.now+after, run)
 	r.armTimer()
 }
 
-// armTimer asks the host for a timer for the next due time, rounded up to its resolution of a
+// armTimer asks the host for a timer for the next due time, rounded up to the host's resolution of one
 // microsecond.
 func (r *Router) armTimer() {
 	if !r.timers.needsArming() {
@@ -98,10 +98,10 @@
 	r.actions.SetTimer(wait.Truncate(time.Microsecond) + time.Microsecond)
 }
 
-// HandleTimer runs all that is due. The host calls it once for each Actions.SetTimer.
+// HandleTimer runs the timers that are due. The host calls it once for each Actions.SetTimer.
 func (r *Router) HandleTimer(now time.Duration) {
 	r.advanceClock(now)
-	// A host may round: a timer that fires up to a microsecond early has still fired.
+	// The host may round times, so that its timer may fire up to a microsecond early.
 	if r.timers.armedFor <= r.now+time.Microsecond {
 		r.timers.armedFor = 0
 	}
@@ -115,17 +115,18 @@
 	r.armTimer()
 }
 
-// randomSource is a linear congruential generator: a Router's decisions follow from its seed.
+// randomSource is a linear congruential generator. It is seeded explicitly, which keeps the decisions
+// of a Router reproducible.
 type randomSource struct{ state uint64 }
 
-// next returns the next number in [0, 1).
+// next returns the next pseudo-random number in [0, 1).
 func (s *randomSource) next() float64 {
 	s.state = s.state*6364136223846793005 + 1442695040888963407
 	return float64(s.state>>40) / (1 << 24)
 }
 
-// jitter returns between half of a wait and all of it in a large fleet, so that its poolers do not
-// act together, and the wait itself in a small one.
+// jitter returns, in a large fleet, a random duration between half of the wait and the whole of it, so
+// that the poolers do not act at the same time. In a small fleet it returns the wait unchanged.
 func (r *Router) jitter(wait time.Duration) time.Duration {
 	if r.fleet.isLarge {
 		wait -= time.Duration(r.random.next() * float64(wait/2))
@@ -133,8 +134,8 @@
 	return wait
 }
 
-// stagger returns the part of a wait that falls to this pooler: poolers that start together are
-// spread evenly over all of it by the multiples of the golden ratio.
+// stagger returns the fraction of a wait that is assigned to this pooler. Multiples of the golden ratio
+// spread poolers that start together evenly over the wait.
 func (r *Router) stagger(wait time.Duration) time.Duration {
 	return time.Duration(math.Mod(float64(r.settings.PoolerIndex)*(math.Phi-1), 1) * float64(wait))
 }
