--- a/internal/policy/counters.go
+++ b/internal/policy/counters.go
@@ -58,7 +58,7 @@
 	}
 	slices.Sort(entries)
 	for line := range slices.Chunk(entries, countersPerLine) {
-		r.actions.Log("ledger: " + strings.Join(line, " "))
+		r.actions.Log("counters: " + strings.Join(line, " "))
 	}
 	c.loggedAt = r.now
 	clear(c.counts)
