--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,11 +1,12 @@
-// Package rendezvous assigns the servers of a group to the poolers of a fleet, each of which sees little of the whole. It does
-// no I/O, holds no state and reads no clock: what it returns follows from its arguments alone, so that poolers that have
-// never spoken to each other agree. Its functions may be called from any goroutine.
+// Package rendezvous assigns the servers of a group to the poolers of a fleet. It does no I/O, holds no state and reads no
+// clock: its results depend only on the arguments, so that the poolers agree on the assignment without communicating. Its
+// functions are safe for concurrent use.
 //
-// The assignment is rendezvous hashing (each pooler ranks the servers by a hash of both) with bounded loads (Mirrokni, Thorup
-// and Zadimoghaddam, 2018): a server that has its bound of poolers is passed over. Hashing alone gives 75 poolers a server a
-// spread of 23% (two standard deviations); a ring by the pooler's number gives none, but moves nearly all poolers when one
-// server comes or goes. With bounds, at most the poolers of the server that left, and those that its leaving pushes on, move.
+// The assignment uses rendezvous hashing (each pooler ranks the servers by a hash of the pooler and the server) with bounded
+// loads (Mirrokni, Thorup and Zadimoghaddam, 2018): a server that has reached its maximum number of poolers is skipped. With
+// 75 poolers per server, hashing alone gives a spread of 23% (two standard deviations). Assigning poolers to servers in a ring
+// by pooler number gives no spread but moves nearly all poolers when a server is added or removed. With bounded loads, only
+// the poolers of a removed server move, and those that they displace from other servers.
 package rendezvous
 
 import (
@@ -17,57 +18,62 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BalanceSlack is how far a server's poolers may be off the mean of its group: n servers allow the bound
-// 1+BalanceSlack/(n-1), so that n-1 full ones still leave the last one 1-BalanceSlack of the mean.
+// BalanceSlack is the maximum relative deviation of a server's number of poolers from the mean of its group. With n servers
+// the bound is 1+BalanceSlack/(n-1) times the mean, so that if n-1 servers reach it, the last one still has 1-BalanceSlack
+// times the mean.
 const BalanceSlack = 0.15
 
 const (
-	// assignedPlaces are bounded: the home, and a second choice, which takes what the home has no time for.
-	assignedPlaces = 2
-	// maxAssignedFleet is the largest fleet whose poolers are assigned one by one. For a larger one that costs more than it
-	// evens out, as hashing's own spread falls with the root of the poolers a server.
+	// assignedChoices is the number of servers that are assigned to a pooler with bounded loads: its home, and a second
+	// choice for the requests that the home has no capacity for.
+	assignedChoices = 2
+	// maxAssignedFleet is the size of the largest fleet that uses bounded loads, which require the assignments of all
+	// previous poolers. In a larger fleet the gain is not worth that cost, since the spread of plain hashing decreases with
+	// the square root of the number of poolers per server.
 	maxAssignedFleet = 4096
 )
 
-// Order returns in which order pooler me, of a fleet of that many (numbered from 0), prefers the servers of a group, as
-// indices into servers: by the assignment its home and its second choice, then the others by its own ranking. Servers are
-// named by ids that all poolers have alike, in any order. A number outside of the fleet counts as one within it.
-func Order(me, fleet int, servers []uint32) []int {
-	fleet = max(fleet, 1)
-	me = ((me % fleet) + fleet) % fleet
-	order := rankServers(me, servers)
-	if len(servers) < 2 || fleet > maxAssignedFleet {
+// Order returns the order in which a pooler prefers the servers of a group, as indices into servers: its assigned home and
+// second choice first, then the others by the pooler's own ranking. Poolers are numbered from 0; a number outside the range
+// is reduced modulo fleetSize. Servers are identified by IDs that must be the same at all poolers; their order is irrelevant.
+func Order(pooler, fleetSize int, servers []uint32) []int {
+	fleetSize = max(fleetSize, 1)
+	pooler = ((pooler % fleetSize) + fleetSize) % fleetSize
+	order := rankServers(pooler, servers)
+	if len(servers) < 2 || fleetSize > maxAssignedFleet {
 		return order
 	}
-	assigned := assignUpTo(me, fleet, servers)
-	for place := assignedPlaces - 1; place >= 0; place-- {
-		at := slices.Index(order, assigned[place])
-		order = slices.Insert(slices.Delete(order, at, at+1), 0, assigned[place])
+	assigned := assignThrough(pooler, fleetSize, servers)
+	for choice := assignedChoices - 1; choice >= 0; choice-- {
+		index := slices.Index(order, assigned[choice])
+		order = slices.Insert(slices.Delete(order, index, index+1), 0, assigned[choice])
 	}
 	return order
 }
 
-// assignUpTo assigns two servers or more to all poolers up to one, each after those before it, and returns that one's.
-func assignUpTo(me, fleet int, servers []uint32) [assignedPlaces]int {
+// assignThrough assigns servers to the poolers from 0 to last, one after the other, and returns the assignment of the last
+// one as indices into servers. There must be at least two servers.
+func assignThrough(last, fleetSize int, servers []uint32) [assignedChoices]int {
 	n := len(servers)
-	bound := MaxHomes(fleet, n)
-	loads := make([]int, assignedPlaces*n)
-	var assigned [assignedPlaces]int
-	for pooler := 0; pooler <= me; pooler++ {
-		for place := range assignedPlaces {
-			assigned[place] = assign(pooler, servers, assigned[:place], loads[place*n:(place+1)*n], bound)
+	bound := MaxHomes(fleetSize, n)
+	loads := make([]int, assignedChoices*n)
+	var assigned [assignedChoices]int
+	for pooler := 0; pooler <= last; pooler++ {
+		for choice := range assignedChoices {
+			assigned[choice] = assignServer(pooler, servers, assigned[:choice], loads[choice*n:(choice+1)*n], bound)
 		}
 	}
 	return assigned
 }
 
-// assign gives a pooler the server that it ranks first among those below their bound that it does not have yet, or among all
-// of these if all are full, and counts it.
-func assign(pooler int, servers []uint32, has, loads []int, bound int) int {
+// assignServer assigns one more server to a pooler, increments its load and returns its index. It is the server that the
+// pooler ranks highest among those not assigned to it yet and below the bound, or among all not assigned to it if none is
+// below the bound.
+func assignServer(pooler int, servers []uint32, assigned, loads []int, bound int) int {
 	best, bestIsFull := -1, true
 	var bestWeight uint64
 	for i, server := range servers {
-		if slices.Contains(has, i) {
+		if slices.Contains(assigned, i) {
 			continue
 		}
 		serverWeight, isFull := weight(pooler, server), loads[i] >= bound
@@ -80,17 +86,18 @@
 	return best
 }
 
-// MaxHomes returns the most poolers of a fleet that have one of n servers as their home.
-func MaxHomes(fleet, n int) int {
-	if n < 2 {
-		return fleet
+// MaxHomes returns the maximum number of poolers that have the same server as their home, in a group with the given number
+// of servers.
+func MaxHomes(fleetSize, serverCount int) int {
+	if serverCount < 2 {
+		return fleetSize
 	}
-	mean := float64(fleet) / float64(n)
-	least := (fleet + n - 1) / n // all must find a place
-	return max(least, int(mean*(1+BalanceSlack/float64(n-1))))
+	mean := float64(fleetSize) / float64(serverCount)
+	evenShare := (fleetSize + serverCount - 1) / serverCount // every pooler must be assigned a home
+	return max(evenShare, int(mean*(1+BalanceSlack/float64(serverCount-1))))
 }
 
-// rankServers returns the servers' indices by a pooler's hash, the highest first.
+// rankServers returns the indices of the servers, sorted by descending weight for a pooler.
 func rankServers(pooler int, servers []uint32) []int {
 	ranked := make([]int, len(servers))
 	for i := range ranked {
@@ -102,7 +109,7 @@
 	return ranked
 }
 
-// weight is the hash by which a pooler ranks a server.
+// weight returns the hash of a pooler and a server, by which the pooler ranks the server.
 func weight(pooler int, server uint32) uint64 {
 	var key [12]byte
 	binary.LittleEndian.PutUint64(key[:8], uint64(pooler))
@@ -110,30 +117,32 @@
 	return xxhash.Sum64(key[:])
 }
 
-// NextSlot returns when the first turn at a server begins, after from and up to to, that a pooler takes; 0: none. Turns begin
-// every so often by the clock, at the same moments for all poolers; share is the part of them that this one takes.
-func NextSlot(me, fleet int, server uint32, every, from, to time.Duration, share float64) time.Duration {
-	for turn := from/every + 1; turn <= to/every; turn++ {
-		if turnPlace(me, fleet, server, int64(turn)) < share*float64(fleet) {
-			return turn * every
+// NextSlot returns the start of the first slot at a server that the pooler uses and that starts after from and not after to.
+// It returns 0 if there is none. Slots start at multiples of interval, at the same times for all poolers. The pooler uses the
+// fraction share of all slots.
+func NextSlot(pooler, fleetSize int, server uint32, interval, from, to time.Duration, share float64) time.Duration {
+	for slot := from/interval + 1; slot <= to/interval; slot++ {
+		if slotRank(pooler, fleetSize, server, int64(slot)) < share*float64(fleetSize) {
+			return slot * interval
 		}
 	}
 	return 0
 }
 
-// turnPlace is a pooler's place in its fleet for a turn at a server: one pooler, in the order of their numbers another one
-// each turn, has a place in [0, 1), and each other one a place in [1, fleet). So those that take a turn by places below p are
-// p of the fleet, evenly spread over turns as over poolers: the multiples of the golden section and of the root of two fill a
-// circle more evenly than chance does. A pooler that has a turn by some share has it by all larger ones.
-func turnPlace(me, fleet int, server uint32, turn int64) float64 {
-	const golden, root = 0x9e3779b97f4a7c15, 0x6a09e667f3bcc909 // their fractions, of 2^64
-	n := int64(fleet)
-	x := turn + int64(server)*(golden>>40) - int64(me)
+// slotRank returns the rank of a pooler for a slot at a server, in [0, fleetSize). In each slot one pooler has a rank in
+// [0, 1), the next pooler by number in each next slot; all others have ranks in [1, fleetSize). If each pooler uses the slots
+// in which its rank is below p, a slot is used by p poolers on average, and use is spread evenly over slots and poolers:
+// multiples of the golden ratio and of the square root of 2, modulo 1, are distributed more evenly than random numbers. A
+// pooler that uses a slot with some share also uses it with any larger share.
+func slotRank(pooler, fleetSize int, server uint32, slot int64) float64 {
+	const goldenFraction, sqrt2Fraction = 0x9e3779b97f4a7c15, 0x6a09e667f3bcc909 // fractional parts, scaled by 2^64
+	n := int64(fleetSize)
+	x := slot + int64(server)*(goldenFraction>>40) - int64(pooler)
 	if x%n == 0 {
-		return onCircle(uint64(x/n)*golden + uint64(me)*root)
+		return unitFraction(uint64(x/n)*goldenFraction + uint64(pooler)*sqrt2Fraction)
 	}
-	return 1 + float64(n-1)*onCircle(uint64(x)*golden)
+	return 1 + float64(n-1)*unitFraction(uint64(x)*goldenFraction)
 }
 
-// onCircle maps the numbers of 64 bits to [0, 1).
-func onCircle(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+// unitFraction maps 64-bit numbers to [0, 1).
+func unitFraction(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -11,29 +11,30 @@
 	"pgregory.net/rapid"
 )
 
-// homes is whom each pooler of a fleet has as its home.
-func homes(fleet int, servers []uint32) []uint32 {
-	out := make([]uint32, fleet)
-	for me := range out {
-		out[me] = servers[Order(me, fleet, servers)[0]]
+// homes returns the home of each pooler of a fleet.
+func homes(fleetSize int, servers []uint32) []uint32 {
+	assigned := make([]uint32, fleetSize)
+	for pooler := range assigned {
+		assigned[pooler] = servers[Order(pooler, fleetSize, servers)[0]]
 	}
-	return out
+	return assigned
 }
 
-func ids(t *rapid.T, most int) []uint32 {
-	return rapid.SliceOfNDistinct(rapid.Uint32(), 2, most, rapid.ID[uint32]).Draw(t, "servers")
+// drawServers draws between 2 and maxServers distinct server IDs.
+func drawServers(t *rapid.T, maxServers int) []uint32 {
+	return rapid.SliceOfNDistinct(rapid.Uint32(), 2, maxServers, rapid.ID[uint32]).Draw(t, "servers")
 }
 
-// Every pooler has an order of all servers, the same wherever it is worked out; no server has more than its bound of
-// homes, and none of a fleet with many poolers a server fewer than 1-BalanceSlack of the mean, to a whole pooler.
+// The order of each pooler contains all servers and does not depend on the order of the list. No server is the home of more
+// than MaxHomes poolers, nor, apart from rounding, of fewer than 1-BalanceSlack times the mean.
 func TestAssignment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleet, servers := rapid.IntRange(1, 300).Draw(t, "fleet"), ids(t, 8)
-		loads, seconds := map[uint32]int{}, map[uint32]int{}
-		for me, home := range homes(fleet, servers) {
-			loads[home]++
-			order := Order(me, fleet, servers)
-			seconds[servers[order[1]]]++
+		fleetSize, servers := rapid.IntRange(1, 300).Draw(t, "fleet size"), drawServers(t, 8)
+		homeCounts, secondChoiceCounts := map[uint32]int{}, map[uint32]int{}
+		for pooler, home := range homes(fleetSize, servers) {
+			homeCounts[home]++
+			order := Order(pooler, fleetSize, servers)
+			secondChoiceCounts[servers[order[1]]]++
 			sorted := slices.Sorted(slices.Values(order))
 			for i := range sorted {
 				if sorted[i] != i || len(sorted) != len(servers) {
@@ -41,66 +42,66 @@
 				}
 			}
 		}
-		mean := float64(fleet) / float64(len(servers))
+		mean := float64(fleetSize) / float64(len(servers))
 		for _, s := range servers {
-			if n := loads[s]; n > MaxHomes(fleet, len(servers)) || float64(n) < mean*(1-BalanceSlack)-float64(len(servers)) {
-				t.Fatalf("server %d is the home of %d, mean %.1f, bound %d", s, n, mean, MaxHomes(fleet, len(servers)))
+			if n := homeCounts[s]; n > MaxHomes(fleetSize, len(servers)) || float64(n) < mean*(1-BalanceSlack)-float64(len(servers)) {
+				t.Fatalf("server %d is the home of %d poolers, mean %.1f, maximum %d", s, n, mean, MaxHomes(fleetSize, len(servers)))
 			}
-			// The last poolers may find room at their own home alone.
-			if n := seconds[s]; n > MaxHomes(fleet, len(servers))+fleet/10+2 {
-				t.Fatalf("server %d is the second of %d, mean %.1f", s, n, mean)
+			// When the last poolers are assigned, only their own home may be below the bound.
+			if n := secondChoiceCounts[s]; n > MaxHomes(fleetSize, len(servers))+fleetSize/10+2 {
+				t.Fatalf("server %d is the second choice of %d poolers, mean %.1f", s, n, mean)
 			}
 		}
-		turned := slices.Clone(servers)
-		slices.Reverse(turned)
-		if d := cmp.Diff(homes(fleet, servers), homes(fleet, turned)); d != "" {
-			t.Fatal("the assignment follows the order of the list: ", d)
+		reversed := slices.Clone(servers)
+		slices.Reverse(reversed)
+		if d := cmp.Diff(homes(fleetSize, servers), homes(fleetSize, reversed)); d != "" {
+			t.Fatal("the assignment depends on the order of the list: ", d)
 		}
 	})
 }
 
-// When a server leaves, its own poolers move, and few others: those that had been passed on for want of room. One that
-// comes is the same backwards.
+// When a server is removed, its own poolers move, and few others: those whose assignment the bounds of the other servers
+// affect. Adding a server is the reverse of removing one.
 func TestFewPoolersMove(t *testing.T) {
-	var table string
-	for _, n := range []int{3, 4, 5, 8} {
-		const fleet = 300
-		worst := 0.0
+	var summary string
+	for _, serverCount := range []int{3, 4, 5, 8} {
+		const fleetSize = 300
+		maxOthersMoved := 0.0
 		for trial := range 40 {
 			var servers []uint32
-			for i := range n {
+			for i := range serverCount {
 				servers = append(servers, uint32(trial*100+i*7919))
 			}
-			before := homes(fleet, servers)
-			gone := servers[trial%n]
-			after := homes(fleet, slices.DeleteFunc(slices.Clone(servers), func(s uint32) bool { return s == gone }))
-			moved, own := 0, 0
+			before := homes(fleetSize, servers)
+			removed := servers[trial%serverCount]
+			after := homes(fleetSize, slices.DeleteFunc(slices.Clone(servers), func(s uint32) bool { return s == removed }))
+			moved, movedFromRemoved := 0, 0
 			for i := range before {
 				if before[i] != after[i] {
 					moved++
-					if before[i] == gone {
-						own++
+					if before[i] == removed {
+						movedFromRemoved++
 					}
 				}
 			}
-			worst = max(worst, float64(moved-own)/fleet)
+			maxOthersMoved = max(maxOthersMoved, float64(moved-movedFromRemoved)/fleetSize)
 		}
-		table += fmt.Sprintf("%d servers: at most %.0f%% of others move; ", n, 100*worst)
-		if worst > 0.5/float64(n) { // a ring by number moves most of them
-			t.Errorf("%d servers: %.2f of the poolers move without need", n, worst)
+		summary += fmt.Sprintf("%d servers: at most %.0f%% of the fleet moves from other servers; ", serverCount, 100*maxOthersMoved)
+		if maxOthersMoved > 0.5/float64(serverCount) { // a ring by pooler number moves most of them
+			t.Errorf("%d servers: a fraction of %.2f of the poolers moves from other servers", serverCount, maxOthersMoved)
 		}
 	}
-	t.Log(table)
+	t.Log(summary)
 }
 
-func TestOrderBounds(t *testing.T) {
+func TestOrderEdgeCases(t *testing.T) {
 	for _, c := range []struct {
-		me, fleet int
-		servers   []uint32
-		want      int
+		pooler, fleetSize int
+		servers           []uint32
+		wantLength        int
 	}{{0, 1, nil, 0}, {5, 3, []uint32{9}, 1}, {-1, 0, []uint32{9, 8}, 2}, {70000, 100000, []uint32{1, 2, 3}, 3}} {
-		if got := Order(c.me, c.fleet, c.servers); len(got) != c.want {
-			t.Errorf("%+v: %v", c, got)
+		if got := Order(c.pooler, c.fleetSize, c.servers); len(got) != c.wantLength {
+			t.Errorf("%+v: got order %v", c, got)
 		}
 	}
 }
@@ -112,36 +113,36 @@
 	}
 }
 
-// In any stretch all poolers together have as many turns at a server as their shares come to, give or take less than chance
-// would: by even shares, however small, in fleets of any size, and also where one has a large share.
+// In any period, the number of slots that all poolers together use at a server deviates from the sum of their shares by less
+// than random use would, for even shares of any size, for fleets of any size, and if one pooler has a large share.
 func TestNextSlotSpreadsEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleet, server := rapid.IntRange(1, 300).Draw(t, "fleet"), rapid.Uint32().Draw(t, "server")
-		all := rapid.Float64Range(0.05, 1).Draw(t, "all") // turns taken of each one, by the sum of the shares
-		hot := rapid.Float64Range(0, 1).Draw(t, "hot")    // of these, by one pooler
-		const every, turns = time.Millisecond, 400
-		taken := make([]int, turns)
-		begin := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "begin")) * every
-		for me := range fleet {
-			share := all * (1 - hot) / float64(fleet)
-			if me == 0 {
-				share += all * hot
+		fleetSize, server := rapid.IntRange(1, 300).Draw(t, "fleet size"), rapid.Uint32().Draw(t, "server")
+		sumOfShares := rapid.Float64Range(0.05, 1).Draw(t, "sum of shares")
+		hotFraction := rapid.Float64Range(0, 1).Draw(t, "hot fraction") // the part of sumOfShares that one pooler has
+		const interval, slots = time.Millisecond, 400
+		used := make([]int, slots)
+		begin := time.Duration(rapid.Int64Range(0, 1e12).Draw(t, "begin")) * interval
+		for pooler := range fleetSize {
+			share := sumOfShares * (1 - hotFraction) / float64(fleetSize)
+			if pooler == 0 {
+				share += sumOfShares * hotFraction
 			}
 			for at := begin; ; {
-				if at = NextSlot(me, fleet, server, every, at, begin+turns*every, share); at == 0 {
+				if at = NextSlot(pooler, fleetSize, server, interval, at, begin+slots*interval, share); at == 0 {
 					break
 				}
-				taken[(at-begin)/every-1]++
+				used[(at-begin)/interval-1]++
 			}
 		}
-		for length := 50; length <= turns; length += 50 {
-			for from := 0; from+length <= turns; from += 25 {
+		for length := 50; length <= slots; length += 50 {
+			for from := 0; from+length <= slots; from += 25 {
 				sum := 0
-				for _, n := range taken[from : from+length] {
+				for _, n := range used[from : from+length] {
 					sum += n
 				}
-				if want := all * float64(length); math.Abs(float64(sum)-want) > math.Sqrt(want)+2 {
-					t.Fatalf("%d of %d turns taken from %d on, want %.1f", sum, length, from, want)
+				if want := sumOfShares * float64(length); math.Abs(float64(sum)-want) > math.Sqrt(want)+2 {
+					t.Fatalf("%d of %d slots used from slot %d on, want about %.1f", sum, length, from, want)
 				}
 			}
 		}
