--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -11,57 +11,58 @@
 )
 
 const (
-	// significantChange is the factor by which a want must have grown, or a quota shrunk, for a request out of turn.
+	// significantChange is the factor by which a demand must grow, or a quota shrink, to cause an early request.
 	significantChange = 1.25
-	// requestsPerTerm is how often a pooler sends a request in a quota's term, so that two answers may be lost.
+	// requestsPerTerm is the number of regular requests that a pooler sends in the term of a quota, so that two grants may be lost.
 	requestsPerTerm = 3
-	// minWeight is the least share of its work that a cold server is counted to bear.
+	// minWeight is the minimum weight of a cold server.
 	minWeight = 0.05
 )
 
-// Client is one pooler's side: its tokens, what it requests, and which grant it applies. It is safe for concurrent use, and no method
+// Client holds the tokens of one pooler, makes its requests for quotas and applies the grants. It is safe for concurrent use, and no method
 // blocks.
 type Client struct {
 	instance string
-	term     time.Duration // of quotas
+	term     time.Duration // term of quotas
 
-	mu          sync.Mutex // guards the fields below
-	fleetSize   int
-	limits      config.Limits
-	buckets     map[string]*bucket // by "LIMIT/KEY"
-	token       uint64             // the newest leader's fencing token
-	leader      string             // the pooler that has it; "": none is known
-	applied     appliedGrant
-	lastNumber  uint64               // of the last request
-	requestedAt map[uint64]time.Time // of the requests whose grants are still accepted, by number
-	demandSince time.Time            // when the span of demand that is counted now began
-	requestDue  bool                 // as RequestDue
-	refused     map[string]uint64    // by limit: how often there was no token
+	mu              sync.Mutex // guards the fields below
+	fleetSize       int
+	limits          config.Limits
+	buckets         map[string]*bucket // by "LIMIT/KEY"
+	token           uint64             // fencing token of the newest leader
+	leader          string             // pooler that holds the token; empty if none is known
+	applied         appliedGrant
+	lastNumber      uint64               // number of the last request
+	requestedAt     map[uint64]time.Time // by number: send times of the requests whose grants are still accepted
+	demandStartedAt time.Time            // start of the current demand interval
+	requestDue      bool                 // returned by RequestDue
+	refused         map[string]uint64    // by limit: how often no token was available
 }
 
-// appliedGrant is the grant that a pooler applies.
+// appliedGrant identifies the grant that the client applies.
 type appliedGrant struct {
-	token  uint64
-	number uint64
-	until  time.Time
+	token     uint64
+	number    uint64
+	expiresAt time.Time
 }
 
-// NewClient returns the client of one process of a pooler. fleetSize is how many poolers there may be.
+// NewClient returns a client for one process of a pooler. instance identifies the process, term is the term of quotas, and fleetSize is the
+// maximum number of poolers.
 func NewClient(instance string, term time.Duration, fleetSize int, limits config.Limits) *Client {
 	return &Client{
-		instance:    instance,
-		term:        term,
-		fleetSize:   max(fleetSize, 1),
-		limits:      limits,
-		buckets:     map[string]*bucket{},
-		requestedAt: map[uint64]time.Time{},
-		demandSince: time.Now(),
-		refused:     map[string]uint64{},
+		instance:        instance,
+		term:            term,
+		fleetSize:       max(fleetSize, 1),
+		limits:          limits,
+		buckets:         map[string]*bucket{},
+		requestedAt:     map[uint64]time.Time{},
+		demandStartedAt: time.Now(),
+		refused:         map[string]uint64{},
 	}
 }
 
-// SetLimits puts a newer set of limits in force, and reports whether it was newer. Tokens at hand of a limit that has changed are
-// dropped: they were of another limit.
+// SetLimits applies a set of limits if its revision is newer, and reports whether it is. The tokens of limits that were changed or removed
+// are discarded.
 func (c *Client) SetLimits(limits config.Limits) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,8 +81,8 @@
 	return c.limits
 }
 
-// SetFleetSize sets how many poolers there may be: the settings' number, or those alive where they are more. Safe shares shrink and
-// grow at once, so as far as poolers agree on the number their shares are parts of one reserve at any time.
+// SetFleetSize sets the number of poolers that share the reserves. Safe shares change immediately, so that the shares of all poolers that
+// agree on the number add up to at most the reserve at any time.
 func (c *Client) SetFleetSize(fleetSize int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +98,8 @@
 	}
 }
 
-// Take takes a token of a limit at a key. Without one it returns after how long there will be one, by what is in force now. weight,
-// above 0 and at most 1, is the share of its work that a cold server bears: one want counts for 1/weight tokens.
+// Take takes a token for a key of a limit. If none is available, it returns the time after which one will be, at the rate in force. weight,
+// in the range (0, 1], is the share of its normal load that a cold server can take; the call takes 1/weight tokens.
 func (c *Client) Take(l config.Limit, key string, weight float64) (after time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,14 +111,14 @@
 	after, ok = b.take(now, 1/min(max(weight, minWeight), 1))
 	if !ok {
 		c.refused[l.Name]++
-		if b.excessDemand(now.Sub(c.demandSince), false) > significantChange*b.reportedDemand {
+		if b.excessDemand(now.Sub(c.demandStartedAt), false) > significantChange*b.reportedDemand {
 			c.requestDue = true
 		}
 	}
 	return after, ok
 }
 
-// Refund puts back a token that was taken just now and not used.
+// Refund returns a token that was just taken and not used.
 func (c *Client) Refund(l config.Limit, key string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,11 +127,11 @@
 	}
 }
 
-// bucketKey is the name of a limit's bucket at a key, in Client.buckets and in messages.
+// bucketKey returns the name of the bucket for a key of a limit, which is used in Client.buckets and in messages.
 func bucketKey(l config.Limit, key string) string { return l.Name + "/" + key }
 
-// bucket returns the bucket of a limit at a key, a new one if there is none. Where there are too many, idle buckets are dropped: a new
-// one is the same. It returns nil if there are too many still. The caller holds the mutex.
+// bucket returns the bucket for a key of a limit, a new one if there is none. If there are maxBuckets others, it first removes idle buckets,
+// which lose no state by that. It returns nil if there are still maxBuckets. The caller holds the mutex.
 func (c *Client) bucket(l config.Limit, key string, now time.Time) *bucket {
 	name := bucketKey(l, key)
 	if b := c.buckets[name]; b != nil {
@@ -147,10 +148,10 @@
 	return b
 }
 
-// requestInterval is how often a request is sent in turn.
+// requestInterval returns the interval between regular requests.
 func (c *Client) requestInterval() time.Duration { return c.term / requestsPerTerm }
 
-// ObserveLeader records that a pooler leads by a token. It reports false for a token that is older than one observed before.
+// ObserveLeader records that a pooler is the leader with a fencing token. It returns false for a token older than one observed before.
 func (c *Client) ObserveLeader(leader string, token uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,35 +159,37 @@
 		return false
 	}
 	if token > c.token {
-		c.requestDue = true // a new leader learns what is held from requests
+		c.requestDue = true // a new leader learns from requests which quotas are held
 	}
 	c.token = token
 	c.leader = leader
 	return true
 }
 
-// Leader returns the newest leader that is known, and its token; "" if none is.
+// Leader returns the newest known leader and its token. name is empty if no leader is known.
 func (c *Client) Leader() (name string, token uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leader, c.token
 }
 
-// RequestDue reports whether a request out of turn is worth its cost: since the last request a new leader was observed, something was
-// refused that is wanted more than the leader knows, or a quota shrank, which the leader can allocate to others only once it knows.
+// RequestDue reports whether an early request should be sent, because one of the following has happened since the last request: a new leader
+// was observed; no token was available and the demand exceeds the one last reported; or a quota shrank, which the leader can allocate to
+// other poolers only once it is told so.
 func (c *Client) RequestDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestDue
 }
 
-// NextRequest makes the next request; a quota counts from now. ok is false while no leader is known to send the request to.
+// NextRequest returns the next request and the leader to send it to. The term of the resulting quotas begins now. ok is false while no leader
+// is known.
 func (c *Client) NextRequest() (r Request, leader string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	r = Request{Instance: c.instance, Wants: c.currentWants(now)}
-	inForce := now.Before(c.applied.until)
+	r = Request{Instance: c.instance, Demands: c.currentDemands(now)}
+	inForce := now.Before(c.applied.expiresAt)
 	switch {
 	case inForce && c.applied.token == c.token:
 		r.AppliedNumber = c.applied.number
@@ -201,76 +204,77 @@
 	return r, c.leader, c.leader != ""
 }
 
-// currentWants returns what to request of each key, and ends the span of demand if it has lasted. The caller holds the mutex.
-func (c *Client) currentWants(now time.Time) map[string]float64 {
-	span := now.Sub(c.demandSince)
-	endSpan := span >= c.requestInterval()
-	wants := map[string]float64{}
+// currentDemands returns the demand to request for each key, and begins a new demand interval if the current one is over. The caller holds
+// the mutex.
+func (c *Client) currentDemands(now time.Time) map[string]float64 {
+	interval := now.Sub(c.demandStartedAt)
+	endInterval := interval >= c.requestInterval()
+	demands := map[string]float64{}
 	for key, b := range c.buckets {
-		b.reportedDemand = b.excessDemand(span, endSpan)
+		b.reportedDemand = b.excessDemand(interval, endInterval)
 		if b.reportedDemand > 0 {
-			wants[key] = b.reportedDemand
+			demands[key] = b.reportedDemand
 		}
 	}
-	if endSpan {
-		c.demandSince = now
+	if endInterval {
+		c.demandStartedAt = now
 	}
-	trimWants(wants)
-	return wants
+	trimDemands(demands)
+	return demands
 }
 
-// heldQuotas returns the quotas that are in force, by key. The caller holds the mutex.
+// heldQuotas returns the quotas in force by key, in tokens a second. The caller holds the mutex.
 func (c *Client) heldQuotas(now time.Time) map[string]float64 {
 	held := map[string]float64{}
 	for key, b := range c.buckets {
-		if now.Before(b.quotaUntil) && b.quotaRate > 0 {
+		if now.Before(b.quotaExpiresAt) && b.quotaRate > 0 {
 			held[key] = b.quotaRate
 		}
 	}
 	return held
 }
 
-// trimWants leaves the highest wants where there are too many.
-func trimWants(wants map[string]float64) {
-	if len(wants) <= maxRequestedKeys {
+// trimDemands removes all but the maxRequestedKeys highest demands.
+func trimDemands(demands map[string]float64) {
+	if len(demands) <= maxRequestedKeys {
 		return
 	}
-	keys := slices.SortedFunc(maps.Keys(wants), func(a, b string) int {
-		return cmp.Or(cmp.Compare(wants[b], wants[a]), cmp.Compare(a, b))
+	keys := slices.SortedFunc(maps.Keys(demands), func(a, b string) int {
+		return cmp.Or(cmp.Compare(demands[b], demands[a]), cmp.Compare(a, b))
 	})
 	for _, key := range keys[maxRequestedKeys:] {
-		delete(wants, key)
+		delete(demands, key)
 	}
 }
 
-// ApplyGrant puts a grant in force, until its term after its request, and reports whether it did. It refuses a grant by an older token
-// than was observed, a grant of a request before the one whose grant is applied, and one that has ended.
+// ApplyGrant applies a grant until its term after the request is over, and reports whether it did. It rejects a grant with an older token
+// than the newest one observed, a grant that does not answer a newer request than the applied one, and an expired grant.
 func (c *Client) ApplyGrant(leader string, g Grant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	requestedAt, pending := c.requestedAt[g.Number]
-	until := requestedAt.Add(g.Term)
-	if g.Token < c.token || !pending || g.Number <= c.applied.number || !now.Before(until) {
+	expiresAt := requestedAt.Add(g.Term)
+	if g.Token < c.token || !pending || g.Number <= c.applied.number || !now.Before(expiresAt) {
 		return false
 	}
 	c.token = g.Token
 	c.leader = leader
-	c.applied = appliedGrant{token: g.Token, number: g.Number, until: until}
+	c.applied = appliedGrant{token: g.Token, number: g.Number, expiresAt: expiresAt}
 	for key, b := range c.buckets {
 		quota := g.Quotas[key]
-		if now.Before(b.quotaUntil) && quota*significantChange < b.quotaRate {
+		if now.Before(b.quotaExpiresAt) && quota*significantChange < b.quotaRate {
 			c.requestDue = true
 		}
-		b.applyQuota(now, quota, until)
+		b.applyQuota(now, quota, expiresAt)
 	}
 	return true
 }
 
-// Metrics tell, by limit, how many tokens a second this pooler may take now, and how often there was none.
+// Metrics holds the metrics of a Client.
 type Metrics struct {
-	Rate    map[string]float64
-	Refused map[string]uint64
+	Rate    map[string]float64 // by limit: rate in force at this pooler, in tokens a second
+	Refused map[string]uint64  // by limit: how often no token was available
 }
 
 // Metrics returns the metrics, summed over the keys of each limit.
--- a/internal/fleet/quota/component.go
+++ b/internal/fleet/quota/component.go
@@ -14,48 +14,48 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Document is the key of the document that holds the set of limits in force.
+// Document is the key of the shared document that holds the set of limits in force.
 const Document = "limits/set"
 
 const (
-	// requestGapPerPooler, times the fleet's size, is the least time between requests out of turn, so that the fleet sends a thousand a
-	// second at most; minRequestGap is the least time in a small fleet.
-	requestGapPerPooler = time.Millisecond
-	minRequestGap       = 20 * time.Millisecond
-	// refusalLogInterval is how often refusals are logged, if there were any.
+	// earlyRequestIntervalPerPooler, multiplied by the size of the fleet, is the minimum interval between early requests of a pooler, so that
+	// the fleet sends at most a thousand a second. In a small fleet the interval is minEarlyRequestInterval.
+	earlyRequestIntervalPerPooler = time.Millisecond
+	minEarlyRequestInterval       = 20 * time.Millisecond
+	// refusalLogInterval is the interval between log lines about limits that had no token available.
 	refusalLogInterval = 5 * time.Second
 )
 
-// Options configure a Component.
+// Options configures a Component.
 type Options struct {
-	Instance  string        // tells this process apart from the pooler's earlier processes
-	Term      time.Duration // of quotas
-	Drift     time.Duration // the most by which two monotonic clocks differ over a term
-	FleetSize int           // poolers, by the settings
-	Limits    config.Limits // of the operators' file, as it was read first
+	Instance  string        // identifies this process among all processes of the pooler
+	Term      time.Duration // term of quotas
+	Drift     time.Duration // maximum difference between two monotonic clocks over a term
+	FleetSize int           // number of poolers in the settings
+	Limits    config.Limits // limits initially read from the operator's file
 }
 
-// Component is one pooler's part in keeping the limits: it requests quotas, and allocates them while the pooler leads. Until it runs,
-// and without a leader, the Client's safe shares of the operators' limits hold. It is safe for concurrent use.
+// Component enforces the fleet's limits at one pooler: it requests quotas, and allocates them while the pooler is the leader. Before it
+// runs, and while there is no leader, the Client applies the safe shares of the limits in the operator's file. It is safe for concurrent use.
 type Component struct {
 	*Client
 	options Options
 
 	mu         sync.Mutex    // guards the fields below
-	proposed   config.Limits // of the operators' file
-	allocator  *Allocator    // of the last token by which this pooler led; nil: it has not led
-	allocating bool          // the pooler leads, as updateLeadership last saw it
+	proposed   config.Limits // limits in the operator's file
+	allocator  *Allocator    // for the last token with which this pooler was the leader; nil if it never was
+	allocating bool          // whether this pooler was the leader at the last updateLeadership
 }
 
 var _ fleet.Component = (*Component)(nil)
 
-// New returns the component of one process.
+// New returns a component for one process of a pooler.
 func New(o Options) *Component {
 	return &Component{Client: NewClient(o.Instance, o.Term, o.FleetSize, o.Limits), options: o, proposed: o.Limits}
 }
 
-// Propose takes over the operators' file when it was read again. If its revision is the highest it is in force here at once, and at all
-// poolers once the leader has it.
+// Propose sets the limits read from the operator's file. If their revision is the highest, they apply at this pooler immediately, and at all
+// poolers once they have been proposed at the leader.
 func (c *Component) Propose(limits config.Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,14 +63,15 @@
 	c.SetLimits(limits)
 }
 
-// proposedLimits returns the limits of the operators' file.
+// proposedLimits returns the limits in the operator's file.
 func (c *Component) proposedLimits() config.Limits {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.proposed
 }
 
-// Run implements fleet.Component. It never returns an error: without a leader, messages or documents the safe shares hold.
+// Run implements fleet.Component. It runs until ctx is done and never returns an error: without a leader, messages or documents the safe
+// shares apply.
 func (c *Component) Run(ctx context.Context, runtime fleet.Runtime) error {
 	s := &session{
 		component:      c,
@@ -90,25 +91,25 @@
 	return nil
 }
 
-// session is one run of a Component. Its fields do not change.
+// session is one run of a Component. Its fields are immutable.
 type session struct {
 	component      *Component
 	runtime        fleet.Runtime
 	leadership     replication.Leadership
-	term           time.Duration        // of quotas
-	requests       chan receivedRequest // of other poolers, to be answered
-	leaderObserved chan struct{}        // wakes run: another pooler has announced that it leads
+	term           time.Duration        // term of quotas
+	requests       chan receivedRequest // requests of other poolers that wait for an answer
+	leaderObserved chan struct{}        // wakes run when another pooler has announced its leadership
 }
 
-// run sends requests and follows the leadership and the documents, until ctx ends.
+// run sends requests and handles changes of the leadership and of the documents until ctx is done.
 func (s *session) run(ctx context.Context) {
-	s.waitForTurn(ctx)
-	inTurn := time.NewTicker(s.component.requestInterval())
-	defer inTurn.Stop()
-	outOfTurn := time.NewTicker(max(minRequestGap, time.Duration(s.component.options.FleetSize)*requestGapPerPooler))
-	defer outOfTurn.Stop()
-	logDue := time.NewTicker(refusalLogInterval)
-	defer logDue.Stop()
+	s.waitForRandomDelay(ctx)
+	regularRequests := time.NewTicker(s.component.requestInterval())
+	defer regularRequests.Stop()
+	earlyRequests := time.NewTicker(max(minEarlyRequestInterval, time.Duration(s.component.options.FleetSize)*earlyRequestIntervalPerPooler))
+	defer earlyRequests.Stop()
+	refusalLog := time.NewTicker(refusalLogInterval)
+	defer refusalLog.Stop()
 	var logged Metrics
 	documentsChanged := s.runtime.View.Changed()
 	s.syncLimits(ctx)
@@ -119,24 +120,24 @@
 		case <-documentsChanged:
 			documentsChanged = s.runtime.View.Changed()
 			s.syncLimits(ctx)
-		case <-inTurn.C:
+		case <-regularRequests.C:
 			s.updateLeadership()
 			s.sendRequest(ctx)
 			s.syncLimits(ctx)
-		case <-logDue.C:
+		case <-refusalLog.C:
 			logged = s.logRefusals(logged)
-		case <-outOfTurn.C:
-			s.sendDueRequest(ctx)
+		case <-earlyRequests.C:
+			s.sendEarlyRequest(ctx)
 		case <-s.leaderObserved:
-			s.sendDueRequest(ctx)
+			s.sendEarlyRequest(ctx)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// waitForTurn waits for a random part of the interval between requests, so that poolers that start at one instant do not send their
-// requests at one instant.
-func (s *session) waitForTurn(ctx context.Context) {
+// waitForRandomDelay waits for a random part of the interval between regular requests, so that poolers that start at the same time do not
+// send their requests at the same time.
+func (s *session) waitForRandomDelay(ctx context.Context) {
 	timer := time.NewTimer(time.Duration(rand.Int64N(int64(s.component.requestInterval()))))
 	defer timer.Stop()
 	select {
@@ -145,7 +146,7 @@
 	}
 }
 
-// updateLeadership begins or ends this pooler's allocation, and announces to the others that it leads.
+// updateLeadership begins or ends allocation by this pooler, and announces its leadership to the other poolers.
 func (s *session) updateLeadership() {
 	token, _, leads := s.leadership.Token()
 	if !leads {
@@ -157,8 +158,8 @@
 	s.announceLeadership(token)
 }
 
-// endAllocation ends this pooler's allocation, if it has begun. The allocator stays: a lease that lapsed here can be renewed under the same
-// token, and poolers that apply a grant of that token report only its number, which a new allocator would not know.
+// endAllocation ends allocation by this pooler, if it has begun. It keeps the allocator: an expired lease can be renewed under the same
+// token, and poolers that apply a grant with that token report only its number, which a new allocator would not know.
 func (s *session) endAllocation() {
 	c := s.component
 	c.mu.Lock()
@@ -170,7 +171,7 @@
 	s.runtime.Log.Info().Uint64("token", c.allocator.token).Msg("quota: another pooler allocates from now on")
 }
 
-// beginAllocation begins this pooler's allocation by a token, unless it has begun, and goes on with the token's allocator if there is one.
+// beginAllocation begins allocation by this pooler with a token, unless it has begun. It reuses the allocator if it has the same token.
 func (s *session) beginAllocation(token uint64) {
 	c := s.component
 	c.mu.Lock()
@@ -187,7 +188,7 @@
 	s.runtime.Audit(audit.Record{Act: audit.QuotasAllocated, Token: token})
 }
 
-// activeAllocator returns the allocator while this pooler may act by its token; otherwise nil.
+// activeAllocator returns the allocator if this pooler is the leader with the allocator's token, and nil otherwise.
 func (s *session) activeAllocator() *Allocator {
 	token, _, leads := s.leadership.Token()
 	s.component.mu.Lock()
@@ -199,20 +200,21 @@
 	return allocator
 }
 
-// poolerCount is how many poolers share a reserve: the settings' number, or those alive where they are more.
+// poolerCount returns the number of poolers that share a reserve: the number in the settings, or the number of poolers alive if it is larger.
 func (s *session) poolerCount() int {
 	return max(s.component.options.FleetSize, s.runtime.Bus.Size())
 }
 
-// syncLimits puts the fleet's limits in force, and as the leader writes those of the operators' file where they are newer.
+// syncLimits applies the limits in the fleet's document. At the leader it also writes the limits in the operator's file to the document if
+// they are newer.
 func (s *session) syncLimits(ctx context.Context) {
 	document, found := s.runtime.View.Get(Document)
 	var limits config.Limits
 	if found {
 		var err error
 		limits, err = config.ParseLimits(document.Value)
-		if err != nil { // of a newer build: what is in force stays
-			s.runtime.Log.Error().Err(err).Uint64("version", document.Version).Msg("quota: fleet's limits can't be decoded")
+		if err != nil { // written by a newer build: keep the limits in force
+			s.runtime.Log.Error().Err(err).Uint64("version", document.Version).Msg("quota: decoding the fleet's limits failed; keeping the previous limits")
 			return
 		}
 	}
@@ -229,29 +231,30 @@
 	}
 }
 
-// writeLimits writes the limits of the operators' file as the fleet's. A failure is made up for at the next syncLimits.
+// writeLimits writes the limits in the operator's file to the fleet's document. After a failure the next syncLimits tries again.
 func (s *session) writeLimits(ctx context.Context, limits config.Limits, version, token uint64) {
 	value, err := json.Marshal(limits)
 	if err != nil {
-		s.runtime.Log.Error().Err(err).Msg("quota: file's limits can't be encoded")
+		s.runtime.Log.Error().Err(err).Msg("quota: encoding the limits from the file failed")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.component.requestInterval())
 	defer cancel()
 	_, err = s.runtime.Store.Put(ctx, Document, version, value, replication.Fence{Lease: LeaseName, Token: token})
 	if err != nil && !errors.Is(err, replication.ErrConflict) {
-		s.runtime.Log.Warn().Err(err).Msg("quota: file's limits not written to the voters, tried again")
+		s.runtime.Log.Warn().Err(err).Msg("quota: writing the limits from the file to the voters failed; will retry")
 	}
 }
 
-// logRefusals logs, for each limit that had no token since the last time, how often that was and what may be taken here now.
+// logRefusals logs each limit that had no token available since the metrics in logged: how often that was, and the rate in force at this
+// pooler. It returns the current metrics.
 func (s *session) logRefusals(logged Metrics) Metrics {
 	metrics := s.component.Metrics()
 	leader, token := s.component.Leader()
 	for limit, total := range metrics.Refused {
 		if refused := total - logged.Refused[limit]; refused > 0 {
 			s.runtime.Log.Info().Str("limit", limit).Uint64("refused", refused).Float64("rate_here", metrics.Rate[limit]).
-				Str("leader", leader).Uint64("token", token).Msg("quota: no token")
+				Str("leader", leader).Uint64("token", token).Msg("quota: limit reached")
 		}
 	}
 	return metrics
--- a/internal/fleet/quota/golden_test.go
+++ b/internal/fleet/quota/golden_test.go
@@ -8,7 +8,7 @@
 	"threadsail/internal/goldentest"
 )
 
-func TestMessageForms(t *testing.T) {
+func TestMessageFormat(t *testing.T) {
 	goldentest.CheckJSONOf(t, "ask.json", goldentest.Filled[Request](t))
 	goldentest.CheckJSONOf(t, "grant.json", goldentest.Filled[Grant](t))
 }
@@ -19,7 +19,7 @@
 		"probes": string(config.LimitProbes)})
 }
 
-// The set of limits is a document that any build of the fleet may have written.
+// The set of limits is a shared document that may have been written by any earlier or later build.
 func TestStoredLimits(t *testing.T) {
 	set := config.Limits{Revision: 3, List: []config.Limit{{Name: "writes", Target: config.LimitRequests, Class: "write", Tenants: true, Rate: 250.5,
 		Burst: 20, Reserve: 0.5}}}
--- a/internal/fleet/quota/guard.go
+++ b/internal/fleet/quota/guard.go
@@ -10,13 +10,13 @@
 	"threadsail/internal/policy"
 )
 
-// Guard holds one frontend's requests, attempts, connections and probes to the limits. It belongs to that frontend's event loop, on which
-// all of its methods are called; the frontends of one process share a Client.
+// Guard applies the limits to the requests, attempts, connections and probes of one frontend. All methods must be called on the event loop
+// of that frontend. The frontends of a process share a Client.
 type Guard struct {
 	client    *Client
 	classOf   func(class int) policy.Class
 	settings  func() policy.Settings
-	startedAt map[string]time.Duration // of servers that may be cold: Unix times
+	startedAt map[string]time.Duration // by server that may be cold: its start time as Unix time
 }
 
 var (
@@ -24,19 +24,20 @@
 	_ dispatch.ConnectionGate = (*Guard)(nil)
 )
 
-// NewGuard returns the guard of a frontend. classOf returns a request's class; settings return how a server's slow start goes, and what
-// clients may learn about retries. Both may change at any time.
+// NewGuard returns a guard for a frontend. classOf returns the class with an index, and settings returns the current settings for slow start
+// and for Retry-After. The results of both may change at any time.
 func NewGuard(c *Client, classOf func(class int) policy.Class, settings func() policy.Settings) *Guard {
 	return &Guard{client: c, classOf: classOf, settings: settings, startedAt: map[string]time.Duration{}}
 }
 
-// takenToken is a token that a request has taken of a limit.
+// takenToken identifies a token that a request has taken.
 type takenToken struct {
 	limit config.Limit
 	key   string
 }
 
-// Admit implements dispatch.Guard: a request takes a token of each limit that applies to it, or none.
+// Admit implements dispatch.Guard. A request takes one token of each limit that applies to it. If one of the limits has none, the request is
+// rejected and the tokens already taken are returned.
 func (g *Guard) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
 	class := g.classOf(r.Class)
 	var taken []takenToken
@@ -60,8 +61,8 @@
 	return dispatch.Admission{}
 }
 
-// tenantKey is the tenant that a request counts for: the session that its key names, where its class reads or writes for sessions, else
-// its group. A key is sent to other poolers as a number, as it is the client's.
+// tenantKey returns the tenant for which a request counts: the session that its key names, if its class reads or writes for sessions, and
+// its group otherwise. A session key is client data, so that only its hash is sent to other poolers.
 func tenantKey(class policy.Class, r *dispatch.Request) string {
 	forSession := class.Access == policy.ReadSession || class.Access == policy.Write
 	if forSession && r.Key != "" {
@@ -72,8 +73,9 @@
 	return "g" + strconv.Itoa(r.Group)
 }
 
-// retryAfter is when the client of a rejected request may retry: when there will be a token, or when the leader's next grant arrives,
-// which may bring a larger quota; within what the settings allow. 0 means that the client learns nothing.
+// retryAfter returns the time after which the client of a rejected request may retry: until a token will be available, but no longer than
+// until the leader's next grant, which may contain a larger quota, and no longer than the settings allow. It returns 0 if the settings do
+// not support Retry-After.
 func (g *Guard) retryAfter(untilToken time.Duration) time.Duration {
 	settings := g.settings()
 	if !settings.RetryAfterSupported {
@@ -86,10 +88,10 @@
 	return min(max(after, time.Millisecond), settings.MaxRetryAfter)
 }
 
-// MaySend implements dispatch.Guard: an attempt at a cold server takes a token of its limit, or more the colder the server is. The
-// policy's own share for each frontend holds beside it.
+// MaySend implements dispatch.Guard. An attempt at a cold server takes tokens of the limit on cold servers, more of them the colder the
+// server is. The policy's own slow-start limit for each frontend applies in addition.
 func (g *Guard) MaySend(now time.Duration, r *dispatch.Request, server string) dispatch.SendDecision {
-	if r.WaitedForConnection { // its token was taken before it waited
+	if r.WaitedForConnection { // its tokens were taken before it waited
 		return dispatch.Send
 	}
 	weight, cold := g.slowStartWeight(now, server)
@@ -113,7 +115,8 @@
 	}
 }
 
-// slowStartWeight is the share of its work that a server in its slow start bears, as the policy has it; cold is false for others.
+// slowStartWeight returns the share of its normal load that a server can take during slow start, as in the policy. cold is false for a
+// server that is not in its slow start.
 func (g *Guard) slowStartWeight(now time.Duration, server string) (weight float64, cold bool) {
 	startedAt, listed := g.startedAt[server]
 	if !listed {
--- a/internal/fleet/quota/guard_test.go
+++ b/internal/fleet/quota/guard_test.go
@@ -10,7 +10,7 @@
 	"threadsail/internal/policy"
 )
 
-// guardTest is a guard of one of ten poolers, with a limit of each kind, and its settings.
+// guardTest is the guard of one of ten poolers, with limits for all targets, and its settings.
 type guardTest struct {
 	*Guard
 	settings policy.Settings
@@ -30,36 +30,36 @@
 	return g
 }
 
-// wantAdmitted checks whether a request is admitted, and when the client of a rejected one may retry.
+// wantAdmitted checks whether a request is admitted, and the retry time of a rejected one.
 func (g *guardTest) wantAdmitted(t *testing.T, want bool, class int, key string, group int) {
 	t.Helper()
 	a := g.Admit(0, &dispatch.Request{Class: class, Key: key, Group: group})
 	if a.Reject == want || want == false && a.RetryAfter != 300*time.Millisecond {
-		t.Errorf("class %d, key %q, group %d: %+v", class, key, group, a)
+		t.Errorf("class %d, key %q, group %d: got %+v", class, key, group, a)
 	}
 }
 
-// Requests take tokens of their limits, by tenant, and the clients of rejected ones learn when to retry.
+// Requests take tokens of all limits that apply to them, for their tenant, and rejected ones get a retry time.
 func TestGuardAdmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuardTest()
 		g.wantAdmitted(t, true, 1, "x", 1)
 		g.wantAdmitted(t, false, 1, "x", 2) // the session is the tenant
 		g.wantAdmitted(t, true, 1, "y", 1)
-		g.wantAdmitted(t, true, 0, "x", 1) // a class without sessions: the group is the tenant
+		g.wantAdmitted(t, true, 0, "x", 1) // the class has no sessions: the group is the tenant
 		g.wantAdmitted(t, false, 0, "y", 1)
 		time.Sleep(10 * time.Second)
 		g.wantAdmitted(t, true, 1, "z", 1)
 		g.wantAdmitted(t, false, 1, "z", 1)
 		g.settings.MaxRetryAfter = 200 * time.Millisecond // changed settings apply
 		if a := g.Admit(0, &dispatch.Request{Class: 1, Key: "z"}); a.RetryAfter != g.settings.MaxRetryAfter {
-			t.Errorf("%+v, want the new time", a)
+			t.Errorf("got %+v, want the new retry time", a)
 		}
 	})
 }
 
-// Attempts at cold servers, connections and probes take tokens of their limits; warm servers, and attempts that have waited for their
-// connection, need none.
+// Attempts at cold servers, connections and probes take tokens of their limits. Attempts at warm servers, and attempts that have waited
+// for a connection, need none.
 func TestGuardServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGuardTest()
@@ -67,11 +67,11 @@
 		g.ServerListed("s", now-time.Second)
 		r := &dispatch.Request{WaitedForConnection: true}
 		if g.MaySend(now, r, "s") != dispatch.Send {
-			t.Error("an attempt that has waited for its connection is stopped, though it has taken a token")
+			t.Error("an attempt that has waited for a connection is not sent, although it has taken its tokens")
 		}
 		r.WaitedForConnection = false
 		if g.MaySend(now, r, "warm") != dispatch.Send {
-			t.Error("nothing is sent to a warm server")
+			t.Error("an attempt is not sent to a warm server")
 		}
 		sent, dialled, probed := g.countTenSeconds(now, "s")
 		if sent < 25 || sent > 30 { // at a weight of 0.55
@@ -79,7 +79,7 @@
 		}
 		for range 10 {
 			if g.MaySend(now+9*time.Second, r, "s") != dispatch.Send {
-				t.Error("nothing is sent to a server that has warmed")
+				t.Error("an attempt is not sent to a server near the end of its slow start")
 			}
 		}
 		if dialled < 4 || dialled > 6 || probed < 4 || probed > 6 {
@@ -88,8 +88,8 @@
 	})
 }
 
-// countTenSeconds tries attempts, connections and probes at a server 100 times a second for ten seconds, at the safe shares, and returns
-// how many the guard let pass. now is the time for the guard's slow start, which stands still.
+// countTenSeconds requests attempts, connections and probes at a server 100 times a second for ten seconds, with safe shares only, and
+// returns how many the guard allows. now is the time passed to MaySend, so that the slow start does not progress.
 func (g *guardTest) countTenSeconds(now time.Duration, server string) (sent, dialled, probed int) {
 	for range 1000 {
 		if _, ok := g.MayDial(0, server); ok {
--- a/internal/fleet/quota/messages.go
+++ b/internal/fleet/quota/messages.go
@@ -10,33 +10,33 @@
 
 // The topics of messages between poolers.
 const (
-	topicLeader  = "quota/holder" // to all poolers, by the leader: its token, a number
-	topicRequest = "quota/ask"    // to the leader: Request
-	topicGrant   = "quota/grant"  // the answer: Grant
+	topicLeader  = "quota/holder" // broadcast by the leader: its fencing token as a number
+	topicRequest = "quota/ask"    // from a pooler to the leader: Request
+	topicGrant   = "quota/grant"  // answer from the leader to a pooler: Grant
 )
 
 const (
-	// grantSenders is how many answers are on their way at once.
+	// grantSenders is the number of goroutines that answer requests concurrently.
 	grantSenders = 8
-	// maxQueuedRequests bounds the requests that wait for an answer: a whole fleet may send one at the instant at which it learns of a
-	// new leader.
+	// maxQueuedRequests is the maximum number of requests that wait for an answer. All poolers of a fleet may send one at the moment at which
+	// they learn of a new leader.
 	maxQueuedRequests = 1024
 )
 
-// receivedRequest is a request of another pooler.
+// receivedRequest is a request received from another pooler.
 type receivedRequest struct {
 	from    string
 	request Request
 }
 
-// handleMessages sets the handlers of the component's topics.
+// handleMessages registers the handlers of the component's topics.
 func (s *session) handleMessages() {
 	s.runtime.Bus.Handle(topicLeader, s.handleLeader)
 	s.runtime.Bus.Handle(topicGrant, s.handleGrant)
 	s.runtime.Bus.Handle(topicRequest, s.handleRequest)
 }
 
-// handleLeader records that a pooler leads, and wakes run.
+// handleLeader records the leader that announced itself, and wakes run.
 func (s *session) handleLeader(from string, body []byte) {
 	var token uint64
 	if json.Unmarshal(body, &token) != nil || !s.component.ObserveLeader(from, token) {
@@ -48,15 +48,15 @@
 	}
 }
 
-// handleGrant applies a grant.
+// handleGrant applies a received grant.
 func (s *session) handleGrant(from string, body []byte) {
 	var grant Grant
 	if json.Unmarshal(body, &grant) != nil || !s.component.ApplyGrant(from, grant) {
-		s.runtime.Log.Debug().Str("from", from).Msg("quota: grant refused")
+		s.runtime.Log.Debug().Str("from", from).Msg("quota: grant ignored")
 	}
 }
 
-// handleRequest queues a request for an answer.
+// handleRequest queues a received request. If the queue is full, it drops the request.
 func (s *session) handleRequest(from string, body []byte) {
 	var request Request
 	if json.Unmarshal(body, &request) != nil {
@@ -64,11 +64,11 @@
 	}
 	select {
 	case s.requests <- receivedRequest{from: from, request: request}:
-	default: // the pooler sends another
+	default: // the pooler will send another request
 	}
 }
 
-// answerRequests answers queued requests until ctx ends.
+// answerRequests answers queued requests until ctx is done.
 func (s *session) answerRequests(ctx context.Context) {
 	for {
 		select {
@@ -80,9 +80,9 @@
 	}
 }
 
-// answer allocates what a request is granted, and sends the grant, while this pooler leads. Should the process stall after it has looked
-// at its leadership, its late answer does no harm: the quota counts from the request, so it ends before a leader that was elected
-// meanwhile has finished learning.
+// answer allocates quotas for a request and sends the grant, if this pooler is the leader. A process that stalls after it has checked its
+// leadership may send the grant late. That is safe: the term of the quotas begins with the request, so they expire before a leader elected
+// in the meantime ends its learning period.
 func (s *session) answer(ctx context.Context, received receivedRequest) {
 	allocator := s.activeAllocator()
 	if allocator == nil {
@@ -93,27 +93,27 @@
 		return
 	}
 	if err := s.send(ctx, received.from, topicGrant, grant); err != nil {
-		s.runtime.Log.Debug().Err(err).Str("to", received.from).Msg("quota: grant not sent")
+		s.runtime.Log.Debug().Err(err).Str("to", received.from).Msg("quota: sending the grant failed")
 	}
 }
 
-// announceLeadership announces to all other poolers that this one leads by a token.
+// announceLeadership broadcasts the token with which this pooler is the leader.
 func (s *session) announceLeadership(token uint64) {
 	body, err := json.Marshal(token)
 	if err != nil {
-		return // a number can be encoded
+		return // cannot happen: a number can always be encoded
 	}
 	s.runtime.Bus.Broadcast(topicLeader, body)
 }
 
-// sendDueRequest sends a request out of turn, if that is worth its cost.
-func (s *session) sendDueRequest(ctx context.Context) {
+// sendEarlyRequest sends an early request if one is due.
+func (s *session) sendEarlyRequest(ctx context.Context) {
 	if s.component.RequestDue() {
 		s.sendRequest(ctx)
 	}
 }
 
-// sendRequest sends the leader a request, or answers it here while this pooler leads.
+// sendRequest sends a request to the leader, or answers it locally if this pooler is the leader.
 func (s *session) sendRequest(ctx context.Context) {
 	c := s.component
 	c.SetFleetSize(s.poolerCount())
@@ -122,17 +122,17 @@
 		return
 	}
 	if leader == s.runtime.Bus.Self() {
-		s.answerHere(leader, request)
+		s.answerLocally(leader, request)
 		return
 	}
 	err := s.send(ctx, leader, topicRequest, request)
 	if err != nil && !errors.Is(err, bus.ErrUnknownMember) {
-		s.runtime.Log.Debug().Err(err).Str("to", leader).Msg("quota: leader not reached")
+		s.runtime.Log.Debug().Err(err).Str("to", leader).Msg("quota: sending the request to the leader failed")
 	}
 }
 
-// answerHere answers this pooler's own request.
-func (s *session) answerHere(self string, request Request) {
+// answerLocally answers this pooler's own request without sending messages.
+func (s *session) answerLocally(self string, request Request) {
 	allocator := s.activeAllocator()
 	if allocator == nil {
 		return
@@ -142,7 +142,7 @@
 	}
 }
 
-// send sends one pooler a message, for no longer than the interval between requests.
+// send encodes a message and sends it to a pooler. It gives up after the interval between regular requests.
 func (s *session) send(ctx context.Context, to, topic string, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -21,8 +21,8 @@
 	drift = 50 * time.Millisecond
 )
 
-// TestMain plays fewer random days than rapid would: each is twelve seconds of twelve poolers. It fails the package where a
-// goroutine outlives the tests.
+// TestMain reduces the default number of rapid checks, as each check of a bound simulates up to twelve poolers for twelve seconds. It fails
+// if a goroutine is still running after the tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := false
@@ -39,11 +39,11 @@
 	tenantLimit,
 }}
 
-// Limits of a higher revision in the leader's file reach all other poolers through the documents, and the sum is within the lower
-// limit two terms later. A lower revision changes nothing.
-func TestChangeOfLimits(t *testing.T) {
+// Limits with a higher revision in the leader's file reach all other poolers through the shared documents, and the sum of the rates is within
+// the lower limit two terms later. Limits with a lower revision are ignored.
+func TestLimitsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
+		w := &testFleet{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
 		for i := range 5 {
 			w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
 		}
@@ -61,19 +61,19 @@
 			return rate
 		}
 		if rate := run(5 * time.Second); rate < 150 || rate > 200 {
-			t.Errorf("%v a second of a limit of 200", rate)
+			t.Errorf("got a rate of %v a second for a limit of 200", rate)
 		}
 		lower := config.Limits{Revision: 7, List: slices.Clone(limits.List)}
 		lower.List[0].Rate = 40
 		w.leader().component.Propose(lower)
 		if rate := run(2*term + drift); rate > 40*(1+1e-9) {
-			t.Errorf("%v a second of a limit that is 40 now", rate)
+			t.Errorf("got a rate of %v a second for a limit lowered to 40", rate)
 		}
 		w.nodes[1].component.Propose(limits)
 		run(term)
 		for _, n := range w.nodes {
 			if got := n.component.Limits().Revision; got != 7 {
-				t.Errorf("%s applies revision %d", n.name, got)
+				t.Errorf("%s applies revision %d, want 7", n.name, got)
 			}
 			w.kill(n)
 		}
--- a/internal/fleet/quota/world_test.go
+++ b/internal/fleet/quota/world_test.go
@@ -20,15 +20,15 @@
 	"threadsail/internal/fleet/replication/replicationtest"
 )
 
-// stallableBus is the bus of a process that can be stalled: what it was about to send is sent once it resumes, and what arrives
-// waits. Its clock is slow by skew over a term.
+// stallableBus is the bus of a process that can be stalled: outgoing and incoming messages wait until the process resumes. It simulates a
+// clock that is slow by skew over a term, by extending the term of received grants.
 type stallableBus struct {
 	*bustest.Bus
 	skew      time.Duration
 	sentBytes *atomic.Int64
 
 	mu      sync.Mutex
-	resumed chan struct{} // closed when the process resumes; nil: it runs
+	resumed chan struct{} // closed when the process resumes; nil while it is not stalled
 }
 
 func (s *stallableBus) stall() {
@@ -75,7 +75,7 @@
 	})
 }
 
-// node is one pooler. component is that of its running process; nil: none runs.
+// node is a pooler. component belongs to its running process, and is nil if none is running.
 type node struct {
 	name      string
 	bus       *stallableBus
@@ -83,21 +83,21 @@
 	voters    *replicationtest.Client
 	end       context.CancelFunc
 	starts    int
-	demand    [2]int // tokens of each limit that are wanted in a step
+	demand    [2]int // by limit: number of tokens requested in a step
 }
 
-// world is a fleet within a synctest bubble.
-type world struct {
+// testFleet is a fleet on a simulated network. It must run in a synctest bubble.
+type testFleet struct {
 	network   *bustest.Network
 	cluster   *replicationtest.Cluster
 	nodes     []*node
 	rng       *rand.Rand
 	running   sync.WaitGroup
-	restarts  int // of processes
+	restarts  int // number of restarted processes
 	sentBytes atomic.Int64
 }
 
-func (w *world) start(n *node) {
+func (w *testFleet) start(n *node) {
 	n.starts++
 	instance := fmt.Sprint(n.name, "/", n.starts)
 	n.bus = &stallableBus{Bus: w.network.Join(n.name), skew: time.Duration(w.rng.Int64N(int64(drift))), sentBytes: &w.sentBytes}
@@ -114,15 +114,15 @@
 	w.running.Go(func() { _ = component.Run(ctx, runtime) })
 }
 
-func (w *world) kill(n *node) {
+func (w *testFleet) kill(n *node) {
 	n.end()
 	n.bus.resume()
 	n.bus.Stop()
 	n.component = nil
 }
 
-// leader returns the pooler that allocates, or the first.
-func (w *world) leader() *node {
+// leader returns the pooler that allocates quotas, or the first pooler if there is none.
+func (w *testFleet) leader() *node {
 	for _, n := range w.nodes {
 		if n.component != nil {
 			n.component.mu.Lock()
