--- a/internal/fleet/consensus/client.go
+++ b/internal/fleet/consensus/client.go
@@ -190,12 +190,12 @@
 	if _, err = conn.Write(append(slices.Clip(line), '\n')); err != nil {
 		return response{}, true, err
 	}
-	c.Traffic.Out(kind, 1, len(line)+1)
+	c.Traffic.AddSent(kind, 1, len(line)+1)
 	encoded, err := readLine(c.reader, maxResponseBytes)
 	if err != nil {
 		return response{}, true, err
 	}
-	c.Traffic.In(kind, 1, len(encoded)+1)
+	c.Traffic.AddReceived(kind, 1, len(encoded)+1)
 	return resp, true, json.Unmarshal(encoded, &resp)
 }
 
--- a/internal/fleet/consensus/server.go
+++ b/internal/fleet/consensus/server.go
@@ -107,11 +107,11 @@
 		if err != nil {
 			return
 		}
-		v.options.Traffic.In(kind, 1, len(line)+1)
+		v.options.Traffic.AddReceived(kind, 1, len(line)+1)
 		if _, err := conn.Write(append(encoded, '\n')); err != nil {
 			return
 		}
-		v.options.Traffic.Out(kind, 1, len(encoded)+1)
+		v.options.Traffic.AddSent(kind, 1, len(encoded)+1)
 	}
 }
 
--- a/internal/fleet/gossip/counting_transport.go
+++ b/internal/fleet/gossip/counting_transport.go
@@ -45,7 +45,7 @@
 	for {
 		select {
 		case p := <-t.NodeAwareTransport.PacketCh():
-			countPacket(p.Buf, t.counter.In)
+			countPacket(p.Buf, t.counter.AddReceived)
 			select {
 			case t.packets <- p:
 			case <-t.shutdown:
@@ -77,7 +77,7 @@
 func (t *countingTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	at, err := t.NodeAwareTransport.WriteToAddress(b, a)
 	if err == nil {
-		countPacket(b, t.counter.Out)
+		countPacket(b, t.counter.AddSent)
 	}
 	return at, err
 }
@@ -134,7 +134,7 @@
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		kind, messages := c.classify(b[:n], &c.readBegun)
-		c.counter.In(kind, messages, n)
+		c.counter.AddReceived(kind, messages, n)
 	}
 	return n, err
 }
@@ -144,7 +144,7 @@
 	n, err := c.Conn.Write(b)
 	if n > 0 {
 		kind, messages := c.classify(b[:n], &c.writeBegun)
-		c.counter.Out(kind, messages, n)
+		c.counter.AddSent(kind, messages, n)
 	}
 	return n, err
 }
--- a/internal/fleet/stream_network.go
+++ b/internal/fleet/stream_network.go
@@ -170,10 +170,14 @@
 type trafficCounter struct{ counter *traffic.Counter }
 
 // In implements distribution.Counter.
-func (c trafficCounter) In(kind string, bytes int) { c.counter.In(streamKindPrefix+kind, 1, bytes) }
+func (c trafficCounter) In(kind string, bytes int) {
+	c.counter.AddReceived(streamKindPrefix+kind, 1, bytes)
+}
 
 // Out implements distribution.Counter.
-func (c trafficCounter) Out(kind string, bytes int) { c.counter.Out(streamKindPrefix+kind, 1, bytes) }
+func (c trafficCounter) Out(kind string, bytes int) {
+	c.counter.AddSent(streamKindPrefix+kind, 1, bytes)
+}
 
 // streamKindPrefix begins the kinds of the streams' frames among all kinds of traffic.
 const streamKindPrefix = "stream/"
--- a/internal/fleet/traffic/traffic.go
+++ b/internal/fleet/traffic/traffic.go
@@ -39,8 +39,8 @@
 	messagesOut atomic.Uint64
 }
 
-// In counts received messages and bytes of a kind. A later part of a message that came in several has messages 0.
-func (c *Counter) In(kind string, messages, bytes int) {
+// AddReceived counts received messages and bytes of a kind. A later part of a message that came in several has messages 0.
+func (c *Counter) AddReceived(kind string, messages, bytes int) {
 	if c == nil {
 		return
 	}
@@ -49,8 +49,8 @@
 	k.messagesIn.Add(uint64(messages))
 }
 
-// Out counts sent messages and bytes, as In.
-func (c *Counter) Out(kind string, messages, bytes int) {
+// AddSent counts sent messages and bytes, as AddReceived.
+func (c *Counter) AddSent(kind string, messages, bytes int) {
 	if c == nil {
 		return
 	}
@@ -117,7 +117,7 @@
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.counter.In(c.kind, 1, n)
+		c.counter.AddReceived(c.kind, 1, n)
 	}
 	return n, err
 }
@@ -126,7 +126,7 @@
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if n > 0 {
-		c.counter.Out(c.kind, 1, n)
+		c.counter.AddSent(c.kind, 1, n)
 	}
 	return n, err
 }
--- a/internal/fleet/traffic/traffic_test.go
+++ b/internal/fleet/traffic/traffic_test.go
@@ -11,8 +11,8 @@
 
 func TestCounter(t *testing.T) {
 	var none *Counter
-	none.In("a", 1, 1)
-	none.Out("a", 1, 1)
+	none.AddReceived("a", 1, 1)
+	none.AddSent("a", 1, 1)
 	if none.Snapshot() != nil {
 		t.Error("a nil counter counts")
 	}
@@ -21,8 +21,8 @@
 	for range 8 {
 		all.Go(func() {
 			for range 100 {
-				c.In("a", 1, 10)
-				c.Out("b", 2, 5)
+				c.AddReceived("a", 1, 10)
+				c.AddSent("b", 2, 5)
 			}
 		})
 	}
@@ -32,7 +32,7 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	for i := range 2 * maxKinds {
-		c.In(fmt.Sprint("k", i), 1, 1)
+		c.AddReceived(fmt.Sprint("k", i), 1, 1)
 	}
 	if n := len(c.Snapshot()); n > maxKinds+1 {
 		t.Errorf("%d kinds are counted separately", n)
