--- a/internal/fleet/traffic/traffic.go
+++ b/internal/fleet/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts what a pooler sends to the other poolers of its fleet and receives from them, at its sockets: bytes of
-// payload and messages, both ways, by kind of message. It decides nothing and runs no goroutine; any goroutine may call it.
+// Package traffic counts the messages and payload bytes that a pooler exchanges with the other poolers of its fleet over its sockets, by
+// direction and kind of message. It only counts: it starts no goroutines and makes no decisions. Its functions are safe for concurrent use.
 package traffic
 
 import (
@@ -10,13 +10,14 @@
 	"sync/atomic"
 )
 
-// maxKinds bounds the kinds that are counted separately: some come from other processes.
+// maxKinds is the maximum number of kinds that are counted separately. It bounds memory use, as the names of some kinds come from other
+// processes.
 const maxKinds = 128
 
-// Other is the kind of all that is not counted separately.
+// Other is the kind under which all further kinds are counted together once there are maxKinds.
 const Other = "other"
 
-// Count is what was sent and received of one kind, since the start.
+// Count holds the totals of one kind of message since the counter was created.
 type Count struct {
 	Kind        string `json:"kind"`
 	BytesIn     uint64 `json:"bytes_in"`
@@ -25,13 +26,14 @@
 	MessagesOut uint64 `json:"messages_out"`
 }
 
-// Counter counts by kind. It is safe for use by several goroutines. The zero Counter is ready for use, and a nil one counts nothing.
+// Counter counts messages and bytes by kind. It is safe for concurrent use. The zero Counter is ready to use, and a nil Counter counts
+// nothing.
 type Counter struct {
-	mu    sync.RWMutex // guards kinds, not the counts in it
+	mu    sync.RWMutex // guards the map kinds; the counts in it are atomic
 	kinds map[string]*counts
 }
 
-// counts are the numbers of one kind.
+// counts holds the totals of one kind.
 type counts struct {
 	bytesIn     atomic.Uint64
 	bytesOut    atomic.Uint64
@@ -39,7 +41,8 @@
 	messagesOut atomic.Uint64
 }
 
-// AddReceived counts received messages and bytes of a kind. A later part of a message that came in several has messages 0.
+// AddReceived adds received messages and bytes to the totals of a kind. For a message that arrives in several parts, messages must be 0 for
+// all parts but the first.
 func (c *Counter) AddReceived(kind string, messages, bytes int) {
 	if c == nil {
 		return
@@ -49,7 +52,7 @@
 	k.messagesIn.Add(uint64(messages))
 }
 
-// AddSent counts sent messages and bytes, as AddReceived.
+// AddSent adds sent messages and bytes to the totals of a kind, in the same way as AddReceived.
 func (c *Counter) AddSent(kind string, messages, bytes int) {
 	if c == nil {
 		return
@@ -59,7 +62,7 @@
 	k.messagesOut.Add(uint64(messages))
 }
 
-// countsFor is the counts of a kind, or those of Other where there are too many kinds.
+// countsFor returns the counts of a kind. A new kind is counted as Other if there are already maxKinds.
 func (c *Counter) countsFor(kind string) *counts {
 	c.mu.RLock()
 	k := c.kinds[kind]
@@ -82,7 +85,7 @@
 	return k
 }
 
-// Snapshot returns the counts of all kinds, by name.
+// Snapshot returns the current totals of all kinds, sorted by kind. It returns nil for a nil Counter.
 func (c *Counter) Snapshot() []Count {
 	if c == nil {
 		return nil
@@ -103,10 +106,10 @@
 	return snapshot
 }
 
-// Conn returns a connection that counts what it reads and writes as of one kind, each read and write as a message.
+// Conn wraps a connection so that its traffic is counted under one kind. Each Read and each Write that transfers data counts as a message.
 func (c *Counter) Conn(conn net.Conn, kind string) net.Conn { return &countingConn{conn, c, kind} }
 
-// countingConn is a connection that counts for Conn.
+// countingConn is the net.Conn returned by Conn.
 type countingConn struct {
 	net.Conn
 	counter *Counter
