--- a/internal/fleet/outlier/component.go
+++ b/internal/fleet/outlier/component.go
@@ -35,9 +35,9 @@
 	Members() map[int][]string
 }
 
-// Component is one pooler's part of the fleet's outlier detection. It implements fleet.Component, and a dispatch.Guard that sends reads to
-// other servers than an ejected one while other poolers probe it. MaySend must not be called for a request that only one member of its
-// group can serve: a write, or a read that must see the latest write. Component is safe for concurrent use.
+// Component is one pooler's part of the fleet's outlier detection. It implements fleet.Component, and dispatch.Guard to divert reads from an
+// ejected server while other poolers probe it. MaySend must not be called for a request that only one member of its group can serve: a
+// write, or a read that must see the latest write. Component is safe for concurrent use.
 type Component struct {
 	settings Settings
 	host     Host
--- a/internal/fleet/outlier/decisions.go
+++ b/internal/fleet/outlier/decisions.go
@@ -50,7 +50,7 @@
 	return f.LostPrimary >= s.MinObservers && f.LostPrimaryZones >= s.MinZones
 }
 
-// maxEjected returns the maximum number of a group's members that may be ejected at once. It is always less than members.
+// maxEjected returns the maximum number of a group's members that may be ejected at once. At least one member always remains.
 func (s Settings) maxEjected(members int) int {
 	return max(min(int(s.MaxEjectedShare*float64(members)), members-1), 0)
 }
--- a/internal/fleet/outlier/report.go
+++ b/internal/fleet/outlier/report.go
@@ -46,8 +46,8 @@
 	return float64(min(attempts, maxRecentAttempts))
 }
 
-// Report is the message in which an observer broadcasts its evidence. Every report is complete and replaces the previous one, so that
-// reports may be lost, duplicated or reordered. The observer's name is the sender given by the bus.
+// Report is the message with which an observer broadcasts its evidence. A newer report replaces the previous one entirely, so that reports
+// may be lost, duplicated or reordered. The observer's name is the sender given by the bus.
 type Report struct {
 	StartedAt int64  `json:"b"` // start time of the observer in Unix ns; Sequence begins anew with each start
 	Sequence  uint64 `json:"n"`
--- a/internal/fleet/outlier/reporter.go
+++ b/internal/fleet/outlier/reporter.go
@@ -10,7 +10,7 @@
 type reporter struct {
 	startedAt    int64 // Unix ns
 	zone         string
-	sequence     uint64          // of the last report
+	sequence     uint64          // number of the last report
 	complained   map[string]bool // servers that the last report complains about
 	nextReportAt time.Time       // earliest time of the next report
 }
--- a/internal/fleet/outlier/selection.go
+++ b/internal/fleet/outlier/selection.go
@@ -41,8 +41,8 @@
 // names and the current probeInterval, so no coordination is needed. Poolers with different clocks or members may select too many probers
 // or too few for an interval.
 func (s Settings) isProber(now time.Time, self string, fleet []string, server string) bool {
-	turn := strconv.FormatInt(now.UnixNano()/int64(probeInterval), 10)
-	rank := func(pooler string) uint64 { return xxhash.Sum64String(pooler + "\x00" + server + "\x00" + turn) }
+	interval := strconv.FormatInt(now.UnixNano()/int64(probeInterval), 10)
+	rank := func(pooler string) uint64 { return xxhash.Sum64String(pooler + "\x00" + server + "\x00" + interval) }
 	own, lowerRanked := rank(self), 0
 	for _, pooler := range fleet {
 		if pooler != self && rank(pooler) < own {
--- a/internal/fleet/quota/bound_test.go
+++ b/internal/fleet/quota/bound_test.go
@@ -42,15 +42,15 @@
 
 // runScenario runs a fleet of size poolers with the faults, and returns an error if an invariant was violated.
 func runScenario(seed uint64, size int, length time.Duration, faults []fault) error {
-	w := &testFleet{network: bustest.New(seed), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(seed, 7))}
-	w.network.SetDelay(2*time.Millisecond, 4*time.Millisecond)
+	f := &testFleet{network: bustest.New(seed), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(seed, 7))}
+	f.network.SetDelay(2*time.Millisecond, 4*time.Millisecond)
 	for i := range size {
-		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
+		f.nodes = append(f.nodes, &node{name: fmt.Sprint("n", i)})
 	}
-	for _, n := range w.nodes {
-		w.start(n)
+	for _, n := range f.nodes {
+		f.start(n)
 	}
-	s := &scenario{testFleet: w, length: length, faults: faults}
+	s := &scenario{testFleet: f, length: length, faults: faults}
 	defer s.stop()
 	for now := time.Duration(0); now < length; now += scenarioStep {
 		s.injectAndHeal(now)
@@ -169,19 +169,19 @@
 }
 
 // inject injects a fault and returns a function that heals it.
-func (w *testFleet) inject(f fault) (heal func()) {
-	n := w.nodes[max(f.Node, 0)%len(w.nodes)]
-	if f.Node < 0 {
-		n = w.leader()
+func (f *testFleet) inject(injected fault) (heal func()) {
+	n := f.nodes[max(injected.Node, 0)%len(f.nodes)]
+	if injected.Node < 0 {
+		n = f.leader()
 	}
-	switch f.Kind {
+	switch injected.Kind {
 	case "cut":
-		w.network.SetIsolated(n.name, true)
-		return func() { w.network.SetIsolated(n.name, false) }
+		f.network.SetIsolated(n.name, true)
+		return func() { f.network.SetIsolated(n.name, false) }
 	case "half":
-		return w.cutInHalves()
+		return f.cutInHalves()
 	case "one way": // the pooler receives no messages
-		return w.cutIncoming(n)
+		return f.cutIncoming(n)
 	case "no voters":
 		voters := n.voters
 		voters.SetPartitioned(true)
@@ -191,43 +191,43 @@
 		b.stall()
 		return b.resume
 	case "slow":
-		w.network.SetDelay(100*time.Millisecond, 500*time.Millisecond)
-		return func() { w.network.SetDelay(2*time.Millisecond, 4*time.Millisecond) }
+		f.network.SetDelay(100*time.Millisecond, 500*time.Millisecond)
+		return func() { f.network.SetDelay(2*time.Millisecond, 4*time.Millisecond) }
 	case "loss":
-		w.network.SetLoss(0.5, 0.2)
-		return func() { w.network.SetLoss(0, 0) }
+		f.network.SetLoss(0.5, 0.2)
+		return func() { f.network.SetLoss(0, 0) }
 	default: // "kill"
 		if n.component == nil {
 			return func() {}
 		}
-		w.kill(n)
+		f.kill(n)
 		return func() {
 			if n.component == nil {
-				w.restarts++
-				w.start(n)
+				f.restarts++
+				f.start(n)
 			}
 		}
 	}
 }
 
 // cutInHalves partitions the poolers with even indices from those with odd indices.
-func (w *testFleet) cutInHalves() (heal func()) {
+func (f *testFleet) cutInHalves() (heal func()) {
 	var halves [2][]string
-	for i, n := range w.nodes {
+	for i, n := range f.nodes {
 		halves[i%2] = append(halves[i%2], n.name)
 	}
-	w.network.SetCut(halves[0], halves[1], true)
-	return func() { w.network.SetCut(halves[0], halves[1], false) }
+	f.network.SetCut(halves[0], halves[1], true)
+	return func() { f.network.SetCut(halves[0], halves[1], false) }
 }
 
 // cutIncoming cuts the links from all other poolers to a pooler.
-func (w *testFleet) cutIncoming(n *node) (heal func()) {
-	for _, other := range w.nodes {
-		w.network.SetOneWayCut(other.name, n.name, true)
+func (f *testFleet) cutIncoming(n *node) (heal func()) {
+	for _, other := range f.nodes {
+		f.network.SetOneWayCut(other.name, n.name, true)
 	}
 	return func() {
-		for _, other := range w.nodes {
-			w.network.SetOneWayCut(other.name, n.name, false)
+		for _, other := range f.nodes {
+			f.network.SetOneWayCut(other.name, n.name, false)
 		}
 	}
 }
--- a/internal/fleet/quota/bucket.go
+++ b/internal/fleet/quota/bucket.go
@@ -24,7 +24,7 @@
 type bucket struct {
 	limit          config.Limit
 	safeRate       float64 // permanent rate in tokens a second: the limit's reserve divided by the size of the fleet
-	quotaRate      float64 // tokens a second until quotaUntil
+	quotaRate      float64 // tokens a second until quotaExpiresAt
 	quotaExpiresAt time.Time
 	level          float64 // tokens at levelAt
 	levelAt        time.Time
--- a/internal/fleet/quota/client.go
+++ b/internal/fleet/quota/client.go
@@ -47,7 +47,7 @@
 }
 
 // NewClient returns a client for one process of a pooler. instance identifies the process, term is the term of quotas, and fleetSize is the
-// maximum number of poolers.
+// maximum number of poolers that may be alive.
 func NewClient(instance string, term time.Duration, fleetSize int, limits config.Limits) *Client {
 	return &Client{
 		instance:        instance,
@@ -175,7 +175,7 @@
 
 // RequestDue reports whether an early request should be sent, because one of the following has happened since the last request: a new leader
 // was observed; no token was available and the demand exceeds the one last reported; or a quota shrank, which the leader can allocate to
-// other poolers only once it is told so.
+// other poolers only once it knows.
 func (c *Client) RequestDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/quota/load_test.go
+++ b/internal/fleet/quota/load_test.go
@@ -18,24 +18,24 @@
 
 // runLoad runs a fleet for length and makes its poolers take tokens in each step. demand returns the number of tokens, in thousandths, that a
 // pooler tries to take for a tenant in a step. runLoad returns the numbers of tokens tried and taken after the warm-up time, by tenant.
-func runLoad(size, tenants int, warm, length time.Duration, demand func(pooler, tenant int) int) (tried, taken []float64, w *testFleet) {
+func runLoad(size, tenants int, warm, length time.Duration, demand func(pooler, tenant int) int) (tried, taken []float64, f *testFleet) {
 	const step = 10 * time.Millisecond
 	tried, taken = make([]float64, tenants), make([]float64, tenants)
-	w = &testFleet{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
-	w.network.SetDelay(time.Millisecond, time.Millisecond)
+	f = &testFleet{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
+	f.network.SetDelay(time.Millisecond, time.Millisecond)
 	for i := range size {
-		w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
+		f.nodes = append(f.nodes, &node{name: fmt.Sprint("n", i)})
 	}
-	for _, n := range w.nodes {
-		w.start(n)
+	for _, n := range f.nodes {
+		f.start(n)
 	}
 	l := tenantLimit
 	for now := time.Duration(0); now < length; now += step {
-		for p, n := range w.nodes {
+		for p, n := range f.nodes {
 			for tenant := range tenants {
 				milliTries := demand(p, tenant)
 				tries := milliTries / 1000
-				if w.rng.IntN(1000) < milliTries%1000 {
+				if f.rng.IntN(1000) < milliTries%1000 {
 					tries++
 				}
 				for range tries {
@@ -52,11 +52,11 @@
 		time.Sleep(step)
 		synctest.Wait()
 	}
-	for _, n := range w.nodes {
-		w.kill(n)
+	for _, n := range f.nodes {
+		f.kill(n)
 	}
-	w.running.Wait()
-	return tried, taken, w
+	f.running.Wait()
+	return tried, taken, f
 }
 
 // A tenant with a demand of fifteen times its limit at a third of the poolers gets its limit and no more. Four tenants that stay within their
@@ -97,11 +97,11 @@
 	for size := range sizes {
 		synctest.Test(t, func(t *testing.T) {
 			const length = 4 * time.Second
-			_, _, w := runLoad(size, 3, 0, length, func(int, int) int { return 9000 / size }) // 900 a second of a limit of 200
-			sends, broadcasts := w.network.MessageCounts()
+			_, _, f := runLoad(size, 3, 0, length, func(int, int) int { return 9000 / size }) // 900 a second of a limit of 200
+			sends, broadcasts := f.network.MessageCounts()
 			sizes[size] = float64(sends) / length.Seconds() / float64(size)
 			t.Logf("%d poolers: %.1f messages a second each, %.0f bytes; %.1f broadcasts of the leader a second for each pooler",
-				size, sizes[size], float64(w.sentBytes.Load())/length.Seconds()/float64(size), float64(broadcasts)/length.Seconds()/float64(size))
+				size, sizes[size], float64(f.sentBytes.Load())/length.Seconds()/float64(size), float64(broadcasts)/length.Seconds()/float64(size))
 		})
 	}
 	for size, n := range sizes {
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -43,17 +43,17 @@
 // the lower limit two terms later. Limits with a lower revision are ignored.
 func TestLimitsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &testFleet{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
+		f := &testFleet{network: bustest.New(1), cluster: replicationtest.New(drift), rng: rand.New(rand.NewPCG(1, 7))}
 		for i := range 5 {
-			w.nodes = append(w.nodes, &node{name: fmt.Sprint("n", i)})
+			f.nodes = append(f.nodes, &node{name: fmt.Sprint("n", i)})
 		}
-		for _, n := range w.nodes {
-			w.start(n)
+		for _, n := range f.nodes {
+			f.start(n)
 		}
 		run := func(d time.Duration) (rate float64) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				rate = 0
-				for _, n := range w.nodes {
+				for _, n := range f.nodes {
 					n.component.Take(n.component.Limits().List[0], "k", 1)
 					rate += n.component.Metrics().Rate["hot"]
 				}
@@ -65,18 +65,18 @@
 		}
 		lower := config.Limits{Revision: 7, List: slices.Clone(limits.List)}
 		lower.List[0].Rate = 40
-		w.leader().component.Propose(lower)
+		f.leader().component.Propose(lower)
 		if rate := run(2*term + drift); rate > 40*(1+1e-9) {
 			t.Errorf("got a rate of %v a second for a limit lowered to 40", rate)
 		}
-		w.nodes[1].component.Propose(limits)
+		f.nodes[1].component.Propose(limits)
 		run(term)
-		for _, n := range w.nodes {
+		for _, n := range f.nodes {
 			if got := n.component.Limits().Revision; got != 7 {
 				t.Errorf("%s applies revision %d, want 7", n.name, got)
 			}
-			w.kill(n)
+			f.kill(n)
 		}
-		w.running.Wait()
+		f.running.Wait()
 	})
 }
--- a/internal/fleet/quota/world_test.go
+++ b/internal/fleet/quota/world_test.go
@@ -97,24 +97,24 @@
 	sentBytes atomic.Int64
 }
 
-func (w *testFleet) start(n *node) {
+func (f *testFleet) start(n *node) {
 	n.starts++
 	instance := fmt.Sprint(n.name, "/", n.starts)
-	n.bus = &stallableBus{Bus: w.network.Join(n.name), skew: time.Duration(w.rng.Int64N(int64(drift))), sentBytes: &w.sentBytes}
-	n.voters = w.cluster.Client(instance)
-	n.component = New(Options{Instance: instance, Term: term, Drift: drift, FleetSize: len(w.nodes), Limits: limits})
+	n.bus = &stallableBus{Bus: f.network.Join(n.name), skew: time.Duration(f.rng.Int64N(int64(drift))), sentBytes: &f.sentBytes}
+	n.voters = f.cluster.Client(instance)
+	n.component = New(Options{Instance: instance, Term: term, Drift: drift, FleetSize: len(f.nodes), Limits: limits})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.end = cancel
-	voters, jitter := n.voters, w.rng.Float64()
-	runtime := fleet.Runtime{Bus: n.bus, View: w.cluster.View(), Store: voters, Log: zerolog.Nop(), Audit: func(audit.Record) {},
+	voters, jitter := n.voters, f.rng.Float64()
+	runtime := fleet.Runtime{Bus: n.bus, View: f.cluster.View(), Store: voters, Log: zerolog.Nop(), Audit: func(audit.Record) {},
 		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
 			return voters.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift, JitterFraction: jitter})
 		}}
 	component := n.component
-	w.running.Go(func() { _ = component.Run(ctx, runtime) })
+	f.running.Go(func() { _ = component.Run(ctx, runtime) })
 }
 
-func (w *testFleet) kill(n *node) {
+func (f *testFleet) kill(n *node) {
 	n.end()
 	n.bus.resume()
 	n.bus.Stop()
@@ -122,8 +122,8 @@
 }
 
 // leader returns the pooler that allocates quotas, or the first pooler if there is none.
-func (w *testFleet) leader() *node {
-	for _, n := range w.nodes {
+func (f *testFleet) leader() *node {
+	for _, n := range f.nodes {
 		if n.component != nil {
 			n.component.mu.Lock()
 			leads := n.component.allocating
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	return w.nodes[0]
+	return f.nodes[0]
 }
 
 var _ bus.Bus = (*stallableBus)(nil)
