--- a/internal/keyrange/keyrange_test.go
+++ b/internal/keyrange/keyrange_test.go
@@ -6,11 +6,11 @@
 )
 
 func TestCheck(t *testing.T) {
-	known := func(c int) bool { return c < 2 }
-	for _, c := range []struct {
-		ranges []Range
-		at     int
-		want   string
+	isKnown := func(cluster int) bool { return cluster < 2 }
+	for _, test := range []struct {
+		ranges    []Range
+		wantIndex int
+		wantError string // part of the error; "": no error
 	}{
 		{[]Range{{"", "", 0}}, 0, ""},
 		{[]Range{{"", "m", 0}, {"m", "", 1}}, 0, ""},
@@ -20,12 +20,12 @@
 		{[]Range{{"", "m", 0}}, 0, "gap"},
 		{[]Range{{"", "m", 0}, {"l", "", 1}}, 1, "overlap"},
 		{[]Range{{"", "", 0}, {"l", "", 1}}, 1, "overlap"},
-		{[]Range{{"", "m", 0}, {"m", "m", 1}, {"m", "", 1}}, 1, "no key"},
+		{[]Range{{"", "m", 0}, {"m", "m", 1}, {"m", "", 1}}, 1, "range is empty"},
 		{[]Range{{"", "m", 0}, {"m", "", 2}}, 1, "cluster 2"},
 	} {
-		at, err := Check(c.ranges, known)
-		if at != c.at || (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v: %d, %v, want %d, %q", c.ranges, at, err, c.at, c.want)
+		index, err := Check(test.ranges, isKnown)
+		if index != test.wantIndex || (err == nil) != (test.wantError == "") || err != nil && !strings.Contains(err.Error(), test.wantError) {
+			t.Errorf("Check(%v) = %d, %v, want index %d and an error that contains %q", test.ranges, index, err, test.wantIndex, test.wantError)
 		}
 	}
 }
