--- a/cmd/threadsail-fleet/purge.go
+++ b/cmd/threadsail-fleet/purge.go
@@ -23,8 +23,8 @@
 	}
 	c := &purgeComponent{purge.New(fleetSettings.Purges.Site, purgeProposal(fleetSettings)), fleetSettings.Purges}
 	c.Term = fleetSettings.Term
-	c.Journal = fleetSettings.Journal.File
-	c.KeptJournals = fleetSettings.Journal.MaxRotated
+	c.JournalPath = fleetSettings.Journal.File
+	c.RotatedJournals = fleetSettings.Journal.MaxRotated
 	return c
 }
 
--- a/internal/fleet/purge/component.go
+++ b/internal/fleet/purge/component.go
@@ -16,10 +16,10 @@
 
 // Component is the purges at one pooler. Its exported fields are set before Run. It is safe for concurrent use.
 type Component struct {
-	Site         string
-	Journal      string        // path of the pooler's audit journal; empty: purges of earlier processes are not known
-	KeptJournals int           // rotated files beside the journal
-	Term         time.Duration // of leases
+	Site            string
+	JournalPath     string        // path of the pooler's audit journal; empty: purges of earlier processes are not known
+	RotatedJournals int           // rotated files beside the journal
+	Term            time.Duration // of leases
 
 	edge             atomic.Pointer[Edge] // nil while the component does not run
 	proposalChanged  chan struct{}        // wakes proposePlans
@@ -69,7 +69,7 @@
 
 // Run implements fleet.Component. It returns no error. While the component does not run, requests are answered as without it.
 func (c *Component) Run(ctx context.Context, runtime fleet.Runtime) error {
-	history, err := ReadHistory(c.Journal, c.KeptJournals)
+	history, err := ReadHistory(c.JournalPath, c.RotatedJournals)
 	if err != nil { // purges may be recorded again; answers are as ever
 		runtime.Log.Error().Err(err).Msg("purge: journal can't be read")
 	}
--- a/internal/fleet/purge/world_test.go
+++ b/internal/fleet/purge/world_test.go
@@ -103,7 +103,7 @@
 		e.world.t.Fatal(err)
 	}
 	e.component = New(e.site, p)
-	e.component.Term, e.component.Journal, e.component.KeptJournals = term, e.journal, 1
+	e.component.Term, e.component.JournalPath, e.component.RotatedJournals = term, e.journal, 1
 	e.component.wall = func() int64 { return time.Now().UnixNano() + e.skew.Load() }
 	if e.startedAt == 0 {
 		e.startedAt = e.component.wall()
