--- a/internal/policy/decisions_faults_test.go
+++ b/internal/policy/decisions_faults_test.go
@@ -6,46 +6,46 @@
 	"threadsail/internal/policy"
 )
 
-// disturbance is something that befalls the servers, the list, the traffic or the router from outside.
+// disturbance is an external event that affects the servers, the list, the traffic or the router.
 type disturbance struct {
-	weight int // how often, against the others
+	weight int // relative frequency
 	begin  func(*simulation)
 }
 
-// disturbances are drawn by weight while a script runs.
+// disturbances are the events that a script draws from, at random by their weights.
 var disturbances = []disturbance{
 	{6, (*simulation).crashPrimary},
 	{5, (*simulation).crashReplica},
-	{6, (*simulation).hang},
-	{6, (*simulation).slowDown},
-	{2, (*simulation).slowDownAll},
-	{5, (*simulation).fail},
-	{2, (*simulation).failAll},
-	{4, (*simulation).loseConnections},
-	{3, (*simulation).limitQueue},
-	{6, (*simulation).lag},
-	{5, (*simulation).drain},
-	{4, (*simulation).handOver},
-	{5, (*simulation).partition},
-	{3, (*simulation).loseList},
-	{4, (*simulation).repeatList},
+	{6, (*simulation).hangServer},
+	{6, (*simulation).slowDownServer},
+	{2, (*simulation).slowDownAllServers},
+	{5, (*simulation).failAttempts},
+	{2, (*simulation).failAttemptsEverywhere},
+	{4, (*simulation).refuseConnections},
+	{3, (*simulation).limitServerQueue},
+	{6, (*simulation).increaseLag},
+	{5, (*simulation).drainAndRestart},
+	{4, (*simulation).switchPrimary},
+	{5, (*simulation).partitionServer},
+	{3, (*simulation).failList},
+	{4, (*simulation).resendList},
 	{3, (*simulation).failProbes},
-	{4, (*simulation).overload},
-	{3, (*simulation).lull},
+	{4, (*simulation).increaseTraffic},
+	{3, (*simulation).reduceTraffic},
 	{5, (*simulation).observePrimary},
-	{3, (*simulation).suspect},
-	{3, (*simulation).changeLeader},
-	{5, (*simulation).fleetEjection},
-	{5, (*simulation).retune},
-	{3, (*simulation).sendSlowly},
-	{3, (*simulation).replace},
-	{2, (*simulation).reweigh},
-	{1, (*simulation).darken},
-	{2, (*simulation).stray},
+	{3, (*simulation).reportPrimaryDown},
+	{3, (*simulation).toggleRoundLeader},
+	{5, (*simulation).ejectByFleet},
+	{5, (*simulation).updateSettings},
+	{3, (*simulation).slowDownSends},
+	{3, (*simulation).replaceServer},
+	{2, (*simulation).changeWeights},
+	{1, (*simulation).prolongOutage},
+	{2, (*simulation).reportUnknownObjects},
 }
 
-// disturb begins one disturbance now, and the next one later.
-func (s *simulation) disturb() {
+// beginDisturbance begins a random disturbance and schedules the next one.
+func (s *simulation) beginDisturbance() {
 	total := 0
 	for _, d := range disturbances {
 		total += d.weight
@@ -57,14 +57,15 @@
 			break
 		}
 	}
-	s.schedule(s.between(s.script.disturbEvery/4, 2*s.script.disturbEvery), s.disturb)
+	s.schedule(s.randomDuration(s.script.disturbanceInterval/4, 2*s.script.disturbanceInterval),
+		s.beginDisturbance)
 }
 
-func (s *simulation) anyServer() *modelServer { return s.servers[s.random.IntN(len(s.servers))] }
+func (s *simulation) randomServer() *modelServer { return s.servers[s.random.IntN(len(s.servers))] }
 
-func (s *simulation) anyGroup() int { return 1 + s.random.IntN(s.script.groups) }
+func (s *simulation) randomGroup() int { return 1 + s.random.IntN(s.script.groups) }
 
-// primaryOf is the server of a group that takes writes now; nil: none.
+// primaryOf returns the running server of a group that accepts writes, or nil if there is none.
 func (s *simulation) primaryOf(group int) *modelServer {
 	for _, server := range s.servers {
 		if server.member.Group == group && server.primary && server.up {
@@ -74,8 +75,9 @@
 	return nil
 }
 
-// anyReplica is a running replica of a group that is listed as ready; nil: none.
-func (s *simulation) anyReplica(group int) *modelServer {
+// randomReplica returns a running replica of a group that is listed as ready, or nil if there is
+// none.
+func (s *simulation) randomReplica(group int) *modelServer {
 	var replicas []*modelServer
 	for _, server := range s.servers {
 		if server.member.Group == group && !server.primary && server.up && server.member.State == policy.Ready {
@@ -88,191 +90,208 @@
 	return replicas[s.random.IntN(len(replicas))]
 }
 
-// crash stops a server: its connections break, and it starts again as a replica.
-func (s *simulation) crash(server *modelServer, restart time.Duration) {
+// crash stops a server, which resets its connections, and restarts it as a replica after a delay.
+func (s *simulation) crash(server *modelServer, restartAfter time.Duration) {
 	server.up, server.primary = false, false
 	for _, attempt := range append([]*modelAttempt(nil), server.inFlight...) {
-		s.end(attempt, policy.ConnectionReset)
+		s.endAttempt(attempt, policy.ConnectionReset)
 	}
-	s.schedule(restart, func() {
+	s.schedule(restartAfter, func() {
 		server.up = true
 		server.member.StartedAt, server.member.Primary = s.clock, false
-		s.schedule(s.between(0, 2*time.Second), func() { s.announce(server) })
+		s.schedule(s.randomDuration(0, 2*time.Second), func() { s.reportMember(server) })
 	})
 }
 
-// promote makes a replica of a group its primary, if it has none; the list says so later.
+// promote makes a replica of a group its primary unless the group has one. The list names it later.
 func (s *simulation) promote(group int) {
 	if s.primaryOf(group) != nil {
 		return
 	}
-	next := s.anyReplica(group)
+	next := s.randomReplica(group)
 	if next == nil {
 		s.schedule(time.Second, func() { s.promote(group) })
 		return
 	}
 	next.primary = true
-	s.schedule(s.between(500*millisecond, 3*time.Second), func() { s.listPrimary(group) })
+	s.schedule(s.randomDuration(500*millisecond, 3*time.Second), func() { s.listPrimary(group) })
 }
 
-// listPrimary lists a group's primary as such, and the others as replicas.
+// listPrimary reports list entries that name the present primary of a group.
 func (s *simulation) listPrimary(group int) {
 	var changed []policy.Member
 	for _, server := range s.servers {
-		if server.member.Group == group && server.member.State != policy.Removed && server.member.Primary != server.primary {
+		if server.member.Group == group && server.member.State != policy.Removed &&
+			server.member.Primary != server.primary {
 			server.member.Primary = server.primary
 			changed = append(changed, server.member)
 		}
 	}
-	s.router.HandleList(s.now(), policy.ListDelta, changed)
+	s.router.HandleList(s.reportedTime(), policy.ListDelta, changed)
 }
 
+// crashPrimary crashes the primary of a group and promotes a replica later.
 func (s *simulation) crashPrimary() {
-	group := s.anyGroup()
+	group := s.randomGroup()
 	if primary := s.primaryOf(group); primary != nil {
-		s.crash(primary, s.between(time.Second, 8*time.Second))
-		s.schedule(s.between(300*millisecond, 6*time.Second), func() { s.promote(group) })
-		if s.chance(0.5) { // another pooler looks for the next one
-			s.schedule(s.between(0, 400*millisecond), func() { s.router.ObservePrimary(s.now(), group, 0, false, 0) })
+		s.crash(primary, s.randomDuration(time.Second, 8*time.Second))
+		s.schedule(s.randomDuration(300*millisecond, 6*time.Second), func() { s.promote(group) })
+		if s.withProbability(0.5) { // another pooler has found no primary either
+			s.schedule(s.randomDuration(0, 400*millisecond), func() {
+				s.router.ObservePrimary(s.reportedTime(), group, 0, false, 0)
+			})
 		}
 	}
 }
 
+// crashReplica crashes a replica of a group.
 func (s *simulation) crashReplica() {
-	if replica := s.anyReplica(s.anyGroup()); replica != nil {
-		s.crash(replica, s.between(200*millisecond, 6*time.Second))
+	if replica := s.randomReplica(s.randomGroup()); replica != nil {
+		s.crash(replica, s.randomDuration(200*millisecond, 6*time.Second))
 	}
 }
 
-func (s *simulation) hang() {
-	server := s.anyServer()
+// hangServer makes a server stop answering requests for a while; it still answers probes.
+func (s *simulation) hangServer() {
+	server := s.randomServer()
 	server.hung = true
-	s.schedule(s.between(300*millisecond, 6*time.Second), func() { server.hung = false })
+	s.schedule(s.randomDuration(300*millisecond, 6*time.Second), func() { server.hung = false })
 }
 
-func (s *simulation) partition() {
-	server := s.anyServer()
+// partitionServer makes a server unreachable for a while.
+func (s *simulation) partitionServer() {
+	server := s.randomServer()
 	server.unreachable = true
-	s.schedule(s.between(300*millisecond, 5*time.Second), func() { server.unreachable = false })
+	s.schedule(s.randomDuration(300*millisecond, 5*time.Second), func() { server.unreachable = false })
 }
 
-func (s *simulation) slowDown() {
-	server := s.anyServer()
+// slowDownServer slows down a server for a while.
+func (s *simulation) slowDownServer() {
+	server := s.randomServer()
 	server.slowdown = 2 + 10*s.random.Float64()
-	s.schedule(s.between(time.Second, 10*time.Second), func() { server.slowdown = 1 })
+	s.schedule(s.randomDuration(time.Second, 10*time.Second), func() { server.slowdown = 1 })
 }
 
-func (s *simulation) slowDownAll() {
+// slowDownAllServers slows down all servers for a while.
+func (s *simulation) slowDownAllServers() {
 	for _, server := range s.servers {
 		server.slowdown = 3
 	}
-	s.schedule(s.between(time.Second, 5*time.Second), func() {
+	s.schedule(s.randomDuration(time.Second, 5*time.Second), func() {
 		for _, server := range s.servers {
 			server.slowdown = 1
 		}
 	})
 }
 
-func (s *simulation) fail() {
-	server := s.anyServer()
-	server.errorShare = 0.3 + 0.7*s.random.Float64()
-	s.schedule(s.between(500*millisecond, 4*time.Second), func() { server.errorShare = 0 })
+// failAttempts makes a share of the attempts at a server fail for a while.
+func (s *simulation) failAttempts() {
+	server := s.randomServer()
+	server.errorRate = 0.3 + 0.7*s.random.Float64()
+	s.schedule(s.randomDuration(500*millisecond, 4*time.Second), func() { server.errorRate = 0 })
 }
 
-func (s *simulation) failAll() {
+// failAttemptsEverywhere makes a share of the attempts at all servers fail for a while.
+func (s *simulation) failAttemptsEverywhere() {
 	for _, server := range s.servers {
-		server.errorShare = 0.6
+		server.errorRate = 0.6
 	}
-	s.schedule(s.between(500*millisecond, 3*time.Second), func() {
+	s.schedule(s.randomDuration(500*millisecond, 3*time.Second), func() {
 		for _, server := range s.servers {
-			server.errorShare = 0
+			server.errorRate = 0
 		}
 	})
 }
 
-func (s *simulation) loseConnections() {
-	server := s.anyServer()
-	server.scarce = true
-	s.schedule(s.between(500*millisecond, 5*time.Second), func() { server.scarce = false })
+// refuseConnections makes a server refuse most connections for a while.
+func (s *simulation) refuseConnections() {
+	server := s.randomServer()
+	server.refusesConnections = true
+	s.schedule(s.randomDuration(500*millisecond, 5*time.Second), func() { server.refusesConnections = false })
 }
 
-func (s *simulation) limitQueue() {
-	server := s.anyServer()
+// limitServerQueue makes a server reject attempts beyond the first ones for a while.
+func (s *simulation) limitServerQueue() {
+	server := s.randomServer()
 	server.queueLimit = 1
-	s.schedule(s.between(500*millisecond, 4*time.Second), func() { server.queueLimit = 64 })
+	s.schedule(s.randomDuration(500*millisecond, 4*time.Second), func() { server.queueLimit = 64 })
 }
 
-func (s *simulation) lag() {
-	server := s.anyServer()
-	server.lag = s.between(50*millisecond, 6*time.Second)
-	s.schedule(s.between(time.Second, 10*time.Second), func() { server.lag = 20 * millisecond })
+// increaseLag increases the replication lag of a server for a while.
+func (s *simulation) increaseLag() {
+	server := s.randomServer()
+	server.lag = s.randomDuration(50*millisecond, 6*time.Second)
+	s.schedule(s.randomDuration(time.Second, 10*time.Second), func() { server.lag = 20 * millisecond })
 }
 
-// drain lists a server as draining, then as gone, and starts it again.
-func (s *simulation) drain() {
-	server := s.anyServer()
+// drainAndRestart drains and removes a server, and lists it as ready and restarted later.
+func (s *simulation) drainAndRestart() {
+	server := s.randomServer()
 	if server.member.State != policy.Ready {
 		return
 	}
-	s.leave(server)
-	s.schedule(s.between(5*time.Second, 15*time.Second), func() {
+	s.drainServer(server)
+	s.schedule(s.randomDuration(5*time.Second, 15*time.Second), func() {
 		server.member.State, server.member.StartedAt, server.member.Primary = policy.Ready, s.clock, server.primary
-		s.announce(server)
+		s.reportMember(server)
 	})
 }
 
-// leave drains a server; a primary hands over to another one.
-func (s *simulation) leave(server *modelServer) {
+// drainServer lists a server as draining and later as removed. A primary is replaced by another
+// server.
+func (s *simulation) drainServer(server *modelServer) {
 	server.member.State = policy.Draining
-	s.announce(server)
+	s.reportMember(server)
 	if group := server.member.Group; server.primary {
 		s.schedule(600*millisecond, func() {
 			server.primary = false
-			s.schedule(s.between(50*millisecond, 900*millisecond), func() { s.promote(group) })
+			s.schedule(s.randomDuration(50*millisecond, 900*millisecond), func() { s.promote(group) })
 		})
 	}
 	s.schedule(3*time.Second, func() {
 		if server.member.State == policy.Draining {
 			server.member.State = policy.Removed
-			s.announce(server)
+			s.reportMember(server)
 		}
 	})
 }
 
-// replace drains a server for good and lists a new one in its place; much later the old one comes back.
-func (s *simulation) replace() {
-	old := s.anyServer()
+// replaceServer drains a server and adds a new one in its place. The old one returns at about the
+// time at which the router forgets removed servers.
+func (s *simulation) replaceServer() {
+	old := s.randomServer()
 	if old.member.State != policy.Ready {
 		return
 	}
-	s.leave(old)
-	s.schedule(s.between(time.Second, 6*time.Second), func() {
-		s.addServer(policy.Member{Zone: old.member.Zone, Group: old.member.Group, State: policy.Ready, StartedAt: s.clock,
-			ReadWeight: old.member.ReadWeight})
-		s.announce(s.servers[len(s.servers)-1])
+	s.drainServer(old)
+	s.schedule(s.randomDuration(time.Second, 6*time.Second), func() {
+		s.addServer(policy.Member{Zone: old.member.Zone, Group: old.member.Group, State: policy.Ready,
+			StartedAt: s.clock, ReadWeight: old.member.ReadWeight})
+		s.reportMember(s.servers[len(s.servers)-1])
 	})
-	s.schedule(s.between(55*time.Second, 80*time.Second), func() {
+	s.schedule(s.randomDuration(55*time.Second, 80*time.Second), func() {
 		old.member.State, old.member.Primary = policy.Ready, false
-		s.announce(old)
+		s.reportMember(old)
 	})
 }
 
-// handOver moves a group's primary to another server under way.
-func (s *simulation) handOver() {
-	group := s.anyGroup()
-	primary, next := s.primaryOf(group), s.anyReplica(group)
+// switchPrimary demotes the primary of a group and promotes a replica shortly after.
+func (s *simulation) switchPrimary() {
+	group := s.randomGroup()
+	primary, next := s.primaryOf(group), s.randomReplica(group)
 	if primary == nil || next == nil {
 		return
 	}
 	primary.primary = false
-	s.schedule(s.between(0, 700*millisecond), func() { s.promote(group) })
+	s.schedule(s.randomDuration(0, 700*millisecond), func() { s.promote(group) })
 }
 
-// darken takes a group's primary away for long, without a sign in the list.
-func (s *simulation) darken() {
-	group := s.anyGroup()
+// prolongOutage demotes the primary of a group and promotes a replica only after a long time. The
+// list does not show it.
+func (s *simulation) prolongOutage() {
+	group := s.randomGroup()
 	if primary := s.primaryOf(group); primary != nil {
 		primary.primary = false
-		s.schedule(s.between(5*time.Second, 15*time.Second), func() { s.promote(group) })
+		s.schedule(s.randomDuration(5*time.Second, 15*time.Second), func() { s.promote(group) })
 	}
 }
--- a/internal/policy/decisions_recorder_test.go
+++ b/internal/policy/decisions_recorder_test.go
@@ -10,35 +10,38 @@
 	"time"
 )
 
-// The kinds of record. Their numbers are part of the recorded digests: they never change, and a new kind is added at the end.
+// The kinds of records. Their numbers are part of the recorded digests: they must not change, and a
+// new kind is added at the end.
 const (
 	recordAttempt = iota + 1
-	recordRefuse
+	recordReject
 	recordFail
-	recordCancel
+	recordCancelAttempt
 	recordProbe
 	recordSetTimer
-	recordCloseIdle
-	recordWatch
-	recordPrimary
+	recordCloseIdleConnections
+	recordWatchList
+	recordPrimaryChanged
 	recordLog
-	recordStillFits
+	recordMayStillSend
 	recordAvoids
-	recordRetune
+	recordUpdateSettings
 	recordValidate
 	recordKinds
 )
 
-// recorder digests the sequence of records of one script. A record is the clock, its kind and integers; texts never enter it.
+// recorder computes a digest of the sequence of records of one script. A record consists of the
+// time, its kind and integers. Texts are not recorded.
 type recorder struct {
 	sum     hash.Hash
 	records int
 	kinds   [recordKinds]int
-	trace   *bufio.Writer // every record as a line of integers; nil for none
+	trace   *bufio.Writer // receives each record as a line of integers; nil for none
 }
 
 func newRecorder(trace *bufio.Writer) *recorder { return &recorder{sum: sha256.New(), trace: trace} }
 
+// add adds a record to the digest and the trace.
 func (r *recorder) add(clock time.Duration, kind int, values ...int64) {
 	r.records++
 	r.kinds[kind]++
@@ -50,21 +53,22 @@
 	}
 	r.sum.Write(buffer)
 	if r.trace != nil {
-		_, _ = fmt.Fprintln(r.trace, int64(clock), kind, values) // an error stays until Flush
+		_, _ = fmt.Fprintln(r.trace, int64(clock), kind, values) // Flush returns the error
 	}
 }
 
-// checkpoint is the digest of all records so far.
+// checkpoint returns the number and the digest of all records so far.
 func (r *recorder) checkpoint() checkpoint {
 	return checkpoint{records: r.records, digest: hex.EncodeToString(r.sum.Sum(nil))}
 }
 
-// checkpoint is how far a script has come, and the digest up to there.
+// checkpoint is the number of records up to a point of a script, and their digest.
 type checkpoint struct {
 	records int
 	digest  string
 }
 
+// integer returns 1 for true and 0 for false.
 func integer(condition bool) int64 {
 	if condition {
 		return 1
--- a/internal/policy/decisions_test.go
+++ b/internal/policy/decisions_test.go
@@ -16,13 +16,16 @@
 const digestFile = "testdata/decisions.sha256"
 
 var (
-	recordDigests = flag.Bool("record-decisions", false, "overwrite the recorded digests of all decisions; a changed digest is a changed decision")
-	traceDir      = flag.String("trace-decisions", "", "write every record as a line of integers into `directory`")
+	recordDigests = flag.Bool("record-decisions", false,
+		"overwrite the recorded digests of all decisions; a changed digest is a changed decision")
+	traceDir = flag.String("trace-decisions", "",
+		"write every record as a line of integers into `directory`")
 )
 
-// TestDecisions plays long seeded scripts against simulated servers and compares all that the router asks for, as numbers
-// and times, with what it asked for when the digests were recorded: a change of shape must leave every decision as it was.
-// To find the first difference, run it with -trace-decisions on both versions and compare the files.
+// TestDecisions runs long seeded scripts against simulated servers and compares digests of all
+// actions of the router, with their times, with the recorded ones. A refactoring must not change
+// any decision. To find the first difference, run the test with -trace-decisions on both versions
+// and compare the files.
 func TestDecisions(t *testing.T) {
 	recorded := readDigests(t)
 	for _, script := range scripts() {
@@ -32,8 +35,10 @@
 	compareRun(t, "validate", recorded, runValidate)
 }
 
-// compareRun plays one script as a subtest. All run at once, but for a recording, which has them in their order.
-func compareRun(t *testing.T, name string, recorded map[string]checkpoint, run func(*recorder) ([]checkpoint, error)) {
+// compareRun runs one script as a subtest. The subtests run in parallel, except while digests are
+// recorded, which appends them in order.
+func compareRun(t *testing.T, name string, recorded map[string]checkpoint,
+	run func(*recorder) ([]checkpoint, error)) {
 	t.Run(name, func(t *testing.T) {
 		if !*recordDigests {
 			t.Parallel()
@@ -47,7 +52,7 @@
 	})
 }
 
-// play runs a script, with a trace if the flags ask for one.
+// play runs a script and returns its checkpoints. With -trace-decisions it also writes a trace.
 func play(t *testing.T, name string, run func(*recorder) ([]checkpoint, error)) []checkpoint {
 	recorder := newRecorder(nil)
 	if *traceDir != "" {
@@ -71,7 +76,8 @@
 	return checkpoints
 }
 
-// compare fails at the first checkpoint that is not as recorded: the difference is between it and the one before.
+// compare fails the test at the first checkpoint that differs from the recorded one. The first
+// difference lies between that checkpoint and the one before.
 func compare(t *testing.T, name string, recorded map[string]checkpoint, checkpoints []checkpoint) {
 	for i, got := range checkpoints {
 		if want := recorded[checkpointName(name, i)]; got != want {
@@ -81,6 +87,7 @@
 	}
 }
 
+// closeFile closes a file and reports an error as a failure of the test.
 func closeFile(t *testing.T, file *os.File) {
 	t.Helper()
 	if err := file.Close(); err != nil {
@@ -88,9 +95,11 @@
 	}
 }
 
+// checkpointName returns the name of a checkpoint in the file of digests.
 func checkpointName(script string, number int) string { return fmt.Sprintf("%s/%d", script, number+1) }
 
-// readDigests reads lines of a checkpoint's name, its number of records and its digest.
+// readDigests returns the recorded checkpoints by name. Each line of the file holds a checkpoint's
+// name, number of records and digest. With -record-decisions it truncates the file instead.
 func readDigests(t *testing.T) map[string]checkpoint {
 	if *recordDigests {
 		if err := os.WriteFile(digestFile, nil, 0o644); err != nil {
@@ -114,6 +123,7 @@
 	return recorded
 }
 
+// writeDigests appends a script's checkpoints to the file of digests.
 func writeDigests(t *testing.T, script string, checkpoints []checkpoint) {
 	file, err := os.OpenFile(digestFile, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -129,25 +139,29 @@
 	}
 }
 
-// runSessions has more sessions write than are remembered apart, and reads of early, late and unknown ones.
+// runSessions lets more sessions write than the router tracks, and sends reads of early, recent and
+// unknown sessions.
 func runSessions(recorder *recorder) ([]checkpoint, error) {
-	quiet := &script{name: "sessions", seed: 14, groups: 1, positions: true, answersTellPositions: true, roles: true,
+	quietScript := &script{name: "sessions", seed: 14, groups: 1, positionsInReports: true,
+		positionsInAnswers: true, rolesInAnswers: true,
 		change: func(s *policy.Settings) { s.TrackSessions, s.MaxAttempts = true, 2 }}
-	s, err := newSimulation(quiet, recorder)
+	s, err := newSimulation(quietScript, recorder)
 	if err != nil {
 		return nil, err
 	}
 	s.addServer(policy.Member{Group: 1, State: policy.Ready, Primary: true})
 	s.addServer(policy.Member{Group: 1, State: policy.Ready})
 	s.servers[0].slowdown, s.servers[1].slowdown = 0, 0
-	s.servers[1].lag = 4 * time.Second // longer than what is remembered lasts
-	s.router.HandleList(s.clock, policy.ListFull, s.listed())
-	s.submit(classFresh, policy.Request{Group: 1, Timeout: time.Second}) // has the primary looked for
+	s.servers[1].lag = 4 * time.Second // more than the time in which all tracked sessions are replaced
+	s.router.HandleList(s.clock, policy.ListFull, s.memberList())
+	// starts the probe round that finds the primary
+	s.submit(classLatest, policy.Request{Group: 1, Timeout: time.Second})
 	s.runUntil(s.clock + time.Second)
 	const sessions = 3 << 16
 	var checkpoints []checkpoint
 	for session := uint64(1); session <= sessions; session++ {
-		s.answerAtOnce(s.submit(classUnsafeWrite, policy.Request{Group: 1, Session: session, Timeout: time.Second}))
+		s.answerAtOnce(s.submit(classNotIdempotent, policy.Request{Group: 1, Session: session,
+			Timeout: time.Second}))
 		if session%32 == 0 {
 			s.runUntil(s.clock + 2*millisecond)
 		}
@@ -163,14 +177,15 @@
 	return checkpoints, nil
 }
 
-// answerAtOnce ends a request's attempts as served, without the simulation's own course.
+// answerAtOnce ends all attempts of a request with OK at once, rather than after a simulated
+// execution.
 func (s *simulation) answerAtOnce(request *modelRequest) {
 	for _, attempt := range request.attempts {
-		s.end(attempt, policy.OK)
+		s.endAttempt(attempt, policy.OK)
 	}
 }
 
-// runValidate records which of many settings are refused.
+// runValidate records which of many settings Validate and New reject.
 func runValidate(recorder *recorder) ([]checkpoint, error) {
 	for _, change := range settingsToValidate() {
 		settings := (&script{}).settings()
@@ -182,24 +197,31 @@
 	return []checkpoint{recorder.checkpoint()}, nil
 }
 
-// settingsToValidate sets each field that is checked to values on both sides of its bounds.
+// settingsToValidate returns changes that set each validated field to values on both sides of its
+// limits.
 func settingsToValidate() []func(*policy.Settings) {
 	var changes []func(*policy.Settings)
 	for _, number := range []int{-1, 0, 1} {
-		span := time.Duration(number)
+		duration := time.Duration(number)
 		changes = append(changes,
 			func(s *policy.Settings) { s.Poolers = number }, func(s *policy.Settings) { s.PoolerIndex = number },
 			func(s *policy.Settings) { s.Zone = number }, func(s *policy.Settings) { s.MaxAttempts = number },
-			func(s *policy.Settings) { s.StaleReadWait = span }, func(s *policy.Settings) { s.MaxRetryAfter = span },
-			func(s *policy.Settings) { s.MaxPollInterval = span }, func(s *policy.Settings) { s.EventInterval = span },
-			func(s *policy.Settings) { s.DrainGracePeriod = span }, func(s *policy.Settings) { s.SlowStartDuration = span },
-			func(s *policy.Settings) { s.OverloadInterval = span }, func(s *policy.Settings) { s.Classes[0].MaxStaleness = span },
-			func(s *policy.Settings) { s.Classes[1].DedupWindow = span }, func(s *policy.Settings) { s.Classes[2].LatencyObjective = span },
-			func(s *policy.Settings) { s.Classes[3].TotalTimeout = span })
+			func(s *policy.Settings) { s.StaleReadWait = duration },
+			func(s *policy.Settings) { s.MaxRetryAfter = duration },
+			func(s *policy.Settings) { s.MaxPollInterval = duration },
+			func(s *policy.Settings) { s.EventInterval = duration },
+			func(s *policy.Settings) { s.DrainGracePeriod = duration },
+			func(s *policy.Settings) { s.SlowStartDuration = duration },
+			func(s *policy.Settings) { s.OverloadInterval = duration },
+			func(s *policy.Settings) { s.Classes[0].MaxStaleness = duration },
+			func(s *policy.Settings) { s.Classes[1].DedupWindow = duration },
+			func(s *policy.Settings) { s.Classes[2].LatencyObjective = duration },
+			func(s *policy.Settings) { s.Classes[3].TotalTimeout = duration })
 	}
 	for _, share := range []float64{-0.01, 0, 1, 1.01} {
 		changes = append(changes, func(s *policy.Settings) { s.SlowStartCapacity = share },
-			func(s *policy.Settings) { s.OverloadFactor = share }, func(s *policy.Settings) { s.Classes[4].PriorityWeight = share })
+			func(s *policy.Settings) { s.OverloadFactor = share },
+			func(s *policy.Settings) { s.Classes[4].PriorityWeight = share })
 	}
 	for number := range uint8(6) {
 		changes = append(changes, func(s *policy.Settings) { s.StaleReads = policy.StaleReadHandling(number) },
