--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// discardActions is a host that does nothing.
+// discardActions is an implementation of Actions that does nothing.
 type discardActions struct{}
 
 func (discardActions) Attempt(uint32, uint32, time.Duration) {}
@@ -19,7 +19,7 @@
 func (discardActions) PrimaryChanged(PrimaryEvent)           {}
 func (discardActions) Log(string)                            {}
 
-// newBenchmarkRouter returns a Router of a fleet of 400 poolers and a list of 10 groups of 6 servers.
+// newBenchmarkRouter returns a Router for a fleet of 400 poolers, and a list of 10 groups of 6 servers.
 func newBenchmarkRouter(b *testing.B) (*Router, []Member) {
 	b.Helper()
 	settings := testSettings()
@@ -35,7 +35,7 @@
 	return router, list
 }
 
-// BenchmarkRequest measures a request and its outcome at a pooler that knows 60 servers.
+// BenchmarkRequest measures the handling of a request and its outcome by a pooler with 60 servers.
 func BenchmarkRequest(b *testing.B) {
 	router, list := newBenchmarkRouter(b)
 	router.HandleList(startTime, ListCached, list)
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkStart measures a pooler's start with a full list.
+// BenchmarkStart measures the start of a pooler with a list of 60 servers.
 func BenchmarkStart(b *testing.B) {
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
--- a/internal/policy/concurrency_window_test.go
+++ b/internal/policy/concurrency_window_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A shared window holds poolers with little traffic back only under congestion.
-func TestLightPoolerServesAtOnce(t *testing.T) {
+// A pooler whose share of a window is below one attempt sends without delay if servers are not congested.
+func TestNoPacingWithoutCongestion(t *testing.T) {
 	host := newHostWithPrimary(t, withPoolers(400))
 	for id := uint32(2); id < 8; id++ {
 		host.sendRequest(id, classLatest)
@@ -17,45 +17,46 @@
 	}
 }
 
-// Under congestion a pooler whose share of a window is less than one attempt rests between reads as long as that share asks
-// for, by how long the last one took: so the sum over all poolers is the window however slow the server. Writes, which have
-// nowhere else to go, do not rest, and without congestion no pooler does.
-func TestRestsUnderCongestion(t *testing.T) {
+// Under congestion a pooler whose share of a window is below one attempt delays its reads by a multiple of
+// the duration of the last attempt, such that all poolers together stay within the window however slow the
+// server is. Writes are not delayed, as no other server can take them. Without congestion no request is
+// delayed.
+func TestReadPacingUnderCongestion(t *testing.T) {
 	for name, c := range map[string]struct {
-		ratio float64 // of all servers
-		class int
-		took  time.Duration
-		rest  time.Duration
+		overallRatio float64 // latency ratio of all servers
+		class        int
+		lastDuration time.Duration // duration of the last attempt
+		delay        time.Duration
 	}{
-		"without congestion":   {1, classBounded, 200 * ms, 0},
+		"no congestion":        {1, classBounded, 200 * ms, 0},
 		"after a short answer": {3, classBounded, 100 * ms, 900 * ms},
 		"after a long answer":  {3, classBounded, 300 * ms, 2700 * ms},
-		"of a write":           {3, classNotIdempotent, 200 * ms, 0},
+		"write":                {3, classNotIdempotent, 200 * ms, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(80))
-			host.router.overall.latencyRatio = c.ratio
+			host.router.overall.latencyRatio = c.overallRatio
 			host.sendRequest(2, classAny)
 			s := host.server(host.attempts[2][0])
-			host.advance(c.took)
+			host.advance(c.lastDuration)
 			host.endAttempt(2, 0, OK, RoleReplica)
 			s.window.size = 0.1
 			s.latency.ratio = 1
-			host.router.overall.latencyRatio = c.ratio
-			for _, wait := range []time.Duration{c.rest - 10*ms, c.rest} {
+			host.router.overall.latencyRatio = c.overallRatio
+			for _, wait := range []time.Duration{c.delay - 10*ms, c.delay} {
 				host.router.advanceClock(s.outstanding.lastEndedAt + wait)
-				want := wait >= c.rest || c.rest == 0
+				want := wait >= c.delay || c.delay == 0
 				if got := host.router.hasCapacity(s, c.class); got != want {
-					t.Errorf("capacity after %v is %v, want %v", wait, got, want)
+					t.Errorf("has capacity after %v: %v, want %v", wait, got, want)
 				}
 			}
 		})
 	}
 }
 
-// Windows of less than one attempt grow only where they were in force: one good answer after another without congestion says
-// nothing about congestion.
-func TestSharedWindowKeepsWithoutCongestion(t *testing.T) {
+// A window below one attempt grows only while it delays reads, which requires congestion: good answers
+// without congestion do not show that a larger window would cause none.
+func TestFractionalWindowWithoutCongestion(t *testing.T) {
 	for _, ratio := range []float64{1, 2} {
 		t.Run(fmt.Sprint("latency ratio ", ratio), func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(80))
@@ -67,7 +68,7 @@
 			}
 			size := host.server(1).window.size
 			if grown := size > 0.1; grown != (ratio > congestedLatencyRatio) {
-				t.Errorf("window %v after ten good answers, from 0.1", size)
+				t.Errorf("window %v after ten good answers, 0.1 before", size)
 			}
 		})
 	}
@@ -79,24 +80,25 @@
 		host.sendRequest(id, classNotIdempotent)
 	}
 	if n := host.server(1).outstanding.count(); n != int(initialFleetWindow)/2 {
-		t.Fatalf("%d writes are in flight at the primary, want %v", n, initialFleetWindow/2)
+		t.Fatalf("%d writes in flight at the primary, want %v", n, initialFleetWindow/2)
 	}
 	host.advanceTo(startTime + 10*ms)
 	host.endAttempt(2, 0, OK, RolePrimary)
 	if n := host.server(1).outstanding.count(); n < int(initialFleetWindow)/2 {
-		t.Fatalf("%d writes are in flight after an answer, want the window full again", n)
+		t.Fatalf("%d writes in flight after an answer, want a full window again", n)
 	}
 }
 
-// With many poolers one attempt from each is a queue already: a window under one is a rest between attempts.
-func TestRestBetweenAttemptsWithManyPoolers(t *testing.T) {
+// In a large fleet one attempt of each pooler already forms a queue at the server. A window below one attempt
+// therefore delays the next read.
+func TestReadPacingByFleetSize(t *testing.T) {
 	for _, c := range []struct {
 		poolers int
-		rests   bool
+		delayed bool
 	}{{3, false}, {24, true}} {
 		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(c.poolers))
-			for range 200 { // answers that show a queue
+			for range 200 { // congested answers, which reduce the window
 				host.now += windowDecreaseInterval
 				host.setLatencyRatio(host.server(1), 3)
 				host.router.advanceClock(host.now)
@@ -107,12 +109,12 @@
 			host.advance(20 * ms)
 			host.endAttempt(2, 0, OK, RolePrimary)
 			host.sendRequest(3, classLatest)
-			if rests := len(host.attempts[3]) == 0; rests != c.rests {
-				t.Errorf("rests %v after an attempt, want %v", rests, c.rests)
+			if delayed := len(host.attempts[3]) == 0; delayed != c.delayed {
+				t.Errorf("delayed after an attempt: %v, want %v", delayed, c.delayed)
 			}
 			host.advance(480 * ms)
 			if len(host.attempts[3]) == 0 {
-				t.Error("nothing was sent after the rest")
+				t.Error("nothing was sent after the delay")
 			}
 		})
 	}
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// The recorded primary leaves the list. It is sent nothing after the grace period; its attempts in flight end as they would;
-// writes wait for a member that says it is primary, and are tried at no other one, however long that lasts.
-func TestPrimaryLeavesTheList(t *testing.T) {
-	for name, readded := range map[string]uint32{"for good": 0, "and is added again in time": 1, "and comes under another name": 9} {
+// When the recorded primary is removed from the list, nothing is sent to it after the grace period, and its
+// attempts in flight are not interrupted. Writes wait until another member reports that it is primary and are
+// not sent to a guessed one.
+func TestPrimaryRemovedFromList(t *testing.T) {
+	for name, readded := range map[string]uint32{"permanently": 0, "added again in time": 1, "added with another ID": 9} {
 		t.Run(name, func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
 			host.sendRequest(2, classByKey)
@@ -22,11 +23,11 @@
 			if readded > 0 {
 				host.updateList(newMember(readded, Ready, 0))
 			}
-			lastWrite := host.writeWithoutPrimary(readded == 1)
+			lastWrite := host.sendWritesAfterRemoval(readded == 1)
 			host.endAttempt(2, 0, OK, RoleUnknown)
 			host.wantNoAction("reject 2")
 			host.wantNoAction("fail 2")
-			if readded != 1 { // the next primary shows itself
+			if readded != 1 { // another member reports that it is primary
 				next := max(readded, 2)
 				host.probeAnswered(next, true, host.now)
 				host.wantAction(fmt.Sprintf("attempt %d %d", lastWrite, next))
@@ -35,12 +36,13 @@
 	}
 }
 
-// Eighty poolers that start at once, and whose polls of the list all fail after 2 s: what the list service gets in any
-// second is near what it can bear, and each pooler polls again in time. A small fleet polls at once.
+// If all poolers of a large fleet start at the same time and all their polls of the list fail after 2 s, the
+// number of polls in any second stays near what the list service can handle, and each pooler polls again in
+// time. A small fleet polls at once.
 func TestListPollsAreSpread(t *testing.T) {
-	for _, c := range []struct{ poolers, inASecond int }{
+	for _, c := range []struct{ poolers, maxPerSecond int }{
 		{1, 1},
-		{80, 36}, // twice the even rate for first polls, half as many more by chance
+		{80, 36}, // twice the even rate of first polls, plus a random excess of half as many
 	} {
 		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
 			seeds := rand.New(rand.NewPCG(1, 2))
@@ -49,30 +51,31 @@
 				polls = append(polls, listPolls(t, pooler, c.poolers, seeds.Uint64())...)
 			}
 			slices.Sort(polls)
-			most := 0
+			maxPolls := 0
 			for i, at := range polls {
 				end, _ := slices.BinarySearch(polls, at+time.Second)
-				most = max(most, end-i)
+				maxPolls = max(maxPolls, end-i)
 			}
-			if most > c.inASecond {
-				t.Errorf("%d polls in a second, want %d at most", most, c.inASecond)
+			if maxPolls > c.maxPerSecond {
+				t.Errorf("%d polls in a second, want at most %d", maxPolls, c.maxPerSecond)
 			}
 		})
 	}
 }
 
-// A send that takes longer than the margin must be chosen so much earlier in a drain's grace period.
+// If sends take longer than sendMargin, the last send in a drain grace period must begin correspondingly
+// earlier.
 func TestSendDuration(t *testing.T) {
-	for _, c := range []struct{ takes, before time.Duration }{
+	for _, c := range []struct{ sendDuration, reserved time.Duration }{
 		{0, sendMargin},
 		{20 * ms, sendMargin},
 		{180 * ms, 180 * ms},
 	} {
-		t.Run(c.takes.String(), func(t *testing.T) {
+		t.Run(c.sendDuration.String(), func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
-			host.router.SetSendDuration(c.takes)
+			host.router.SetSendDuration(c.sendDuration)
 			host.updateList(newMember(1, Draining, 0))
-			lastSendAt := startTime + 500*ms - c.before - 5*ms
+			lastSendAt := startTime + 500*ms - c.reserved - 5*ms
 			host.advanceTo(lastSendAt - ms)
 			host.sendRequest(10, classNotIdempotent)
 			host.wantAction("attempt 10 1")
@@ -80,7 +83,7 @@
 			host.sendRequest(11, classNotIdempotent)
 			host.wantNoAction("attempt 11 1")
 			if host.router.MayStillSend(host.now, 10, 0) {
-				t.Errorf("a request may still be sent %v before the grace period ends", c.before)
+				t.Errorf("a request may still be sent %v before the grace period ends", c.reserved)
 			}
 		})
 	}
@@ -92,7 +95,7 @@
 	for id := uint32(2); id < 6; id++ {
 		host.sendRequest(id, classAny)
 		if sent := host.attempts[id]; len(sent) > 0 && sent[0] != 3 {
-			t.Fatalf("a read went to draining server %d", sent[0])
+			t.Fatalf("a read was sent to draining server %d", sent[0])
 		}
 	}
 	lastSendAt := startTime + 500*ms - sendMargin - 5*ms
@@ -131,8 +134,8 @@
 	}
 }
 
-// A server that has left the list must be forgotten, or a pooler that runs for long holds every server there ever was. One
-// that comes back in time keeps its state.
+// The state of a removed server must be deleted, or a long-running pooler accumulates every server that was
+// ever listed. A server that is listed again in time keeps its state.
 func TestRemovedServerIsForgotten(t *testing.T) {
 	host := newHost(t, nil)
 	host.updateList(newMember(2, Removed, 0), newMember(3, Removed, 0))
@@ -145,10 +148,11 @@
 	}
 }
 
-// writeWithoutPrimary sends a write each 50 ms until 5 s after the start of the test, while server 1 says that it is primary
-// and the others that they are replicas. It checks that writes go to server 1 only, at once if that stays listed, and not
-// after the grace period of 500 ms otherwise. It returns the last write.
-func (host *fakeHost) writeWithoutPrimary(staysListed bool) uint32 {
+// sendWritesAfterRemoval sends a write every 50 ms until 5 s after the start of the test, while server 1
+// reports that it is primary and the others that they are replicas. It checks that writes are sent only to
+// server 1: immediately if it stays listed, otherwise not after the grace period of 500 ms. It returns the ID
+// of the last write.
+func (host *fakeHost) sendWritesAfterRemoval(staysListed bool) uint32 {
 	host.t.Helper()
 	id := uint32(10)
 	for ; host.now < startTime+5*time.Second; id++ {
@@ -160,11 +164,11 @@
 		graceOver := host.now >= startTime+500*ms
 		for _, server := range host.attempts[id] {
 			if server != 1 || graceOver && !staysListed {
-				host.t.Fatalf("%v after the removal a write goes to server %d", host.now-startTime, server)
+				host.t.Fatalf("%v after the removal a write was sent to server %d", host.now-startTime, server)
 			}
 		}
 		if staysListed && len(host.attempts[id]) == 0 {
-			host.t.Fatalf("%v after the removal a write waits", host.now-startTime)
+			host.t.Fatalf("%v after the removal a write was not sent immediately", host.now-startTime)
 		}
 		for attempt := range host.attempts[id] {
 			host.endAttempt(id, attempt, OK, RoleUnknown)
@@ -173,7 +177,8 @@
 	return id - 1
 }
 
-// listPolls returns when a pooler polls the list within 20 s of its start, where each poll fails after 2 s.
+// listPolls returns the times at which a pooler polls the list in the first 20 s, if each poll fails
+// after 2 s.
 func listPolls(t *testing.T, pooler, poolers int, seed uint64) []time.Duration {
 	t.Helper()
 	settings := testSettings()
--- a/internal/policy/files_test.go
+++ b/internal/policy/files_test.go
@@ -7,7 +7,8 @@
 	"unicode/utf8"
 )
 
-// The policy files are those that deploy/balancer.toml names: each is there, and short enough to be read at once.
+// Checks that each policy file listed in deploy/balancer.toml exists and does not exceed the limits of lines
+// and columns.
 func TestLineLimits(t *testing.T) {
 	const maxLines, maxColumns = 400, 110
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
@@ -24,11 +25,11 @@
 		}
 		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 		if len(lines) > maxLines {
-			t.Errorf("%s has %d lines, want %d at most", name, len(lines), maxLines)
+			t.Errorf("%s has %d lines, want at most %d", name, len(lines), maxLines)
 		}
-		for at, line := range lines {
-			if n := utf8.RuneCountInString(line); n > maxColumns {
-				t.Errorf("%s: line %d has %d characters, want %d at most", name, at+1, n, maxColumns)
+		for index, line := range lines {
+			if columns := utf8.RuneCountInString(line); columns > maxColumns {
+				t.Errorf("%s: line %d has %d characters, want at most %d", name, index+1, columns, maxColumns)
 			}
 		}
 	}
--- a/internal/policy/health_check_test.go
+++ b/internal/policy/health_check_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A client that cancels its request, or leaves, says nothing of the server: neither its latency nor its failures move, and
-// no retry is spent, however long the attempt was in flight.
-func TestClientCancelSaysNothingOfServer(t *testing.T) {
+// A request that its client cancels or abandons affects neither the latency nor the failure rate of the
+// server, nor the retry budget, however long the attempt was in flight.
+func TestClientCancelDoesNotAffectServer(t *testing.T) {
 	type measures struct {
 		serverRatio, serverFailures, overallRatio, retryBudget float64
 		meanLatency                                            time.Duration
@@ -32,8 +32,9 @@
 	}
 }
 
-// The attempts of a client that has left are cancelled, and how short they lasted is no good latency.
-func TestDisconnectCancelsAndIsNoLatency(t *testing.T) {
+// The attempts of a disconnected client are cancelled, and their short duration does not lower the latency
+// ratios.
+func TestDisconnectDoesNotLowerLatency(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.sendRequest(2, classLatest)
 	primary := host.server(1)
@@ -44,13 +45,14 @@
 	host.wantAction("cancel 2 0")
 	host.endAttempt(2, 0, Cancelled, RoleUnknown)
 	if primary.latency.ratio < 3 || host.router.overall.latencyRatio < 3 {
-		t.Fatalf("latency ratio %.2f and of all servers %.2f after a cancelled attempt, want 3",
+		t.Fatalf("latency ratio %.2f and of all servers %.2f after a cancelled attempt, want at least 3",
 			primary.latency.ratio, host.router.overall.latencyRatio)
 	}
 }
 
-// Attempts that wait at a silent server count against that server, and are no congestion of the others.
-func TestSilenceIsNoCongestion(t *testing.T) {
+// Attempts that wait at a silent server increase its own latency ratio but not the combined ratio of all
+// servers, which would indicate congestion.
+func TestSilentServerIsNotCongestion(t *testing.T) {
 	for _, silentFor := range []time.Duration{200 * ms, 5 * time.Second} {
 		t.Run(silentFor.String(), func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(80))
@@ -67,24 +69,24 @@
 				t.Errorf("latency ratio of all servers %.1f", overall)
 			}
 			if s.latency.ratio < 2 {
-				t.Errorf("latency ratio of the server %.1f, want 2 at least", s.latency.ratio)
+				t.Errorf("latency ratio of the server %.1f, want at least 2", s.latency.ratio)
 			}
 		})
 	}
 }
 
-func TestOverloadedServerIsPaused(t *testing.T) {
+func TestBackoffAfterOverload(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.sendRequest(2, classNotIdempotent)
 	host.advanceTo(startTime + 10*ms)
 	host.endAttempt(2, 0, Overloaded, RolePrimary)
 	host.advanceTo(startTime + 10*ms + initialBackoff - ms)
 	if len(host.attempts[2]) != 1 {
-		t.Fatalf("%d attempts within the pause, want 1", len(host.attempts[2]))
+		t.Fatalf("%d attempts during the backoff, want 1", len(host.attempts[2]))
 	}
 	host.advanceTo(startTime + 10*ms + initialBackoff + 2*positionRefreshInterval)
 	if len(host.attempts[2]) != 2 {
-		t.Fatalf("%d attempts after the pause, want 2", len(host.attempts[2]))
+		t.Fatalf("%d attempts after the backoff, want 2", len(host.attempts[2]))
 	}
 }
 
@@ -96,12 +98,12 @@
 	host.wantAction("cancel 2 0")
 	host.endAttempt(2, 0, Cancelled, RoleUnknown)
 	if sent := host.attempts[2]; len(sent) != 2 || sent[1] == silent {
-		t.Fatalf("sent to %v, want another server after %d", sent, silent)
+		t.Fatalf("sent to %v, want a retry at a server other than %d", sent, silent)
 	}
 }
 
-// One attempt that is never answered, while later ones are, does not make the server silent.
-func TestOvertakenAttemptIsNoSilence(t *testing.T) {
+// A server is not silent if it never answers one attempt but answers later ones.
+func TestLostAttemptIsNotSilence(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.sendRequest(2, classNotIdempotent)
 	host.advance(10 * ms)
@@ -110,21 +112,21 @@
 	host.endAttempt(3, 0, OK, RolePrimary)
 	host.advance(1500 * ms)
 	if s := host.server(1); s.health.silent || s.ejection.ejected {
-		t.Error("the server counts as silent")
+		t.Error("the server is considered silent or is ejected")
 	}
 }
 
-// A connection that breaks between two answers is no restart: its server must not be taken to be in slow start. One that
-// was out of reach for longer may have been restarted.
-func TestBrokenConnectionIsNoRestart(t *testing.T) {
-	for away, slowStart := range map[time.Duration]bool{minRestartOutage / 2: false, 2 * minRestartOutage: true} {
-		t.Run(away.String(), func(t *testing.T) {
+// A connection that breaks between two answers does not indicate a restart and must not begin a slow start. A
+// server that was unreachable for longer may have been restarted.
+func TestBriefOutageIsNotRestart(t *testing.T) {
+	for outage, slowStart := range map[time.Duration]bool{minRestartOutage / 2: false, 2 * minRestartOutage: true} {
+		t.Run(outage.String(), func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
-			host.advance(away)
+			host.advance(outage)
 			host.probeFailed(2, ConnectFailed)
 			host.probeAnswered(2, false, host.now)
 			if started := host.server(2).slowStart.startedAt > 0; started != slowStart {
-				t.Errorf("slow start %v, want %v", started, slowStart)
+				t.Errorf("slow start: %v, want %v", started, slowStart)
 			}
 		})
 	}
--- a/internal/policy/outlier_detection_test.go
+++ b/internal/policy/outlier_detection_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Requests that fail at every server eject none.
-func TestErrorsEverywhereEjectNone(t *testing.T) {
+// If requests fail at all servers at the same rate, no server is ejected.
+func TestErrorsAtAllServersEjectNone(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	for id := uint32(2); id < 80; id++ {
 		host.advance(10 * ms)
@@ -20,37 +20,39 @@
 	}
 	for id := uint32(2); id <= 3; id++ {
 		if host.server(id).ejection.ejected {
-			t.Errorf("server %d was ejected for errors that all servers give", id)
+			t.Errorf("server %d was ejected for errors that all servers return", id)
 		}
 	}
 }
 
-// The fleet's ejection counts only where this pooler has no answer of its own, and never for a group's last usable member.
+// An ejection by the fleet has no effect if this pooler has a recent answer of the server or if the server is
+// the last available member of its group. The fleet cannot end an ejection for which this pooler has its own
+// evidence.
 func TestFleetEjection(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.server(2).health.lastAnswerAt = host.now
 	host.router.ObserveFleetEjection(host.now, 2, true)
 	if host.server(2).ejection.ejected {
-		t.Error("a server that has just answered here was ejected by the fleet")
+		t.Error("a server that has just answered this pooler was ejected by the fleet")
 	}
 	host.advanceTo(startTime + recentAnswerAge)
 	host.router.ObserveFleetEjection(host.now, 2, true)
 	if e := host.server(2).ejection; !e.ejected || e.nextTrialAt != host.now+initialTrialInterval {
-		t.Error("a server that the fleet holds for an outlier is not ejected, or has no trial")
+		t.Error("a server that the fleet reports as an outlier is not ejected, or has no trial scheduled")
 	}
 	host.router.ObserveFleetEjection(host.now, 2, false)
 	if host.server(2).ejection.ejected {
-		t.Error("the fleet has ended the ejection, and the server is ejected")
+		t.Error("the server is still ejected after the fleet has ended the ejection")
 	}
 	host.router.eject(host.server(2), "is silent")
 	host.router.ObserveFleetEjection(host.now, 2, false)
 	if !host.server(2).ejection.ejected {
-		t.Error("the fleet ended an ejection that this pooler has evidence for")
+		t.Error("the fleet ended an ejection for which this pooler has its own evidence")
 	}
 	host.router.eject(host.server(3), "is silent")
 	host.router.ObserveFleetEjection(host.now, 1, true)
 	if host.server(1).ejection.ejected {
-		t.Error("the last usable member was ejected by the fleet")
+		t.Error("the last available member was ejected by the fleet")
 	}
 	host.router.ObserveFleetEjection(host.now, 99, true) // an unknown server
 }
@@ -70,12 +72,12 @@
 		}
 	}
 	if !host.server(2).ejection.ejected || host.server(3).ejection.ejected {
-		t.Fatal("the server that fails is not ejected, or the good one is")
+		t.Fatal("the failing server is not ejected, or the healthy one is")
 	}
 }
 
-// An attempt that hangs at a server since before its ejection must not keep it from its trial until it times out: its
-// connection may be lost, and the server well.
+// An attempt that was sent to a server before its ejection and hangs must not block the trial until it times
+// out: its connection may be lost although the server is healthy.
 func TestHungAttemptLeavesCapacityForTrial(t *testing.T) {
 	host := newHost(t, nil)
 	s := host.server(2)
@@ -92,6 +94,6 @@
 	host.router.advanceClock(host.now + ms)
 	host.router.eject(s, "is silent")
 	if !host.router.hasCapacity(s, classNotIdempotent) {
-		t.Error("no capacity for a trial beside the attempt that hangs")
+		t.Error("no capacity for a trial in addition to the attempt that hangs")
 	}
 }
--- a/internal/policy/primary_tracking_test.go
+++ b/internal/policy/primary_tracking_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// All poolers together send a primary a bounded number of pings, and each pooler of a small fleet one each 100 ms.
-func TestFleetPings(t *testing.T) {
-	for _, c := range []struct{ poolers, least, most int }{
+// Each pooler of a small fleet pings the primary every 100 ms. In a large fleet the ping rate of all poolers
+// together is bounded.
+func TestPingRateOfFleet(t *testing.T) {
+	for _, c := range []struct{ poolers, minPings, maxPings int }{
 		{3, 598, 602},
 		{5, 598, 602},
 		{100, 5, 7},
@@ -17,21 +18,21 @@
 		t.Run(fmt.Sprint(c.poolers, " poolers"), func(t *testing.T) {
 			host := newHostWithPrimary(t, withPoolers(c.poolers))
 			for id := uint32(10); host.now < startTime+time.Minute; id++ {
-				host.sendRequest(id, classAny) // the group is in use, and its primary answers nothing
+				host.sendRequest(id, classAny) // keeps the group in use without answers of the primary
 				if len(host.attempts[id]) > 0 {
 					host.endAttempt(id, 0, OK, RoleUnknown)
 				}
 				host.advance(500 * ms)
 			}
-			if n := host.probeCount(1); n < c.least || n > c.most {
-				t.Errorf("%d pings by one pooler in a minute, want %d to %d", n, c.least, c.most)
+			if pings := host.probeCount(1); pings < c.minPings || pings > c.maxPings {
+				t.Errorf("%d pings by one pooler in a minute, want %d to %d", pings, c.minPings, c.maxPings)
 			}
 		})
 	}
 }
 
-// A pooler of a large fleet without traffic does not ping. Its first write finds that the primary is dead, and reaches the
-// new one.
+// A pooler of a large fleet does not ping without traffic. Its first write detects that the primary is dead
+// and is then sent to the new one.
 func TestIdlePoolerFindsDeadPrimary(t *testing.T) {
 	host := newHostWithPrimary(t, withPoolers(400))
 	host.advanceTo(startTime + 20*time.Second)
@@ -51,19 +52,20 @@
 	host.wantAction("attempt 2 3")
 }
 
-// A failed connect pauses the server and starts a round; the primary stays on record if it answers that. After the third in
-// a row with nothing served between, connections are scarce and none is kept idle; sooner one may just have broken.
+// A failed connect starts a backoff and a probe round; the recorded primary is kept if it answers the probe.
+// Idle connections are closed only after three consecutive failures, since a single connection may just have
+// broken.
 func TestConnectFailureKeepsPrimary(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.sendRequest(2, classNotIdempotent)
 	host.endAttempt(2, 0, ConnectFailed, RoleUnknown)
 	host.probeAnswered(1, true, host.now)
 	if host.primary() != 1 {
-		t.Fatal("a failed connect took the primary off the record")
+		t.Fatal("the primary was dropped after a failed connect, although it answered the probe")
 	}
 	host.advance(200 * ms)
 	if sent := host.attempts[2]; len(sent) != 2 || sent[1] != 1 {
-		t.Fatalf("sent to %v, want server 1 again after a pause", sent)
+		t.Fatalf("sent to %v, want server 1 again after a backoff", sent)
 	}
 	host.endAttempt(2, 1, ConnectFailed, RoleUnknown)
 	host.wantNoAction("close 1")
@@ -72,18 +74,19 @@
 	host.wantAction("close 1")
 }
 
-// Probes fail by themselves: an error says nothing of the primary, and silence nothing within a second of an answer.
-func TestFailedProbesAgainstAnswers(t *testing.T) {
+// Probes can fail on their own: an error does not drop the primary, nor does a timeout within a second of an
+// answer.
+func TestFailedProbeAfterAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		result  Result
 		after   time.Duration // since the primary's last answer
 		dropped bool
 	}{
-		"an early error":   {ServerError, 100 * ms, false},
-		"a late error":     {ServerError, 5 * time.Second, false},
-		"an early silence": {TimedOut, 900 * ms, false},
-		"a late silence":   {TimedOut, 1100 * ms, true},
-		"no connection":    {ConnectFailed, 100 * ms, true},
+		"early error":       {ServerError, 100 * ms, false},
+		"late error":        {ServerError, 5 * time.Second, false},
+		"early timeout":     {TimedOut, 900 * ms, false},
+		"late timeout":      {TimedOut, 1100 * ms, true},
+		"connection failed": {ConnectFailed, 100 * ms, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
@@ -92,7 +95,7 @@
 			host.advance(c.after)
 			host.probeFailed(1, c.result)
 			if dropped := host.primary() == 0; dropped != c.dropped {
-				t.Errorf("primary dropped %v, want %v", dropped, c.dropped)
+				t.Errorf("primary dropped: %v, want %v", dropped, c.dropped)
 			}
 		})
 	}
@@ -101,12 +104,12 @@
 func TestPrimaryPingInterval(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.advanceTo(startTime + 1010*ms + 5*ms)
-	if pings := host.probeCount(1); pings != 11 { // at 10 ms, then each 100 ms
+	if pings := host.probeCount(1); pings != 11 { // after 10 ms, then every 100 ms
 		t.Fatalf("%d pings of the primary in 1.01 s, want 11", pings)
 	}
 }
 
-// A hung primary still answers shallow probes as primary. This guards against writes sent into it.
+// A hung primary may still answer shallow probes as primary. No more writes must be sent to it.
 func TestSilentPrimaryIsDropped(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.sendRequest(2, classLatest)
@@ -119,7 +122,7 @@
 		}
 	}
 	if host.primary() != 0 {
-		t.Fatal("still on record after 3 s of silence")
+		t.Fatal("the primary is still recorded after 3 s of silence")
 	}
 	host.sendRequest(3, classNotIdempotent)
 	host.probeAnswered(1, true, host.now)
@@ -128,8 +131,8 @@
 	host.wantAction("attempt 3 2")
 }
 
-// A connection that breaks does not prove a dead primary: the round that follows puts it on record again, although its
-// status is older than its last answer.
+// A broken connection does not prove that the primary is dead: the following probe round records it again,
+// although its status is older than its last answer.
 func TestConnectionResetAllowsSamePrimary(t *testing.T) {
 	host := newHostWithPrimary(t, nil)
 	host.advanceTo(startTime + 200*ms)
--- a/internal/policy/probe_rounds_test.go
+++ b/internal/policy/probe_rounds_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A hundred poolers that start at once probe nobody where the list names a primary: their first writes go there, and only
-// those that learn otherwise start a round.
-func TestStartWithoutRounds(t *testing.T) {
+// When a large fleet starts at once and the list names a primary, the poolers send no probes: their first
+// writes go to that server, and only the poolers whose writes are misdirected start a round.
+func TestInitialRoundByFleetSize(t *testing.T) {
 	for name, c := range map[string]struct {
 		poolers, probes int
-		listed          uint32 // the primary by the list; 0 for none
+		listed          uint32 // the primary according to the list; 0 for none
 	}{
 		"small fleet":                    {2, 3, 1},
 		"large fleet":                    {100, 0, 1},
@@ -38,32 +38,33 @@
 	}
 }
 
-// While the round leader repeats a group's rounds, a pooler with queued requests leaves them to it, and goes on by itself
-// once nothing is heard of the leader. What the leader reports is taken as of its time, and newer evidence stands.
-func TestRoundsLeftToLeader(t *testing.T) {
+// While the round leader repeats a group's rounds, a pooler with queued requests starts none, and resumes its
+// own rounds when the leader's reports stop. A report of the leader takes effect only if no more recent
+// evidence contradicts it.
+func TestRoundsDelegatedToLeader(t *testing.T) {
 	host := newHostWithPrimary(t, withPoolers(80))
 	host.probeAnswered(1, false, host.now)
 	host.sendRequest(2, classLatest)
 	if n := host.probesWithin(time.Second); n == 0 {
-		t.Fatal("no round of its own after the primary was dropped")
+		t.Fatal("the pooler starts no round after the primary was dropped")
 	}
 	host.sendRequest(3, classLatest)
 	host.router.ObservePrimary(host.now, testGroup, 0, false, 0)
 	if n := host.probesWithin(roundLeaderTimeout - 100*ms); n != 0 {
-		t.Errorf("%d probes while the leader repeats the rounds", n)
+		t.Errorf("%d probes while the leader repeats the rounds, want 0", n)
 	}
 	before := len(host.probedServers)
 	host.router.ReportPrimaryDown(host.now, testGroup)
 	if len(host.probedServers) != before {
-		t.Error("a pooler that is not the leader probes when another one reports a primary down")
+		t.Error("a pooler that is not the leader starts a round when another one reports the primary down")
 	}
 	host.sendRequest(4, classLatest)
 	if n := host.probesWithin(time.Second); n == 0 {
-		t.Error("no round of its own once the leader is silent")
+		t.Error("the pooler starts no round after the leader's reports have stopped")
 	}
 	host.router.ObservePrimary(host.now, testGroup, 2, true, host.now-time.Minute)
 	if host.primary() != 0 {
-		t.Error("an old report of a primary outweighs a newer denial")
+		t.Error("an old report of a primary takes precedence over newer evidence that it is a replica")
 	}
 	host.router.ObservePrimary(host.now, testGroup, 2, true, host.now+ms)
 	if p := host.primary(); p != 2 {
@@ -72,7 +73,7 @@
 	host.router.ObservePrimary(host.now, testGroup, 0, false, 0)
 	host.probeAnswered(3, true, host.now+2*ms)
 	if host.router.groupFor(testGroup).round.leaderActiveUntil != 0 {
-		t.Error("with a primary found, the rounds of the next outage are still left to the leader")
+		t.Error("the rounds of the next outage are still delegated to the leader after a primary was found")
 	}
 }
 
@@ -123,7 +124,8 @@
 	}
 }
 
-// probesWithin returns the probes within a span in which every member says that it is a replica.
+// probesWithin returns the number of probes sent within the given time, during which every member reports
+// that it is a replica.
 func (host *fakeHost) probesWithin(span time.Duration) int {
 	before := len(host.probedServers)
 	for end := host.now + span; host.now < end; {
@@ -137,7 +139,8 @@
 	return len(host.probedServers) - before
 }
 
-// The round leader starts one round however often a primary is reported down, and repeats rounds without requests of its own.
+// The round leader starts a single round for several reports that a primary is down, and repeats rounds even
+// without requests of its own.
 func TestRoundLeader(t *testing.T) {
 	host := newHostWithPrimary(t, withPoolers(80))
 	host.router.ObservePrimary(host.now, testGroup, 2, true, host.now+3*ms)
@@ -147,10 +150,10 @@
 	host.router.ReportPrimaryDown(host.now, testGroup)
 	host.router.ReportPrimaryDown(host.now, testGroup)
 	if n := len(host.probedServers) - before; n != 3 {
-		t.Errorf("%d probes of the leader after two reports, want one round", n)
+		t.Errorf("%d probes by the leader after two reports, want 3", n)
 	}
 	host.probeAnswered(2, false, host.now)
 	if n := host.probesWithin(2 * time.Second); n < 6 {
-		t.Errorf("%d probes of the leader without requests of its own", n)
+		t.Errorf("%d probes by the leader without requests of its own, want at least 6", n)
 	}
 }
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// The poolers of a large fleet do not save up for the same moment, nor do all wait until a server's slow start is over.
+// The poolers of a large fleet neither send to a server in slow start at the same time nor all wait until its
+// slow start is over.
 func TestSlowStartSlotsAreSpread(t *testing.T) {
 	const poolers = 100
 	early, sent := 0, 0
@@ -34,14 +35,15 @@
 			}
 		}
 	}
-	// 0.2 to 0.52 of capacity, doubled, on two cores, in 4 s, at 125 ms each: 46 in all.
+	// The server tolerates 2 (OverloadFactor) times 0.2 to 0.52 of two cores for 4 s, which is 46 requests of
+	// 125 ms each.
 	if sent < 10 || sent > 46 || early < 2 {
 		t.Errorf("%d sends, %d of them in the first half; want 10 to 46, and some early", sent, early)
 	}
 }
 
-// readsAtStartedServer returns how many of 20 reads a pooler sends to a server in slow start, server 5, where all others
-// have a latency ratio, and which server is the pooler's home.
+// readsAtStartedServer returns how many of 20 reads a pooler sends to server 5, which is in slow start, if
+// all other servers have the given latency ratio. It also returns the pooler's home.
 func readsAtStartedServer(t *testing.T, pooler, poolers int, ratio float64) (reads int, home uint32) {
 	t.Helper()
 	host := newHost(t, withPooler(pooler, poolers))
@@ -67,8 +69,9 @@
 	return reads, home
 }
 
-// A replica in slow start is sent reads by the poolers that have a slot as soon as their homes are slow, wherever it stands
-// among the others, and no more than one a slot; an idle home keeps its reads.
+// If a pooler's home is slow and the pooler has a slot, it sends at most one read per slot to a replica in
+// slow start, whatever that replica's rank. If its home is idle, the pooler continues to send its reads
+// there.
 func TestSlowStartServerRelievesSlowHome(t *testing.T) {
 	const poolers = 80
 	idleSum, slowSum := 0, 0
@@ -84,8 +87,8 @@
 		}
 		slowSum += slow
 	}
-	if slowSum < 2*idleSum || slowSum > 24 { // twice 0.6 of two cores for a second, at 100 ms a read
-		t.Errorf("%d of %d poolers send to the started server where homes are slow, %d where not", slowSum, poolers, idleSum)
+	if slowSum < 2*idleSum || slowSum > 24 { // 2 (OverloadFactor) times 0.6 of two cores for 1 s, at 100 ms per read
+		t.Errorf("%d of %d poolers send to the started server if homes are slow, %d if not", slowSum, poolers, idleSum)
 	}
 }
 
@@ -105,8 +108,8 @@
 			host.endAttempt(id, 0, OK, RoleReplica)
 		}
 	}
-	// The pooler's half of 2 x 0.2..0.28 of two cores for one second is at most 0.56 core seconds; answers take 100 ms
-	// each as first estimated.
+	// The pooler's half of 2 (OverloadFactor) times 0.2 to 0.28 of two cores for 1 s is at most 0.56 core
+	// seconds. The initial estimate of a read is 100 ms.
 	if sent == 0 || sent > 5 {
 		t.Fatalf("%d reads sent to the started server in its first second, want 1 to 5", sent)
 	}
@@ -120,79 +123,79 @@
 	scenarioStep  = 10 * ms
 )
 
-// slowStartScenario is a fleet of poolers whose traffic goes to a group of warm servers, and a server that is started in
-// another group, to which all of them turn.
+// slowStartScenario is a fleet of poolers with traffic to a group of warm servers, and a server that is
+// started in another group, to which all poolers then send requests.
 type slowStartScenario struct {
-	site              string
+	name              string // of the deployment
 	poolers           int
-	traffic           string        // even, uneven, or hot: half of it comes to one pooler
-	idleFor           time.Duration // from the server's start until all poolers have requests for it, at all times
+	traffic           string        // "even", "uneven" or "hot": half of it is at one pooler
+	unusedFor         time.Duration // from the server's start until all poolers permanently have requests for it
 	overloadFactor    float64
 	overloadInterval  time.Duration
 	initialCapacity   float64
 	slowStartDuration time.Duration
-	warmUp            time.Duration // how long poolers have had traffic at the server's start
+	warmUpTime        time.Duration // how long poolers have traffic before the server's start
 	serverCores       float64
-	workPerClass      []time.Duration // the mean
-	objectives        []time.Duration // by class
+	workPerClass      []time.Duration // mean work of a request, by class
+	objectives        []time.Duration // latency objectives, by class
 }
 
-// scheduledEnd is an attempt that will end.
+// scheduledEnd is the scheduled end of an attempt.
 type scheduledEnd struct {
 	at     time.Duration
 	pooler int
 	id     uint32
 }
 
-// sentWork is what was sent to the started server at a time since its start.
+// sentWork is a request sent to the started server.
 type sentWork struct {
-	at   time.Duration
-	work float64 // in requests of mean work
+	at   time.Duration // since the start of the server
+	work float64       // in requests of mean work
 }
 
-func (d slowStartScenario) meanWork() time.Duration {
+func (scenario slowStartScenario) meanWork() time.Duration {
 	sum := time.Duration(0)
-	for _, work := range d.workPerClass {
+	for _, work := range scenario.workPerClass {
 		sum += work
 	}
-	return sum / time.Duration(len(d.workPerClass))
+	return sum / time.Duration(len(scenario.workPerClass))
 }
 
 // settings returns the settings of a pooler.
-func (d slowStartScenario) settings(pooler int) Settings {
+func (scenario slowStartScenario) settings(pooler int) Settings {
 	s := testSettings()
-	s.SlowStartCapacity = d.initialCapacity
-	s.SlowStartDuration = d.slowStartDuration
-	s.OverloadFactor = d.overloadFactor
-	s.OverloadInterval = d.overloadInterval
-	s.Poolers = d.poolers
+	s.SlowStartCapacity = scenario.initialCapacity
+	s.SlowStartDuration = scenario.slowStartDuration
+	s.OverloadFactor = scenario.overloadFactor
+	s.OverloadInterval = scenario.overloadInterval
+	s.Poolers = scenario.poolers
 	s.PoolerIndex = pooler
 	s.Classes = nil
-	for _, objective := range d.objectives {
+	for _, objective := range scenario.objectives {
 		s.Classes = append(s.Classes, Class{LatencyObjective: objective, TotalTimeout: 2 * time.Second,
 			PriorityWeight: 1, LateWeightFraction: 0.5})
 	}
 	return s
 }
 
-// trafficShare returns a pooler's share of the traffic against the others'.
-func (d slowStartScenario) trafficShare(pooler int, random *rand.Rand) float64 {
+// trafficShare returns a pooler's share of the traffic relative to the other poolers.
+func (scenario slowStartScenario) trafficShare(pooler int, random *rand.Rand) float64 {
 	uneven := math.Exp(random.NormFloat64())
 	switch {
-	case d.traffic == "uneven":
+	case scenario.traffic == "uneven":
 		return uneven
-	case d.traffic == "hot" && pooler == 0:
-		return float64(d.poolers)
+	case scenario.traffic == "hot" && pooler == 0:
+		return float64(scenario.poolers)
 	}
 	return 1
 }
 
-// slowStartRun is a run of a scenario.
+// slowStartRun is a simulation of a scenario.
 type slowStartRun struct {
 	slowStartScenario
 	random    *rand.Rand
 	hosts     []*fakeHost // by pooler
-	shares    []float64   // of the traffic, by pooler
+	shares    []float64   // relative shares of the traffic, by pooler
 	startedAt time.Duration
 	now       time.Duration
 	lastID    uint32
@@ -200,39 +203,41 @@
 	sent      []sentWork
 }
 
-func newSlowStartRun(t *testing.T, d slowStartScenario, seed uint64) *slowStartRun {
+func newSlowStartRun(t *testing.T, scenario slowStartScenario, seed uint64) *slowStartRun {
 	t.Helper()
-	run := &slowStartRun{slowStartScenario: d, random: rand.New(rand.NewPCG(seed, 1)),
-		now: startTime, startedAt: startTime + d.warmUp}
+	run := &slowStartRun{slowStartScenario: scenario, random: rand.New(rand.NewPCG(seed, 1)),
+		now: startTime, startedAt: startTime + scenario.warmUpTime}
 	var list []Member
 	for i := range uint32(warmServers) {
 		list = append(list, Member{ID: 1 + i, Group: warmGroup, State: Ready})
 	}
-	for pooler := range d.poolers {
-		host := newHostWith(t, d.settings(pooler), seed*1000+uint64(pooler))
+	for pooler := range scenario.poolers {
+		host := newHostWith(t, scenario.settings(pooler), seed*1000+uint64(pooler))
 		host.router.HandleList(run.now, ListFull, list)
 		run.hosts = append(run.hosts, host)
-		run.shares = append(run.shares, d.trafficShare(pooler, run.random))
+		run.shares = append(run.shares, scenario.trafficShare(pooler, run.random))
 	}
 	return run
 }
 
-// requestsPerStep returns the requests of a pooler with a share of 1 in one step: the warm servers are nearly full.
+// requestsPerStep returns the number of requests per step of a pooler with a share of 1. They use 90% of the
+// warm servers.
 func (r *slowStartRun) requestsPerStep() float64 {
-	all := 0.0
+	totalShares := 0.0
 	for _, share := range r.shares {
-		all += share
+		totalShares += share
 	}
-	return 0.9 * r.serverCores * warmServers * float64(scenarioStep) / float64(r.meanWork()) / all
+	return 0.9 * r.serverCores * warmServers * float64(scenarioStep) / float64(r.meanWork()) / totalShares
 }
 
+// request sends a request of a random class.
 func (r *slowStartRun) request(host *fakeHost, group int) {
 	r.lastID++
 	host.router.HandleRequest(r.now, Request{ID: r.lastID, Class: r.random.IntN(len(r.workPerClass)), Group: group,
 		Timeout: 2 * time.Second})
 }
 
-// startServer lists the started server at all poolers.
+// startServer adds the started server to the lists of all poolers.
 func (r *slowStartRun) startServer() {
 	for _, host := range r.hosts {
 		started := Member{ID: startedServer, Group: startedGroup, State: Ready, StartedAt: r.now}
@@ -240,7 +245,7 @@
 	}
 }
 
-// endDueAttempts ends the attempts that have been served by now.
+// endDueAttempts ends the attempts whose scheduled end has been reached.
 func (r *slowStartRun) endDueAttempts() {
 	slices.SortFunc(r.ends, func(a, b scheduledEnd) int { return cmp.Compare(a.at, b.at) })
 	for len(r.ends) > 0 && r.ends[0].at <= r.now {
@@ -249,7 +254,8 @@
 	}
 }
 
-// collectAttempts schedules the ends of the attempts that a pooler has sent.
+// collectAttempts schedules the ends of the attempts that a pooler has sent and records those to the started
+// server.
 func (r *slowStartRun) collectAttempts(pooler int) {
 	host := r.hosts[pooler]
 	for id, servers := range host.attempts {
@@ -264,8 +270,8 @@
 	host.actions = nil
 }
 
-// play runs until the slow start is over.
-func (r *slowStartRun) play() {
+// simulate runs the scenario until the slow start is over.
+func (r *slowStartRun) simulate() {
 	rate := r.requestsPerStep()
 	for r.now < r.startedAt+r.slowStartDuration {
 		if r.now == r.startedAt {
@@ -275,7 +281,7 @@
 			for n := rate * r.shares[pooler]; r.random.Float64() < n; n-- {
 				r.request(host, warmGroup)
 			}
-			if r.now >= r.startedAt+r.idleFor && len(host.router.groups[startedGroup].queue.requests) == 0 {
+			if r.now >= r.startedAt+r.unusedFor && len(host.router.groups[startedGroup].queue.requests) == 0 {
 				r.request(host, startedGroup)
 			}
 		}
@@ -288,20 +294,22 @@
 	}
 }
 
-// check checks that no overload interval has more work than the settings allow, N, and a chance of 2 root N + 2.
-func (d slowStartScenario) check(t *testing.T, seed uint64) {
+// checkTotalLoad simulates the scenario and checks that the work sent in any overload interval is at most N +
+// 2*sqrt(N) + 2 requests, where N is the number that the settings allow and the rest is a margin for random
+// excess.
+func (scenario slowStartScenario) checkTotalLoad(t *testing.T, seed uint64) {
 	t.Helper()
-	run := newSlowStartRun(t, d, seed)
-	run.play()
+	run := newSlowStartRun(t, scenario, seed)
+	run.simulate()
 	first, work := 0, 0.0
 	for _, send := range run.sent {
 		work += send.work
-		for run.sent[first].at <= send.at-d.overloadInterval {
+		for run.sent[first].at <= send.at-scenario.overloadInterval {
 			work -= run.sent[first].work
 			first++
 		}
-		capacity := d.initialCapacity + (1-d.initialCapacity)*float64(send.at)/float64(d.slowStartDuration)
-		full := d.overloadFactor * d.serverCores * float64(d.overloadInterval) / float64(d.meanWork())
+		capacity := scenario.initialCapacity + (1-scenario.initialCapacity)*float64(send.at)/float64(scenario.slowStartDuration)
+		full := scenario.overloadFactor * scenario.serverCores * float64(scenario.overloadInterval) / float64(scenario.meanWork())
 		allowed := full * capacity
 		if work > allowed+2*math.Sqrt(allowed)+2 {
 			t.Fatalf("seed %d: %.1f requests of mean work in the interval up to %v, where %.1f are allowed",
@@ -313,49 +321,50 @@
 	}
 }
 
-// slowStartSites returns the scenarios of deployments, without their poolers and traffic. Hosts of the least size are among
-// them, and poolers that were all restarted and take requests for half the work that they are.
-func slowStartSites() []slowStartScenario {
+// slowStartDeployments returns scenarios of different deployments, without poolers and traffic. They include
+// hosts of the minimum size, and poolers that were restarted and whose initial work estimates are half of the
+// actual work.
+func slowStartDeployments() []slowStartScenario {
 	budapest := slowStartScenario{
-		site: "budapest", warmUp: 20 * time.Second, serverCores: 3,
+		name: "budapest", warmUpTime: 20 * time.Second, serverCores: 3,
 		overloadFactor: 2.5, overloadInterval: time.Second, initialCapacity: 0.18, slowStartDuration: 18 * time.Second,
 		workPerClass: []time.Duration{120 * ms, 120 * ms}, objectives: []time.Duration{750 * ms, 500 * ms},
 	}
-	least := slowStartScenario{
-		site: "least", warmUp: 20 * time.Second, serverCores: minServerCores,
+	smallestHosts := slowStartScenario{
+		name: "least", warmUpTime: 20 * time.Second, serverCores: minServerCores,
 		overloadFactor: 2.5, overloadInterval: time.Second, initialCapacity: 0.46, slowStartDuration: 8700 * ms,
 		workPerClass: []time.Duration{90 * ms, 150 * ms}, objectives: []time.Duration{750 * ms, 500 * ms},
 	}
 	prairie := slowStartScenario{
-		site: "prairie", warmUp: 20 * time.Second, serverCores: 5,
+		name: "prairie", warmUpTime: 20 * time.Second, serverCores: 5,
 		overloadFactor: 3, overloadInterval: 3 * time.Second, initialCapacity: 0.29, slowStartDuration: 18 * time.Second,
 		workPerClass: []time.Duration{42 * ms, 120 * ms}, objectives: []time.Duration{250 * ms, 600 * ms},
 	}
-	restarted := least
-	restarted.site = "restarted"
-	restarted.warmUp = 0
+	restarted := smallestHosts
+	restarted.name = "restarted"
+	restarted.warmUpTime = 0
 	restarted.objectives = []time.Duration{180 * ms, 300 * ms}
-	return []slowStartScenario{budapest, least, prairie, restarted}
+	return []slowStartScenario{budapest, smallestHosts, prairie, restarted}
 }
 
-// However many poolers there are, however uneven their traffic is and however long they have left a server in slow start
-// alone: it is not sent more than it bears.
-func TestSlowStartBearsAllPoolers(t *testing.T) {
+// A server in slow start is not sent more work than it tolerates, for any number of poolers, any distribution
+// of their traffic, and however long they have sent nothing to it.
+func TestSlowStartLimitsTotalLoad(t *testing.T) {
 	seed := uint64(0)
-	for _, site := range slowStartSites() {
+	for _, deployment := range slowStartDeployments() {
 		for _, poolers := range []int{2, 20, 30, 300} {
 			for _, traffic := range []string{"even", "uneven", "hot"} {
-				for _, idleFor := range []time.Duration{0, time.Second, site.slowStartDuration / 2} {
+				for _, unusedFor := range []time.Duration{0, time.Second, deployment.slowStartDuration / 2} {
 					seed++
 					runSeed := seed
-					scenario := site
+					scenario := deployment
 					scenario.poolers = poolers
 					scenario.traffic = traffic
-					scenario.idleFor = idleFor
-					name := fmt.Sprintf("%s/%d %s %v", site.site, poolers, traffic, idleFor)
+					scenario.unusedFor = unusedFor
+					name := fmt.Sprintf("%s/%d %s %v", deployment.name, poolers, traffic, unusedFor)
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
-						scenario.check(t, runSeed)
+						scenario.checkTotalLoad(t, runSeed)
 					})
 				}
 			}
@@ -363,29 +372,29 @@
 	}
 }
 
-// listStart lists server 2 with a state and the time of its last start.
+// listStart reports an entry of server 2 with the given state and start time.
 func (host *fakeHost) listStart(state MemberState, startedAt time.Duration) {
 	host.updateList(Member{ID: 2, Group: testGroup, State: state, StartedAt: startedAt})
 }
 
-// hang has the requests at server 2 wait for a span, and then one of them is answered.
-func (host *fakeHost) hang(span time.Duration) {
+// hangServer lets requests at server 2 wait for the given time, after which one of them is answered.
+func (host *fakeHost) hangServer(span time.Duration) {
 	s := host.server(2)
 	for id := uint32(20); id < 30; id++ {
-		q := &request{
+		req := &request{
 			id:            id,
 			class:         &host.router.settings.Classes[classAny],
 			group:         host.router.groups[testGroup],
 			requestTiming: requestTiming{deadline: host.now + time.Minute},
 		}
-		host.router.requests[id] = q
-		host.router.sendAttempt(q, s)
+		host.router.requests[id] = req
+		host.router.sendAttempt(req, s)
 	}
 	host.advance(span)
 	host.endAttempt(20, 0, OK, RoleReplica)
 }
 
-// refuseConnections has server 2 refuse three connections, and answer after a span.
+// refuseConnections lets server 2 refuse three connections and answer after the given time.
 func (host *fakeHost) refuseConnections(span time.Duration) {
 	s := host.server(2)
 	host.router.observeReachable(s)
@@ -397,48 +406,49 @@
 	host.router.observeHealth(&attempt{server: s, sentAt: host.now, request: &request{}}, OK)
 }
 
-// Whatever tells of a start begins a slow start: the list, also where the server drains or had left it, and a return after
-// a silence or after refused connections of more than a break. Nothing ends it sooner than after the latest start.
-func TestStartsBeginSlowStart(t *testing.T) {
+// A slow start begins at a start reported by the list, even if the server is draining or had been removed,
+// and at the first answer after a silence or refused connections that lasted longer than a brief
+// interruption. It is measured from the latest start.
+func TestSlowStartBegin(t *testing.T) {
 	const never = -time.Hour
 	for name, c := range map[string]struct {
-		events func(*fakeHost)
-		since  time.Duration // from the test's start on
+		events    func(*fakeHost)
+		startedAt time.Duration // relative to startTime
 	}{
-		"nothing":                  {func(*fakeHost) {}, never},
-		"listed with a start":      {func(host *fakeHost) { host.listStart(Ready, startTime-time.Second) }, -time.Second},
-		"listed with one long ago": {func(host *fakeHost) { host.listStart(Ready, startTime-time.Hour) }, never},
-		"draining":                 {func(host *fakeHost) { host.listStart(Draining, startTime) }, 0},
-		"removed and back": {func(host *fakeHost) {
+		"no event":                   {func(*fakeHost) {}, never},
+		"listed with a recent start": {func(host *fakeHost) { host.listStart(Ready, startTime-time.Second) }, -time.Second},
+		"listed with an old start":   {func(host *fakeHost) { host.listStart(Ready, startTime-time.Hour) }, never},
+		"listed as draining":         {func(host *fakeHost) { host.listStart(Draining, startTime) }, 0},
+		"removed and listed again": {func(host *fakeHost) {
 			host.listStart(Removed, 0)
 			host.listStart(Ready, startTime)
 		}, 0},
-		"started again": {func(host *fakeHost) {
+		"restarted": {func(host *fakeHost) {
 			host.listStart(Ready, startTime-2*time.Second)
 			host.listStart(Ready, startTime)
 		}, 0},
-		"an older start": {func(host *fakeHost) {
+		"listed with an earlier start": {func(host *fakeHost) {
 			host.listStart(Ready, startTime)
 			host.listStart(Ready, startTime-2*time.Second)
 		}, 0},
-		"hung for a break": {func(host *fakeHost) { host.hang(900 * ms) }, never},
-		"hung for longer":  {func(host *fakeHost) { host.hang(4 * time.Second) }, 4 * time.Second},
-		"hung, and listed with before": {func(host *fakeHost) {
-			host.hang(4 * time.Second)
+		"hung briefly":  {func(host *fakeHost) { host.hangServer(900 * ms) }, never},
+		"hung for long": {func(host *fakeHost) { host.hangServer(4 * time.Second) }, 4 * time.Second},
+		"hung, then listed with an earlier start": {func(host *fakeHost) {
+			host.hangServer(4 * time.Second)
 			host.listStart(Ready, startTime)
 		}, 4 * time.Second},
-		"refused for a break": {func(host *fakeHost) { host.refuseConnections(900 * ms) }, never},
-		"refused for longer":  {func(host *fakeHost) { host.refuseConnections(4 * time.Second) }, 4 * time.Second},
+		"refused briefly":  {func(host *fakeHost) { host.refuseConnections(900 * ms) }, never},
+		"refused for long": {func(host *fakeHost) { host.refuseConnections(4 * time.Second) }, 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			host := newHostWithPrimary(t, nil)
 			c.events(host)
 			s := host.server(2)
 			started := host.router.inSlowStart(s)
-			if started != (c.since != never) {
+			if started != (c.startedAt != never) {
 				t.Errorf("in slow start: %v", started)
-			} else if started && s.slowStart.startedAt != startTime+c.since {
-				t.Errorf("in slow start since %v, want %v", s.slowStart.startedAt-startTime, c.since)
+			} else if started && s.slowStart.startedAt != startTime+c.startedAt {
+				t.Errorf("in slow start since %v, want %v", s.slowStart.startedAt-startTime, c.startedAt)
 			}
 		})
 	}
--- a/internal/policy/timers_test.go
+++ b/internal/policy/timers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A host that fires a timer a microsecond early must not silence the timers.
+// A timer that the host fires a microsecond early must not stop the timer queue.
 func TestTimerFiresEarly(t *testing.T) {
 	host := newHost(t, nil)
 	host.sendRequest(1, classNotIdempotent)
