--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -10,8 +10,8 @@
 	MaxListRetryDelay = 1500 * time.Millisecond
 	// MaxFirstPollDelay is the maximum delay from a pooler's start to its first poll of the list.
 	MaxFirstPollDelay = 3 * time.Second
-	// listPollSpacing is the interval between the first polls of two poolers. A list service handled
-	// about ten polls a second from 80 poolers.
+	// listPollSpacing is the interval between the first polls of two poolers. A list service
+	// with 80 poolers handled about ten polls a second.
 	listPollSpacing = 80 * time.Millisecond
 	// removedServerRetention is how long the state of a removed server is kept.
 	removedServerRetention = time.Minute
@@ -140,8 +140,8 @@
 	if s.sendUntil > 0 {
 		return
 	}
-	grace := r.settings.DrainGracePeriod - sendMargin - r.settings.EventInterval
-	s.sendUntil = max(r.now+grace, 1)
+	gracePeriod := r.settings.DrainGracePeriod - sendMargin - r.settings.EventInterval
+	s.sendUntil = max(r.now+gracePeriod, 1)
 	r.schedule(max(s.sendUntil-r.now, 0), func() { r.endGracePeriod(s) })
 }
 
--- a/internal/policy/health_check.go
+++ b/internal/policy/health_check.go
@@ -45,21 +45,21 @@
 
 // overloadBackoff is the exponential backoff of a server that was overloaded or refused a connection.
 type overloadBackoff struct {
-	until               time.Duration
+	until               time.Duration // end of the current or last backoff
 	length              time.Duration // duration of the last backoff; 0 once an attempt is served
 	connectionsScarceAt time.Duration // time at which it last refused connections repeatedly; 0 for never
 }
 
 // begin starts a backoff, twice as long as the last one.
-func (p *overloadBackoff) begin(now time.Duration) {
-	p.length = min(max(2*p.length, initialBackoff), maxBackoff)
-	p.until = now + p.length
+func (b *overloadBackoff) begin(now time.Duration) {
+	b.length = min(max(2*b.length, initialBackoff), maxBackoff)
+	b.until = now + b.length
 }
 
 // connectionsScarce reports whether the server has repeatedly refused connections within
 // connectionScarcityDuration.
-func (p *overloadBackoff) connectionsScarce(now time.Duration) bool {
-	return p.connectionsScarceAt > 0 && now < p.connectionsScarceAt+connectionScarcityDuration
+func (b *overloadBackoff) connectionsScarce(now time.Duration) bool {
+	return b.connectionsScarceAt > 0 && now < b.connectionsScarceAt+connectionScarcityDuration
 }
 
 // observeHealth updates a server's health, latency and concurrency window from the result of an
@@ -135,23 +135,23 @@
 // least minRestartOutage, it may have been restarted, and its slow start begins.
 func (r *Router) observeReachable(s *server) {
 	h := &s.health
-	wasAway := h.unreachable || h.silent || s.ejection.ejected && h.lastAnswerAt == 0
-	if wasAway && r.now >= h.lastReachedAt+minRestartOutage {
+	wasUnreachable := h.unreachable || h.silent || s.ejection.ejected && h.lastAnswerAt == 0
+	if wasUnreachable && r.now >= h.lastReachedAt+minRestartOutage {
 		s.slowStart.startedAt = max(s.slowStart.startedAt, r.now)
 	}
 	h.unreachable = false
 	h.lastReachedAt = r.now
 }
 
-// silence describes how long a server's attempts have waited since its last answer.
+// silence is the waiting time of a server's attempts since its last answer.
 type silence struct {
-	waited float64       // waiting time summed over the attempts, in mean latencies
-	rate   float64       // growth of waited per nanosecond; 0 if no attempt is counted
-	oldest time.Duration // longest wait of a single attempt
+	waited      float64       // waiting time summed over the attempts, in mean latencies
+	rate        float64       // growth of waited per nanosecond; 0 if no attempt is counted
+	longestWait time.Duration // longest waiting time of a single attempt
 }
 
 // detected reports whether the server is silent.
-func (w silence) detected() bool { return w.waited >= silenceThreshold && w.oldest >= minSilence }
+func (w silence) detected() bool { return w.waited >= silenceThreshold && w.longestWait >= minSilence }
 
 // measureSilence computes how long a server's attempts have waited. An attempt is not counted once a
 // later one has been answered: the earlier one may be lost, but the server is not silent.
@@ -165,7 +165,7 @@
 		mean := float64(r.estimates.forRequest(a.request).meanLatency) / r.slowStartWeight(s)
 		measured.waited += float64(waited) / mean
 		measured.rate += 1 / mean
-		measured.oldest = max(measured.oldest, waited)
+		measured.longestWait = max(measured.longestWait, waited)
 	}
 	return measured
 }
@@ -188,9 +188,10 @@
 		r.retryRequestsOfSilentServer(s)
 		measured.waited = 0
 	}
-	expected := time.Duration((silenceThreshold - measured.waited) / measured.rate)
+	remaining := time.Duration((silenceThreshold - measured.waited) / measured.rate)
 	s.health.silenceCheckScheduled = true
-	r.schedule(max(expected, minSilence-measured.oldest, minSilenceCheckInterval), func() { r.checkSilence(s) })
+	r.schedule(max(remaining, minSilence-measured.longestWait, minSilenceCheckInterval),
+		func() { r.checkSilence(s) })
 }
 
 // retryRequestsOfSilentServer retries the idempotent requests that wait at a silent server, within the
--- a/internal/policy/outlier_detection.go
+++ b/internal/policy/outlier_detection.go
@@ -62,7 +62,7 @@
 	e := &s.ejection
 	e.failureRate += failureRateGain * (1 - e.failureRate)
 	if (e.failureRate-r.overall.failureRate)/(1-r.overall.failureRate) >= ejectionFailureRate {
-		r.eject(s, "fails")
+		r.eject(s, "fails too often")
 	}
 	r.overall.failureRate += overallFailureRateGain * (1 - r.overall.failureRate)
 }
--- a/internal/policy/primary_tracking.go
+++ b/internal/policy/primary_tracking.go
@@ -22,16 +22,16 @@
 	typicalFailoverDuration = 4 * time.Second
 )
 
-// roleEvidence is the evidence about a server's role. Evidence is ordered by the time for which it
-// holds, not by the time at which it arrives: the latest takes precedence.
+// roleEvidence is the evidence about a server's role. Evidence has an effective time, at which the
+// server had the role. More recent evidence takes precedence, in whatever order it arrives.
 type roleEvidence struct {
 	current     Role
-	asOf        time.Duration // time for which the evidence for the current role holds
-	primaryAsOf time.Duration // time for which the latest evidence holds that the server is primary
+	asOf        time.Duration // effective time of the evidence for the current role
+	primaryAsOf time.Duration // latest effective time of evidence that the server is primary
 }
 
-// recordPrimaryClaim records evidence that the server is primary and reports whether its current role
-// is now primary.
+// recordPrimaryClaim records evidence that the server is primary. It reports false if the evidence is
+// ignored because more recent evidence says otherwise.
 func (e *roleEvidence) recordPrimaryClaim(asOf time.Duration) bool {
 	e.primaryAsOf = max(e.primaryAsOf, asOf)
 	if asOf < e.asOf && e.current != RolePrimary {
@@ -42,8 +42,8 @@
 	return true
 }
 
-// recordReplicaClaim records evidence that the server is a replica and reports whether its current role
-// is now replica.
+// recordReplicaClaim records evidence that the server is a replica. It reports false if the evidence is
+// ignored because there is more recent evidence.
 func (e *roleEvidence) recordReplicaClaim(asOf time.Duration) bool {
 	if asOf < e.asOf || asOf < e.primaryAsOf {
 		return false
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -49,16 +49,16 @@
 }
 
 // fleetParametersFor computes the limits for the number of poolers in the settings.
-func fleetParametersFor(s *Settings) fleetParameters {
-	poolers := time.Duration(s.Poolers)
+func fleetParametersFor(settings *Settings) fleetParameters {
+	poolers := time.Duration(settings.Poolers)
 	p := fleetParameters{
-		isLarge:        s.Poolers > maxSmallFleet,
+		isLarge:        settings.Poolers > maxSmallFleet,
 		pingInterval:   primaryPingInterval,
-		minWindow:      min(minFleetWindow/float64(s.Poolers), 1),
+		minWindow:      min(minFleetWindow/float64(settings.Poolers), 1),
 		listRetryDelay: min(max(listPollSpacing*poolers, MaxListRetryDelay/3), MaxListRetryDelay),
 	}
-	if s.MaxPollInterval > 0 {
-		p.listRetryDelay = min(p.listRetryDelay, s.MaxPollInterval/2)
+	if settings.MaxPollInterval > 0 {
+		p.listRetryDelay = min(p.listRetryDelay, settings.MaxPollInterval/2)
 	}
 	if p.isLarge {
 		p.pingInterval *= poolers
@@ -102,14 +102,14 @@
 	}
 	r.advanceClock(now)
 	oldFleet := r.fleet
-	oldGrace := r.settings.DrainGracePeriod
+	oldGracePeriod := r.settings.DrainGracePeriod
 	if settings.TrackSessions && !r.settings.TrackSessions {
 		r.sessions.untrackedPosition = r.now // sessions' writes were not tracked until now
 	}
 	r.applySettings(settings)
 	r.rescheduleListPoll(oldFleet)
 	r.updateGroupsAfterSettings(oldFleet)
-	r.updateServersAfterSettings(oldGrace)
+	r.updateServersAfterSettings(oldGracePeriod)
 	return nil
 }
 
@@ -184,11 +184,11 @@
 // updateServersAfterSettings applies new settings to the servers: it raises their windows to the new
 // minimum and shortens the grace periods of draining servers if DrainGracePeriod has decreased. A
 // longer DrainGracePeriod applies only to servers that begin to drain later.
-func (r *Router) updateServersAfterSettings(oldGrace time.Duration) {
+func (r *Router) updateServersAfterSettings(oldGracePeriod time.Duration) {
 	for _, s := range r.servers.ordered {
 		s.window.size = max(s.window.size, r.fleet.minWindow)
 		if s.sendUntil > 0 {
-			shortened := min(r.settings.DrainGracePeriod-oldGrace, 0)
+			shortened := min(r.settings.DrainGracePeriod-oldGracePeriod, 0)
 			s.sendUntil = max(s.sendUntil+shortened, 1)
 		}
 	}
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -26,7 +26,7 @@
 type endpoint struct {
 	Member
 	listed      bool          // whether it is a member of its group
-	sendUntil   time.Duration // end of the drain grace period, after which nothing is sent; 0 for no limit
+	sendUntil   time.Duration // latest time of a send while it is draining or removed; 0 for no limit
 	wasDraining bool          // whether it has been listed as draining
 }
 
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -44,9 +44,9 @@
 
 // accrue adds the work accrued since the last call to the budget, up to a limit. The rate is in core
 // nanoseconds per nanosecond.
-func (w *slowStart) accrue(now time.Duration, rate, limit float64) {
-	w.budget = min(w.budget+rate*float64(now-w.budgetAt), limit)
-	w.budgetAt = now
+func (s *slowStart) accrue(now time.Duration, rate, limit float64) {
+	s.budget = min(s.budget+rate*float64(now-s.budgetAt), limit)
+	s.budgetAt = now
 }
 
 // inSlowStart reports whether a server was started less than SlowStartDuration ago.
@@ -80,15 +80,15 @@
 	interval := float64(r.settings.OverloadInterval)
 	poolers := float64(r.settings.Poolers)
 	weight := r.slowStartWeight(s)
-	// full is the load that a server tolerates after its slow start, in core nanoseconds per
+	// fullLoad is the load that a server tolerates after its slow start, in core nanoseconds per
 	// nanosecond.
-	full := minServerCores * r.settings.OverloadFactor
+	fullLoad := minServerCores * r.settings.OverloadFactor
 	share := evenShareFraction/poolers + (1-evenShareFraction)*busyCores/minServerCores
 	return slowStartPlan{
 		workPerRequest:  work,
-		rate:            full * weight * share,
-		requests:        full * weight * interval / work,
-		initialRequests: full * r.settings.SlowStartCapacity * interval / work,
+		rate:            fullLoad * weight * share,
+		requests:        fullLoad * weight * interval / work,
+		initialRequests: fullLoad * r.settings.SlowStartCapacity * interval / work,
 	}
 }
 
@@ -146,24 +146,25 @@
 	return p.burstRequests(p.initialRequests) >= float64(poolers)
 }
 
-// acquireSlot reports whether this pooler has an open slot with enough budget for the given work, or
-// opens one now.
+// acquireSlot reports whether this pooler has an open slot with enough budget for the given work. If it
+// has none, acquireSlot opens the next slot that is assigned to this pooler, if it has started.
 func (r *Router) acquireSlot(s *server, plan slowStartPlan, work float64) bool {
-	slot := max(r.settings.OverloadInterval/slotsPerInterval, 1)
+	slotLength := max(r.settings.OverloadInterval/slotsPerInterval, 1)
 	interval := float64(r.settings.OverloadInterval)
 	openFor := time.Duration(((1+burstDeviations/math.Sqrt(plan.requests))/slotUtilization - 1) * interval)
-	w := &s.slowStart
-	if w.slotStartedAt > r.now-openFor && w.budget >= work {
+	state := &s.slowStart
+	if state.slotStartedAt > r.now-openFor && state.budget >= work {
 		return true
 	}
-	slotWork := plan.rate * (slotUtilization * float64(slot))
-	after := max(r.now-openFor, w.slotStartedAt)
+	slotWork := plan.rate * (slotUtilization * float64(slotLength))
+	earliestStart := max(r.now-openFor, state.slotStartedAt)
 	share := slotWork / plan.workPerRequest
-	slotStart := rendezvous.NextSlot(r.settings.PoolerIndex, r.settings.Poolers, s.ID, slot, after, r.now, share)
+	slotStart := rendezvous.NextSlot(r.settings.PoolerIndex, r.settings.Poolers, s.ID,
+		slotLength, earliestStart, r.now, share)
 	if slotStart == 0 {
 		return false
 	}
-	w.slotStartedAt = slotStart
-	w.budget = max(plan.workPerRequest, slotWork)
+	state.slotStartedAt = slotStart
+	state.budget = max(plan.workPerRequest, slotWork)
 	return true
 }
