--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -75,11 +75,11 @@
 			host := newHostWithPrimary(t, nil)
 			host.router.SetSendDuration(c.sendDuration)
 			host.updateList(newMember(1, Draining, 0))
-			lastSendAt := startTime + 500*ms - c.reserved - 5*ms
-			host.advanceTo(lastSendAt - ms)
+			sendsEndAt := startTime + 500*ms - c.reserved - 5*ms
+			host.advanceTo(sendsEndAt - ms)
 			host.sendRequest(10, classNotIdempotent)
 			host.wantAction("attempt 10 1")
-			host.advanceTo(lastSendAt)
+			host.advanceTo(sendsEndAt)
 			host.sendRequest(11, classNotIdempotent)
 			host.wantNoAction("attempt 11 1")
 			if host.router.MayStillSend(host.now, 10, 0) {
@@ -98,12 +98,12 @@
 			t.Fatalf("a read was sent to draining server %d", sent[0])
 		}
 	}
-	lastSendAt := startTime + 500*ms - sendMargin - 5*ms
-	host.advanceTo(lastSendAt - ms)
+	sendsEndAt := startTime + 500*ms - sendMargin - 5*ms
+	host.advanceTo(sendsEndAt - ms)
 	host.probeAnswered(1, true, host.now)
 	host.sendRequest(10, classNotIdempotent)
 	host.wantAction("attempt 10 1")
-	host.advanceTo(lastSendAt + ms)
+	host.advanceTo(sendsEndAt + ms)
 	host.probeAnswered(1, true, host.now)
 	host.sendRequest(11, classNotIdempotent)
 	host.advanceTo(startTime + 1500*ms)
--- a/internal/policy/slow_start_test.go
+++ b/internal/policy/slow_start_test.go
@@ -203,6 +203,7 @@
 	sent      []sentWork
 }
 
+// newSlowStartRun returns a run whose poolers have the list of warm servers.
 func newSlowStartRun(t *testing.T, scenario slowStartScenario, seed uint64) *slowStartRun {
 	t.Helper()
 	run := &slowStartRun{slowStartScenario: scenario, random: rand.New(rand.NewPCG(seed, 1)),
--- a/internal/policy/timers_test.go
+++ b/internal/policy/timers_test.go
@@ -11,15 +11,15 @@
 	host.sendRequest(1, classNotIdempotent)
 	for i := 0; i < 5000 && host.now < startTime+2*time.Second; i++ {
 		host.now += 5 * ms
-		var later []time.Duration
+		var notDue []time.Duration
 		for _, due := range host.timersDue {
 			if due > host.now+time.Microsecond {
-				later = append(later, due)
+				notDue = append(notDue, due)
 			}
 		}
-		fires := len(later) < len(host.timersDue)
-		host.timersDue = later
-		if fires {
+		anyDue := len(notDue) < len(host.timersDue)
+		host.timersDue = notDue
+		if anyDue {
 			host.router.HandleTimer(host.now)
 		}
 	}
