--- a/internal/fleet/shardmap/acts.go
+++ b/internal/fleet/shardmap/acts.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// progress is how far the acts of a move's state are.
+// progress records which acts of a move's current state have been executed.
 type progress struct {
-	stateEpoch uint64 // of the state
-	lastAct    Act    // that has succeeded
-	running    bool
-	retryAt    time.Time // after a failure: not before
+	stateEpoch uint64    // Move.SinceEpoch of the state
+	lastAct    Act       // the last act that succeeded
+	running    bool      // whether an act is being executed
+	retryAt    time.Time // after a failure: the earliest time of the next attempt
 }
 
-// progressOf returns the progress of a move's present state.
+// progressOf returns the progress of a move in its current state.
 func (c *Component) progressOf(m Move) progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +23,7 @@
 	return progress{stateEpoch: m.SinceEpoch}
 }
 
-// setProgress sets a move's progress, and wakes the coordinator.
+// setProgress records the progress of a move and wakes the coordinator.
 func (c *Component) setProgress(move string, p progress) {
 	c.mu.Lock()
 	c.actProgress[move] = p
@@ -31,7 +31,8 @@
 	notify(c.coordinatorWake)
 }
 
-// startAct has an act done on a goroutine of its own, as it may take long: one at a time for each move, and again after a failure.
+// startAct starts the act of a step on a new goroutine, because an act may take long. It does nothing if an act of the move is being
+// executed already, or if the retry delay after a failure has not passed.
 func (s *session) startAct(ctx context.Context, step Step) {
 	before := s.progressOf(step.Move)
 	if before.running || time.Now().Before(before.retryAt) {
@@ -40,16 +41,16 @@
 	before.running = true
 	s.setProgress(step.Move.Name, before)
 	instruction := s.coordinator.Instruct(step)
-	go s.doAct(ctx, instruction, before.lastAct) // ends with the act, which is given up when the coordinator's term ends
+	go s.doAct(ctx, instruction, before.lastAct) // ends with the act, which is canceled when the term of leadership ends
 }
 
-// doAct has an act done, and records how it went. lastAct is the act that had succeeded before.
-func (s *session) doAct(ctx context.Context, i Instruction, lastAct Act) {
-	after := progress{stateEpoch: i.Move.SinceEpoch, lastAct: i.Act}
-	if err := s.options.Copier.Do(ctx, i); err != nil {
-		s.runtime.Log.Warn().Err(err).Str("move", i.Move.Name).Str("act", string(i.Act)).Msg("shardmap: act has failed")
+// doAct has the Copier execute an instruction and records the result. lastAct is the act that succeeded before it.
+func (s *session) doAct(ctx context.Context, instruction Instruction, lastAct Act) {
+	after := progress{stateEpoch: instruction.Move.SinceEpoch, lastAct: instruction.Act}
+	if err := s.options.Copier.Do(ctx, instruction); err != nil {
+		s.runtime.Log.Warn().Err(err).Str("move", instruction.Move.Name).Str("act", string(instruction.Act)).Msg("shardmap: act failed, will be retried")
 		after.lastAct = lastAct
 		after.retryAt = time.Now().Add(s.options.Term / requestsPerTerm)
 	}
-	s.setProgress(i.Move.Name, after)
+	s.setProgress(instruction.Move.Name, after)
 }
--- a/internal/fleet/shardmap/component.go
+++ b/internal/fleet/shardmap/component.go
@@ -14,50 +14,50 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// maxLoggedReasons bounds the reasons that are remembered to have been logged. Beyond it some are logged again.
+// maxLoggedReasons is the maximum number of reasons that logOnce remembers. When it is reached, all are forgotten and may be logged again.
 const maxLoggedReasons = 1 << 10
 
-// Options are what the operators set.
+// Options are the operators' settings of a Component.
 type Options struct {
-	Name          string        // of this pooler
-	Term          time.Duration // of a router's right
-	MaxClockDrift time.Duration // the most by which two monotonic clocks differ over a term
-	MaxPrepared   time.Duration // as Coordinator.MaxPrepared
-	MaxFenced     time.Duration // as Coordinator.MaxFenced
-	Ranges        []Range       // the first map, until the voters have one
-	// Epoch is that of the first map; 0 stands for 1. It is set higher where the voters have lost a newer map, so that servers do not
-	// take the first map for an old one.
+	Name          string        // name of this pooler
+	Term          time.Duration // duration of a write lease
+	MaxClockDrift time.Duration // maximum difference between two monotonic clocks over a term
+	MaxPrepared   time.Duration // see Coordinator.MaxPrepared
+	MaxFenced     time.Duration // see Coordinator.MaxFenced
+	Ranges        []Range       // first map, used until the voters store one
+	// Epoch is the epoch of the first map; 0 means 1. The operators set it to a higher value after the voters have lost a newer map, so
+	// that servers do not reject the first map as outdated.
 	Epoch   uint64
 	Orders  []Order
-	Retired []string // processes that the operators know to have stopped for good, by their names in the log
-	Copier  Copier   // nil: this pooler does not coordinate
+	Retired []string // instances, as logged, of processes that have stopped permanently according to the operators
+	Copier  Copier   // nil: this pooler does not coordinate moves
 }
 
-// Runtime is what the component works with.
+// Runtime contains the services that a Component uses while it runs.
 type Runtime struct {
 	Bus        bus.Bus
 	View       replication.View
 	Store      replication.Store
-	Leadership replication.Leadership // of LeaseName; nil: this pooler does not campaign, as it has no copier
+	Leadership replication.Leadership // leadership by LeaseName; nil: this pooler does not campaign, because it has no Copier
 	Log        zerolog.Logger
 }
 
-// Component is the shard map at one pooler: a router's right to write, and the coordination of moves while the pooler leads. It is safe
-// for concurrent use.
+// Component is the shard map at one pooler. It keeps the router's map and write lease up to date, and coordinates moves while this pooler
+// is the leader. It is safe for concurrent use.
 type Component struct {
 	options         Options
 	router          *Router
 	coordinator     Coordinator
-	routerWake      chan struct{} // there may be something to send the coordinator
-	coordinatorWake chan struct{} // there may be something for the coordinator to do
-	reloads         chan Options  // the newest that nobody has taken
+	routerWake      chan struct{} // receives a value when the router may have a request to send
+	coordinatorWake chan struct{} // receives a value when the coordinator may have a step to take
+	reloads         chan Options  // contains the newest options that publishOrders has not read yet
 
 	mu          sync.Mutex          // guards the fields below
-	actProgress map[string]progress // by move
-	logged      map[string]bool     // reasons
+	actProgress map[string]progress // by name of the move
+	logged      map[string]bool     // reasons that logOnce has logged
 }
 
-// New returns the component of one process.
+// New returns a Component with a new instance identifier for this process.
 func New(o Options) *Component {
 	instance := fmt.Sprintf("%s/%d-%d", o.Name, os.Getpid(), time.Now().UnixNano())
 	c := &Component{
@@ -78,27 +78,28 @@
 	return c
 }
 
-// Guard returns a guard for a frontend's dispatcher. isWrite reports whether a class is of writes.
+// Guard returns a new guard for a frontend's dispatcher. isWrite reports whether a class is a class of writes.
 func (c *Component) Guard(isWrite func(class int) bool) *Guard {
 	return c.router.newGuard(isWrite, func() { notify(c.routerWake) })
 }
 
-// Reload takes over the orders and the retired processes of the operators' file, when it was read again. It is called on one goroutine.
+// Reload replaces the orders and the retired processes by those of o, after the operators' file has been reloaded. It does not block. It
+// must not be called concurrently with itself.
 func (c *Component) Reload(o Options) {
 	select {
-	case <-c.reloads: // an earlier reading that nobody has taken
+	case <-c.reloads: // discards older options that were not read
 	default:
 	}
 	c.reloads <- o
 }
 
-// Run acts until ctx ends. It returns no error.
+// Run runs the component until ctx ends. It always returns nil.
 func (c *Component) Run(ctx context.Context, runtime Runtime) error {
 	runtime.Log = runtime.Log.With().Str("part", "shards").Str("instance", c.router.Instance).Logger()
 	s := &session{Component: c, runtime: runtime}
 	s.handleMessages(ctx)
 	var running sync.WaitGroup
-	defer running.Wait() // all end with ctx
+	defer running.Wait() // all goroutines return when ctx ends
 	running.Go(func() { s.enroll(ctx) })
 	running.Go(func() { s.coordinate(ctx) })
 	running.Go(func() { s.publishOrders(ctx) })
@@ -112,8 +113,8 @@
 	runtime Runtime
 }
 
-// followDocuments keeps the router's map as new as the replica, and sends the coordinator what the router requests and acknowledges: at
-// once, and several times a term.
+// followDocuments keeps the router's map up to date with the replica and sends the router's requests to the coordinator, until ctx ends.
+// It sends a request at once when there is something new to acknowledge, and otherwise several times per term.
 func (s *session) followDocuments(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := s.runtime.View.Changed()
@@ -132,10 +133,10 @@
 	}
 }
 
-// applyDocument puts the replica's map in force. Until there is one, it is the operators' map, at epoch 0: no write is admitted by it
-// before the replica has been brought up to date, as a range may have moved since.
+// applyDocument applies the replica's map to the router. While the replica has none, it applies the operators' map at epoch 0. No write is
+// admitted by that map before the replica is as new as this process's enrollment, because a range may have been moved since.
 func (s *session) applyDocument() {
-	for { // until both documents are of one version of the replica
+	for { // until both documents are read at the same version of the replica
 		version := s.runtime.View.Version()
 		document := Document{Ranges: s.options.Ranges}
 		if stored, ok := s.runtime.View.Get(MapKey); ok {
@@ -154,21 +155,23 @@
 	}
 }
 
-// read reads a document from the voters, for no longer than a term.
+// read reads a document from the voters. It times out after one term.
 func (s *session) read(ctx context.Context, key string) (replication.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Term)
 	defer cancel()
 	return s.runtime.Store.Read(ctx, key)
 }
 
-// put writes a document, for no longer than a term.
-func (s *session) put(ctx context.Context, key string, expect uint64, value []byte, f replication.Fence) (version uint64, err error) {
+// put writes a document if the stored one has the expected version and the fence is valid, and returns the new version. It times out after
+// one term.
+func (s *session) put(ctx context.Context, key string, expectedVersion uint64, value []byte, fence replication.Fence) (version uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Term)
 	defer cancel()
-	return s.runtime.Store.Put(ctx, key, expect, value, f)
+	return s.runtime.Store.Put(ctx, key, expectedVersion, value, fence)
 }
 
-// putIfChanged writes a document unless its value is stored already. Another pooler with the same file may have written it meanwhile.
+// putIfChanged writes a document unless the stored one has the same value. It returns nil after a conflict, because another pooler with
+// the same file may have written the document meanwhile.
 func (s *session) putIfChanged(ctx context.Context, key string, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Term)
 	defer cancel()
@@ -183,7 +186,7 @@
 	return err
 }
 
-// logOnce calls log unless it has been called for the reason.
+// logOnce calls log unless it has already been called for the reason.
 func (c *Component) logOnce(reason string, log func()) {
 	c.mu.Lock()
 	loggedBefore := c.logged[reason]
@@ -197,7 +200,7 @@
 	}
 }
 
-// notify wakes the receiver of a channel that holds one element.
+// notify sends a value to a channel with a buffer of one, unless the buffer is full. It does not block.
 func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/fleet/shardmap/coordination.go
+++ b/internal/fleet/shardmap/coordination.go
@@ -10,10 +10,11 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// checksPerTerm is how often the coordinator looks at unfinished moves in a term. Requests and changes of documents wake it at once.
+// checksPerTerm is the number of times per term that the coordinator checks unfinished moves. Requests and changes of documents wake it
+// earlier.
 const checksPerTerm = 20
 
-// coordinate coordinates the moves whenever this pooler leads.
+// coordinate coordinates the moves whenever this pooler is the leader, until ctx ends. It returns at once if the pooler does not campaign.
 func (s *session) coordinate(ctx context.Context) {
 	if s.runtime.Leadership == nil {
 		return
@@ -23,7 +24,7 @@
 		if token, _, leads := s.runtime.Leadership.Token(); leads {
 			s.runTerm(ctx, token)
 		}
-		timer := time.NewTimer(s.options.Term / requestsPerTerm) // a term that ended for want of an answer may go on
+		timer := time.NewTimer(s.options.Term / requestsPerTerm) // retries if the voters did not answer while this pooler is still the leader
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -33,7 +34,7 @@
 	}
 }
 
-// runTerm serves one term of leadership. Its acts are given up at its end.
+// runTerm serves one term of leadership. It cancels the acts that are still being executed at its end.
 func (s *session) runTerm(ctx context.Context, token uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	s.serveTerm(ctx, token)
@@ -41,12 +42,12 @@
 	s.coordinator.EndTerm()
 }
 
-// serveTerm takes moves on by a token, until the token is lost or the voters do not answer.
+// serveTerm advances moves under a fencing token until the token is lost, the voters do not answer or ctx ends.
 func (s *session) serveTerm(ctx context.Context, token uint64) {
 	if !s.beginTerm(ctx, token) {
 		return
 	}
-	s.runtime.Log.Info().Uint64("token", token).Msg("shardmap: this pooler coordinates moves")
+	s.runtime.Log.Info().Uint64("token", token).Msg("shardmap: pooler became the coordinator of moves")
 	for ctx.Err() == nil {
 		changed := s.runtime.View.Changed()
 		leadershipChanged := s.runtime.Leadership.Changed()
@@ -55,7 +56,7 @@
 		}
 		stepped, err := s.advanceMoves(ctx, token)
 		if err != nil {
-			s.runtime.Log.Warn().Err(err).Uint64("token", token).Msg("shardmap: step is not written")
+			s.runtime.Log.Warn().Err(err).Uint64("token", token).Msg("shardmap: writing the map failed")
 			if errors.Is(err, replication.ErrFenced) || !s.beginTerm(ctx, token) {
 				return
 			}
@@ -66,7 +67,7 @@
 	}
 }
 
-// waitForWork waits until there may be a step to take.
+// waitForWork blocks until a move may have a step to take or ctx ends.
 func (s *session) waitForWork(ctx context.Context, changed, leadershipChanged <-chan struct{}) {
 	var check <-chan time.Time
 	if document, _ := s.coordinator.Document(); document.hasUnfinishedMove() {
@@ -83,8 +84,9 @@
 	}
 }
 
-// beginTerm reads the document from the voters, and writes the first map, or this coordinator's name, into it where that is wanted. What
-// has become of a write whose answer was lost is learned in the same way.
+// beginTerm reads the map from the voters and begins a term with it. If the voters have no map, it writes the operators' first map; if
+// there is an unfinished move and another pooler is recorded as the coordinator, it records this one. beginTerm is also called after a
+// failed write, to find out whether the write took effect. It reports whether all reads and writes succeeded.
 func (s *session) beginTerm(ctx context.Context, token uint64) bool {
 	stored, err := s.read(ctx, MapKey)
 	var document Document
@@ -105,8 +107,8 @@
 	return err == nil
 }
 
-// writeDocument writes a step. The write is accepted only while this coordinator's token is valid and nothing else has been written since
-// the document was read.
+// writeDocument writes the document after a step. The voters accept it only while this coordinator's token is valid and if the document
+// has not been written since this coordinator read it.
 func (s *session) writeDocument(ctx context.Context, token uint64, d Document) error {
 	_, version := s.coordinator.Document()
 	d.Holder = s.options.Name
@@ -117,9 +119,10 @@
 	return err
 }
 
-// advanceMoves takes each move as far as it goes now. It reports whether a step was written: there may be more then.
+// advanceMoves applies the orders and starts the acts of moves, up to the first step that writes the document. stepped reports whether a
+// step was written; the caller then calls advanceMoves again, as there may be more steps.
 func (s *session) advanceMoves(ctx context.Context, token uint64) (stepped bool, err error) {
-	if stepped, err = s.carryOutOrders(ctx, token); stepped || err != nil {
+	if stepped, err = s.applyOrders(ctx, token); stepped || err != nil {
 		return stepped, err
 	}
 	enrollment := s.enrollment()
@@ -142,7 +145,7 @@
 	return false, nil
 }
 
-// enrollment returns which processes may write, by the replica.
+// enrollment returns the processes that are enrolled according to the replica.
 func (s *session) enrollment() Enrollment {
 	e := Enrollment{Version: s.runtime.View.Version(), Instances: map[string]string{}}
 	for _, stored := range s.runtime.View.List(RouterPrefix) {
@@ -151,7 +154,7 @@
 	return e
 }
 
-// logWaiting logs, once, which processes a move waits for.
+// logWaiting logs, once for each state of a move and set of processes, that the move waits for the processes' acknowledgements.
 func (s *session) logWaiting(m Move, e Enrollment) {
 	if m.State != Prepared && m.State != Fenced {
 		return
@@ -161,16 +164,17 @@
 		return
 	}
 	s.logOnce(fmt.Sprint(m.SinceEpoch, waitsFor), func() {
-		s.runtime.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Strs("waits_for", waitsFor).Msg("shardmap: move waits for poolers")
+		s.runtime.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Strs("waits_for", waitsFor).Msg("shardmap: move waits for acknowledgements")
 	})
 }
 
-// logStep logs a move's new state; at the switch with the map, which the operators' file must have should the voters' directories be lost.
+// logStep logs the new state of a move. At the switch it also logs the map, which the operators must copy to their file if the voters lose
+// their data.
 func (s *session) logStep(name string, d Document) {
 	m, _ := d.Move(name)
 	line := s.runtime.Log.Info().Str("move", m.Name).Str("state", string(m.State)).Uint64("epoch", m.SinceEpoch).Str("why", m.Reason)
 	if m.State == Switched {
 		line = line.Interface("ranges", d.Ranges)
 	}
-	line.Msg("shardmap: move has advanced")
+	line.Msg("shardmap: move entered a new state")
 }
--- a/internal/fleet/shardmap/coordinator.go
+++ b/internal/fleet/shardmap/coordinator.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Coordinator decides about the moves for the pooler that holds LeaseName. It is safe for concurrent use, and no method blocks. A
-// Coordinator does not lead until BeginTerm.
+// Coordinator decides the steps of moves and grants write leases, for the pooler that holds LeaseName. It does not lead until BeginTerm is
+// called. It is safe for concurrent use, and no method blocks.
 type Coordinator struct {
-	Name          string        // of the pooler
-	Term          time.Duration // of a router's right
-	MaxClockDrift time.Duration // the most by which two monotonic clocks differ over a term
-	// MaxPrepared and MaxFenced bound how long a move may stay prepared, and fenced, before the coordinator undoes it.
+	Name          string        // name of this pooler
+	Term          time.Duration // duration of a write lease
+	MaxClockDrift time.Duration // maximum difference between two monotonic clocks over a term
+	// MaxPrepared and MaxFenced are the maximum times that a move may stay prepared and fenced, respectively, before it is undone.
 	MaxPrepared, MaxFenced time.Duration
 
 	mu           sync.Mutex // guards the fields below
 	disabled     disabledRules
-	token        uint64 // 0: the pooler does not lead
+	token        uint64 // fencing token; 0: the pooler is not the leader
 	document     Document
-	version      uint64               // of the document
-	sequence     uint64               // of the last instruction
-	stateSince   map[string]time.Time // by move: when this coordinator learned of its state
-	lastRequests map[string]Request   // by router; nil: no term has begun
+	version      uint64               // version of document in the store
+	sequence     uint64               // sequence number of the last instruction
+	stateSince   map[string]time.Time // by name of the move: when this coordinator learned of its current state
+	lastRequests map[string]Request   // by name of the pooler; nil: no term has begun yet
 }
 
-// Enrollment is which processes may write, as a replica of the shared documents has them.
+// Enrollment lists the processes that are enrolled according to a replica of the shared documents.
 type Enrollment struct {
-	Version   uint64            // of the replica
-	Instances map[string]string // by pooler
+	Version   uint64            // version of the replica
+	Instances map[string]string // instance of the enrolled process, by name of the pooler
 }
 
-// BeginTerm begins a term of leadership by a token, with the document as the voters have it then. Rights that earlier coordinators granted
-// were requested before, so a wait that begins now ends after all of them.
+// BeginTerm begins a term of leadership under a token, with the document and its version as read from the voters. Write leases of earlier
+// coordinators were requested before this call, so a wait for maxWriteLease that starts now ends after all of them have expired.
 func (c *Coordinator) BeginTerm(token uint64, d Document, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,7 +46,7 @@
 	c.stateSince = map[string]time.Time{}
 	since := time.Now()
 	if !c.disabled.inForce(ruleFreshWait) {
-		since = since.Add(-c.maxRight())
+		since = since.Add(-c.maxWriteLease())
 	}
 	for _, m := range d.Moves {
 		c.stateSince[m.Name] = since
@@ -60,7 +60,8 @@
 	c.token = 0
 }
 
-// DocumentWritten records that a document has been written. The time of the states that it begins counts from now.
+// DocumentWritten records a document that has been written, and its version in the store. The time limits of the states that begin with
+// the document count from now.
 func (c *Coordinator) DocumentWritten(d Document, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,39 +74,41 @@
 	c.version = version
 }
 
-// Document returns the document that was read or written last, and its version.
+// Document returns the document that was read or written last, and its version in the store.
 func (c *Coordinator) Document() (d Document, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.document, c.version
 }
 
-// maxRight is how long a right may last on any clock after it was requested.
-func (c *Coordinator) maxRight() time.Duration { return c.Term + c.MaxClockDrift }
+// maxWriteLease returns the longest time, on any clock, from the request of a write lease to its expiry.
+func (c *Coordinator) maxWriteLease() time.Duration { return c.Term + c.MaxClockDrift }
 
-// HandleRequest records a router's request, and grants its right. until is the end of the leadership: rights are granted only before it,
-// so that the wait of the next coordinator covers them.
-func (c *Coordinator) HandleRequest(r Request, until time.Time) (g Grant, ok bool) {
+// HandleRequest records a router's request and grants a write lease. until is the end of the leadership: write leases are granted only
+// before it, so that the wait of the next coordinator covers them. ok is false if the pooler is not the leader.
+func (c *Coordinator) HandleRequest(request Request, until time.Time) (g Grant, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	leads := c.token != 0 && time.Now().Before(until)
 	if c.lastRequests == nil || c.disabled.inForce(ruleLeaderOnly) && !leads {
 		return Grant{}, false
 	}
-	if last := c.lastRequests[r.Name]; last.Instance != r.Instance || last.ID < r.ID {
-		c.lastRequests[r.Name] = r
+	if last := c.lastRequests[request.Name]; last.Instance != request.Instance || last.ID < request.ID {
+		c.lastRequests[request.Name] = request
 	}
-	return Grant{ID: r.ID, Instance: r.Instance, Epoch: c.document.Epoch}, true
+	return Grant{ID: request.ID, Instance: request.Instance, Epoch: c.document.Epoch}, true
 }
 
-// allAcknowledged is the rule of who counts: every process that has enrolled, as of a replica that is not older than the move's state,
-// has acknowledged that state's epoch. A process that enrolls later begins with the epoch; so does one that follows, under the same name,
-// a process that has acknowledged, as it has enrolled after that. The caller holds the mutex.
+// allAcknowledged reports whether every enrolled process has acknowledged the epoch of a move's state, according to a replica that is at
+// least as new as the document. Processes that enroll later need not be considered: they start with a map of that epoch or a newer one.
+// This includes a process that replaces one that has acknowledged, under the same name, because it enrolls after the acknowledgement. The
+// caller holds the mutex.
 func (c *Coordinator) allAcknowledged(m Move, e Enrollment) bool {
 	return e.Version >= c.version && len(c.unacknowledged(m, e)) == 0
 }
 
-// unacknowledged returns the enrolled processes that have not acknowledged a move's state, sorted. The caller holds the mutex.
+// unacknowledged returns, sorted, the instances of the enrolled processes that have not acknowledged the epoch of a move's state. The
+// caller holds the mutex.
 func (c *Coordinator) unacknowledged(m Move, e Enrollment) []string {
 	var instances []string
 	for pooler, instance := range e.Instances {
@@ -117,18 +120,19 @@
 	return instances
 }
 
-// isDrained is the rule of the switch: no router writes to a fenced range any more, as all have acknowledged the fence, or as all rights
-// from before the fence have ended. Those were requested before this coordinator learned of the fence, and last a term less the drift on
-// their routers' clocks, which is a term and the drift on this one at most. The caller holds the mutex.
+// isDrained reports whether no router writes to the range of a fenced move any more, either because all have acknowledged the fence or
+// because all write leases from before the fence have expired. Those were requested before this coordinator learned of the fence. They
+// last a term minus the drift on their routers' clocks, which is at most a term plus the drift on this pooler's clock. The caller holds the
+// mutex.
 func (c *Coordinator) isDrained(m Move, e Enrollment) bool {
 	if !c.disabled.inForce(ruleDrain) || c.allAcknowledged(m, e) {
 		return true
 	}
-	return time.Since(c.stateSince[m.Name]) >= c.maxRight()
+	return time.Since(c.stateSince[m.Name]) >= c.maxWriteLease()
 }
 
-// WaitingFor returns the processes whose acknowledgement a move waits for, once it has waited for a term. Before that most
-// acknowledgements are on their way.
+// WaitingFor returns the instances of the processes whose acknowledgement a move waits for. It returns nil until the move has been in its
+// state for a term, because until then most acknowledgements are still in transit.
 func (c *Coordinator) WaitingFor(name string, e Enrollment) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +143,7 @@
 	return c.unacknowledged(m, e)
 }
 
-// Instruct returns the instruction of a step's act. Each call returns a newer one.
+// Instruct returns an instruction for the act of a step. The instruction is newer than all earlier ones of this coordinator.
 func (c *Coordinator) Instruct(s Step) Instruction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,8 +151,8 @@
 	return Instruction{Act: s.Act, Move: s.Move, Holder: c.Name, Epoch: c.document.Epoch, Token: c.token, Sequence: c.sequence}
 }
 
-// NextStep decides the step that a move can take now; ok is false if it can take none. done is the last act that has succeeded since the
-// move's state began.
+// NextStep returns the step that a move can take now. ok is false if there is none. done is the last act that has succeeded in the move's
+// current state.
 func (c *Coordinator) NextStep(name string, e Enrollment, done Act) (s Step, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,37 +162,37 @@
 	}
 	switch m.State {
 	case Prepared:
-		return c.nextOfPrepared(m, e)
+		return c.stepFromPrepared(m, e)
 	case Copying:
-		return c.nextOfAct(m, ActCopy, done), true
+		return c.stepAfterAct(m, ActCopy, done), true
 	case Fenced:
-		return c.nextOfFenced(m, e, done)
+		return c.stepFromFenced(m, e, done)
 	case Switched:
-		return c.nextOfAct(m, ActClose, done), true
+		return c.stepAfterAct(m, ActClose, done), true
 	}
 	return Step{}, false
 }
 
-// nextOfPrepared advances a move that all processes have acknowledged, and undoes one that has waited too long. The caller holds the
-// mutex.
-func (c *Coordinator) nextOfPrepared(m Move, e Enrollment) (s Step, ok bool) {
+// stepFromPrepared advances a move that all enrolled processes have acknowledged, and undoes one that has been prepared for MaxPrepared.
+// The caller holds the mutex.
+func (c *Coordinator) stepFromPrepared(m Move, e Enrollment) (s Step, ok bool) {
 	switch {
 	case !c.disabled.inForce(ruleAllAcknowledge) || c.allAcknowledged(m, e):
-		return c.advance(m), true
+		return c.advanceStep(m), true
 	case time.Since(c.stateSince[m.Name]) >= c.MaxPrepared:
-		return c.undo(m, fmt.Sprintf("not all routers knew of it after %v: %v", c.MaxPrepared, c.unacknowledged(m, e))), true
+		return c.undoStep(m, fmt.Sprintf("not all routers knew of it after %v: %v", c.MaxPrepared, c.unacknowledged(m, e))), true
 	}
 	return Step{}, false
 }
 
-// nextOfFenced fences the source, waits for the routers, finishes the copy and advances; it undoes a move that takes too long. The caller
-// holds the mutex.
-func (c *Coordinator) nextOfFenced(m Move, e Enrollment, done Act) (s Step, ok bool) {
+// stepFromFenced has the source fenced, waits for the routers to drain, has the copy finished and advances the move. It undoes a move that
+// has been fenced for MaxFenced. The caller holds the mutex.
+func (c *Coordinator) stepFromFenced(m Move, e Enrollment, done Act) (s Step, ok bool) {
 	switch {
 	case done == ActFinish:
-		return c.advance(m), true
+		return c.advanceStep(m), true
 	case time.Since(c.stateSince[m.Name]) >= c.MaxFenced:
-		return c.undo(m, fmt.Sprintf("fenced for %v", c.MaxFenced)), true
+		return c.undoStep(m, fmt.Sprintf("fenced for %v", c.MaxFenced)), true
 	case done != ActFence:
 		return Step{Move: m, Act: ActFence}, true
 	case c.isDrained(m, e):
@@ -197,22 +201,23 @@
 	return Step{}, false
 }
 
-// nextOfAct advances a move whose act is done, and has it done otherwise. The caller holds the mutex.
-func (c *Coordinator) nextOfAct(m Move, needed, done Act) Step {
+// stepAfterAct advances a move if the needed act is the last that succeeded; otherwise it returns a step that executes the act. The caller
+// holds the mutex.
+func (c *Coordinator) stepAfterAct(m Move, needed, done Act) Step {
 	if done == needed {
-		return c.advance(m)
+		return c.advanceStep(m)
 	}
 	return Step{Move: m, Act: needed}
 }
 
-// advance is the step that takes a move to its next state. The caller holds the mutex.
-func (c *Coordinator) advance(m Move) Step {
+// advanceStep returns the step that takes a move to its next state. The caller holds the mutex.
+func (c *Coordinator) advanceStep(m Move) Step {
 	next := c.document.Advance(m.Name)
 	return Step{Move: m, Next: &next}
 }
 
-// undo is the step that undoes a move. The caller holds the mutex.
-func (c *Coordinator) undo(m Move, reason string) Step {
+// undoStep returns the step that undoes a move for a reason. The caller holds the mutex.
+func (c *Coordinator) undoStep(m Move, reason string) Step {
 	next := c.document.Undo(m.Name, reason)
 	return Step{Move: m, Next: &next}
 }
--- a/internal/fleet/shardmap/copier.go
+++ b/internal/fleet/shardmap/copier.go
@@ -9,18 +9,19 @@
 	"net/http"
 )
 
-// Copier moves a range's data between clusters, instruction by instruction, by means of the servers. It owes that an act can be
-// repeated, and that it refuses an instruction if a newer one for any of its keys has been carried out (Instruction.Newer).
+// Copier executes the acts of moves by means of the servers: it copies ranges between clusters and makes servers reject writes. An
+// implementation must be able to repeat an act, and must reject an instruction if it has executed a newer one for any of its keys
+// (Instruction.Newer).
 type Copier interface {
-	// Do returns nil once the act is done: an ActCopy when the target is nearly up to the source, an ActFinish when it is fully.
+	// Do executes an instruction. It returns nil once the act has succeeded: an ActCopy once the target is almost up to date with the
+	// source, an ActFinish once it is fully up to date.
 	Do(ctx context.Context, i Instruction) error
 }
 
-// maxErrorBody bounds what is read of a refusal, in bytes.
+// maxErrorBody is the maximum number of bytes of a response that are copied to an error.
 const maxErrorBody = 1 << 10
 
-// HTTPCopier is a Copier at an address that the operators name. Each instruction is one POST of JSON, answered with status 200 once it
-// is done.
+// HTTPCopier is a Copier that posts each instruction as JSON to a URL. The server answers with status 200 once the act has succeeded.
 type HTTPCopier struct{ URL string }
 
 // Do implements Copier.
@@ -39,9 +40,9 @@
 		return fmt.Errorf("shardmap: %s of %s: %w", i.Act, i.Move.Name, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // as much of it as arrives
+	responseBody, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // an incomplete body is still useful in the error
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("shardmap: %s of %s: %s: %s", i.Act, i.Move.Name, response.Status, bytes.TrimSpace(message))
+		return fmt.Errorf("shardmap: %s of %s: %s: %s", i.Act, i.Move.Name, response.Status, bytes.TrimSpace(responseBody))
 	}
 	return nil
 }
--- a/internal/fleet/shardmap/document.go
+++ b/internal/fleet/shardmap/document.go
@@ -9,45 +9,45 @@
 	"threadsail/internal/keyrange"
 )
 
-// maxFinishedMoves bounds the finished moves that the document remembers, so that an order is not carried out twice.
+// maxFinishedMoves is the number of finished moves that the document retains, so that a repeated order does not begin its move again.
 const maxFinishedMoves = 64
 
-// Document is the map and its moves at an epoch. A Document does not change: each step returns another. The zero Document is no map, and
-// everything is routed as without one.
+// Document is the map with its moves at an epoch. Its methods do not modify it: each step returns a new Document. The zero Document
+// contains no map; requests are then routed without regard to their keys.
 type Document struct {
-	Epoch  uint64  `json:"epoch"`            // grows by one with every step of any move
-	Holder string  `json:"holder,omitempty"` // the pooler that coordinates
+	Epoch  uint64  `json:"epoch"`            // increases by one with each step of any move
+	Holder string  `json:"holder,omitempty"` // name of the pooler that coordinates
 	Ranges []Range `json:"ranges"`
-	Moves  []Move  `json:"moves,omitempty"` // those under way and the last finished ones, in the order of their beginning
+	Moves  []Move  `json:"moves,omitempty"` // the unfinished moves and the last finished ones, in the order in which they began
 }
 
-// parseDocument decodes a stored document; an empty text is the zero Document.
-func parseDocument(text []byte) (Document, error) {
+// parseDocument decodes a stored document. Empty data decodes to the zero Document.
+func parseDocument(data []byte) (Document, error) {
 	var d Document
-	if len(text) == 0 {
+	if len(data) == 0 {
 		return d, nil
 	}
-	if err := json.Unmarshal(text, &d); err != nil {
+	if err := json.Unmarshal(data, &d); err != nil {
 		return Document{}, fmt.Errorf("shardmap: decode document: %w", err)
 	}
 	return d, nil
 }
 
-// encode encodes the document for the store.
+// encode returns the stored form of the document.
 func (d Document) encode() []byte {
 	var b bytes.Buffer
 	if err := json.NewEncoder(&b).Encode(d); err != nil {
-		panic(err) // a document holds numbers and strings alone
+		panic(err) // unreachable: a Document consists of numbers and strings only
 	}
 	return b.Bytes()
 }
 
-// Home returns the cluster of a key; ok is false if there is no map.
+// Home returns the home cluster of a key. ok is false if there is no map.
 func (d Document) Home(key string) (cluster int, ok bool) {
 	return keyrange.ClusterOf(d.Ranges, key)
 }
 
-// activeMoveOf returns the move before its switch that a key is in.
+// activeMoveOf returns the unswitched move whose range contains a key.
 func (d Document) activeMoveOf(key string) (Move, bool) {
 	for _, m := range d.Moves {
 		if m.State.beforeSwitch() && m.Range.Contains(key) {
@@ -57,34 +57,37 @@
 	return Move{}, false
 }
 
-// movedSince reports whether a key has changed its home after an epoch. A request is far shorter than maxFinishedMoves moves.
+// movedSince reports whether the home of a key has changed after an epoch. The retained moves suffice for that: no request lasts as long as
+// maxFinishedMoves moves.
 func (d Document) movedSince(key string, epoch uint64) bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.SwitchEpoch > epoch && m.Range.Contains(key) })
 }
 
-// Move returns the move of a name.
+// Move returns the move with a name.
 func (d Document) Move(name string) (Move, bool) {
-	if i := d.index(name); i >= 0 {
+	if i := d.moveIndex(name); i >= 0 {
 		return d.Moves[i], true
 	}
 	return Move{}, false
 }
 
-func (d Document) index(name string) int {
+// moveIndex returns the index of the move with a name, or -1 if there is none.
+func (d Document) moveIndex(name string) int {
 	return slices.IndexFunc(d.Moves, func(m Move) bool { return m.Name == name })
 }
 
-// hasActiveMove reports whether a move is before its switch, so that routers need a right to write to its range.
+// hasActiveMove reports whether there is an unswitched move, so that routers need a write lease for its range.
 func (d Document) hasActiveMove() bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.State.beforeSwitch() })
 }
 
-// hasUnfinishedMove reports whether a move is under way, before or after its switch.
+// hasUnfinishedMove reports whether there is a move that is neither done nor undone.
 func (d Document) hasUnfinishedMove() bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool { return !m.State.isFinal() })
 }
 
-// Begin returns the document with an order's move prepared.
+// Begin returns the document with the move of an order in the state Prepared. It returns errDuplicateMove, errOverlappingMove or
+// errWrongSource if the move can't begin.
 func (d Document) Begin(o Order) (Document, error) {
 	if err := d.checkOrder(o); err != nil {
 		return d, err
@@ -95,28 +98,28 @@
 	return next, nil
 }
 
-// checkOrder returns why an order can't begin.
+// checkOrder returns the reason why the move of an order can't begin, or nil if it can.
 func (d Document) checkOrder(o Order) error {
-	if d.index(o.Name) >= 0 {
+	if d.moveIndex(o.Name) >= 0 {
 		return errDuplicateMove
 	}
 	if overlapsUnfinishedMove(d, o.Range) {
 		return errOverlappingMove
 	}
-	elsewhere := slices.ContainsFunc(d.Ranges, func(r Range) bool { return r.Overlaps(o.Range) && r.Cluster != o.Source })
+	hasOtherHome := slices.ContainsFunc(d.Ranges, func(r Range) bool { return r.Overlaps(o.Range) && r.Cluster != o.Source })
 	emptyRange := o.Range.To != "" && o.Range.To <= o.Range.From
-	if elsewhere || emptyRange || len(d.Ranges) == 0 || o.Source == o.Range.Cluster {
+	if hasOtherHome || emptyRange || len(d.Ranges) == 0 || o.Source == o.Range.Cluster {
 		return errWrongSource
 	}
 	return nil
 }
 
-// overlapsUnfinishedMove is the rule that no key is in two moves before their ends.
+// overlapsUnfinishedMove reports whether a range overlaps that of an unfinished move. No key may be in two unfinished moves.
 func overlapsUnfinishedMove(d Document, r Range) bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool { return !m.State.isFinal() && m.Range.Overlaps(r) })
 }
 
-// dropFinishedMoves drops the oldest finished moves beyond maxFinishedMoves.
+// dropFinishedMoves removes the oldest finished moves, so that maxFinishedMoves remain.
 func (d *Document) dropFinishedMoves() {
 	finished := 0
 	for _, m := range d.Moves {
@@ -133,9 +136,10 @@
 	})
 }
 
-// Advance returns the document with a move taken to its next state. The switch puts the range's new home into the map in the same step.
+// Advance returns the document with a move in its next state. The transition to Switched also assigns the range to the target cluster. A
+// move in a final state is left unchanged. Advance panics if there is no move with the name.
 func (d Document) Advance(name string) Document {
-	i := d.index(name)
+	i := d.moveIndex(name)
 	next, ok := nextStates[d.Moves[i].State]
 	if !ok {
 		return d
@@ -151,9 +155,10 @@
 	return d
 }
 
-// Undo returns the document with a move undone. After its switch a move stays as it is.
+// Undo returns the document with a move undone for a reason. It returns the document unchanged if there is no move with the name or the
+// move has been switched or undone.
 func (d Document) Undo(name, reason string) Document {
-	i := d.index(name)
+	i := d.moveIndex(name)
 	if i < 0 || !d.Moves[i].State.beforeSwitch() {
 		return d
 	}
@@ -165,7 +170,7 @@
 	return d
 }
 
-// nextEpoch returns a copy at the next epoch.
+// nextEpoch returns a copy of the document with the epoch increased by one.
 func (d Document) nextEpoch() Document {
 	d.Epoch++
 	d.Ranges = slices.Clone(d.Ranges)
--- a/internal/fleet/shardmap/document_test.go
+++ b/internal/fleet/shardmap/document_test.go
@@ -8,13 +8,13 @@
 	"threadsail/internal/keyrange"
 )
 
-// documentKeys are the keys at which ranges begin and end; "" is the end of all keys.
+// documentKeys are the bounds of the drawn ranges; "" as an upper bound stands for none.
 var documentKeys = []string{"", "a", "b", "c", "d", "e"}
 
-// noRange holds no key.
+// noRange is an empty range.
 var noRange = Range{From: "-", To: "-"}
 
-// drawStep returns the document after a drawn step, and the range that it has switched; noRange if none.
+// drawStep returns the document after a drawn step and the range that the step has switched, or noRange if it has switched none.
 func drawStep(t *rapid.T, d Document) (next Document, switched Range) {
 	switch n := rapid.IntRange(0, 3).Draw(t, "act"); {
 	case n == 0 || len(d.Moves) == 0:
@@ -29,7 +29,7 @@
 	return d.Advance(m.Name), noRange
 }
 
-// drawBegin returns the document after a drawn order, which begins only if all of its keys are at home in its source.
+// drawBegin returns the document after a drawn order. It fails the test if the order begins although its source is not the home of all keys.
 func drawBegin(t *rapid.T, d Document) Document {
 	o := Order{Name: rapid.StringMatching("m[0-9]").Draw(t, "name"), Source: rapid.IntRange(0, 2).Draw(t, "source"),
 		Range: Range{From: rapid.SampledFrom(documentKeys).Draw(t, "from"), To: rapid.SampledFrom(documentKeys).Draw(t, "to"), Cluster: rapid.IntRange(0, 2).Draw(t, "target")}}
@@ -39,13 +39,13 @@
 	}
 	for _, key := range documentKeys[1:] {
 		if home, _ := next.Home(key); o.Range.Contains(key) && home != o.Source {
-			t.Fatalf("%v begins though %q is at home in %d", o, key, home)
+			t.Fatalf("%v begins although the home of %q is %d", o, key, home)
 		}
 	}
 	return next
 }
 
-// checkKey checks that a key's home has changed by a switch alone, and that the key is in one active move at most.
+// checkKey checks that the home of a key has changed only by a switch, and that the key is in at most one active move.
 func checkKey(t *rapid.T, key string, before, after Document, switched Range) {
 	was, _ := before.Home(key)
 	is, _ := after.Home(key)
@@ -54,7 +54,7 @@
 		want = switched.Cluster
 	}
 	if is != want {
-		t.Fatalf("%q went from %d to %d by %v", key, was, is, switched)
+		t.Fatalf("home of %q changed from %d to %d; the switched range is %v", key, was, is, switched)
 	}
 	active := 0
 	for _, m := range after.Moves {
@@ -63,12 +63,12 @@
 		}
 	}
 	if active > 1 {
-		t.Fatalf("%q is in two moves: %v", key, after.Moves)
+		t.Fatalf("%q is in more than one active move: %v", key, after.Moves)
 	}
 }
 
-// Whatever moves are begun, advanced and undone, the map holds every key once, a key's home changes by switches alone, no key is in two
-// active moves, and each step has an epoch of its own.
+// For any sequence of steps, the map contains every key once, the home of a key changes only by switches, no key is in two active moves, and
+// each step increases the epoch by one.
 func TestDocumentInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Document{Epoch: 1, Ranges: []Range{{To: "c"}, {From: "c", Cluster: 1}}}
@@ -77,13 +77,13 @@
 			var switched Range
 			d, switched = drawStep(t, d)
 			if at, err := keyrange.Check(d.Ranges, func(int) bool { return true }); err != nil {
-				t.Fatalf("%d: %v", at, err)
+				t.Fatalf("range %d: %v", at, err)
 			}
 			for _, key := range documentKeys[1:] {
 				checkKey(t, key, before, d, switched)
 			}
 			if string(before.encode()) != string(d.encode()) && d.Epoch != before.Epoch+1 {
-				t.Fatalf("epoch %d after %d", d.Epoch, before.Epoch)
+				t.Fatalf("epoch %d follows %d", d.Epoch, before.Epoch)
 			}
 			if again, err := parseDocument(d.encode()); err != nil || string(again.encode()) != string(d.encode()) {
 				t.Fatal(err)
--- a/internal/fleet/shardmap/enrollment.go
+++ b/internal/fleet/shardmap/enrollment.go
@@ -7,12 +7,12 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// withdrawTimeout bounds how long a pooler that ends waits for the voters to know.
+// withdrawTimeout is the maximum time for which a pooler delays its exit to delete its document.
 const withdrawTimeout = 500 * time.Millisecond
 
-// enroll writes this process's document, and again if the operators have retired the process though it runs. A document that names a
-// later process stays, and this process sends no more writes. When ctx ends the document is deleted, so that no move waits for a pooler
-// that was stopped in order.
+// enroll writes this process's router document, and writes it again if the operators retire the process although it is running. It does
+// not replace the document of a later process with the same name; this process then sends no more writes. When ctx ends, enroll deletes
+// the document, so that no move waits for a pooler that has shut down cleanly.
 func (s *session) enroll(ctx context.Context) {
 	defer s.withdraw(ctx)
 	enrolled := false
@@ -33,8 +33,8 @@
 	}
 }
 
-// writeEnrollment writes this process's document if that is wanted: at the first time, and whenever there is no document. written reports
-// whether it was written, at a version.
+// writeEnrollment writes this process's router document if first is true or if no document is stored. It returns the version of the
+// document and whether it was written.
 func (s *session) writeEnrollment(ctx context.Context, first bool) (version uint64, written bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Term)
 	defer cancel()
@@ -50,8 +50,8 @@
 	return version, err == nil, err
 }
 
-// waitUntilRetired waits until this process's document is gone from the replica, for no longer than retryAfter (0: without end), or until
-// ctx ends. It logs if another process has enrolled under this pooler's name.
+// waitUntilRetired blocks until this process's document has been deleted from the replica, retryAfter has passed (0: no limit) or ctx has
+// ended. It logs a warning if another process has enrolled under this pooler's name.
 func (s *session) waitUntilRetired(ctx context.Context, enrolled bool, changed <-chan struct{}, retryAfter time.Duration) {
 	var retry <-chan time.Time
 	if retryAfter > 0 {
@@ -75,21 +75,21 @@
 		if other := string(stored.Value); enrolled && ok && other != s.router.Instance {
 			s.logOnce(other, func() {
 				s.runtime.Log.Warn().Str("other", other).
-					Msg("shardmap: another process has enrolled under this name; this one takes no writes of mapped keys")
+					Msg("shardmap: another process has enrolled under this pooler's name; this process rejects writes of mapped keys")
 			})
 		}
 	}
 }
 
-// withdraw ends the enrollment when ctx has ended.
+// withdraw ends the enrollment and deletes this process's document. It is called when ctx has ended.
 func (s *session) withdraw(ctx context.Context) {
-	s.router.Withdraw() // first: a process that is not waited for must not write
+	s.router.Withdraw() // first, because moves do not wait for this process once the document is deleted
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), min(s.options.Term/4, withdrawTimeout))
 	defer cancel()
 	key := RouterPrefix + s.options.Name
 	stored, err := s.runtime.Store.Read(ctx, key)
 	if err == nil && string(stored.Value) == s.router.Instance {
-		// If this fails, the next move waits for the process until another enrolls under the name or the operators retire it.
+		// If this fails, the next move waits for this process until another process enrolls under the name or the operators retire it.
 		_, _ = s.runtime.Store.Put(ctx, key, stored.Version, nil, replication.Fence{})
 	}
 }
--- a/internal/fleet/shardmap/fleet_test.go
+++ b/internal/fleet/shardmap/fleet_test.go
@@ -16,26 +16,26 @@
 	"threadsail/internal/fleet/replication/replicationtest"
 )
 
-// fakeCopier is a Copier that records its acts and fails those that a test stops.
+// fakeCopier is a Copier that records the executed acts and fails those that a test selects.
 type fakeCopier struct {
-	mu   sync.Mutex
-	last Instruction
-	acts []Act
-	stop map[Act]bool // acts that fail for now
+	mu      sync.Mutex
+	last    Instruction
+	acts    []Act
+	failing map[Act]bool // acts that fail for now
 }
 
 func (c *fakeCopier) Do(_ context.Context, i Instruction) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stop[i.Act] || !i.Newer(c.last) {
-		return errors.New("not now")
+	if c.failing[i.Act] || !i.Newer(c.last) {
+		return errors.New("act fails in this test, or a newer instruction was executed")
 	}
 	c.last = i
 	c.acts = append(c.acts, i.Act)
 	return nil
 }
 
-// pooler is one process with the component.
+// pooler is one process that runs the component.
 type pooler struct {
 	component *Component
 	bus       *bustest.Bus
@@ -45,7 +45,7 @@
 	ended     chan struct{}
 }
 
-// fleet is some poolers with one cluster of voters and one network.
+// fleet is a set of poolers that share one cluster of voters and one network.
 type fleet struct {
 	t       *testing.T
 	cluster *replicationtest.Cluster
@@ -56,7 +56,7 @@
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, cluster: replicationtest.New(drift), network: bustest.New(1), copier: &fakeCopier{stop: map[Act]bool{}}}
+	f := &fleet{t: t, cluster: replicationtest.New(drift), network: bustest.New(1), copier: &fakeCopier{failing: map[Act]bool{}}}
 	f.network.SetDelay(5*time.Millisecond, 5*time.Millisecond)
 	for i := range n {
 		f.poolers = append(f.poolers, f.start(i, nil))
@@ -84,7 +84,7 @@
 	return p
 }
 
-// kill ends a pooler as a crash would: it sends and receives nothing from then on, and releases nothing.
+// kill ends a pooler like a crash: from then on it sends and receives nothing, and it releases no lease.
 func (f *fleet) kill(p *pooler) {
 	p.client.SetPartitioned(true)
 	p.bus.Stop()
@@ -92,7 +92,7 @@
 	<-p.ended
 }
 
-func (f *fleet) stop() {
+func (f *fleet) stopAll() {
 	for _, p := range f.poolers {
 		p.end()
 		<-p.ended
@@ -100,7 +100,7 @@
 	synctest.Wait()
 }
 
-func (f *fleet) order(o Order) {
+func (f *fleet) submitOrder(o Order) {
 	p := f.poolers[len(f.poolers)-1]
 	options := p.component.options
 	options.Orders = []Order{o}
@@ -119,13 +119,13 @@
 	return d
 }
 
-// waitFor waits until a condition holds, for at most a time.
+// waitFor waits until a condition holds, and fails the test after a time limit.
 func (f *fleet) waitFor(most time.Duration, what string, holds func() bool) {
 	f.t.Helper()
 	began := time.Now()
 	for !holds() {
 		if time.Since(began) > most {
-			f.t.Fatalf("not within %v: %s; %+v", most, what, f.document())
+			f.t.Fatalf("timed out after %v: %s; document %+v", most, what, f.document())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -136,8 +136,8 @@
 	return m.State
 }
 
-// coordinator returns which pooler coordinates, by the document; -1: none.
-func (f *fleet) coordinator() int {
+// coordinatorIndex returns the index of the pooler that is recorded as the coordinator, or -1 if there is none.
+func (f *fleet) coordinatorIndex() int {
 	for i, p := range f.poolers {
 		if p.component.options.Name == f.document().Holder {
 			return i
@@ -146,37 +146,37 @@
 	return -1
 }
 
-// write writes a key by a pooler, and returns the home that the write went to; -1: it was refused.
-func (p *pooler) write(key string) (home int) {
+// writeKey writes a key at a pooler and returns the home that the write was sent to, or -1 if it was rejected.
+func (p *pooler) writeKey(key string) (home int) {
 	w, _ := p.component.router.BeginWrite(key, time.Now().Add(term))
 	if w == nil {
 		return -1
 	}
 	defer p.component.router.EndWrite(w)
-	if _, ok := p.component.router.AuthorizeSend(w); !ok || !p.component.router.AnswerCounts(w) {
+	if _, ok := p.component.router.AuthorizeSend(w); !ok || !p.component.router.IsAnswerValid(w) {
 		return -1
 	}
 	return w.Home
 }
 
-var moveToOne = Order{Name: "first", Range: Range{From: "a", To: "c", Cluster: 1}, Source: 0}
+var firstOrder = Order{Name: "first", Range: Range{From: "a", To: "c", Cluster: 1}, Source: 0}
 
-// checkWrites writes at all routers while the move to the first target is in a state: to the old home before the fence, to the new home
-// once the move is done, and anywhere or nowhere in between.
+// checkWrites writes at all routers while the move of firstOrder is in a state. Writes must go to the old home before the fence and to the new
+// home once the move is done. While the range is fenced they may be rejected, and while the move is switched too.
 func (f *fleet) checkWrites(state State) {
 	f.t.Helper()
 	for i, p := range f.poolers {
-		home := p.write("b")
+		home := p.writeKey("b")
 		wrongHome := home != 0 && (state == Prepared || state == Copying) || home != 1 && state == Done
 		switch {
-		case state == Fenced || state == Switched && home < 0: // not all routers know yet
+		case state == Fenced || state == Switched && home < 0: // not all routers have applied the new state
 		case home < 0:
-			f.t.Errorf("%s: router %d is refused", state, i)
+			f.t.Errorf("%s: router %d rejects a write", state, i)
 		case wrongHome:
 			f.t.Errorf("%s: router %d writes to %d", state, i, home)
 		}
-		if got := p.write("d"); got != 0 {
-			f.t.Errorf("another range: %d", got)
+		if got := p.writeKey("d"); got != 0 {
+			f.t.Errorf("write to a range that is not moved goes to %d, want 0", got)
 		}
 	}
 }
--- a/internal/fleet/shardmap/guard.go
+++ b/internal/fleet/shardmap/guard.go
@@ -6,17 +6,17 @@
 	"threadsail/internal/dispatch"
 )
 
-// minSweepSize is the least number of writes at which those whose clients have gone are looked for.
-const minSweepSize = 1 << 10
+// minSweepThreshold is the lowest number of open writes at which Guard searches for expired ones.
+const minSweepThreshold = 1 << 10
 
-// Guard applies the map's rules to the requests of one frontend. All of its methods are called on the frontend's event loop. Requests without a
-// key pass, and go where they would go without a map; so do all requests while there is no map.
+// Guard applies the shard map to the requests of one frontend. Its methods must be called on the frontend's event loop. Requests without a
+// key are admitted and routed as without a map, and so are all requests while there is no map.
 type Guard struct {
 	router         *Router
-	isWrite        func(class int) bool
-	onFenceDrained func() // called when the last write to a fenced range has ended
-	openWrites     map[*dispatch.Request]*Write
-	sweepAt        int // size of openWrites at which those whose clients have gone are looked for
+	isWrite        func(class int) bool         // reports whether a class is a class of writes
+	onFenceDrained func()                       // called when the last write to a fenced range has ended
+	openWrites     map[*dispatch.Request]*Write // admitted writes without a final answer
+	sweepThreshold int                          // size of openWrites at which Admit removes expired writes
 }
 
 var (
@@ -24,12 +24,13 @@
 	_ dispatch.AnswerVerifier = (*Guard)(nil)
 )
 
-// newGuard returns the guard of a frontend. isWrite reports whether a class is of writes.
+// newGuard returns the guard of a frontend. isWrite reports whether a class is a class of writes. The guard calls onFenceDrained when the
+// last write to a fenced range has ended.
 func (r *Router) newGuard(isWrite func(class int) bool, onFenceDrained func()) *Guard {
-	return &Guard{router: r, isWrite: isWrite, onFenceDrained: onFenceDrained, openWrites: map[*dispatch.Request]*Write{}, sweepAt: minSweepSize}
+	return &Guard{router: r, isWrite: isWrite, onFenceDrained: onFenceDrained, openWrites: map[*dispatch.Request]*Write{}, sweepThreshold: minSweepThreshold}
 }
 
-// Admit implements dispatch.Guard: a request goes to its key's home; a write is rejected if it may not be sent now.
+// Admit implements dispatch.Guard. It reroutes a request to the home of its key, and rejects a write that may not be sent now.
 func (g *Guard) Admit(now time.Duration, r *dispatch.Request) dispatch.Admission {
 	home, _, mapped := g.router.Home(r.Key)
 	switch {
@@ -38,29 +39,30 @@
 	case !g.isWrite(r.Class):
 		return dispatch.Admission{Reroute: true, Group: home}
 	}
-	left := r.ArrivedAt + r.Timeout - now
-	w, retryAfter := g.router.BeginWrite(r.Key, time.Now().Add(left))
+	remaining := r.ArrivedAt + r.Timeout - now
+	w, retryAfter := g.router.BeginWrite(r.Key, time.Now().Add(remaining))
 	if w == nil {
 		return dispatch.Admission{Reject: true, RetryAfter: retryAfter}
 	}
-	if len(g.openWrites) >= g.sweepAt {
+	if len(g.openWrites) >= g.sweepThreshold {
 		g.sweep()
 	}
 	g.openWrites[r] = w
 	return dispatch.Admission{Reroute: true, Group: w.Home}
 }
 
-// sweep ends the writes whose deadline has passed: their clients have gone, as the dispatcher answers all others in time.
+// sweep ends the writes whose deadline has passed. Their clients have disconnected, because the dispatcher answers every other request by
+// its deadline.
 func (g *Guard) sweep() {
 	for r, w := range g.openWrites {
 		if time.Now().After(w.deadline) {
 			g.endWrite(r)
 		}
 	}
-	g.sweepAt = max(2*len(g.openWrites), minSweepSize)
+	g.sweepThreshold = max(2*len(g.openWrites), minSweepThreshold)
 }
 
-// MaySend implements dispatch.Guard.
+// MaySend implements dispatch.Guard. It allows a write only while the router may send it, and sets the epoch of its payload.
 func (g *Guard) MaySend(_ time.Duration, r *dispatch.Request, _ string) dispatch.SendDecision {
 	w := g.openWrites[r]
 	if w == nil {
@@ -70,8 +72,8 @@
 	if !ok {
 		return dispatch.RejectRequest
 	}
-	if stamped, ok := r.Payload.(dispatch.EpochCarrier); ok {
-		stamped.SetEpoch(epoch)
+	if carrier, ok := r.Payload.(dispatch.EpochCarrier); ok {
+		carrier.SetEpoch(epoch)
 	}
 	return dispatch.Send
 }
@@ -79,7 +81,7 @@
 // AcceptAnswer implements dispatch.AnswerVerifier.
 func (g *Guard) AcceptAnswer(_ time.Duration, r *dispatch.Request) bool {
 	w := g.openWrites[r]
-	return w == nil || g.router.AnswerCounts(w)
+	return w == nil || g.router.IsAnswerValid(w)
 }
 
 // RequestEnded implements dispatch.Guard.
@@ -87,7 +89,7 @@
 	g.endWrite(r)
 }
 
-// endWrite ends a request's write, if it has one.
+// endWrite ends the write of a request. It does nothing if the request has none.
 func (g *Guard) endWrite(r *dispatch.Request) {
 	w := g.openWrites[r]
 	if w == nil {
--- a/internal/fleet/shardmap/instruction.go
+++ b/internal/fleet/shardmap/instruction.go
@@ -1,36 +1,37 @@
 package shardmap
 
-// Act is what the range's data needs before a move's next step.
+// Act is an operation on a range's data that must succeed before a move can enter its next state.
 type Act string
 
-// The acts, by the state in which they are done. Each may be repeated, by another coordinator, at any time.
+// The acts, in order of the states that need them. Each act may be repeated at any time, also by another coordinator.
 const (
 	ActNone   Act = ""
-	ActCopy   Act = "copy"   // copying: bring the target nearly up to the source
-	ActFence  Act = "fence"  // fenced: the source refuses writes of earlier epochs, as the second line of defence
-	ActFinish Act = "finish" // fenced, and drained: bring the target fully up to the source
-	ActClose  Act = "close"  // switched: the source refuses all writes for good, the target accepts those of this epoch or a later one
+	ActCopy   Act = "copy"   // in Copying: copies the range until the target is almost up to date with the source
+	ActFence  Act = "fence"  // in Fenced: makes the source reject writes of earlier epochs, in addition to the routers' own checks
+	ActFinish Act = "finish" // in Fenced, once drained: copies the rest, so that the target is fully up to date with the source
+	ActClose  Act = "close"  // in Switched: makes the source reject all writes permanently, and the target accept writes of this epoch and later ones
 )
 
-// Instruction is an act as a Copier receives it. Token and Sequence order all instructions of all coordinators. An instruction is refused
-// once a newer one has been carried out, as it may have been on its way since before the switch.
+// Instruction is a request to a Copier to execute an act. Token and Sequence order the instructions of all coordinators. A Copier rejects
+// an instruction if it has executed a newer one, because the older one may have been delayed since before the switch.
 type Instruction struct {
 	Act      Act    `json:"act"`
 	Move     Move   `json:"move"`
-	Holder   string `json:"holder"` // the pooler that coordinates
-	Epoch    uint64 `json:"epoch"`  // of the document when the instruction was given
-	Token    uint64 `json:"token"`
-	Sequence uint64 `json:"seq"`
+	Holder   string `json:"holder"` // name of the pooler that coordinates
+	Epoch    uint64 `json:"epoch"`  // epoch of the document when the instruction was issued
+	Token    uint64 `json:"token"`  // fencing token of the coordinator's lease
+	Sequence uint64 `json:"seq"`    // increases with each instruction of a coordinator
 }
 
-// Newer reports whether an instruction may be carried out after another one, or after none (the zero Instruction).
+// Newer reports whether the instruction is newer than last, the last one that was executed, and may therefore be executed. The zero
+// Instruction stands for none and is older than all others.
 func (i Instruction) Newer(last Instruction) bool {
 	return i.Token > last.Token || i.Token == last.Token && i.Sequence > last.Sequence
 }
 
-// Step is what is to be done next about a move: an act, or a write of Next.
+// Step is the next step of a move: either an act to be executed or a document to be written.
 type Step struct {
 	Move Move
-	Act  Act
-	Next *Document // nil: the act is to be done
+	Act  Act       // the act to be executed, if Next is nil
+	Next *Document // the document to be written; nil: Act is to be executed
 }
--- a/internal/fleet/shardmap/messages.go
+++ b/internal/fleet/shardmap/messages.go
@@ -5,19 +5,19 @@
 	"encoding/json"
 )
 
-// The topics of messages between poolers.
+// The topics of the messages between poolers.
 const (
-	topicRequest = "shards/ask"   // to the coordinator: Request
-	topicGrant   = "shards/grant" // the answer: Grant
+	topicRequest = "shards/ask"   // a Request, to the coordinator
+	topicGrant   = "shards/grant" // a Grant, in answer to a Request
 )
 
-// handleMessages sets the handlers of the topics. What they send is given up when ctx ends.
+// handleMessages registers the handlers of the topics. Answers that are still being sent when ctx ends are canceled.
 func (s *session) handleMessages(ctx context.Context) {
 	s.runtime.Bus.Handle(topicRequest, func(from string, body []byte) { s.answerRequest(ctx, from, body) })
 	s.runtime.Bus.Handle(topicGrant, s.handleGrant)
 }
 
-// answerRequest sends the grant of another pooler's request, while this pooler coordinates.
+// answerRequest answers the request of another pooler with a grant. It does nothing if this pooler is not the coordinator.
 func (s *session) answerRequest(ctx context.Context, from string, body []byte) {
 	var request Request
 	if json.Unmarshal(body, &request) != nil || request.Name != from {
@@ -27,12 +27,12 @@
 	if !ok {
 		return
 	}
-	go func() { // ends with the sending, which send bounds
-		_ = s.send(ctx, from, topicGrant, grant) // the router requests again
+	go func() { // send returns after a timeout
+		_ = s.send(ctx, from, topicGrant, grant) // the router repeats its request if the grant is lost
 	}()
 }
 
-// handleRequest lets the coordinator handle a request, while this pooler leads.
+// handleRequest passes a request to the coordinator and returns its grant. ok is false if this pooler is not the leader.
 func (s *session) handleRequest(r Request) (Grant, bool) {
 	if s.runtime.Leadership == nil {
 		return Grant{}, false
@@ -46,7 +46,7 @@
 	return grant, ok
 }
 
-// handleGrant applies a grant.
+// handleGrant decodes and applies a grant. It ignores a message that can't be decoded.
 func (s *session) handleGrant(_ string, body []byte) {
 	var grant Grant
 	if json.Unmarshal(body, &grant) == nil {
@@ -54,14 +54,14 @@
 	}
 }
 
-// applyGrant applies a grant, and wakes followDocuments if there is more to acknowledge.
+// applyGrant applies a grant. It wakes followDocuments if the router can now acknowledge a newer epoch.
 func (s *session) applyGrant(g Grant) {
 	if s.router.ApplyGrant(g) {
 		notify(s.routerWake)
 	}
 }
 
-// sendRequest sends the router's next request to the coordinator, which may be here.
+// sendRequest sends the router's next request to the coordinator. If this pooler is the coordinator, it handles the request directly.
 func (s *session) sendRequest(ctx context.Context) {
 	request, coordinator, ok := s.router.NextRequest()
 	if !ok {
@@ -73,14 +73,14 @@
 		}
 		return
 	}
-	go func() { // ends with the sending, which send bounds
+	go func() { // send returns after a timeout
 		if err := s.send(ctx, coordinator, topicRequest, request); err != nil {
-			s.runtime.Log.Debug().Err(err).Str("coordinator", coordinator).Msg("shardmap: coordinator not reached")
+			s.runtime.Log.Debug().Err(err).Str("coordinator", coordinator).Msg("shardmap: request to the coordinator failed")
 		}
 	}()
 }
 
-// send sends one pooler a message, for no longer than the interval between requests.
+// send sends a message to a pooler. It gives up after the interval between two requests.
 func (s *session) send(ctx context.Context, to, topic string, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
--- a/internal/fleet/shardmap/model_test.go
+++ b/internal/fleet/shardmap/model_test.go
@@ -11,53 +11,53 @@
 	"pgregory.net/rapid"
 )
 
-// weightedAct is what may happen next, to a router i and a candidate k, and how often in comparison with others.
-type weightedAct struct {
+// weightedEvent is a possible event of a history. do executes it for router i and candidate k; weight is its relative frequency.
+type weightedEvent struct {
 	weight int
 	do     func(i, k int)
 }
 
-// acts returns what may happen.
-func (w *world) acts() []weightedAct {
-	return slices.Concat(w.candidateActs(), w.messageActs(), w.routerActs(), w.writeActs())
+// events returns all possible events.
+func (w *world) events() []weightedEvent {
+	return slices.Concat(w.candidateEvents(), w.messageEvents(), w.routerEvents(), w.writeEvents())
 }
 
-// candidateActs returns the acts of time and of candidates.
-func (w *world) candidateActs() []weightedAct {
-	return []weightedAct{
+// candidateEvents returns the passing of time and the events of candidates.
+func (w *world) candidateEvents() []weightedEvent {
+	return []weightedEvent{
 		{4, func(int, int) {
-			time.Sleep(oneOf(w, []time.Duration{term / 10, term / 3, term, 2 * term}))
+			time.Sleep(pickElement(w, []time.Duration{term / 10, term / 3, term, 2 * term}))
 		}},
-		{1, func(_, k int) { w.win(k) }},
+		{1, func(_, k int) { w.acquireLeadership(k) }},
 		{1, func(_, k int) {
-			if w.leader >= 0 && w.pick(2) == 0 { // with a step decided, and not carried out yet
-				w.decide(w.leader)
+			if w.leader >= 0 && w.pick(2) == 0 { // leaves a step that is decided but not executed
+				w.decideStep(w.leader)
 			}
-			w.release()
+			w.releaseLeadership()
 			if w.pick(2) == 0 {
-				w.win(k)
+				w.acquireLeadership(k)
 			}
 		}},
-		{14, func(_, k int) { w.work(k) }},
-		{1, func(_, k int) { w.decide(k) }},
-		{1, func(_, k int) { w.carryOut(k) }},
+		{14, func(_, k int) { w.runLeaderOnce(k) }},
+		{1, func(_, k int) { w.decideStep(k) }},
+		{1, func(_, k int) { w.executeStep(k) }},
 		{1, func(int, int) {
 			if len(w.instructions) > 0 {
-				w.perform(w.pick(len(w.instructions)))
+				w.deliverInstruction(w.pick(len(w.instructions)))
 			}
 		}},
 	}
 }
 
-// messageActs returns the acts of messages between routers and candidates.
-func (w *world) messageActs() []weightedAct {
-	return []weightedAct{
-		{12, w.follow},
+// messageEvents returns the events of messages between routers and candidates.
+func (w *world) messageEvents() []weightedEvent {
+	return []weightedEvent{
+		{12, w.syncRouter},
 		{4, func(i, k int) {
 			if w.leader >= 0 && w.pick(2) == 0 {
 				k = w.leader
 			}
-			w.exchange(i, k)
+			w.exchangeMessages(i, k)
 		}},
 		{2, func(i, _ int) {
 			if a, _, ok := w.routers[i].NextRequest(); ok {
@@ -66,7 +66,7 @@
 		}},
 		{2, func(_, k int) {
 			if len(w.requests) > 0 {
-				if g, ok := w.candidates[k].coordinator.HandleRequest(w.requests[max(0, len(w.requests)-1-w.pick(4))], w.candidates[k].until); ok {
+				if g, ok := w.candidates[k].coordinator.HandleRequest(w.requests[max(0, len(w.requests)-1-w.pick(4))], w.candidates[k].leadsUntil); ok {
 					w.grants = append(w.grants, g)
 				}
 			}
@@ -79,38 +79,38 @@
 	}
 }
 
-// routerActs returns the acts of routers alone.
-func (w *world) routerActs() []weightedAct {
-	return []weightedAct{
+// routerEvents returns the events of single routers.
+func (w *world) routerEvents() []weightedEvent {
+	return []weightedEvent{
 		{1, func(i, _ int) {
-			w.seen[i] = w.between(w.seen[i], len(w.log)-1)
-			w.apply(i)
+			w.replicaIndex[i] = w.pickBetween(w.replicaIndex[i], len(w.log)-1)
+			w.applyReplica(i)
 		}},
 		{1, func(i, _ int) {
-			w.start(i, w.between(max(0, len(w.log)-5), len(w.log)-1))
-			w.logf("%s starts from version %d", w.routers[i].Instance, w.log[w.seen[i]].version)
+			w.startRouter(i, w.pickBetween(max(0, len(w.log)-5), len(w.log)-1))
+			w.logf("%s starts from version %d", w.routers[i].Instance, w.log[w.replicaIndex[i]].version)
 		}},
 		{2, func(i, _ int) {
-			if w.newest().routers[w.routers[i].Name] != w.routers[i].Instance {
-				w.enroll(i)
+			if w.latest().routers[w.routers[i].Name] != w.routers[i].Instance {
+				w.enrollRouter(i)
 			}
 		}},
 	}
 }
 
-// writeActs returns the acts of writes.
-func (w *world) writeActs() []weightedAct {
-	return []weightedAct{
-		{6, func(i, _ int) { // a write without a fault
+// writeEvents returns the events of writes.
+func (w *world) writeEvents() []weightedEvent {
+	return []weightedEvent{
+		{6, func(i, _ int) { // writes without a fault
 			if c := w.beginWrite(i); c != nil {
-				w.send(c)
-				w.run(c)
-				w.answer(c, false)
+				w.sendWrite(c)
+				w.executeWrite(c)
+				w.deliverAnswer(c, false)
 			}
 		}},
 		{2, func(i, _ int) {
 			if c := w.beginWrite(i); c != nil && (w.pick(2) == 0) {
-				w.send(c)
+				w.sendWrite(c)
 			}
 		}},
 		{4, func(int, int) {
@@ -118,46 +118,46 @@
 				return
 			}
 			c := w.writes[max(0, len(w.writes)-1-w.pick(4))]
-			w.send(c)
+			w.sendWrite(c)
 			if w.pick(2) == 0 {
-				w.run(c)
+				w.executeWrite(c)
 			}
 			if w.pick(2) == 0 {
-				w.answer(c, w.pick(4) == 0)
+				w.deliverAnswer(c, w.pick(4) == 0)
 			}
 		}},
 	}
 }
 
-// play plays one small history, and returns the violation of an invariant that it ends in; "": none.
-func play(pick func(int) int, disabled disabledRules, steps int) (violation string, w *world) {
+// runHistory runs one short history and returns the first violation of an invariant, or "" if there is none.
+func runHistory(pick func(int) int, disabled disabledRules, steps int) (violation string, w *world) {
 	w = newWorld(pick, disabled)
-	for range w.pick(3) { // begin later: known to all, or fenced and known to none
-		w.follow(0, 0)
-		w.follow(1, 0)
-		w.work(0)
-		w.work(0)
+	for range w.pick(3) { // may start the history in a later state of the move
+		w.syncRouter(0, 0)
+		w.syncRouter(1, 0)
+		w.runLeaderOnce(0)
+		w.runLeaderOnce(0)
 	}
-	acts := w.acts()
-	var deck []int // each act as often as its weight
-	for n, act := range acts {
+	events := w.events()
+	var eventIndexes []int // contains each event as often as its weight
+	for n, act := range events {
 		for range act.weight {
-			deck = append(deck, n)
+			eventIndexes = append(eventIndexes, n)
 		}
 	}
 	for range steps {
 		i := w.pick(2)
 		k := w.pick(2)
-		acts[oneOf(w, deck)].do(i, k)
-		if violation := w.violated(); violation != "" {
+		events[pickElement(w, eventIndexes)].do(i, k)
+		if violation := w.findViolation(); violation != "" {
 			return violation, w
 		}
 	}
 	return "", w
 }
 
-// drawn picks by rapid's single bits, as its integers prefer small ones.
-func drawn(t *rapid.T) func(int) int {
+// pickFromBits returns a picker that combines bits drawn by rapid, because rapid's integers prefer small values.
+func pickFromBits(t *rapid.T) func(int) int {
 	return func(n int) (at int) {
 		for range 10 {
 			at <<= 1
@@ -169,30 +169,31 @@
 	}
 }
 
-// bubble plays a history on a clock of its own. rapid draws within the bubble, and a panic of its draws must leave the bubble.
-func bubble(outer *testing.T, pick func(int) int, disabled disabledRules, steps int) (fault string, w *world) {
-	var thrown any
+// runHistoryInBubble runs a history on the fake clock of a synctest bubble. rapid draws values within the bubble, and a panic of its draws is
+// passed on to the caller, because it must not end the bubble.
+func runHistoryInBubble(outer *testing.T, pick func(int) int, disabled disabledRules, steps int) (fault string, w *world) {
+	var panicValue any
 	synctest.Test(outer, func(*testing.T) {
-		defer func() { thrown = recover() }()
-		fault, w = play(pick, disabled, steps)
+		defer func() { panicValue = recover() }()
+		fault, w = runHistory(pick, disabled, steps)
 	})
-	if thrown != nil {
-		panic(thrown)
+	if panicValue != nil {
+		panic(panicValue)
 	}
 	return fault, w
 }
 
-// No history of two routers, two candidates and moves in both directions loses a served write or runs one in both clusters.
+// In no history of two routers, two candidates and moves in both directions is a served write lost or a write executed in both clusters.
 func TestMoves(t *testing.T) {
 	reached := map[State]int{}
 	served := 0
 	for range 10 {
 		rapid.Check(t, func(rt *rapid.T) {
-			fault, w := bubble(t, drawn(rt), 0, 200)
+			fault, w := runHistoryInBubble(t, pickFromBits(rt), 0, 200)
 			if fault != "" {
 				rt.Fatalf("%s\n%s", fault, strings.Join(w.trace, "\n"))
 			}
-			for _, m := range w.newest().doc.Moves {
+			for _, m := range w.latest().doc.Moves {
 				reached[m.State]++
 			}
 			for _, c := range w.writes {
@@ -202,26 +203,26 @@
 			}
 		})
 	}
-	t.Logf("moves by their last state: %v; %d writes served", reached, served)
+	t.Logf("number of moves by final state: %v; %d writes served", reached, served)
 	if reached[Done] == 0 || reached[Undone] == 0 || served == 0 {
-		t.Error("the histories reach too little")
+		t.Error("no history has a move that is done, one that is undone, or a served write")
 	}
 }
 
-// Each rule is needed: while it is disabled some history violates an invariant.
+// Each rule is necessary: while it is disabled, some history violates an invariant.
 func TestEachRuleIsNeeded(t *testing.T) {
-	for name, r := range map[string]rule{"enrolled": ruleEnrolled, "armed": ruleAllAcknowledge, "right": ruleRight, "fence": ruleFence, "asked": ruleRightFromRequest,
-		"newest": ruleNewestEpoch, "office": ruleLeaderOnly, "wait": ruleDrain, "anew": ruleFreshWait, "inFlight": ruleInFlight, "late": ruleLateAnswer,
-		"home": ruleOneHome, "token": ruleToken, "acts": ruleActOrder} {
+	for name, r := range map[string]rule{"enrolled": ruleEnrolled, "allAcknowledge": ruleAllAcknowledge, "writeLease": ruleWriteLease, "fence": ruleFence, "leaseFromRequest": ruleLeaseFromRequest,
+		"newestEpoch": ruleNewestEpoch, "leaderOnly": ruleLeaderOnly, "drain": ruleDrain, "freshWait": ruleFreshWait, "inFlight": ruleInFlight, "lateAnswer": ruleLateAnswer,
+		"oneHome": ruleOneHome, "token": ruleToken, "actOrder": ruleActOrder} {
 		t.Run(name, func(t *testing.T) {
-			found, plays := "", 0
-			for ; plays < 20000 && found == ""; plays++ {
-				found, _ = bubble(t, rand.New(rand.NewPCG(uint64(plays), 30)).IntN, disabledRules(r), 200)
+			found, histories := "", 0
+			for ; histories < 20000 && found == ""; histories++ {
+				found, _ = runHistoryInBubble(t, rand.New(rand.NewPCG(uint64(histories), 30)).IntN, disabledRules(r), 200)
 			}
 			if found == "" {
-				t.Fatalf("no violation in %d histories", plays)
+				t.Fatalf("no violation in %d histories with the rule disabled", histories)
 			}
-			t.Logf("after %d histories: %s", plays, found)
+			t.Logf("after %d histories: %s", histories, found)
 		})
 	}
 }
--- a/internal/fleet/shardmap/move.go
+++ b/internal/fleet/shardmap/move.go
@@ -6,51 +6,53 @@
 	"threadsail/internal/keyrange"
 )
 
-// Range is the keys of a range, and its cluster.
+// Range is a range of keys with the cluster that it is assigned to.
 type Range = keyrange.Range
 
-// State is how far a move has come. Every transition is one write of the map's document.
+// State is the state of a move. Every transition is one write of the document MapKey.
 type State string
 
-// The states, in their order. Each state before the switch can be followed by Undone; Switched is followed by Done alone.
+// The states, in order. A move in a state before Switched may become Undone instead of entering the next state. A switched move can only
+// become Done.
 const (
-	Prepared State = "prepared" // routers learn that they need a right to write to the range; writes go on
-	Copying  State = "copying"  // all routers know; the range is copied while writes go on under rights
-	Fenced   State = "fenced"   // no new writes; the last ones are waited for, and copied
-	Switched State = "switched" // the range's home is the target; the source is being closed for good
-	Done     State = "done"
-	Undone   State = "undone"
+	Prepared State = "prepared" // routers learn that writes to the range need a write lease; writes are accepted
+	Copying  State = "copying"  // all routers use write leases; the range is copied while writes are accepted
+	Fenced   State = "fenced"   // new writes are rejected; the writes in flight end, and their data is copied
+	Switched State = "switched" // the target is the range's home; the source is made to reject all writes permanently
+	Done     State = "done"     // the source rejects all writes
+	Undone   State = "undone"   // the move was canceled before its switch; the source remains the range's home
 )
 
-// nextStates is which state follows which without an undo.
+// nextStates maps each state to the state that follows unless the move is undone.
 var nextStates = map[State]State{Prepared: Copying, Copying: Fenced, Fenced: Switched, Switched: Done}
 
 func (s State) beforeSwitch() bool { return s == Prepared || s == Copying || s == Fenced }
 
 func (s State) isFinal() bool { return s == Done || s == Undone }
 
-// Move is the move of a range. The range's Cluster is the target.
+// Move is the move of a range from the cluster Source to the cluster Range.Cluster.
 type Move struct {
 	Name        string `json:"name"`
 	Range       Range  `json:"range"`
-	Source      int    `json:"source"` // cluster
+	Source      int    `json:"source"` // source cluster
 	State       State  `json:"state"`
-	SinceEpoch  uint64 `json:"since"`           // at which the state began
-	SwitchEpoch uint64 `json:"moved,omitempty"` // 0: not switched
-	Reason      string `json:"why,omitempty"`   // why it was undone
+	SinceEpoch  uint64 `json:"since"`           // epoch at which the state began
+	SwitchEpoch uint64 `json:"moved,omitempty"` // epoch of the switch; 0: not switched
+	Reason      string `json:"why,omitempty"`   // why the move was undone
 }
 
-// Order is a move that the operators order. It names the source, so an order that is repeated much later has no effect.
+// Order is the operators' order to move a range, or to undo its move. It names the source, so that an old order that is submitted again
+// after later moves has no effect.
 type Order struct {
 	Name   string `json:"name"`
-	Range  Range  `json:"range"`  // its Cluster is the target
-	Source int    `json:"source"` // cluster
-	Undo   bool   `json:"undo,omitempty"`
+	Range  Range  `json:"range"`          // its Cluster is the target cluster
+	Source int    `json:"source"`         // source cluster
+	Undo   bool   `json:"undo,omitempty"` // whether the move is to be undone
 }
 
 // Errors of Document.Begin.
 var (
-	errDuplicateMove   = errors.New("shardmap: there has been a move of this name")
-	errOverlappingMove = errors.New("shardmap: another move of these keys is under way")
-	errWrongSource     = errors.New("shardmap: the keys are not all at home in the move's source")
+	errDuplicateMove   = errors.New("shardmap: a move with this name exists already")
+	errOverlappingMove = errors.New("shardmap: another unfinished move includes some of these keys")
+	errWrongSource     = errors.New("shardmap: the range is empty, its target is its source, or some of its keys are not assigned to the source")
 )
--- a/internal/fleet/shardmap/orders.go
+++ b/internal/fleet/shardmap/orders.go
@@ -10,21 +10,21 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// publishOrders writes the operators' orders into the shared documents, and deletes the documents of retired processes: at the start,
-// whenever the operators' file was read again, and again after a failure.
+// publishOrders writes the operators' orders to the shared documents and deletes the documents of retired processes. It does so at the
+// start, after each reload of the operators' file, and again after a failure. It returns when ctx ends.
 func (s *session) publishOrders(ctx context.Context) {
 	options := s.options
 	for ctx.Err() == nil {
 		var retryAfter time.Duration
-		if err := s.publish(ctx, options); err != nil {
+		if err := s.publishOptions(ctx, options); err != nil {
 			retryAfter = s.options.Term
 		}
 		options = s.nextOptions(ctx, options, retryAfter)
 	}
 }
 
-// nextOptions waits until the operators' file was read again, and returns what it says. It returns the present options after retryAfter
-// (0: never), or when ctx ends.
+// nextOptions waits for a reload of the operators' file and returns the new options. It returns the present options once retryAfter has
+// passed (0: no limit) or ctx has ended.
 func (s *session) nextOptions(ctx context.Context, present Options, retryAfter time.Duration) Options {
 	var retry <-chan time.Time
 	if retryAfter > 0 {
@@ -41,8 +41,9 @@
 	return present
 }
 
-// publish writes what the documents lack of the operators' file. It tries everything, and returns all errors.
-func (s *session) publish(ctx context.Context, o Options) error {
+// publishOptions writes the orders that the shared documents lack and deletes the documents of retired processes. It continues after
+// a failure and returns all errors.
+func (s *session) publishOptions(ctx context.Context, o Options) error {
 	var errs []error
 	for _, order := range o.Orders {
 		errs = append(errs, s.publishOrder(ctx, order))
@@ -53,7 +54,7 @@
 	return errors.Join(errs...)
 }
 
-// publishOrder writes one order.
+// publishOrder writes the document of one order unless it is stored already.
 func (s *session) publishOrder(ctx context.Context, o Order) error {
 	value, err := json.Marshal(o)
 	if err != nil {
@@ -62,7 +63,8 @@
 	return s.putIfChanged(ctx, OrderPrefix+o.Name, value)
 }
 
-// retire deletes the document of a process that the operators know to have stopped, if it still names that process.
+// retire deletes the router document of a process that has stopped permanently, according to the operators. It does nothing if the
+// document names another process.
 func (s *session) retire(ctx context.Context, instance string) error {
 	pooler, _, _ := strings.Cut(instance, "/")
 	stored, _ := s.runtime.View.Get(RouterPrefix + pooler)
@@ -73,19 +75,19 @@
 	return err
 }
 
-// carryOutOrders begins the moves that the operators have ordered, and undoes those that they no longer want. It reports whether it has
-// written a step. An order that can't be carried out is logged once.
-func (s *session) carryOutOrders(ctx context.Context, token uint64) (stepped bool, err error) {
+// applyOrders begins a move that the operators have ordered or undoes one that they have canceled, and writes the new document. stepped
+// reports whether there was such a move. An order that can't be carried out is logged once for each reason.
+func (s *session) applyOrders(ctx context.Context, token uint64) (stepped bool, err error) {
 	document, _ := s.coordinator.Document()
 	for _, stored := range s.runtime.View.List(OrderPrefix) {
 		var order Order
 		if json.Unmarshal(stored.Value, &order) != nil || order.Name == "" {
 			continue
 		}
-		next, err := document.carryOut(order)
+		next, err := document.applyOrder(order)
 		if err != nil {
 			s.logOnce(string(stored.Value)+err.Error(), func() {
-				s.runtime.Log.Warn().Err(err).Str("move", order.Name).Msg("shardmap: order is not carried out")
+				s.runtime.Log.Warn().Err(err).Str("move", order.Name).Msg("shardmap: order can't be carried out")
 			})
 		}
 		if next.Epoch != document.Epoch {
@@ -96,13 +98,14 @@
 	return false, nil
 }
 
-// carryOut returns the document with an order's move begun or undone; the same document if that has been done.
-func (d Document) carryOut(o Order) (Document, error) {
-	_, known := d.Move(o.Name)
+// applyOrder returns the document after beginning or undoing the move of an order. It returns the document unchanged if the order has
+// already been executed, or if it undoes a move that has not begun.
+func (d Document) applyOrder(o Order) (Document, error) {
+	_, exists := d.Move(o.Name)
 	switch {
-	case known && o.Undo:
+	case exists && o.Undo:
 		return d.Undo(o.Name, "ordered"), nil
-	case !known && !o.Undo:
+	case !exists && !o.Undo:
 		return d.Begin(o)
 	}
 	return d, nil
--- a/internal/fleet/shardmap/right.go
+++ b/internal/fleet/shardmap/right.go
@@ -3,29 +3,33 @@
 import "time"
 
 const (
-	// requestsPerTerm is how often a router requests its right in a term, so that two answers may be lost before the right ends.
+	// requestsPerTerm is the number of requests that a router sends per term, so that two requests or grants may be lost before its write
+	// lease expires.
 	requestsPerTerm = 3
-	// maxPendingRequests bounds the requests whose grants are still accepted.
+	// maxPendingRequests is the maximum number of requests whose grants are still accepted.
 	maxPendingRequests = 8
 )
 
-// Request is what a router sends the coordinator while a move is under way: it requests the right to write, and acknowledges an epoch.
+// Request is a router's message to the coordinator while a move is active. It requests a write lease and acknowledges an epoch. A write
+// lease permits a process to write to ranges in active moves; it expires after one term unless it is renewed.
 type Request struct {
 	ID       uint64 `json:"id"`
-	Name     string `json:"name"` // of the pooler
+	Name     string `json:"name"` // name of the pooler
 	Instance string `json:"instance"`
-	// AcknowledgedEpoch is the epoch that the router follows in all that it sends, and has followed in all that is in flight.
+	// AcknowledgedEpoch is the newest epoch whose map the router obeys in every write that it sends from now on and in every write in
+	// flight.
 	AcknowledgedEpoch uint64 `json:"known"`
 }
 
-// Grant is a right to write, for a term from its request, for a router that has seen the epoch.
+// Grant is the coordinator's answer to a Request. It grants a write lease of one term, counted from the sending of the request, to a
+// router that has applied the map of the epoch.
 type Grant struct {
-	ID       uint64 `json:"id"` // of the request
+	ID       uint64 `json:"id"` // Request.ID
 	Instance string `json:"instance"`
-	Epoch    uint64 `json:"epoch"`
+	Epoch    uint64 `json:"epoch"` // epoch of the map at the coordinator when it granted the lease
 }
 
-// sentRequest is what the last request was made of.
+// sentRequest describes the last request that was sent.
 type sentRequest struct {
 	sentAt       time.Time
 	epoch        uint64
@@ -33,7 +37,8 @@
 	coordinator  string
 }
 
-// acknowledgedEpoch is the epoch that this process follows in all that it sends and has in flight. The caller holds the mutex.
+// acknowledgedEpoch returns the newest epoch whose map this process obeys in every write that it sends or has in flight. The caller holds
+// the mutex.
 func (r *Router) acknowledgedEpoch() uint64 {
 	epoch := r.document.Epoch
 	for _, m := range r.document.Moves {
@@ -45,8 +50,9 @@
 	return epoch
 }
 
-// RequestDue reports whether there is something to request or to acknowledge. Other documents change too, and requests of hundreds of
-// poolers at each change of each other's documents would be a storm.
+// RequestDue reports whether a request is due: after a change of the epoch, the acknowledged epoch or the coordinator, and otherwise at
+// regular intervals. Changes of other shared documents do not make a request due: in a fleet of hundreds of poolers, a request by each
+// pooler at each change of any document would overload the coordinator.
 func (r *Router) RequestDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,12 +61,12 @@
 	return changed || time.Since(last.sentAt) >= r.Term/requestsPerTerm
 }
 
-// NextRequest makes this process's next request, and returns the pooler to send it to; ok is false if no move is under way, so that there
-// is nothing to request.
+// NextRequest returns this process's next request and the name of the coordinator, which the caller sends it to. ok is false if there is
+// nothing to request, because no move is active or this process is not enrolled.
 func (r *Router) NextRequest() (request Request, coordinator string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hasWritesInFlight(Range{}) // drops writes whose deadline has passed
+	r.hasWritesInFlight(Range{}) // removes writes whose deadline has passed
 	if !r.isEnrolled() || !r.document.hasActiveMove() {
 		return Request{}, "", false
 	}
@@ -75,29 +81,30 @@
 	return request, r.lastRequest.coordinator, true
 }
 
-// ApplyGrant puts a grant in force. The right counts from its request, not from the answer, and ends a clock drift early, so it has ended
-// when the coordinator, which counts from later, takes it to have ended. Only a process that has seen the grant's epoch has the right.
-// ApplyGrant reports whether this process can acknowledge more now than it has.
+// ApplyGrant extends the write lease by a grant. The lease starts when its request was sent, not when the grant arrives, and ends early by
+// the maximum clock drift. It has therefore expired here before the coordinator, which starts counting later, assumes so. Grants of an
+// epoch that this process has not applied yet are ignored. acknowledgesMore reports whether this process can acknowledge a newer epoch
+// because of the grant.
 func (r *Router) ApplyGrant(g Grant) (acknowledgesMore bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rightFrom, pending := r.requestedAt[g.ID]
+	leaseStart, pending := r.requestedAt[g.ID]
 	newerEpoch := g.Epoch > r.document.Epoch && r.disabled.inForce(ruleNewestEpoch)
 	if !pending || g.Instance != r.Instance || newerEpoch {
 		return false
 	}
-	if !r.disabled.inForce(ruleRightFromRequest) {
-		rightFrom = time.Now()
+	if !r.disabled.inForce(ruleLeaseFromRequest) {
+		leaseStart = time.Now()
 	}
-	if until := rightFrom.Add(r.Term - r.MaxClockDrift); until.After(r.rightUntil) {
-		r.rightUntil = until
+	if until := leaseStart.Add(r.Term - r.MaxClockDrift); until.After(r.writeLeaseEnd) {
+		r.writeLeaseEnd = until
 	}
-	if !time.Now().Before(r.rightUntil) {
+	if !time.Now().Before(r.writeLeaseEnd) {
 		return false
 	}
 	for _, m := range r.document.Moves {
 		if r.isExempt(m) {
-			r.needsRight[m.Name] = true
+			r.needsWriteLease[m.Name] = true
 			acknowledgesMore = true
 		}
 	}
--- a/internal/fleet/shardmap/router.go
+++ b/internal/fleet/shardmap/router.go
@@ -5,55 +5,56 @@
 	"time"
 )
 
-// Write is a write that a router has admitted. It belongs to the router, which guards its fields by its mutex.
+// Write is a write that a Router has admitted. The Router's mutex guards its fields.
 type Write struct {
 	Key           string
-	Home          int    // the cluster that it was admitted for
-	admittedEpoch uint64 // of the map
-	deadline      time.Time
-	sent          bool
-	abandoned     bool // no answer to it counts any more
+	Home          int       // home of the key when the write was admitted
+	admittedEpoch uint64    // epoch of the map when the write was admitted
+	deadline      time.Time // time by which the write must be answered
+	sent          bool      // whether the write has been sent to a server
+	abandoned     bool      // if set, the write is not sent again and its answer is not accepted
 }
 
-// Router is one process's right to write, and its writes in flight. It is safe for concurrent use, and no method blocks.
+// Router decides, for one process, whether writes may be sent, and tracks the writes in flight. It is safe for concurrent use, and no method
+// blocks.
 //
-// A process that has enrolled may write to a range that is in no move for as long as it runs: a move waits in its first state for every
-// enrolled process, so no process that is cut off misses one, and the loss of the voters halts nothing. From its acknowledgement until
-// the move's end the process needs a right, which ends by itself.
+// An enrolled process may write to a range that is in no active move for as long as it runs, even if the voters are lost. This is safe
+// because a move stays in its first state until every enrolled process has acknowledged it, so a partitioned process can't miss a move.
+// From its acknowledgement until the switch or the undoing of the move, the process needs a write lease, which expires without renewal.
 type Router struct {
-	Name, Instance string        // the pooler, and the process
-	Term           time.Duration // of a right
-	MaxClockDrift  time.Duration // the most by which two monotonic clocks differ over a term
+	Name, Instance string        // name of the pooler, and identifier of the process
+	Term           time.Duration // duration of a write lease
+	MaxClockDrift  time.Duration // maximum difference between two monotonic clocks over a term
 
 	mu              sync.Mutex // guards the fields below
 	disabled        disabledRules
 	document        Document
-	version         uint64 // of the replica that the document is from
-	enrolledVersion uint64 // of this process's document; 0: the process has not enrolled
+	version         uint64 // version of the replica that document was read from
+	enrolledVersion uint64 // version of this process's router document; 0: the process is not enrolled
 	lastRequestID   uint64
-	requestedAt     map[uint64]time.Time // by request: those whose grants are still accepted
+	requestedAt     map[uint64]time.Time // by Request.ID: sending times of the requests whose grants are still accepted
 	lastRequest     sentRequest
-	rightUntil      time.Time
-	needsRight      map[string]bool      // by move: this process needs a right for writes to its range
-	fenceDeadlines  map[string]time.Time // by fenced move: the end of the right by which the writes in flight were sent
-	writes          map[*Write]bool      // in flight
+	writeLeaseEnd   time.Time            // expiry of the write lease
+	needsWriteLease map[string]bool      // by name of an active move: whether writes to its range need the write lease
+	fenceDeadlines  map[string]time.Time // by name of a fenced move: expiry of the write lease under which the writes in flight were sent
+	writes          map[*Write]bool      // admitted writes that have not ended
 }
 
-// SetEnrolled records that this process's document is in the log at a version.
+// SetEnrolled records the version at which this process's router document was written.
 func (r *Router) SetEnrolled(version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enrolledVersion = version
 }
 
-// Withdraw ends this process's enrollment: it sends no write any more.
+// Withdraw ends this process's enrollment. The router admits and sends no writes to mapped ranges from then on.
 func (r *Router) Withdraw() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.withdraw()
 }
 
-// withdraw ends the enrollment: moves may pass this process by from now on. The caller holds the mutex.
+// withdraw ends the enrollment and abandons all writes, because moves do not wait for this process any more. The caller holds the mutex.
 func (r *Router) withdraw() {
 	r.enrolledVersion = 0
 	for w := range r.writes {
@@ -61,16 +62,16 @@
 	}
 }
 
-// Apply puts the map of a replica of a version in force. mine reports whether the replica's document of this pooler names this process.
-// If not, and if the replica is not older than the process's enrollment, another process has taken its place or the operators have
-// retired it.
-func (r *Router) Apply(d Document, version uint64, mine bool) {
+// Apply replaces the map by that of a replica with a version. It does nothing if the version is older than that of the last call. enrolled
+// reports whether the pooler's router document in the replica names this process. If it does not, although the replica is at least as new as
+// this process's enrollment, then another process has replaced this one or the operators have retired it, and Apply ends the enrollment.
+func (r *Router) Apply(d Document, version uint64, enrolled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if version < r.version {
 		return
 	}
-	if !mine && version >= r.enrolledVersion {
+	if !enrolled && version >= r.enrolledVersion {
 		r.withdraw()
 	}
 	wasEnrolled := r.isEnrolled()
@@ -79,33 +80,33 @@
 	r.updateMoves(wasEnrolled)
 }
 
-// updateMoves decides for which moves this process needs a right, and until when writes in flight to fenced ranges may be answered. A
-// move that begins while the process is enrolled needs no right until the process has one: the move can't leave its first state before
-// that. The caller holds the mutex.
+// updateMoves determines which active moves need the write lease, and until when writes in flight to fenced ranges may be answered. A move
+// that begins while the process is enrolled needs no write lease until the process has one, because the move can't leave its first state
+// before that. The caller holds the mutex.
 func (r *Router) updateMoves(wasEnrolled bool) {
-	needsRight := map[string]bool{}
+	needsWriteLease := map[string]bool{}
 	fenceDeadlines := map[string]time.Time{}
-	hasRight := time.Now().Before(r.rightUntil)
+	hasWriteLease := time.Now().Before(r.writeLeaseEnd)
 	for _, m := range r.document.Moves {
 		if !m.State.beforeSwitch() {
 			continue
 		}
 		beganBefore := m.State != Prepared || !wasEnrolled
-		needsRight[m.Name] = r.needsRight[m.Name] || beganBefore || hasRight
+		needsWriteLease[m.Name] = r.needsWriteLease[m.Name] || beganBefore || hasWriteLease
 		if m.State == Fenced {
 			deadline, seen := r.fenceDeadlines[m.Name]
 			if !seen {
-				deadline = r.rightUntil
+				deadline = r.writeLeaseEnd
 			}
 			fenceDeadlines[m.Name] = deadline
 		}
 	}
-	r.needsRight = needsRight
+	r.needsWriteLease = needsWriteLease
 	r.fenceDeadlines = fenceDeadlines
 }
 
-// isEnrolled is the rule of enrollment: a process that starts, perhaps from an old replica, can't know which moves it has missed until
-// its replica is as new as its own document, which every move that begins later waits for. The caller holds the mutex.
+// isEnrolled reports whether this process is enrolled and its replica is at least as new as its router document. Before that, a process that
+// has started from an old replica may have missed moves; moves that begin later wait for the process. The caller holds the mutex.
 func (r *Router) isEnrolled() bool {
 	if !r.disabled.inForce(ruleEnrolled) {
 		return true
@@ -113,7 +114,8 @@
 	return r.enrolledVersion > 0 && r.version >= r.enrolledVersion
 }
 
-// Home returns the cluster of a key and the epoch as of which it is that; ok is false if there is no map.
+// Home returns the home of a key, which is the cluster that the map assigns the key to, and the epoch of the map. ok is false if there is
+// no map.
 func (r *Router) Home(key string) (cluster int, epoch uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,8 +123,8 @@
 	return cluster, r.document.Epoch, ok
 }
 
-// BeginWrite admits a write that must be answered by a deadline. It returns nil, and after how long its client may retry, if the write
-// may not be sent now.
+// BeginWrite admits a write that must be answered by a deadline. If the write may not be sent now, it returns nil and the delay after which
+// the client may retry.
 func (r *Router) BeginWrite(key string, deadline time.Time) (w *Write, retryAfter time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,11 +140,11 @@
 	return w, 0
 }
 
-// retryAfter is when a client may retry: a fence without faults lasts as long as all routers take to see it, and a right is requested
-// several times a term.
+// retryAfter returns the delay after which a client may retry a rejected write. Without faults, a fence lasts only until all routers have
+// applied and acknowledged it, and write leases are requested several times per term.
 func (r *Router) retryAfter() time.Duration { return r.Term / requestsPerTerm }
 
-// AuthorizeSend reports whether a write may be sent to its home now, and as of which epoch.
+// AuthorizeSend reports whether a write may be sent to its home now, and returns the epoch of the map.
 func (r *Router) AuthorizeSend(w *Write) (epoch uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +155,9 @@
 	return r.document.Epoch, true
 }
 
-// mayWrite is the rule of writing. The caller holds the mutex.
+// mayWrite reports whether a write may be sent now. The process must be enrolled and the home of the write unchanged. If the range of the
+// write is in an active move, the process must also be exempt from the move, or the range not be fenced and the process have a write lease.
+// The caller holds the mutex.
 func (r *Router) mayWrite(w *Write) bool {
 	if !r.isEnrolled() || !r.sameHome(w) {
 		return false
@@ -165,14 +169,14 @@
 	case m.State == Fenced && r.disabled.inForce(ruleFence):
 		return false
 	}
-	return !r.disabled.inForce(ruleRight) || time.Now().Before(r.rightUntil)
+	return !r.disabled.inForce(ruleWriteLease) || time.Now().Before(r.writeLeaseEnd)
 }
 
-// isExempt reports whether this process needs no right yet for writes in a move. The caller holds the mutex.
-func (r *Router) isExempt(m Move) bool { return m.State == Prepared && !r.needsRight[m.Name] }
+// isExempt reports whether writes to the range of a move do not need the write lease yet. The caller holds the mutex.
+func (r *Router) isExempt(m Move) bool { return m.State == Prepared && !r.needsWriteLease[m.Name] }
 
-// sameHome is the rule of one home: what was admitted for one home, and may have run there, goes to no other, nor to the same once the
-// range has been elsewhere. The caller holds the mutex.
+// sameHome reports whether a write may still be sent to the home that it was admitted for. Since the write may have been executed there, it
+// may be sent to no other home, nor to the same one after the range has been moved away and back. The caller holds the mutex.
 func (r *Router) sameHome(w *Write) bool {
 	if !r.disabled.inForce(ruleOneHome) {
 		return true
@@ -181,9 +185,10 @@
 	return ok && home == w.Home && !w.abandoned && !r.document.movedSince(w.Key, w.admittedEpoch)
 }
 
-// AnswerCounts reports whether the answer to a write, which has arrived now, is to be believed. If it arrives after the right has ended,
-// the write may have run after the last copy of its range was made: nobody knows, and the client must learn that.
-func (r *Router) AnswerCounts(w *Write) bool {
+// IsAnswerValid reports whether the answer to a write, which has just arrived, may be passed to the client. If the answer arrives after the
+// write lease has expired, the write may have been executed after the last copy of its range, and may be lost; the client must then be
+// told that the result is unknown.
+func (r *Router) IsAnswerValid(w *Write) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.disabled.inForce(ruleLateAnswer) {
@@ -198,7 +203,7 @@
 	case m.State == Fenced:
 		return time.Now().Before(r.fenceDeadlines[m.Name])
 	}
-	return time.Now().Before(r.rightUntil)
+	return time.Now().Before(r.writeLeaseEnd)
 }
 
 // EndWrite records the final answer to a write. last reports whether it was the last write in flight to a fenced range.
@@ -210,16 +215,16 @@
 	return moving && m.State == Fenced && !r.hasWritesInFlight(m.Range)
 }
 
-// hasWritesInFlight reports whether a write to a range has been sent and not ended. It drops writes whose deadline has passed, as their
-// clients have gone. The caller holds the mutex.
-func (r *Router) hasWritesInFlight(in Range) bool {
+// hasWritesInFlight reports whether a write to a range has been sent and has not ended. It removes writes whose deadline has passed, because
+// their clients have disconnected. The caller holds the mutex.
+func (r *Router) hasWritesInFlight(writeRange Range) bool {
 	found := false
 	for w := range r.writes {
 		switch {
 		case !time.Now().Before(w.deadline):
 			w.abandoned = true
 			delete(r.writes, w)
-		case w.sent && in.Contains(w.Key):
+		case w.sent && writeRange.Contains(w.Key):
 			found = true
 		}
 	}
--- a/internal/fleet/shardmap/world_test.go
+++ b/internal/fleet/shardmap/world_test.go
@@ -9,76 +9,76 @@
 const (
 	term           = 900 * time.Millisecond
 	drift          = 100 * time.Millisecond
-	leadershipTerm = 1500 * time.Millisecond // from its last renewal
+	leadershipTerm = 1500 * time.Millisecond // duration of leadership after its last renewal
 )
 
-// documents is the shared documents as of a version.
+// documents is the content of the shared documents at a version.
 type documents struct {
 	version uint64
 	doc     Document
-	routers map[string]string
+	routers map[string]string // instances of the enrolled processes, by router name
 }
 
-// clientWrite is a write and what has become of it.
+// clientWrite is a client's write and its progress.
 type clientWrite struct {
 	id, router int
 	instance   string
 	write      *Write
-	ranAt      []int // clusters
-	inFlight   bool  // at a server, or on the way there
-	answered   bool  // by the server; the router has not received it
-	ended      bool
-	served     bool
-	resent     bool
+	executedAt []int // clusters that executed the write
+	inFlight   bool  // in transit to a server
+	answered   bool  // a server has answered, but the router has not received the answer
+	ended      bool  // the router has given the final answer
+	served     bool  // the final answer was that the write succeeded
+	resent     bool  // the router has lost an answer and may send the write again
 }
 
 // candidate is a process that campaigns for the leadership.
 type candidate struct {
 	coordinator Coordinator
-	until       time.Time         // of its leadership, as it takes it
-	done        map[string]Act    // by move: the last act that has succeeded
-	stateEpoch  map[string]uint64 // by move: the state that done is of
-	step        *Step             // decided, and not written or done yet
+	leadsUntil  time.Time         // end of the leadership on the candidate's own clock
+	done        map[string]Act    // by move: the last act that succeeded
+	stateEpoch  map[string]uint64 // by move: the epoch of the state that done belongs to
+	step        *Step             // decided, but not executed yet
 	token       uint64
 }
 
-// world is two clusters, some routers and candidates, and the voters' log between them.
+// world is a model of two clusters, several routers and candidates, and the log of the voters.
 type world struct {
-	disabled     disabledRules
-	pick         func(n int) int // one of n
-	log          []documents
-	leader       int       // the candidate that the voters take to lead; -1: none
-	freeAt       time.Time // when the voters may give the lease to another
-	token        uint64
-	routers      []*Router
-	seen         []int // by router: the index in log that its replica is as of
-	instances    int
-	candidates   []*candidate
-	requests     []Request
-	grants       []Grant
-	writes       []*clientWrite
-	data         [2]map[int]bool // by cluster: the writes of the range that it has
-	instructions []Instruction   // on their way
-	last         Instruction     // the newest that was carried out
-	trace        []string
-	violation    string // of an invariant, found on the way
+	disabled        disabledRules
+	pick            func(n int) int // returns a number from 0 to n-1
+	log             []documents     // all versions of the shared documents
+	leader          int             // the candidate that holds the lease according to the voters; -1: none
+	leaseFreeAt     time.Time       // the time from which the voters may grant the lease to another candidate
+	token           uint64
+	routers         []*Router
+	replicaIndex    []int // by router: the index in log of its replica
+	instances       int   // number of processes started
+	candidates      []*candidate
+	requests        []Request
+	grants          []Grant
+	writes          []*clientWrite
+	data            [2]map[int]bool // by cluster: ids of the writes that it stores
+	instructions    []Instruction   // in transit
+	lastInstruction Instruction     // the newest that was executed
+	trace           []string
+	violation       string // of an invariant, found while sending a write
 }
 
 func (w *world) logf(f string, args ...any) {
 	w.trace = append(w.trace, time.Now().Format("05.000 ")+fmt.Sprintf(f, args...))
 }
 
-func (w *world) between(least, most int) int { return least + w.pick(most-least+1) }
+func (w *world) pickBetween(least, most int) int { return least + w.pick(most-least+1) }
 
-func oneOf[T any](w *world, from []T) T { return from[w.pick(len(from))] }
+func pickElement[T any](w *world, from []T) T { return from[w.pick(len(from))] }
 
-func (w *world) newest() documents { return w.log[len(w.log)-1] }
+func (w *world) latest() documents { return w.log[len(w.log)-1] }
 
 func (w *world) commit(change func(c *documents)) uint64 {
-	c := w.newest()
+	c := w.latest()
 	c.version++
 	c.routers = map[string]string{}
-	for k, v := range w.newest().routers {
+	for k, v := range w.latest().routers {
 		c.routers[k] = v
 	}
 	change(&c)
@@ -86,82 +86,83 @@
 	return c.version
 }
 
-// assumedDrift is the drift that a process allows for: one that allows for none has a clock that is off by all of it.
+// assumedDrift picks the clock drift that a process allows for. A process that allows for none stands for one whose clock is off by all of
+// it.
 func (w *world) assumedDrift() time.Duration {
-	return oneOf(w, []time.Duration{0, drift})
+	return pickElement(w, []time.Duration{0, drift})
 }
 
-// start starts a router's next process, from a replica that may be old.
-func (w *world) start(i int, from int) {
+// startRouter starts a router's next process, from a replica that may be old.
+func (w *world) startRouter(i int, from int) {
 	w.instances++
 	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("process", w.instances), Term: term, MaxClockDrift: w.assumedDrift(), disabled: w.disabled}
-	w.seen[i] = from
-	w.apply(i)
+	w.replicaIndex[i] = from
+	w.applyReplica(i)
 }
 
-func (w *world) apply(i int) {
-	c := w.log[w.seen[i]]
+func (w *world) applyReplica(i int) {
+	c := w.log[w.replicaIndex[i]]
 	r := w.routers[i]
 	r.Apply(c.doc, c.version, c.routers[r.Name] == r.Instance)
 }
 
-func (w *world) enroll(i int) {
+func (w *world) enrollRouter(i int) {
 	r := w.routers[i]
 	v := w.commit(func(c *documents) { c.routers[r.Name] = r.Instance })
 	r.SetEnrolled(v)
 }
 
-func (w *world) enrolledAt(at int) Enrollment {
+func (w *world) enrollmentAt(at int) Enrollment {
 	return Enrollment{Version: w.log[at].version, Instances: w.log[at].routers}
 }
 
-// win makes a candidate win the leadership, or renew it, if the voters may give it.
-func (w *world) win(k int) {
+// acquireLeadership lets a candidate acquire or renew the leadership, if the voters may grant it.
+func (w *world) acquireLeadership(k int) {
 	c := w.candidates[k]
 	if k != w.leader {
-		if time.Now().Before(w.freeAt) {
+		if time.Now().Before(w.leaseFreeAt) {
 			return
 		}
 		w.token++
 		w.leader = k
 		c.token = w.token
 		c.step, c.done, c.stateEpoch = nil, map[string]Act{}, map[string]uint64{}
-		n := w.newest()
+		n := w.latest()
 		c.coordinator.BeginTerm(c.token, n.doc, n.version)
 		w.logf("candidate %d leads, token %d", k, c.token)
 	}
-	c.until = time.Now().Add(leadershipTerm - drift)
-	w.freeAt = time.Now().Add(leadershipTerm + drift)
+	c.leadsUntil = time.Now().Add(leadershipTerm - drift)
+	w.leaseFreeAt = time.Now().Add(leadershipTerm + drift)
 }
 
-// release ends the leadership early.
-func (w *world) release() {
+// releaseLeadership ends the leadership before its lease expires.
+func (w *world) releaseLeadership() {
 	if w.leader >= 0 {
-		w.candidates[w.leader].until, w.freeAt, w.leader = time.Now(), time.Now(), -1
+		w.candidates[w.leader].leadsUntil, w.leaseFreeAt, w.leader = time.Now(), time.Now(), -1
 	}
 }
 
-// exchange sends a router's request, and delivers the grant at once.
-func (w *world) exchange(i, k int) {
+// exchangeMessages sends a router's request and delivers the grant immediately.
+func (w *world) exchangeMessages(i, k int) {
 	if a, _, ok := w.routers[i].NextRequest(); ok {
-		if g, ok := w.candidates[k].coordinator.HandleRequest(a, w.candidates[k].until); ok {
+		if g, ok := w.candidates[k].coordinator.HandleRequest(a, w.candidates[k].leadsUntil); ok {
 			w.routers[i].ApplyGrant(g)
 		}
 	}
 }
 
-// decide makes a candidate that takes itself to lead decide the next step.
-func (w *world) decide(k int) {
+// decideStep lets a candidate decide its next step if it takes itself to be the leader. When all moves have ended, the step begins another.
+func (w *world) decideStep(k int) {
 	c := w.candidates[k]
 	d, _ := c.coordinator.Document()
-	if c.step != nil || w.disabled.inForce(ruleLeaderOnly) && !time.Now().Before(c.until) || c.token == 0 {
+	if c.step != nil || w.disabled.inForce(ruleLeaderOnly) && !time.Now().Before(c.leadsUntil) || c.token == 0 {
 		return
 	}
 	for _, m := range d.Moves {
 		if c.stateEpoch[m.Name] != m.SinceEpoch {
 			c.stateEpoch[m.Name], c.done[m.Name] = m.SinceEpoch, ActNone
 		}
-		if s, ok := c.coordinator.NextStep(m.Name, w.enrolledAt(len(w.log)-1), c.done[m.Name]); ok {
+		if s, ok := c.coordinator.NextStep(m.Name, w.enrollmentAt(len(w.log)-1), c.done[m.Name]); ok {
 			c.step = &s
 			return
 		}
@@ -178,8 +179,8 @@
 	}
 }
 
-// carryOut writes a step, or sends its instruction; that may be long after the decision.
-func (w *world) carryOut(k int) {
+// executeStep writes the document of a candidate's decided step or sends its instruction. That may happen long after the decision.
+func (w *world) executeStep(k int) {
 	c := w.candidates[k]
 	if c.step == nil {
 		return
@@ -195,22 +196,22 @@
 		return
 	}
 	_, version := c.coordinator.Document()
-	if w.disabled.inForce(ruleToken) && (c.token != w.token || version != w.newest().version && w.docVersion() != version) {
-		w.logf("candidate %d: step fenced", k)
+	if w.disabled.inForce(ruleToken) && (c.token != w.token || version != w.latest().version && w.mapVersion() != version) {
+		w.logf("candidate %d: write of a step rejected", k)
 		return
 	}
 	v := w.commit(func(n *documents) { n.doc = *s.Next })
 	w.logf("candidate %d writes epoch %d: %v", k, s.Next.Epoch, states(*s.Next))
 	if w.pick(5) > 0 {
 		c.coordinator.DocumentWritten(*s.Next, v)
-	} else if c.token == w.token { // the answer is lost: the candidate reads anew
-		n := w.newest()
+	} else if c.token == w.token { // the answer is lost, and the candidate reads the document again
+		n := w.latest()
 		c.coordinator.BeginTerm(c.token, n.doc, n.version)
 	}
 }
 
-// docVersion is the version of the map's document alone.
-func (w *world) docVersion() uint64 {
+// mapVersion returns the version at which the map was last written.
+func (w *world) mapVersion() uint64 {
 	for i := len(w.log) - 1; i > 0; i-- {
 		if w.log[i].doc.Epoch != w.log[i-1].doc.Epoch {
 			return w.log[i].version
@@ -226,15 +227,16 @@
 	return out
 }
 
-// perform delivers an instruction to the clusters. Each candidate that has the move in that state takes the act to be done.
-func (w *world) perform(n int) {
+// deliverInstruction delivers an instruction to the clusters. A candidate that issued it records the act as done if the move is still in the
+// same state.
+func (w *world) deliverInstruction(n int) {
 	i := w.instructions[n]
 	w.instructions = slices.Delete(w.instructions, n, n+1)
-	if w.disabled.inForce(ruleActOrder) && !i.Newer(w.last) {
+	if w.disabled.inForce(ruleActOrder) && !i.Newer(w.lastInstruction) {
 		return
 	}
-	if i.Newer(w.last) {
-		w.last = i
+	if i.Newer(w.lastInstruction) {
+		w.lastInstruction = i
 	}
 	if i.Act == ActCopy || i.Act == ActFinish {
 		to := map[int]bool{}
@@ -251,7 +253,7 @@
 	}
 }
 
-// beginWrite admits one more write at a router; nil: it was rejected.
+// beginWrite lets a router admit a new write. It returns nil if the write is rejected.
 func (w *world) beginWrite(i int) *clientWrite {
 	r := w.routers[i]
 	admitted, _ := r.BeginWrite("k", time.Now().Add(2*term))
@@ -263,18 +265,20 @@
 	return c
 }
 
-// alive reports whether a write's router still is the process that admitted it.
-func (w *world) alive(c *clientWrite) bool { return w.routers[c.router].Instance == c.instance }
+// isRouterRunning reports whether the process that admitted a write is still running.
+func (w *world) isRouterRunning(c *clientWrite) bool {
+	return w.routers[c.router].Instance == c.instance
+}
 
-func (w *world) send(c *clientWrite) {
-	if c.ended || c.inFlight || c.answered || !w.alive(c) {
+func (w *world) sendWrite(c *clientWrite) {
+	if c.ended || c.inFlight || c.answered || !w.isRouterRunning(c) {
 		return
 	}
 	if _, ok := w.routers[c.router].AuthorizeSend(c.write); ok {
 		c.inFlight = true
-		home, _ := w.newest().doc.Home("k")
+		home, _ := w.latest().doc.Home("k")
 		if w.disabled.inForce(ruleOneHome) && home != c.write.Home {
-			w.violation = fmt.Sprintf("write %d was sent to %d when its range had moved to %d", c.id, c.write.Home, home)
+			w.violation = fmt.Sprintf("write %d was sent to %d after its range had moved to %d", c.id, c.write.Home, home)
 		}
 	} else {
 		c.ended = true
@@ -282,8 +286,8 @@
 	}
 }
 
-// run makes a server carry a write out, whenever it arrives.
-func (w *world) run(c *clientWrite) {
+// executeWrite lets a server execute a write, at any time after it was sent.
+func (w *world) executeWrite(c *clientWrite) {
 	if !c.inFlight {
 		return
 	}
@@ -293,14 +297,14 @@
 		home, _, _ = w.routers[c.router].Home("k")
 	}
 	w.data[home][c.id] = true
-	c.ranAt = append(c.ranAt, home)
-	w.logf("write %d of %s runs at %d", c.id, c.instance, home)
+	c.executedAt = append(c.executedAt, home)
+	w.logf("write %d of %s is executed at %d", c.id, c.instance, home)
 }
 
-// answer delivers the answer to a write to its router: the write is served if the answer counts. If the answer is lost, the write is sent
-// once more, as a write that servers recognize when it is repeated.
-func (w *world) answer(c *clientWrite, lost bool) {
-	if !c.answered || c.ended || !w.alive(c) {
+// deliverAnswer delivers a server's answer to the router. The write is served if the answer is valid. If the answer is lost, the write may be
+// sent once more, like a write that servers deduplicate.
+func (w *world) deliverAnswer(c *clientWrite, lost bool) {
+	if !c.answered || c.ended || !w.isRouterRunning(c) {
 		return
 	}
 	c.answered = false
@@ -309,71 +313,72 @@
 		return
 	}
 	c.ended = true
-	c.served = !lost && w.routers[c.router].AnswerCounts(c.write)
+	c.served = !lost && w.routers[c.router].IsAnswerValid(c.write)
 	w.routers[c.router].EndWrite(c.write)
 	if c.served {
 		w.logf("write %d is served", c.id)
 	}
 }
 
-// violated returns which invariant is violated; "": none.
-func (w *world) violated() string {
+// findViolation returns the invariant that is violated, or "" if there is none.
+func (w *world) findViolation() string {
 	if w.violation != "" {
 		return w.violation
 	}
-	home, _ := w.newest().doc.Home("k")
+	home, _ := w.latest().doc.Home("k")
 	for _, c := range w.writes {
 		if c.served && !w.data[home][c.id] {
-			return fmt.Sprintf("write %d was served and is not in its home %d", c.id, home)
+			return fmt.Sprintf("write %d was served but is not stored in its home %d", c.id, home)
 		}
-		if slices.Contains(c.ranAt, 0) && slices.Contains(c.ranAt, 1) {
-			return fmt.Sprintf("write %d ran in both clusters", c.id)
+		if slices.Contains(c.executedAt, 0) && slices.Contains(c.executedAt, 1) {
+			return fmt.Sprintf("write %d was executed in both clusters", c.id)
 		}
 	}
 	return ""
 }
 
-// newWorld returns a world of two routers that have enrolled, and two candidates of which the first leads.
+// newWorld returns a world with two enrolled routers and two candidates, the first of which is the leader.
 func newWorld(pick func(int) int, disabled disabledRules) *world {
-	w := &world{disabled: disabled, pick: pick, leader: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), seen: make([]int, 2)}
+	w := &world{disabled: disabled, pick: pick, leader: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), replicaIndex: make([]int, 2)}
 	w.log = []documents{{version: 1, doc: Document{Epoch: 1, Ranges: []Range{{Cluster: 0}}}, routers: map[string]string{}}}
 	for range 2 {
 		w.candidates = append(w.candidates, &candidate{coordinator: Coordinator{Term: term, MaxClockDrift: w.assumedDrift(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: disabled}})
 	}
 	for i := range w.routers {
-		w.start(i, 0)
-		w.enroll(i)
-		w.seen[i] = len(w.log) - 1
-		w.apply(i)
+		w.startRouter(i, 0)
+		w.enrollRouter(i)
+		w.replicaIndex[i] = len(w.log) - 1
+		w.applyReplica(i)
 	}
-	w.win(0)
-	w.decide(0)
-	w.carryOut(0)
+	w.acquireLeadership(0)
+	w.decideStep(0)
+	w.executeStep(0)
 	return w
 }
 
-// leaderOr returns the candidate that leads, or the kth if none does.
-func (w *world) leaderOr(k int) int {
+// leaderOrDefault returns the index of the leader, or k if there is none.
+func (w *world) leaderOrDefault(k int) int {
 	if w.leader >= 0 {
 		return w.leader
 	}
 	return k
 }
 
-// work makes the leader do its work without a fault.
-func (w *world) work(k int) {
-	k = w.leaderOr(k)
-	w.win(k)
-	w.decide(k)
-	w.carryOut(k)
+// runLeaderOnce lets the leader, or candidate k if there is none, renew its leadership, decide and execute a step, and have its newest
+// instruction delivered.
+func (w *world) runLeaderOnce(k int) {
+	k = w.leaderOrDefault(k)
+	w.acquireLeadership(k)
+	w.decideStep(k)
+	w.executeStep(k)
 	if len(w.instructions) > 0 {
-		w.perform(len(w.instructions) - 1)
+		w.deliverInstruction(len(w.instructions) - 1)
 	}
 }
 
-// follow makes a router follow the documents, and exchange a request and its grant, without a fault.
-func (w *world) follow(i, k int) {
-	w.seen[i] = len(w.log) - 1
-	w.apply(i)
-	w.exchange(i, w.leaderOr(k))
+// syncRouter brings a router's replica up to date and exchanges a request and its grant.
+func (w *world) syncRouter(i, k int) {
+	w.replicaIndex[i] = len(w.log) - 1
+	w.applyReplica(i)
+	w.exchangeMessages(i, w.leaderOrDefault(k))
 }
