--- a/internal/fleet/purge/cache_guard.go
+++ b/internal/fleet/purge/cache_guard.go
@@ -55,7 +55,7 @@
 	if !ok || edge == nil {
 		return dispatch.Admission{}
 	}
-	since, why := edge.Current(r.Group)
+	since, why := edge.ServableSince(r.Group)
 	if why != Allowed {
 		g.refused[why].Add(1)
 		return dispatch.Admission{}
--- a/internal/fleet/purge/clock.go
+++ b/internal/fleet/purge/clock.go
@@ -14,14 +14,14 @@
 	maxPeers = 7
 )
 
-// clockRound is one comparison with a peer's clock: a request and its answer. Wall clocks are Unix times in ns.
-type clockRound struct {
+// clockSample is one comparison with a peer's clock: a request and its answer. Wall clocks are Unix times in ns.
+type clockSample struct {
 	peer           string
 	sentAt         int64         // the request, by the clock here
 	peerReceivedAt int64         // the request, by the peer's clock
 	peerSentAt     int64         // the answer, by the peer's clock
 	receivedAt     int64         // the answer, by the clock here
-	duration       time.Duration // of the round, on the monotonic clock here
+	roundTrip      time.Duration // of the round, on the monotonic clock here
 }
 
 // clockComparison knows how far this process's wall clock is from other poolers' clocks. Each measurement remembers how the wall clock
@@ -33,26 +33,26 @@
 
 // measurement is what a round says about a peer's clock.
 type measurement struct {
-	peer        string
-	offset      time.Duration // of the clock here from the peer's
-	uncertainty time.Duration // of the offset: half of the round
-	measuredAt  time.Duration // monotonic
-	wallShift   time.Duration // of the wall clock from the monotonic one, then
+	peer               string
+	offset             time.Duration // of the clock here from the peer's
+	uncertainty        time.Duration // of the offset: half of the round
+	measuredAt         time.Duration // monotonic
+	wallMinusMonotonic time.Duration // of the wall clock from the monotonic one, then
 }
 
 // add records a round that ended at a time of the monotonic clock.
-func (c *clockComparison) add(r clockRound, monotonic time.Duration) {
-	onTheWay := max(r.duration-time.Duration(r.peerSentAt-r.peerReceivedAt), 0)
+func (c *clockComparison) add(r clockSample, monotonic time.Duration) {
+	networkTime := max(r.roundTrip-time.Duration(r.peerSentAt-r.peerReceivedAt), 0)
 	added := measurement{
-		peer:        r.peer,
-		offset:      time.Duration((r.sentAt - r.peerReceivedAt + r.receivedAt - r.peerSentAt) / 2),
-		uncertainty: onTheWay / 2,
-		measuredAt:  monotonic,
-		wallShift:   time.Duration(r.receivedAt) - monotonic,
+		peer:               r.peer,
+		offset:             time.Duration((r.sentAt - r.peerReceivedAt + r.receivedAt - r.peerSentAt) / 2),
+		uncertainty:        networkTime / 2,
+		measuredAt:         monotonic,
+		wallMinusMonotonic: time.Duration(r.receivedAt) - monotonic,
 	}
 	i := slices.IndexFunc(c.measurements, func(m measurement) bool { return m.peer == r.peer })
 	if i >= 0 {
-		if c.measurements[i].outweighs(added) {
+		if c.measurements[i].isBetterThan(added) {
 			return
 		}
 		c.measurements = slices.Delete(c.measurements, i, i+1)
@@ -63,11 +63,11 @@
 	}
 }
 
-// outweighs reports whether a measurement says more than a later one of the same peer, whose round took long, and is not contradicted by
+// isBetterThan reports whether a measurement says more than a later one of the same peer, whose round took long, and is not contradicted by
 // it: the peer's clock may have moved.
-func (m measurement) outweighs(later measurement) bool {
+func (m measurement) isBetterThan(later measurement) bool {
 	uncertainty := m.uncertainty + time.Duration(maxDriftRate*float64(later.measuredAt-m.measuredAt))
-	moved := m.offset + later.wallShift - m.wallShift - later.offset
+	moved := m.offset + later.wallMinusMonotonic - m.wallMinusMonotonic - later.offset
 	contradicted := max(moved, -moved) > uncertainty+later.uncertainty
 	return uncertainty <= later.uncertainty && !contradicted
 }
@@ -82,7 +82,7 @@
 	}
 	bounds := make([]time.Duration, 0, measured)
 	for _, m := range c.measurements {
-		offset := m.offset + time.Duration(wall) - monotonic - m.wallShift
+		offset := m.offset + time.Duration(wall) - monotonic - m.wallMinusMonotonic
 		bound := max(offset, -offset) + m.uncertainty
 		if withDrift {
 			bound += time.Duration(maxDriftRate * float64(monotonic-m.measuredAt))
--- a/internal/fleet/purge/clock_exchange.go
+++ b/internal/fleet/purge/clock_exchange.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// topicTime is the topic of clockReading.
-const topicTime = "purge/time"
+// clockTopic is the topic of clockReading.
+const clockTopic = "purge/time"
 
 const (
 	// initialComparisonInterval is the time between comparisons until there are enough, and the least time later.
@@ -20,22 +20,22 @@
 	maxComparisonInterval = 5 * time.Second
 	// maxConcurrentAnswers bounds the answers to other poolers that are on their way; further requests are sent again.
 	maxConcurrentAnswers = 8
-	// readingSendTimeout bounds the sending of a reading.
-	readingSendTimeout = time.Second
-	// comparisonsPerReplicaAge is how often a clock is compared in the age that a replica may have.
-	comparisonsPerReplicaAge = 4
+	// clockSendTimeout bounds the sending of a reading.
+	clockSendTimeout = time.Second
+	// comparisonsPerMaxReplicaAge is how often a clock is compared in the age that a replica may have.
+	comparisonsPerMaxReplicaAge = 4
 )
 
-// clockReading is what two poolers send each other to compare their clocks: a request, and its answer.
-type clockReading struct {
+// clockMessage is what two poolers send each other to compare their clocks: a request, and its answer.
+type clockMessage struct {
 	Number     uint64 `json:"number"` // of the request
 	IsRequest  bool   `json:"asks,omitempty"`
 	ReceivedAt int64  `json:"got,omitempty"`  // the request, by the answering pooler's clock; Unix ns
 	SentAt     int64  `json:"sent,omitempty"` // the answer, by the same clock
 }
 
-// pendingReading is a request that waits for its answer.
-type pendingReading struct {
+// pendingRequest is a request that waits for its answer.
+type pendingRequest struct {
 	peer      string
 	sentAt    int64     // by the wall clock, Unix ns
 	startedAt time.Time // by the monotonic clock
@@ -48,15 +48,15 @@
 
 	mu         sync.Mutex // guards the fields below
 	lastNumber uint64
-	pending    map[uint64]pendingReading // by number
+	pending    map[uint64]pendingRequest // by number
 }
 
 func newClockExchange() *clockExchange {
-	return &clockExchange{answerSlots: make(chan struct{}, maxConcurrentAnswers), pending: map[uint64]pendingReading{}}
+	return &clockExchange{answerSlots: make(chan struct{}, maxConcurrentAnswers), pending: map[uint64]pendingRequest{}}
 }
 
-// begin records a request, and returns its number.
-func (x *clockExchange) begin(r pendingReading) (number uint64) {
+// register records a request, and returns its number.
+func (x *clockExchange) register(r pendingRequest) (number uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.lastNumber++
@@ -64,8 +64,8 @@
 	return x.lastNumber
 }
 
-// end returns the request that a peer has answered, and forgets it. ok is false if there is none.
-func (x *clockExchange) end(number uint64, peer string) (r pendingReading, ok bool) {
+// take returns the request that a peer has answered, and forgets it. ok is false if there is none.
+func (x *clockExchange) take(number uint64, peer string) (r pendingRequest, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	r, ok = x.pending[number]
@@ -73,11 +73,11 @@
 	return r, ok && r.peer == peer
 }
 
-// forgetLost forgets requests whose answers are lost.
-func (x *clockExchange) forgetLost() {
+// removeExpired forgets requests whose answers are lost.
+func (x *clockExchange) removeExpired() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	maps.DeleteFunc(x.pending, func(_ uint64, r pendingReading) bool { return time.Since(r.startedAt) > maxComparisonInterval })
+	maps.DeleteFunc(x.pending, func(_ uint64, r pendingRequest) bool { return time.Since(r.startedAt) > maxComparisonInterval })
 }
 
 // compareClocks compares the clock with another pooler's again and again: often until enough clocks are known, then several times in the
@@ -88,10 +88,10 @@
 		others := slices.DeleteFunc(s.runtime.Bus.Members(), func(member string) bool { return member == self })
 		s.edge.SetOtherPoolers(len(others))
 		if len(others) > 0 {
-			s.requestReading(ctx, others[rand.IntN(len(others))])
+			s.sendClockRequest(ctx, others[rand.IntN(len(others))])
 		}
 		sleep(ctx, s.comparisonInterval())
-		s.clocks.forgetLost()
+		s.clocks.removeExpired()
 	}
 }
 
@@ -100,43 +100,43 @@
 	if !s.edge.ClockCompared() {
 		return initialComparisonInterval
 	}
-	interval := s.bounds().MaxReplicaAge / comparisonsPerReplicaAge
+	interval := s.bounds().MaxReplicaAge / comparisonsPerMaxReplicaAge
 	return min(max(interval, initialComparisonInterval), maxComparisonInterval)
 }
 
-// requestReading sends a peer a request for its clock.
-func (s *session) requestReading(ctx context.Context, peer string) {
-	number := s.clocks.begin(pendingReading{peer: peer, sentAt: s.edge.wall(), startedAt: time.Now()})
-	s.sendReading(ctx, peer, clockReading{Number: number, IsRequest: true})
+// sendClockRequest sends a peer a request for its clock.
+func (s *session) sendClockRequest(ctx context.Context, peer string) {
+	number := s.clocks.register(pendingRequest{peer: peer, sentAt: s.edge.wall(), startedAt: time.Now()})
+	s.sendClockMessage(ctx, peer, clockMessage{Number: number, IsRequest: true})
 }
 
-// handleReading handles a request or an answer of another pooler.
-func (s *session) handleReading(ctx context.Context, from string, body []byte) {
+// handleClockMessage handles a request or an answer of another pooler.
+func (s *session) handleClockMessage(ctx context.Context, from string, body []byte) {
 	receivedAt := s.edge.wall()
-	var reading clockReading
+	var reading clockMessage
 	if json.Unmarshal(body, &reading) != nil {
 		return
 	}
 	if reading.IsRequest {
-		s.answerReading(ctx, from, reading.Number, receivedAt)
+		s.sendClockAnswer(ctx, from, reading.Number, receivedAt)
 		return
 	}
-	request, ok := s.clocks.end(reading.Number, from)
+	request, ok := s.clocks.take(reading.Number, from)
 	if !ok {
 		return
 	}
-	s.edge.addClockRound(clockRound{
+	s.edge.addClockSample(clockSample{
 		peer:           from,
 		sentAt:         request.sentAt,
 		peerReceivedAt: reading.ReceivedAt,
 		peerSentAt:     reading.SentAt,
 		receivedAt:     receivedAt,
-		duration:       time.Since(request.startedAt),
+		roundTrip:      time.Since(request.startedAt),
 	})
 }
 
-// answerReading answers a request that was received at a time of the wall clock.
-func (s *session) answerReading(ctx context.Context, to string, number uint64, receivedAt int64) {
+// sendClockAnswer answers a request that was received at a time of the wall clock.
+func (s *session) sendClockAnswer(ctx context.Context, to string, number uint64, receivedAt int64) {
 	select {
 	case s.clocks.answerSlots <- struct{}{}:
 	default:
@@ -144,19 +144,19 @@
 	}
 	go func() { // ends with the sending, which readingSendTimeout bounds
 		defer func() { <-s.clocks.answerSlots }()
-		s.sendReading(ctx, to, clockReading{Number: number, ReceivedAt: receivedAt, SentAt: s.edge.wall()})
+		s.sendClockMessage(ctx, to, clockMessage{Number: number, ReceivedAt: receivedAt, SentAt: s.edge.wall()})
 	}()
 }
 
-// sendReading sends one pooler a request or an answer.
-func (s *session) sendReading(ctx context.Context, to string, r clockReading) {
+// sendClockMessage sends one pooler a request or an answer.
+func (s *session) sendClockMessage(ctx context.Context, to string, r clockMessage) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		panic(err) // a reading holds numbers alone
 	}
-	call, cancel := context.WithTimeout(ctx, readingSendTimeout)
+	call, cancel := context.WithTimeout(ctx, clockSendTimeout)
 	defer cancel()
-	if err := s.runtime.Bus.Send(call, to, topicTime, body); err != nil && ctx.Err() == nil {
+	if err := s.runtime.Bus.Send(call, to, clockTopic, body); err != nil && ctx.Err() == nil {
 		s.runtime.Log.Debug().Err(err).Str("to", to).Msg("purge: clock reading not sent")
 	}
 }
--- a/internal/fleet/purge/clock_test.go
+++ b/internal/fleet/purge/clock_test.go
@@ -6,12 +6,12 @@
 )
 
 // The offset is bounded by a majority of the clocks, a slow round does not replace a better one, and a step counts at once.
-func TestClockByMajority(t *testing.T) {
+func TestOffsetBoundByMajority(t *testing.T) {
 	var c clockComparison
 	at, mono := int64(1e18), time.Hour
 	measure := func(peer string, ahead, round time.Duration) {
 		theirs := at - int64(ahead) + int64(round/2)
-		c.add(clockRound{peer: peer, sentAt: at, peerReceivedAt: theirs, peerSentAt: theirs, receivedAt: at + int64(round), duration: round}, mono+round)
+		c.add(clockSample{peer: peer, sentAt: at, peerReceivedAt: theirs, peerSentAt: theirs, receivedAt: at + int64(round), roundTrip: round}, mono+round)
 		at += int64(round)
 		mono += round
 	}
--- a/internal/fleet/purge/component.go
+++ b/internal/fleet/purge/component.go
@@ -21,11 +21,11 @@
 	RotatedJournals int           // rotated files beside the journal
 	Term            time.Duration // of leases
 
-	edge             atomic.Pointer[Edge] // nil while the component does not run
-	proposalChanged  chan struct{}        // wakes proposePlans
-	documentsChanged chan struct{}        // wakes firePurges
-	wall             func() int64         // Unix ns; nil: the machine's wall clock
-	clocks           *clockExchange
+	edge            atomic.Pointer[Edge] // nil while the component does not run
+	proposalChanged chan struct{}        // wakes proposePlans
+	eventsChanged   chan struct{}        // wakes firePurges
+	wall            func() int64         // Unix ns; nil: the machine's wall clock
+	clocks          *clockExchange
 
 	mu       sync.Mutex // guards the fields below
 	proposal Proposal
@@ -37,11 +37,11 @@
 // New returns a component that proposes what its operators' file says.
 func New(site string, p Proposal) *Component {
 	return &Component{
-		Site:             site,
-		proposal:         p,
-		proposalChanged:  make(chan struct{}, 1),
-		documentsChanged: make(chan struct{}, 1),
-		clocks:           newClockExchange(),
+		Site:            site,
+		proposal:        p,
+		proposalChanged: make(chan struct{}, 1),
+		eventsChanged:   make(chan struct{}, 1),
+		clocks:          newClockExchange(),
 	}
 }
 
@@ -78,7 +78,7 @@
 	if c.wall != nil {
 		s.edge.wall = c.wall
 	}
-	runtime.Bus.Handle(topicTime, func(from string, body []byte) { s.handleReading(ctx, from, body) })
+	runtime.Bus.Handle(clockTopic, func(from string, body []byte) { s.handleClockMessage(ctx, from, body) })
 	c.edge.Store(s.edge)
 	defer c.edge.Store(nil)
 	var running sync.WaitGroup
@@ -86,7 +86,7 @@
 	running.Go(func() { s.followDocuments(ctx) })
 	running.Go(func() { s.compareClocks(ctx) })
 	running.Go(func() { s.firePurges(ctx) })
-	running.Go(func() { s.proposePlans(ctx) })
+	running.Go(func() { s.syncProposal(ctx) })
 	running.Go(func() { s.report(ctx) })
 	return nil
 }
@@ -113,7 +113,7 @@
 	for ctx.Err() == nil {
 		changed := s.runtime.View.Changed()
 		s.edge.Refresh()
-		notify(s.documentsChanged)
+		notify(s.eventsChanged)
 		err := s.edge.Err()
 		switch {
 		case err == nil:
@@ -135,7 +135,7 @@
 		timer := time.NewTimer(s.edge.FireDue())
 		select {
 		case <-ctx.Done():
-		case <-s.documentsChanged:
+		case <-s.eventsChanged:
 		case <-timer.C:
 		}
 		timer.Stop()
--- a/internal/fleet/purge/component_test.go
+++ b/internal/fleet/purge/component_test.go
@@ -35,7 +35,9 @@
 }
 
 // newProposal returns a proposal of the present revision and orders.
-func (s *scenario) newProposal(n int) Proposal { return closing(s.revision, 1+n%4, s.orders...) }
+func (s *scenario) newProposal(n int) Proposal {
+	return dailyCloseProposal(s.revision, 1+n%4, s.orders...)
+}
 
 // request sends requests to all edges for a time.
 func (s *scenario) request(d time.Duration, n int) {
@@ -47,8 +49,8 @@
 	}
 }
 
-// act does the ith of the drawn acts, to an edge by its number.
-func (s *scenario) act(i, act, n int) {
+// inject does the ith of the drawn acts, to an edge by its number.
+func (s *scenario) inject(i, act, n int) {
 	e := s.edges[n%len(s.edges)]
 	switch {
 	case act < 20:
@@ -62,7 +64,7 @@
 	case act < 36:
 		e.stop()
 	case act < 44:
-		if e.end == nil {
+		if e.cancel == nil {
 			e.start(s.proposal)
 		}
 	case act < 48:
@@ -92,7 +94,7 @@
 func (s *scenario) heal() {
 	for _, e := range s.edges {
 		e.setIsolated(false)
-		if e.end == nil {
+		if e.cancel == nil {
 			e.start(s.proposal)
 		}
 	}
@@ -110,7 +112,7 @@
 // Five edges of two sites, one of them with a clock that is anywhere and steps; cuts, restarts while cut off, plans changed around their
 // closes, orders, and requests in flight across all of that. No cached answer is from before a purge that was over, and each edge records
 // each purge once.
-func TestNothingStale(t *testing.T) {
+func TestNoStaleAnswers(t *testing.T) {
 	runs, shares := 0, 0.0
 	rapid.Check(t, func(rt *rapid.T) {
 		acts := rapid.SliceOfN(rapid.IntRange(0, 99), 5, 30).Draw(rt, "acts")
@@ -121,7 +123,7 @@
 			s.request(8*time.Second, 0)
 			for i, act := range acts {
 				n := numbers[i+8]
-				s.act(i, act, n)
+				s.inject(i, act, n)
 				s.request(time.Duration(n%4000)*time.Millisecond, n)
 			}
 			s.heal()
--- a/internal/fleet/purge/edge.go
+++ b/internal/fleet/purge/edge.go
@@ -13,8 +13,8 @@
 	// maxRememberedPurges is how many purges an edge remembers to have recorded: a year of ten a day.
 	maxRememberedPurges = 4096
 	// eventLookahead is how far ahead events are loaded, and eventReload how far ahead they must reach.
-	eventLookahead = 48 * time.Hour
-	eventReload    = 24 * time.Hour
+	eventLookahead    = 48 * time.Hour
+	minEventLookahead = 24 * time.Hour
 	// maxFireInterval bounds the time until an edge looks for due purges again, as clocks and documents change.
 	maxFireInterval = time.Second
 )
@@ -33,7 +33,7 @@
 	otherPoolers int // that are taken to be alive
 	documents    loadedDocuments
 	events       loadedEvents
-	firstPurgeAt int64 // purges before are not this edge's to record
+	recordFrom   int64 // purges before are not this edge's to record
 	fired        firedPurges
 	lastPurgeAt  map[int]int64 // by cluster: the generation, which only grows
 }
@@ -61,17 +61,17 @@
 // NewEdge returns the edge of a site. onPurge is called for each purge, once over all processes that share the history.
 func NewEdge(site string, view replication.View, h History, onPurge func(e Event, now int64)) *Edge {
 	e := &Edge{
-		site:         site,
-		view:         view,
-		onPurge:      onPurge,
-		wall:         func() int64 { return time.Now().UnixNano() },
-		startedAt:    time.Now(),
-		firstPurgeAt: h.Since,
-		fired:        newFiredPurges(h.Fired),
-		lastPurgeAt:  map[int]int64{},
+		site:        site,
+		view:        view,
+		onPurge:     onPurge,
+		wall:        func() int64 { return time.Now().UnixNano() },
+		startedAt:   time.Now(),
+		recordFrom:  h.Since,
+		fired:       newFiredPurges(h.Fired),
+		lastPurgeAt: map[int]int64{},
 	}
-	if e.firstPurgeAt == 0 {
-		e.firstPurgeAt = e.wall()
+	if e.recordFrom == 0 {
+		e.recordFrom = e.wall()
 	}
 	e.Refresh()
 	return e
@@ -85,7 +85,7 @@
 func (e *Edge) Refresh() {
 	version := e.view.Version() // before the documents are read: they may be newer
 	documents := e.view.List(keyPrefix)
-	if e.alreadyLoaded(documents, version) {
+	if e.updateVersionIfUnchanged(documents, version) {
 		return
 	}
 	timetable, err := e.parseTimetable(documents)
@@ -95,8 +95,8 @@
 	e.events = loadedEvents{}
 }
 
-// alreadyLoaded reports whether the documents are those that are loaded, and records then that they are of a version.
-func (e *Edge) alreadyLoaded(documents []replication.Document, version uint64) bool {
+// updateVersionIfUnchanged reports whether the documents are those that are loaded, and records then that they are of a version.
+func (e *Edge) updateVersionIfUnchanged(documents []replication.Document, version uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sameDocument := func(a, b replication.Document) bool { return a.Key == b.Key && a.Version == b.Version }
@@ -126,8 +126,8 @@
 	return e.documents.timetableErr
 }
 
-// addClockRound records a comparison with another pooler's clock that has just ended.
-func (e *Edge) addClockRound(r clockRound) {
+// addClockSample records a comparison with another pooler's clock that has just ended.
+func (e *Edge) addClockSample(r clockSample) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.clock.add(r, e.monotonic())
@@ -152,28 +152,28 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now = e.wall()
-	return now, e.trustsClock(now, guard)
+	return now, e.isClockTrusted(now, guard)
 }
 
-// trustsClock reports whether the wall clock agrees with most others within half of a guard, by the measurements and by what may have come
+// isClockTrusted reports whether the wall clock agrees with most others within half of a guard, by the measurements and by what may have come
 // since. The caller holds the mutex.
-func (e *Edge) trustsClock(now int64, guard time.Duration) bool {
+func (e *Edge) isClockTrusted(now int64, guard time.Duration) bool {
 	bound, ok := e.clock.offsetBound(now, e.monotonic(), e.otherPoolers, true)
 	return ok && bound <= guard/2
 }
 
-// Current reports whether a cached answer for a cluster may be given now, and since when by this clock it must have been requested. All
+// ServableSince reports whether a cached answer for a cluster may be given now, and since when by this clock it must have been requested. All
 // due purges are recorded first, so an edge that was stalled or cut off has caught up before its answer. From a guard before a purge until
 // a guard and Settle after it, nothing can have been requested late enough: requests go to servers.
-func (e *Edge) Current(cluster int) (since int64, why Reason) {
+func (e *Edge) ServableSince(cluster int) (since int64, why Reason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.wall()
 	timetable := e.documents.timetable
 	switch {
-	case timetable == nil || now < timetable.knownFrom || now >= timetable.until:
+	case timetable == nil || now < timetable.knownFrom || now >= timetable.validUntil:
 		return 0, NoPlan
-	case !e.trustsClock(now, timetable.bounds.Guard):
+	case !e.isClockTrusted(now, timetable.bounds.Guard):
 		return 0, ClockUntrusted
 	case e.isStale():
 		return 0, ReplicaStale
@@ -186,7 +186,7 @@
 // MayStore reports whether an answer that was requested some time ago, and has just arrived, may be stored; requestedAt is when that was,
 // by this clock. An answer that was under way across a purge may not.
 func (e *Edge) MayStore(cluster int, ago time.Duration) (requestedAt int64, ok bool) {
-	since, why := e.Current(cluster)
+	since, why := e.ServableSince(cluster)
 	requestedAt = e.wall() - int64(ago)
 	return requestedAt, why == Allowed && requestedAt >= since
 }
@@ -204,8 +204,8 @@
 func (e *Edge) lastPurge(now int64, cluster int) int64 {
 	e.loadEvents(now)
 	for _, event := range slices.Backward(e.events.events) {
-		mayHaveCome := event.At <= now+int64(e.documents.timetable.bounds.Guard)
-		if mayHaveCome && (event.Cluster == AllClusters || event.Cluster == cluster) {
+		mayBePast := event.At <= now+int64(e.documents.timetable.bounds.Guard)
+		if mayBePast && (event.Cluster == AllClusters || event.Cluster == cluster) {
 			return event.At
 		}
 	}
@@ -214,7 +214,7 @@
 
 // loadEvents loads the events around now, unless they are loaded. The caller holds the mutex.
 func (e *Edge) loadEvents(now int64) {
-	if e.events.from <= now-int64(eventRetention) && now <= e.events.to-int64(eventReload) {
+	if e.events.from <= now-int64(eventRetention) && now <= e.events.to-int64(minEventLookahead) {
 		return
 	}
 	from := now - int64(eventRetention+24*time.Hour)
@@ -233,9 +233,9 @@
 	}
 	now := e.wall()
 	bound, measured := e.clock.offsetBound(now, e.monotonic(), e.otherPoolers, false)
-	clockOff := measured && bound > timetable.bounds.Guard/2
-	mayYetCompare := !measured && e.monotonic() < timetable.bounds.MaxReplicaAge // it has just started
-	if clockOff || mayYetCompare {
+	clockDisagrees := measured && bound > timetable.bounds.Guard/2
+	awaitingComparison := !measured && e.monotonic() < timetable.bounds.MaxReplicaAge // it has just started
+	if clockDisagrees || awaitingComparison {
 		return maxFireInterval
 	}
 	e.fire(now)
@@ -251,7 +251,7 @@
 // caller holds the mutex.
 func (e *Edge) fire(now int64) {
 	e.loadEvents(now)
-	after := max(e.firstPurgeAt-1, now-int64(eventRetention))
+	after := max(e.recordFrom-1, now-int64(eventRetention))
 	for _, event := range e.events.events {
 		if event.At > after && event.At <= now && e.fired.add(event.ID) {
 			e.onPurge(event, now)
--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -24,7 +24,7 @@
 // newSoloEdge returns an edge whose plan is in force.
 func newSoloEdge(t *testing.T, p Proposal, h History) *soloEdge {
 	l := &soloEdge{cluster: replicationtest.New(drift)}
-	value, err := p.encodePlan(nil, time.Now().Add(-bounds.reach()).UnixNano()) // in force now
+	value, err := p.encodePlan(nil, time.Now().Add(-bounds.activationDelay()).UnixNano()) // in force now
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 func (l *soloEdge) compare() {
 	for i := range minPeers {
 		at := time.Now().UnixNano()
-		l.addClockRound(clockRound{peer: fmt.Sprint("m", i), sentAt: l.wall(), peerReceivedAt: at, peerSentAt: at, receivedAt: l.wall()})
+		l.addClockSample(clockSample{peer: fmt.Sprint("m", i), sentAt: l.wall(), peerReceivedAt: at, peerSentAt: at, receivedAt: l.wall()})
 	}
 }
 
@@ -62,9 +62,9 @@
 	return version
 }
 
-func (l *soloEdge) want(t *testing.T, what string, cluster int, want Reason) (since int64) {
+func (l *soloEdge) checkServable(t *testing.T, what string, cluster int, want Reason) (since int64) {
 	t.Helper()
-	since, why := l.Current(cluster)
+	since, why := l.ServableSince(cluster)
 	if why != want {
 		t.Errorf("%s: %s, want %s", what, why, want)
 	}
@@ -72,18 +72,18 @@
 }
 
 // An edge that did nothing through a close records the close before its first cached answer, and gives no answer from before it.
-func TestCatchesUpBeforeItAnswers(t *testing.T) {
+func TestPurgesRecordedBeforeFirstCachedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, closing(1, 10), History{})
+		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		time.Sleep(time.Minute)
-		l.want(t, "before", 0, Allowed)
+		l.checkServable(t, "before", 0, Allowed)
 		asked, ok := l.MayStore(0, 0)
 		if !ok {
 			t.Error("nothing may be kept")
 		}
 		time.Sleep(20 * time.Minute) // no timer runs
 		l.compare()
-		if since := l.want(t, "after", 0, Allowed); asked >= since {
+		if since := l.checkServable(t, "after", 0, Allowed); asked >= since {
 			t.Error("an answer from before the close may be given")
 		}
 		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
@@ -93,12 +93,12 @@
 }
 
 // Around the instant of a purge nothing is given or stored, nor is anything that was in flight across it.
-func TestNearAPurge(t *testing.T) {
+func TestCacheDisabledAroundPurge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, closing(1, 10), History{})
+		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		at := time.Date(2000, 1, 1, 0, 10, 0, 0, time.UTC)
 		sleepTo := func(d time.Duration) { time.Sleep(time.Until(at.Add(d))); l.compare() }
-		given := func() bool { since, why := l.Current(0); return why == Allowed && l.wall() > since }
+		given := func() bool { since, why := l.ServableSince(0); return why == Allowed && l.wall() > since }
 		sleepTo(-bounds.Guard - time.Millisecond)
 		if !given() {
 			t.Error("nothing is given a guard before")
@@ -125,54 +125,54 @@
 // recording purges that have not come.
 func TestClockSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, closing(1, 10), History{})
+		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		time.Sleep(11 * time.Minute)
 		l.compare()
-		l.want(t, "right", 0, Allowed)
+		l.checkServable(t, "right", 0, Allowed)
 		l.skew = -5 * time.Minute
-		l.want(t, "set back", 0, ClockUntrusted)
+		l.checkServable(t, "set back", 0, ClockUntrusted)
 		l.FireDue()
 		l.skew = 24 * time.Hour
-		l.want(t, "a day ahead", 0, ClockUntrusted)
+		l.checkServable(t, "a day ahead", 0, ClockUntrusted)
 		l.FireDue()
 		l.compare() // the others say so too
-		l.want(t, "a day ahead, compared", 0, ClockUntrusted)
+		l.checkServable(t, "a day ahead, compared", 0, ClockUntrusted)
 		l.FireDue()
 		l.skew = 0
-		l.want(t, "mended", 0, Allowed)
+		l.checkServable(t, "mended", 0, Allowed)
 		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
 			t.Errorf("recorded %q, want %q", l.recorded, want)
 		}
 		l.skew = -bounds.Guard / 4 // within what is trusted
-		l.want(t, "a little back", 0, Allowed)
+		l.checkServable(t, "a little back", 0, Allowed)
 		time.Sleep(time.Hour)
-		l.want(t, "not compared for an hour", 0, ClockUntrusted)
+		l.checkServable(t, "not compared for an hour", 0, ClockUntrusted)
 	})
 }
 
 // A replica that is old, or newer than the documents that are loaded, keeps the edge from its cache.
 func TestStaleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, closing(1, 10), History{})
+		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		time.Sleep(time.Minute)
 		l.compare()
 		l.view.SetPartitioned(true)
 		time.Sleep(bounds.MaxReplicaAge)
-		l.want(t, "as old as it may be", 0, Allowed)
+		l.checkServable(t, "as old as it may be", 0, Allowed)
 		time.Sleep(time.Millisecond)
-		l.want(t, "older", 0, ReplicaStale)
+		l.checkServable(t, "older", 0, ReplicaStale)
 		l.put(t, "other/doc", 0, []byte("1"))
 		l.view.SetPartitioned(false)
-		l.want(t, "newer than the loaded documents", 0, ReplicaStale)
+		l.checkServable(t, "newer than the loaded documents", 0, ReplicaStale)
 		l.Refresh()
-		l.want(t, "loaded", 0, Allowed)
+		l.checkServable(t, "loaded", 0, Allowed)
 	})
 }
 
 // Orders purge their cluster or all clusters, at their sites; a deleted order does not bring older answers back.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, closing(1, 59), History{})
+		l := newSoloEdge(t, dailyCloseProposal(1, 59), History{})
 		time.Sleep(time.Minute)
 		l.compare()
 		two, at := 2, time.Now().Add(time.Minute).UnixNano()
@@ -181,10 +181,10 @@
 		time.Sleep(2 * time.Minute)
 		l.compare()
 		margin := int64(bounds.Guard + bounds.Settle)
-		if since := l.want(t, "its cluster", 2, Allowed); since != at+margin {
+		if since := l.checkServable(t, "its cluster", 2, Allowed); since != at+margin {
 			t.Errorf("since %d, want %d", since, at+margin)
 		}
-		if since := l.want(t, "another cluster", 1, Allowed); since >= at {
+		if since := l.checkServable(t, "another cluster", 1, Allowed); since >= at {
 			t.Error("another cluster is purged")
 		}
 		if want := []string{"plan 1", "order x"}; !slices.Equal(l.recorded, want) {
@@ -192,7 +192,7 @@
 		}
 		l.put(t, orderPrefix+"x", version, nil)
 		l.Refresh()
-		if since := l.want(t, "forgotten", 2, Allowed); since != at+margin {
+		if since := l.checkServable(t, "forgotten", 2, Allowed); since != at+margin {
 			t.Errorf("the generation fell to %d", since)
 		}
 	})
@@ -200,9 +200,9 @@
 
 // An edge that was cut off just before an order was applied, as late as that may be, has stopped answering from its cache when the
 // order takes effect, though its writer's clock is behind.
-func TestReach(t *testing.T) {
+func TestOrderTakesEffectAfterReplicaIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := closing(1, 59, RequestedOrder{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
+		p := dailyCloseProposal(1, 59, RequestedOrder{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
 		p.Bounds.WriteLead = 2 * time.Second
 		l := newSoloEdge(t, p, History{})
 		time.Sleep(time.Minute)
@@ -219,17 +219,17 @@
 		l.view.SetPartitioned(true)
 		l.put(t, w.key, 0, w.value)
 		time.Sleep(time.Until(time.Unix(0, o.EffectiveAt)))
-		l.want(t, "as the copy's age just allows", 0, Allowed)
+		l.checkServable(t, "as the copy's age just allows", 0, Allowed)
 		time.Sleep(time.Nanosecond)
-		l.want(t, "when the order takes effect", 0, ReplicaStale)
+		l.checkServable(t, "when the order takes effect", 0, ReplicaStale)
 	})
 }
 
 // What stands in the journal is not noted again, what a crash kept from it is.
-func TestHistory(t *testing.T) {
+func TestRecordedPurgesAreNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		since := time.Now().Add(-time.Hour).UnixNano()
-		l := newSoloEdge(t, closing(1, 10), History{Since: since, Fired: []string{"plan 1"}})
+		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{Since: since, Fired: []string{"plan 1"}})
 		time.Sleep(20 * time.Minute)
 		l.FireDue()
 		if want := []string{"close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
--- a/internal/fleet/purge/golden_test.go
+++ b/internal/fleet/purge/golden_test.go
@@ -9,19 +9,19 @@
 	"threadsail/internal/goldentest"
 )
 
-func TestStoredForms(t *testing.T) {
+func TestStoredFormat(t *testing.T) {
 	plan, was := goldentest.Filled[Plan](t), goldentest.Filled[Plan](t)
 	plan.Previous = &was
 	goldentest.CheckJSONOf(t, "plan.json", plan)
 	goldentest.CheckJSONOf(t, "order.json", goldentest.Filled[Order](t))
 }
 
-func TestMessageForms(t *testing.T) {
-	goldentest.CheckJSONOf(t, "reading.json", goldentest.Filled[clockReading](t))
+func TestMessageFormat(t *testing.T) {
+	goldentest.CheckJSONOf(t, "reading.json", goldentest.Filled[clockMessage](t))
 }
 
 func TestNames(t *testing.T) {
-	goldentest.CheckNames(t, map[string]string{"purge/": keyPrefix, "purge/plan": planKey, "purge/order/": orderPrefix, "purges": string(writerLease), "purge/time": topicTime})
+	goldentest.CheckNames(t, map[string]string{"purge/": keyPrefix, "purge/plan": planKey, "purge/order/": orderPrefix, "purges": string(writerLease), "purge/time": clockTopic})
 }
 
 // A purge's name is what tells, in the journals and over restarts, that it has been carried out already.
--- a/internal/fleet/purge/plan.go
+++ b/internal/fleet/purge/plan.go
@@ -34,12 +34,12 @@
 // validUntil is when the plan expires, as Unix time in ns.
 func (p *Plan) validUntil() int64 { return p.EffectiveAt + int64(planValidity) }
 
-// reach is Bounds.reach by whichever bounds an edge may keep to: those of the plan or of the plan before it.
-func (p *Plan) reach() time.Duration {
+// activationDelay is Bounds.activationDelay by whichever bounds an edge may keep to: those of the plan or of the plan before it.
+func (p *Plan) activationDelay() time.Duration {
 	if p.Previous != nil {
-		return max(p.Bounds.reach(), p.Previous.Bounds.reach())
+		return max(p.Bounds.activationDelay(), p.Previous.Bounds.activationDelay())
 	}
-	return p.Bounds.reach()
+	return p.Bounds.activationDelay()
 }
 
 // changeEvent is the purge that the plan's taking effect is.
--- a/internal/fleet/purge/proposal.go
+++ b/internal/fleet/purge/proposal.go
@@ -51,9 +51,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	step := p.planStep(plan, now)
+	step := p.planAction(plan, now)
 	switch step {
-	case planWanted:
+	case planNeedsWrite:
 		value, err := p.encodePlan(plan, now)
 		return &documentWrite{key: planKey, expectedVersion: version, value: value}, 0, err
 	case planMustWait:
@@ -68,7 +68,7 @@
 			return w, 0, orderErr
 		}
 	}
-	if expired := expiredOrder(documents, now); expired != nil {
+	if expired := expiredOrderDeletion(documents, now); expired != nil {
 		return expired, 0, err
 	}
 	return nil, again, err
@@ -89,31 +89,31 @@
 	return plan, version, nil
 }
 
-// planStep is what is to be done about the plan.
-type planStep int
+// planAction is what is to be done about the plan.
+type planAction int
 
 const (
-	planStands    planStep = iota // the fleet has the proposal's plan, or a later one, or none is proposed
-	planWanted                    // the proposal's plan is to be written
-	planMustWait                  // the fleet's plan is not in force yet; what it replaced must be known to all before it is dropped
-	planConflicts                 // the fleet has another plan of the same revision
+	planUnchanged  planAction = iota // the fleet has the proposal's plan, or a later one, or none is proposed
+	planNeedsWrite                   // the proposal's plan is to be written
+	planMustWait                     // the fleet's plan is not in force yet; what it replaced must be known to all before it is dropped
+	planConflicts                    // the fleet has another plan of the same revision
 )
 
-// planStep decides what is to be done about the plan; plan is the fleet's, nil if there is none.
-func (p Proposal) planStep(plan *Plan, now int64) planStep {
+// planAction decides what is to be done about the plan; plan is the fleet's, nil if there is none.
+func (p Proposal) planAction(plan *Plan, now int64) planAction {
 	switch {
 	case p.Revision == 0:
-		return planStands
+		return planUnchanged
 	case plan == nil:
-		return planWanted
+		return planNeedsWrite
 	case p.Revision < plan.Revision:
-		return planStands
+		return planUnchanged
 	case p.Revision > plan.Revision && now <= plan.EffectiveAt+int64(plan.Bounds.Guard):
 		return planMustWait
 	case p.Revision > plan.Revision:
-		return planWanted
+		return planNeedsWrite
 	case sameBook(p.Book, plan.Book) && p.Bounds == plan.Bounds:
-		return planStands
+		return planUnchanged
 	}
 	return planConflicts
 }
@@ -132,7 +132,7 @@
 				again = -age
 			}
 		default:
-			order := Order{Name: requested.Name, EffectiveAt: now + int64(plan.reach()), Site: requested.Site, Cluster: requested.Cluster}
+			order := Order{Name: requested.Name, EffectiveAt: now + int64(plan.activationDelay()), Site: requested.Site, Cluster: requested.Cluster}
 			value, err := json.Marshal(order)
 			return &documentWrite{key: key, value: value}, 0, err
 		}
@@ -140,15 +140,15 @@
 	return nil, again, nil
 }
 
-// expiredOrder returns the deletion of an order that is remembered no longer; nil if there is none.
-func expiredOrder(documents []replication.Document, now int64) *documentWrite {
-	rememberedFrom := now - int64(eventRetention+orderFreshness)
+// expiredOrderDeletion returns the deletion of an order that is remembered no longer; nil if there is none.
+func expiredOrderDeletion(documents []replication.Document, now int64) *documentWrite {
+	retainedSince := now - int64(eventRetention+orderFreshness)
 	for _, d := range documents {
 		var order Order
 		if !strings.HasPrefix(d.Key, orderPrefix) || json.Unmarshal(d.Value, &order) != nil {
 			continue
 		}
-		if order.EffectiveAt < rememberedFrom {
+		if order.EffectiveAt < retainedSince {
 			return &documentWrite{key: d.Key, expectedVersion: d.Version}
 		}
 	}
@@ -158,9 +158,9 @@
 // encodePlan returns the document of the proposal's plan, which replaces old; nil if it is the first.
 func (p Proposal) encodePlan(old *Plan, now int64) ([]byte, error) {
 	plan := Plan{Revision: p.Revision, Bounds: p.Bounds, Book: p.Book}
-	reach := p.Bounds.reach()
+	reach := p.Bounds.activationDelay()
 	if old != nil {
-		reach = max(reach, old.reach())
+		reach = max(reach, old.activationDelay())
 		previous := *old
 		previous.Previous = nil
 		plan.Previous = &previous
--- a/internal/fleet/purge/proposal_test.go
+++ b/internal/fleet/purge/proposal_test.go
@@ -12,8 +12,8 @@
 )
 
 // A plan is refused by an edge whose site it lacks, or whose zone data differ from its writer's.
-func TestPlanThatCantBeUsed(t *testing.T) {
-	p := closing(1, 10)
+func TestUnusablePlan(t *testing.T) {
+	p := dailyCloseProposal(1, 10)
 	value, err := p.encodePlan(nil, time.Now().UnixNano())
 	var plan Plan
 	if err == nil {
@@ -55,32 +55,32 @@
 // A plan is written once; another plan of its revision is refused, and a newer one waits until it is in force.
 func TestPlanIsWrittenOnce(t *testing.T) {
 	now := planTestStart
-	first := mustWrite(t, closing(1, 10), nil, now)
+	first := mustWrite(t, dailyCloseProposal(1, 10), nil, now)
 	if first.expectedVersion != 0 {
 		t.Fatalf("%+v", first)
 	}
-	if w, _, err := closing(1, 10).nextWrite(stored(first), now); w != nil || err != nil {
+	if w, _, err := dailyCloseProposal(1, 10).nextWrite(stored(first), now); w != nil || err != nil {
 		t.Errorf("written twice: %+v %v", w, err)
 	}
-	if _, _, err := closing(1, 11).nextWrite(stored(first), now); !errors.Is(err, errConflictingPlan) {
+	if _, _, err := dailyCloseProposal(1, 11).nextWrite(stored(first), now); !errors.Is(err, errConflictingPlan) {
 		t.Errorf("two plans of one revision: %v", err)
 	}
-	if w, again, _ := closing(2, 11).nextWrite(stored(first), now); w != nil || again <= 0 {
+	if w, again, _ := dailyCloseProposal(2, 11).nextWrite(stored(first), now); w != nil || again <= 0 {
 		t.Error("a plan takes the place of one that is not in force yet")
 	}
 }
 
 // A plan takes effect a reach later; until then, and for an edge that learns of it late, the plan before it holds.
-func TestPlansOneAfterAnother(t *testing.T) {
+func TestPlanReplacesPrevious(t *testing.T) {
 	now := planTestStart
 	later := now + int64(time.Hour)
-	first := mustWrite(t, closing(1, 10), nil, now)
-	second := mustWrite(t, closing(2, 70), stored(first), later)
+	first := mustWrite(t, dailyCloseProposal(1, 10), nil, now)
+	second := mustWrite(t, dailyCloseProposal(2, 70), stored(first), later)
 	var plan Plan
 	if err := json.Unmarshal(second.value, &plan); err != nil {
 		t.Fatal(err)
 	}
-	if plan.EffectiveAt != later+int64(bounds.reach()) || plan.Previous == nil || plan.Previous.Previous != nil || second.expectedVersion != 1 {
+	if plan.EffectiveAt != later+int64(bounds.activationDelay()) || plan.Previous == nil || plan.Previous.Previous != nil || second.expectedVersion != 1 {
 		t.Errorf("%+v", plan)
 	}
 	timetable, err := newTimetable("a", &plan, nil)
@@ -99,17 +99,17 @@
 // An order is written while it is fresh, and deleted when it is remembered no longer.
 func TestOrderIsWrittenWhileFresh(t *testing.T) {
 	later := planTestStart + int64(time.Hour)
-	first := mustWrite(t, closing(1, 10), nil, planTestStart)
-	plan := mustWrite(t, closing(2, 70), stored(first), later)
+	first := mustWrite(t, dailyCloseProposal(1, 10), nil, planTestStart)
+	plan := mustWrite(t, dailyCloseProposal(2, 70), stored(first), later)
 	requested := RequestedOrder{Name: "w", Issued: time.Unix(0, later)}
-	if w, _, _ := closing(1, 10, requested).nextWrite(stored(plan), later); w == nil || w.key != orderPrefix+"w" {
+	if w, _, _ := dailyCloseProposal(1, 10, requested).nextWrite(stored(plan), later); w == nil || w.key != orderPrefix+"w" {
 		t.Errorf("an order is not written: %+v", w)
 	}
-	if w, _, _ := closing(1, 10, requested).nextWrite(stored(plan), later+int64(orderFreshness)+1); w != nil {
+	if w, _, _ := dailyCloseProposal(1, 10, requested).nextWrite(stored(plan), later+int64(orderFreshness)+1); w != nil {
 		t.Errorf("an old order is written: %+v", w)
 	}
 	old := replication.Document{Key: orderPrefix + "w", Version: 7, Value: []byte(`{"name":"w","at":1}`)}
-	if w, _, _ := closing(1, 10, requested).nextWrite(append(stored(plan), old), later); w == nil || w.value != nil || w.expectedVersion != 7 {
+	if w, _, _ := dailyCloseProposal(1, 10, requested).nextWrite(append(stored(plan), old), later); w == nil || w.value != nil || w.expectedVersion != 7 {
 		t.Errorf("an order of long ago stays: %+v", w)
 	}
 }
@@ -117,7 +117,7 @@
 // A document that holds anything is refused, or gives a timetable whose events are in order and within what was asked for.
 func FuzzPlan(f *testing.F) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC).UnixNano()
-	value, err := closing(1, 70).encodePlan(nil, now)
+	value, err := dailyCloseProposal(1, 70).encodePlan(nil, now)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/fleet/purge/purge.go
+++ b/internal/fleet/purge/purge.go
@@ -47,10 +47,10 @@
 	WriteLead     time.Duration `json:"lead_ns"`    // how long the voters may take to apply a write that was sent
 }
 
-// reach is how long after it was written an order or a plan takes effect. An edge whose replica lacks it by then has stopped to answer
+// activationDelay is how long after it was written an order or a plan takes effect. An edge whose replica lacks it by then has stopped to answer
 // from its cache: its replica is as of a time before the write was applied, which is WriteLead after it was sent at most, and is valid for
 // MaxReplicaAge. The writer's clock may be behind by a guard.
-func (b Bounds) reach() time.Duration { return b.MaxReplicaAge + b.WriteLead + b.Guard }
+func (b Bounds) activationDelay() time.Duration { return b.MaxReplicaAge + b.WriteLead + b.Guard }
 
 // Reason is why an edge does not answer from its cache.
 type Reason uint8
--- a/internal/fleet/purge/timetable.go
+++ b/internal/fleet/purge/timetable.go
@@ -23,8 +23,8 @@
 	site        string
 	bounds      Bounds
 	knownFrom   int64              // nothing is known of purges before
-	planAt      int64              // when the plan takes effect
-	until       int64              // when the plan expires
+	effectiveAt int64              // when the plan takes effect
+	validUntil  int64              // when the plan expires
 	previous    *calendar.Schedule // before planAt; nil: the site has none
 	current     *calendar.Schedule // from planAt on
 	fixedEvents []Event            // changes of the plan, and orders
@@ -33,7 +33,7 @@
 // newTimetable returns the timetable of a site. It fails if the site is not in the plan, or if the rules of its zone are not those of the
 // plan's writer.
 func newTimetable(site string, p *Plan, orders []Order) (*Timetable, error) {
-	t := &Timetable{site: site, bounds: p.Bounds, knownFrom: p.EffectiveAt, planAt: p.EffectiveAt, until: p.validUntil()}
+	t := &Timetable{site: site, bounds: p.Bounds, knownFrom: p.EffectiveAt, effectiveAt: p.EffectiveAt, validUntil: p.validUntil()}
 	var err error
 	if t.current, err = p.schedule(site); err != nil {
 		return nil, err
@@ -78,8 +78,8 @@
 // Between returns the events after from and up to to, in their order.
 func (t *Timetable) Between(from, to int64) []Event {
 	from = max(from, t.knownFrom-1)
-	events := t.closes(t.previous, from, min(to, t.planAt-1))
-	events = append(events, t.closes(t.current, max(from, t.planAt-1), to)...)
+	events := t.closeEvents(t.previous, from, min(to, t.effectiveAt-1))
+	events = append(events, t.closeEvents(t.current, max(from, t.effectiveAt-1), to)...)
 	for _, e := range t.fixedEvents {
 		if e.At > from && e.At <= to {
 			events = append(events, e)
@@ -91,8 +91,8 @@
 	return events
 }
 
-// closes returns the closes of a schedule after from and up to to.
-func (t *Timetable) closes(schedule *calendar.Schedule, from, to int64) []Event {
+// closeEvents returns the closeEvents of a schedule after from and up to to.
+func (t *Timetable) closeEvents(schedule *calendar.Schedule, from, to int64) []Event {
 	if schedule == nil || from >= to {
 		return nil
 	}
--- a/internal/fleet/purge/world_test.go
+++ b/internal/fleet/purge/world_test.go
@@ -53,8 +53,8 @@
 	isolated   bool
 	component  *Component
 	guard      *CacheGuard
-	end        context.CancelFunc
-	ended      chan struct{}
+	cancel     context.CancelFunc
+	stopped    chan struct{}
 }
 
 // world is some edges on one network, with servers whose data are as of the time at which they are read, less a database replica's lag.
@@ -124,19 +124,19 @@
 			}
 		}}
 	runtime.Audit(audit.Record{Act: audit.Started})
-	e.end, e.ended = cancel, make(chan struct{})
+	e.cancel, e.stopped = cancel, make(chan struct{})
 	go func() {
 		_ = e.component.Run(ctx, runtime)
 		_ = file.Close()
-		close(e.ended)
+		close(e.stopped)
 	}()
 }
 
 func (e *testEdge) stop() {
-	if e.end != nil {
-		e.end()
-		<-e.ended
-		e.end = nil
+	if e.cancel != nil {
+		e.cancel()
+		<-e.stopped
+		e.cancel = nil
 	}
 }
 
@@ -152,7 +152,7 @@
 
 // request sends one request, which the cache answers, or a server that takes some time and whose data lag.
 func (e *testEdge) request(cluster int, there, back, lag time.Duration) {
-	if e.end == nil {
+	if e.cancel == nil {
 		return
 	}
 	r := &dispatch.Request{Class: 0, Group: cluster, CacheVariant: "f", Statement: "SELECT 1"}
@@ -218,7 +218,7 @@
 		if err != nil {
 			found = append(found, err.Error())
 		}
-		found = append(found, w.misrecorded(e, history)...)
+		found = append(found, w.recordingFaults(e, history)...)
 	}
 	return found
 }
@@ -237,8 +237,8 @@
 	return found
 }
 
-// misrecorded returns the purges that an edge recorded twice, or not at all though it runs. The caller holds the mutex.
-func (w *world) misrecorded(e *testEdge, h History) []string {
+// recordingFaults returns the purges that an edge recorded twice, or not at all though it runs. The caller holds the mutex.
+func (w *world) recordingFaults(e *testEdge, h History) []string {
 	var found []string
 	recorded := map[string]int{}
 	for _, id := range h.Fired {
@@ -248,7 +248,7 @@
 		}
 	}
 	plan, orders, _ := parseDocuments(w.view.List(keyPrefix))
-	if plan == nil || e.end == nil {
+	if plan == nil || e.cancel == nil {
 		return found
 	}
 	timetable, err := newTimetable(e.site, plan, orders)
@@ -276,8 +276,8 @@
 	return float64(n) / float64(max(len(w.answers), 1))
 }
 
-// closing returns a proposal by which all sites close some minutes after midnight, when a test's time begins.
-func closing(revision uint64, minutes int, orders ...RequestedOrder) Proposal {
+// dailyCloseProposal returns a proposal by which all sites close some minutes after midnight, when a test's time begins.
+func dailyCloseProposal(revision uint64, minutes int, orders ...RequestedOrder) Proposal {
 	at := fmt.Sprintf("%02d:%02d", minutes/60, minutes%60)
 	every := map[string]string{}
 	for _, d := range []string{"sunday", "monday", "tuesday", "wednesday", "thursday", "friday", "saturday"} {
@@ -290,7 +290,7 @@
 
 // propose replaces the operators' file of an edge that runs.
 func (e *testEdge) propose(p Proposal) {
-	if e.end != nil {
+	if e.cancel != nil {
 		e.component.Propose(p)
 	}
 }
--- a/internal/fleet/purge/writer.go
+++ b/internal/fleet/purge/writer.go
@@ -8,29 +8,29 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// proposePlans writes what the documents lack of the operators' file.
-func (s *session) proposePlans(ctx context.Context) {
+// syncProposal writes what the documents lack of the operators' file.
+func (s *session) syncProposal(ctx context.Context) {
 	logged := ""
 	for ctx.Err() == nil {
 		changed := s.runtime.View.Changed()
-		write, again, err := s.missingWrite()
+		write, again, err := s.pendingWrite()
 		if err != nil && err.Error() != logged {
 			logged = err.Error()
 			s.runtime.Log.Error().Err(err).Msg("purge: file's plan is not taken")
 		}
 		if write != nil {
-			s.writeMissing(ctx)
+			s.campaignAndWrite(ctx)
 			again = s.Term
 		}
-		if s.waitForProposal(ctx, changed, again) {
+		if s.waitForChange(ctx, changed, again) {
 			logged = ""
 		}
 	}
 }
 
-// waitForProposal waits until there may be something to write: the documents or the proposal have changed, or again has passed (0: never).
+// waitForChange waits until there may be something to write: the documents or the proposal have changed, or again has passed (0: never).
 // It reports whether the proposal has changed.
-func (s *session) waitForProposal(ctx context.Context, documentsChanged <-chan struct{}, again time.Duration) (proposalChanged bool) {
+func (s *session) waitForChange(ctx context.Context, documentsChanged <-chan struct{}, again time.Duration) (proposalChanged bool) {
 	var due <-chan time.Time
 	if again > 0 {
 		timer := time.NewTimer(again)
@@ -47,9 +47,9 @@
 	return false
 }
 
-// missingWrite decides what this pooler's replica lacks of the proposal. Until the replica is confirmed and the clock compared there is
+// pendingWrite decides what this pooler's replica lacks of the proposal. Until the replica is confirmed and the clock compared there is
 // nothing to go by.
-func (s *session) missingWrite() (w *documentWrite, again time.Duration, err error) {
+func (s *session) pendingWrite() (w *documentWrite, again time.Duration, err error) {
 	proposal := s.currentProposal()
 	if proposal.Revision == 0 && len(proposal.Orders) == 0 {
 		return nil, 0, nil
@@ -61,20 +61,20 @@
 	return proposal.nextWrite(s.runtime.View.List(keyPrefix), now)
 }
 
-// isWriteMissing reports whether there is something to write that can be written.
-func (s *session) isWriteMissing() bool {
-	w, _, err := s.missingWrite()
+// hasPendingWrite reports whether there is something to write that can be written.
+func (s *session) hasPendingWrite() bool {
+	w, _, err := s.pendingWrite()
 	return w != nil && err == nil
 }
 
-// writeMissing campaigns for the writers' lease, and writes all that is missing. A write that may yet be applied is given up together with
+// campaignAndWrite campaigns for the writers' lease, and writes all that is missing. A write that may yet be applied is given up together with
 // the lease that it names, so it is applied within Bounds.WriteLead or not at all. Of many poolers that start with one file the first
 // writes, and the others find it written.
-func (s *session) writeMissing(ctx context.Context) {
+func (s *session) campaignAndWrite(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx) // ends the campaign
 	defer cancel()
 	sleep(ctx, rand.N(s.Term))
-	if ctx.Err() != nil || !s.isWriteMissing() {
+	if ctx.Err() != nil || !s.hasPendingWrite() {
 		return
 	}
 	leadership := s.runtime.Campaign(ctx, writerLease)
@@ -98,7 +98,7 @@
 			return false
 		case <-leadershipChanged:
 		case <-documentsChanged:
-			if !s.isWriteMissing() {
+			if !s.hasPendingWrite() {
 				return false
 			}
 		}
