--- a/internal/fleet/purge/answercache/answercache.go
+++ b/internal/fleet/purge/answercache/answercache.go
@@ -1,16 +1,16 @@
-// Package answercache keeps answers to reads, bounded in bytes, on maypok86/otter. It decides only which answers are evicted where room
-// runs short, by how often and how lately they were requested. Whether an answer may be stored or given is decided by its caller, who owes
-// each answer the time at which it was requested.
+// Package answercache stores answers to reads in a cache of bounded size, based on github.com/maypok86/otter. When the cache is full, it
+// evicts answers by frequency and recency of use. The caller decides whether an answer may be stored or served, and passes with each answer
+// the time at which it was requested.
 package answercache
 
 import (
 	"github.com/maypok86/otter/v2"
 )
 
-// Key is what an answer answers.
+// Key identifies the request that an answer belongs to.
 type Key struct {
 	Cluster, Class int
-	Statement      string // and what else tells answers apart
+	Statement      string // statement text, with a prefix for whatever else the answer depends on
 }
 
 // entry is a stored answer.
@@ -21,9 +21,9 @@
 }
 
 const (
-	// entryOverhead is about what the library and this package hold beside the bytes of an answer and its statement.
+	// entryOverhead is the approximate memory in bytes that an entry takes in addition to its answer and statement.
 	entryOverhead = 256
-	// maxEntryShare is the share of all bytes, one in so many, that one answer may take: a few large answers must not evict all others.
+	// maxEntryShare limits one answer to 1/maxEntryShare of the cache, so that a few large answers don't evict all others.
 	maxEntryShare = 16
 )
 
@@ -33,31 +33,32 @@
 	entries  *otter.Cache[Key, entry]
 }
 
-// New returns a cache of maxBytes at most.
+// New returns a cache that holds at most maxBytes.
 func New(maxBytes uint64) *Cache {
 	return &Cache{maxBytes: maxBytes, entries: otter.Must(&otter.Options[Key, entry]{
 		MaximumWeight: maxBytes,
-		Weigher:       func(k Key, e entry) uint32 { return uint32(len(k.Statement) + e.size + entryOverhead) },
-		Executor:      func(evict func()) { evict() }, // so that the bound holds at once
+		Weigher:       func(key Key, e entry) uint32 { return uint32(len(key.Statement) + e.size + entryOverhead) },
+		Executor:      func(evict func()) { evict() }, // evicts synchronously, so that Bytes never exceeds maxBytes
 	})}
 }
 
-// Get returns an answer that was requested at since or later. An older one is dropped.
-func (c *Cache) Get(k Key, since int64) (answer any, ok bool) {
-	e, ok := c.entries.GetIfPresent(k)
-	if ok && e.requestedAt < since {
-		c.entries.Invalidate(k)
+// Get returns the stored answer if it was requested at since (Unix ns) or later. It removes an answer that was requested earlier.
+func (c *Cache) Get(key Key, since int64) (answer any, ok bool) {
+	stored, ok := c.entries.GetIfPresent(key)
+	if ok && stored.requestedAt < since {
+		c.entries.Invalidate(key)
 		return nil, false
 	}
-	return e.answer, ok
+	return stored.answer, ok
 }
 
-// Put stores an answer of size bytes that was requested at a time, unless it is too large or the stored one was requested later.
-func (c *Cache) Put(k Key, answer any, size int, requestedAt int64) {
-	if uint64(len(k.Statement)+size+entryOverhead) > c.maxBytes/maxEntryShare {
+// Put stores an answer of size bytes that was requested at requestedAt (Unix ns). It does nothing if the answer is too large, or if the
+// stored answer was not requested earlier.
+func (c *Cache) Put(key Key, answer any, size int, requestedAt int64) {
+	if uint64(len(key.Statement)+size+entryOverhead) > c.maxBytes/maxEntryShare {
 		return
 	}
-	c.entries.Compute(k, func(stored entry, found bool) (entry, otter.ComputeOp) {
+	c.entries.Compute(key, func(stored entry, found bool) (entry, otter.ComputeOp) {
 		if found && stored.requestedAt >= requestedAt {
 			return stored, otter.CancelOp
 		}
@@ -65,18 +66,18 @@
 	})
 }
 
-// Drop drops the answers of a cluster, or all answers if all is set.
+// Drop removes the answers of a cluster, or all answers if all is set.
 func (c *Cache) Drop(cluster int, all bool) {
 	if all {
 		c.entries.InvalidateAll()
 		return
 	}
-	for k := range c.entries.Keys() {
-		if k.Cluster == cluster {
-			c.entries.Invalidate(k)
+	for key := range c.entries.Keys() {
+		if key.Cluster == cluster {
+			c.entries.Invalidate(key)
 		}
 	}
 }
 
-// Bytes returns how much the cache holds.
+// Bytes returns the size of the stored entries, including overhead.
 func (c *Cache) Bytes() uint64 { return c.entries.WeightedSize() }
--- a/internal/fleet/purge/cache_guard.go
+++ b/internal/fleet/purge/cache_guard.go
@@ -11,23 +11,24 @@
 	"threadsail/internal/policy"
 )
 
-// CacheGuard answers requests of one frontend from the frontend's cache, as the edge allows. It implements dispatch.Guard, on the frontend's event
-// loop; its counts may be read on any goroutine.
+// CacheGuard answers requests of one frontend from that frontend's cache while the edge allows it. It implements dispatch.Guard, whose
+// methods must be called on the frontend's event loop; its counters may be read on any goroutine.
 type CacheGuard struct {
 	component *Component
 	cache     *answercache.Cache
-	classes   map[string]bool // by name: those whose answers are cached
+	classes   map[string]bool // names of the classes whose answers are cached
 	classOf   func(class int) policy.Class
 	shareable func(answer any) (shared any, size int, ok bool)
 
 	hits, misses, stored atomic.Uint64
-	refused              [ReasonCount]atomic.Uint64 // requests that the edge did not let be answered from the cache, by reason
+	bypassed             [ReasonCount]atomic.Uint64 // requests for which the edge did not allow cached answers, by reason
 }
 
 var _ dispatch.Guard = (*CacheGuard)(nil)
 
-// NewCacheGuard returns a guard for one frontend, with a cache of maxBytes at most for the classes that are named. classOf returns a class by
-// its number. shareable returns an answer as it may be given to another client, and its size in bytes; ok is false if it may not.
+// NewCacheGuard returns a guard for one frontend, with a cache of at most maxBytes for requests of the named classes. classOf returns a
+// class by its number. shareable returns the form of an answer that may be served to other clients, and its size in bytes; ok is false if
+// the answer must not be shared.
 func (c *Component) NewCacheGuard(maxBytes uint64, classes []string, classOf func(class int) policy.Class, shareable func(answer any) (shared any, size int, ok bool)) *CacheGuard {
 	g := &CacheGuard{component: c, cache: answercache.New(maxBytes), classes: map[string]bool{}, classOf: classOf, shareable: shareable}
 	for _, name := range classes {
@@ -39,8 +40,9 @@
 	return g
 }
 
-// cacheable reports whether the answer to a request may be given to another client, and under which key: the class is one that the
-// operators named, any member may answer it, and it has no bound on age, no session and no effect.
+// cacheable reports whether the answer to a request may be served to other clients, and returns its cache key. The request must be of a
+// class that the operators named, idempotent, and allowed on any server without a staleness bound. It must depend on no commit of its
+// session and carry no idempotency key, and its frontend must have set CacheVariant.
 func (g *CacheGuard) cacheable(r *dispatch.Request) (answercache.Key, bool) {
 	class := g.classOf(r.Class)
 	plainRead := class.Access == policy.ReadAny && class.Idempotency == policy.Idempotent
@@ -48,16 +50,16 @@
 	return answercache.Key{Cluster: r.Group, Class: r.Class, Statement: r.CacheVariant + "\x00" + r.Statement}, ok
 }
 
-// Admit implements dispatch.Guard: a request is answered from the cache if the cache has a current answer.
+// Admit implements dispatch.Guard. It answers a request from the cache if the cache holds an answer that the edge allows to be served.
 func (g *CacheGuard) Admit(_ time.Duration, r *dispatch.Request) dispatch.Admission {
 	key, ok := g.cacheable(r)
 	edge := g.component.edge.Load()
 	if !ok || edge == nil {
 		return dispatch.Admission{}
 	}
-	since, why := edge.ServableSince(r.Group)
-	if why != Allowed {
-		g.refused[why].Add(1)
+	since, reason := edge.ServableSince(r.Group)
+	if reason != Allowed {
+		g.bypassed[reason].Add(1)
 		return dispatch.Admission{}
 	}
 	answer, found := g.cache.Get(key, since)
@@ -69,36 +71,36 @@
 	return dispatch.Admission{Answer: answer}
 }
 
-// MaySend implements dispatch.Guard.
+// MaySend implements dispatch.Guard. It allows every attempt.
 func (g *CacheGuard) MaySend(time.Duration, *dispatch.Request, string) dispatch.SendDecision {
 	return dispatch.Send
 }
 
-// RequestEnded implements dispatch.Guard: the answer is stored if it is shareable and current. The time that the request took is measured
-// on the event loop's clock, which never steps.
-func (g *CacheGuard) RequestEnded(_ time.Duration, r *dispatch.Request, f dispatch.FinalAnswer) {
+// RequestEnded implements dispatch.Guard. It stores the answer if it is shareable and the edge allows it to be stored. The duration of the
+// request is measured on the event loop's clock, which never steps.
+func (g *CacheGuard) RequestEnded(_ time.Duration, r *dispatch.Request, final dispatch.FinalAnswer) {
 	key, ok := g.cacheable(r)
 	edge := g.component.edge.Load()
-	if !ok || edge == nil || !f.Served || f.Answer == nil {
+	if !ok || edge == nil || !final.Served || final.Answer == nil {
 		return
 	}
-	answer, size, ok := g.shareable(f.Answer)
+	answer, size, ok := g.shareable(final.Answer)
 	if !ok {
 		return
 	}
-	if requestedAt, ok := edge.MayStore(r.Group, f.EndedAt-f.ArrivedAt); ok {
+	if requestedAt, ok := edge.MayStore(r.Group, final.EndedAt-final.ArrivedAt); ok {
 		g.stored.Add(1)
 		g.cache.Put(key, answer, size, requestedAt)
 	}
 }
 
-// String returns what the cache has done, for the log.
+// String returns the counters and the size of the cache, for the log.
 func (g *CacheGuard) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "hits %d, misses %d, kept %d, bytes %d", g.hits.Load(), g.misses.Load(), g.stored.Load(), g.cache.Bytes())
-	for why := NoPlan; why < ReasonCount; why++ {
-		if n := g.refused[why].Load(); n > 0 {
-			fmt.Fprintf(&b, ", not asked for %s %d", why, n)
+	fmt.Fprintf(&b, "hits %d, misses %d, stored %d, bytes %d", g.hits.Load(), g.misses.Load(), g.stored.Load(), g.cache.Bytes())
+	for reason := NoPlan; reason < ReasonCount; reason++ {
+		if count := g.bypassed[reason].Load(); count > 0 {
+			fmt.Fprintf(&b, ", bypassed (%s) %d", reason, count)
 		}
 	}
 	return b.String()
--- a/internal/fleet/purge/clock.go
+++ b/internal/fleet/purge/clock.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// maxDriftRate is how fast two clocks drift apart unseen: two crystals of 100 ppm each.
+	// maxDriftRate is the highest rate at which two clocks drift apart between comparisons: two crystals of 100 ppm each.
 	maxDriftRate = 200e-6
-	// minPeers is how many other poolers' clocks are needed for a majority that outweighs a wrong one.
+	// minPeers is the number of other poolers' clocks needed for a majority that outvotes one wrong clock.
 	minPeers = 3
-	// maxPeers is how many other poolers' clocks are remembered.
+	// maxPeers is the number of other poolers whose measurements are kept.
 	maxPeers = 7
 )
 
-// clockSample is one comparison with a peer's clock: a request and its answer. Wall clocks are Unix times in ns.
+// clockSample is one comparison with a peer's clock: a request and its answer. Wall clock times are Unix times in ns.
 type clockSample struct {
 	peer           string
-	sentAt         int64         // the request, by the clock here
-	peerReceivedAt int64         // the request, by the peer's clock
-	peerSentAt     int64         // the answer, by the peer's clock
-	receivedAt     int64         // the answer, by the clock here
-	roundTrip      time.Duration // of the round, on the monotonic clock here
+	sentAt         int64         // local wall clock when the request was sent
+	peerReceivedAt int64         // peer's wall clock when it received the request
+	peerSentAt     int64         // peer's wall clock when it sent the answer
+	receivedAt     int64         // local wall clock when the answer was received
+	roundTrip      time.Duration // time from request to answer on the local monotonic clock
 }
 
-// clockComparison knows how far this process's wall clock is from other poolers' clocks. Each measurement remembers how the wall clock
-// stood to the monotonic clock, so a step or a slew of the wall clock since then counts in full at the next look. It is not safe for
-// concurrent use.
+// clockComparison holds measurements of the offset between this process's wall clock and other poolers' clocks. Each measurement includes
+// the difference between the local wall clock and the monotonic clock, so a later step or slew of the wall clock is reflected in full the
+// next time that the offset is evaluated. It is not safe for concurrent use.
 type clockComparison struct {
-	measurements []measurement // of different peers, the newest last
+	measurements []measurement // at most one per peer, the newest last
 }
 
-// measurement is what a round says about a peer's clock.
+// measurement is the offset from a peer's clock as derived from a clockSample.
 type measurement struct {
 	peer               string
-	offset             time.Duration // of the clock here from the peer's
-	uncertainty        time.Duration // of the offset: half of the round
-	measuredAt         time.Duration // monotonic
-	wallMinusMonotonic time.Duration // of the wall clock from the monotonic one, then
+	offset             time.Duration // local wall clock minus the peer's
+	uncertainty        time.Duration // largest error of the offset: half of the network time
+	measuredAt         time.Duration // time on the monotonic clock
+	wallMinusMonotonic time.Duration // local wall clock minus monotonic clock at measuredAt
 }
 
-// add records a round that ended at a time of the monotonic clock.
-func (c *clockComparison) add(r clockSample, monotonic time.Duration) {
-	networkTime := max(r.roundTrip-time.Duration(r.peerSentAt-r.peerReceivedAt), 0)
+// add records a sample whose answer was received at the given time on the monotonic clock. A better earlier measurement of the same peer
+// is kept instead.
+func (c *clockComparison) add(sample clockSample, monotonic time.Duration) {
+	networkTime := max(sample.roundTrip-time.Duration(sample.peerSentAt-sample.peerReceivedAt), 0)
 	added := measurement{
-		peer:               r.peer,
-		offset:             time.Duration((r.sentAt - r.peerReceivedAt + r.receivedAt - r.peerSentAt) / 2),
+		peer:               sample.peer,
+		offset:             time.Duration((sample.sentAt - sample.peerReceivedAt + sample.receivedAt - sample.peerSentAt) / 2),
 		uncertainty:        networkTime / 2,
 		measuredAt:         monotonic,
-		wallMinusMonotonic: time.Duration(r.receivedAt) - monotonic,
+		wallMinusMonotonic: time.Duration(sample.receivedAt) - monotonic,
 	}
-	i := slices.IndexFunc(c.measurements, func(m measurement) bool { return m.peer == r.peer })
+	i := slices.IndexFunc(c.measurements, func(m measurement) bool { return m.peer == sample.peer })
 	if i >= 0 {
 		if c.measurements[i].isBetterThan(added) {
 			return
@@ -63,18 +64,18 @@
 	}
 }
 
-// isBetterThan reports whether a measurement says more than a later one of the same peer, whose round took long, and is not contradicted by
-// it: the peer's clock may have moved.
+// isBetterThan reports whether m is more certain than a later measurement of the same peer, even after drift since m, and is consistent with
+// it. The two are inconsistent if the peer's clock was changed in between.
 func (m measurement) isBetterThan(later measurement) bool {
 	uncertainty := m.uncertainty + time.Duration(maxDriftRate*float64(later.measuredAt-m.measuredAt))
-	moved := m.offset + later.wallMinusMonotonic - m.wallMinusMonotonic - later.offset
-	contradicted := max(moved, -moved) > uncertainty+later.uncertainty
-	return uncertainty <= later.uncertainty && !contradicted
+	change := m.offset + later.wallMinusMonotonic - m.wallMinusMonotonic - later.offset
+	inconsistent := max(change, -change) > uncertainty+later.uncertainty
+	return uncertainty <= later.uncertainty && !inconsistent
 }
 
-// offsetBound returns the least bound that holds for a majority of the clocks that were measured: the clock here is no further from each
-// of theirs. withDrift includes what may have come since the measurements. ok is false until enough of the other poolers' clocks are
-// measured.
+// offsetBound returns the smallest bound on the offset of the local wall clock that holds for a majority of the measured clocks. With
+// withDrift, the bound includes the drift that may have accumulated since each measurement. ok is false until enough of the other poolers'
+// clocks have been measured.
 func (c *clockComparison) offsetBound(wall int64, monotonic time.Duration, otherPoolers int, withDrift bool) (bound time.Duration, ok bool) {
 	measured := len(c.measurements)
 	if measured == 0 || measured < min(minPeers, otherPoolers) {
--- a/internal/fleet/purge/clock_exchange.go
+++ b/internal/fleet/purge/clock_exchange.go
@@ -10,41 +10,43 @@
 	"time"
 )
 
-// clockTopic is the topic of clockReading.
+// clockTopic is the bus topic of clockMessage.
 const clockTopic = "purge/time"
 
 const (
-	// initialComparisonInterval is the time between comparisons until there are enough, and the least time later.
+	// initialComparisonInterval is the interval between comparisons until enough clocks are measured, and the shortest interval after that.
 	initialComparisonInterval = 100 * time.Millisecond
-	// maxComparisonInterval is the most time between comparisons, however old replicas may be. An answer that takes longer is lost.
+	// maxComparisonInterval is the longest interval between comparisons, for any MaxReplicaAge. A request whose answer takes longer is
+	// dropped.
 	maxComparisonInterval = 5 * time.Second
-	// maxConcurrentAnswers bounds the answers to other poolers that are on their way; further requests are sent again.
+	// maxConcurrentAnswers bounds the answers that are being sent to other poolers at a time. Requests beyond it are dropped; the peer
+	// sends new ones.
 	maxConcurrentAnswers = 8
-	// clockSendTimeout bounds the sending of a reading.
+	// clockSendTimeout bounds the time to send one message.
 	clockSendTimeout = time.Second
-	// comparisonsPerMaxReplicaAge is how often a clock is compared in the age that a replica may have.
+	// comparisonsPerMaxReplicaAge is the number of comparisons within a period of MaxReplicaAge.
 	comparisonsPerMaxReplicaAge = 4
 )
 
-// clockMessage is what two poolers send each other to compare their clocks: a request, and its answer.
+// clockMessage is a request for the time of a peer's clock, or the answer to one.
 type clockMessage struct {
-	Number     uint64 `json:"number"` // of the request
+	Number     uint64 `json:"number"` // number of the request, repeated in its answer
 	IsRequest  bool   `json:"asks,omitempty"`
-	ReceivedAt int64  `json:"got,omitempty"`  // the request, by the answering pooler's clock; Unix ns
-	SentAt     int64  `json:"sent,omitempty"` // the answer, by the same clock
+	ReceivedAt int64  `json:"got,omitempty"`  // answer: when the request was received by the answering pooler's clock, Unix ns
+	SentAt     int64  `json:"sent,omitempty"` // answer: when it was sent by the same clock, Unix ns
 }
 
-// pendingRequest is a request that waits for its answer.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	peer      string
-	sentAt    int64     // by the wall clock, Unix ns
-	startedAt time.Time // by the monotonic clock
+	sentAt    int64     // wall clock, Unix ns
+	startedAt time.Time // monotonic clock
 }
 
-// clockExchange is the requests of a component that wait for their answers, and the slots of its answers to others. It is safe for
-// concurrent use.
+// clockExchange holds the pending requests of a component, and limits the answers that it sends concurrently. It is safe for concurrent
+// use.
 type clockExchange struct {
-	answerSlots chan struct{} // holds an element for each answer on its way
+	answerSlots chan struct{} // holds one element per answer that is being sent
 
 	mu         sync.Mutex // guards the fields below
 	lastNumber uint64
@@ -55,33 +57,34 @@
 	return &clockExchange{answerSlots: make(chan struct{}, maxConcurrentAnswers), pending: map[uint64]pendingRequest{}}
 }
 
-// register records a request, and returns its number.
-func (x *clockExchange) register(r pendingRequest) (number uint64) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.lastNumber++
-	x.pending[x.lastNumber] = r
-	return x.lastNumber
+// register adds a pending request and returns its number.
+func (c *clockExchange) register(request pendingRequest) (number uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastNumber++
+	c.pending[c.lastNumber] = request
+	return c.lastNumber
 }
 
-// take returns the request that a peer has answered, and forgets it. ok is false if there is none.
-func (x *clockExchange) take(number uint64, peer string) (r pendingRequest, ok bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	r, ok = x.pending[number]
-	delete(x.pending, number)
-	return r, ok && r.peer == peer
+// take removes and returns the pending request with the given number. ok is false if there is none or if it was sent to another peer.
+func (c *clockExchange) take(number uint64, peer string) (request pendingRequest, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request, ok = c.pending[number]
+	delete(c.pending, number)
+	return request, ok && request.peer == peer
 }
 
-// removeExpired forgets requests whose answers are lost.
-func (x *clockExchange) removeExpired() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	maps.DeleteFunc(x.pending, func(_ uint64, r pendingRequest) bool { return time.Since(r.startedAt) > maxComparisonInterval })
+// removeExpired removes the requests that have not been answered within maxComparisonInterval.
+func (c *clockExchange) removeExpired() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	maps.DeleteFunc(c.pending, func(_ uint64, request pendingRequest) bool {
+		return time.Since(request.startedAt) > maxComparisonInterval
+	})
 }
 
-// compareClocks compares the clock with another pooler's again and again: often until enough clocks are known, then several times in the
-// age that a replica of the documents may have.
+// compareClocks compares the local clock with that of a random other pooler at intervals of comparisonInterval. It blocks until ctx ends.
 func (s *session) compareClocks(ctx context.Context) {
 	for ctx.Err() == nil {
 		self := s.runtime.Bus.Self()
@@ -95,7 +98,7 @@
 	}
 }
 
-// comparisonInterval is the time until the next comparison.
+// comparisonInterval returns the time until the next comparison: short until enough clocks are measured, then a fraction of MaxReplicaAge.
 func (s *session) comparisonInterval() time.Duration {
 	if !s.edge.ClockCompared() {
 		return initialComparisonInterval
@@ -104,59 +107,61 @@
 	return min(max(interval, initialComparisonInterval), maxComparisonInterval)
 }
 
-// sendClockRequest sends a peer a request for its clock.
+// sendClockRequest sends a request for the time of a peer's clock. It blocks for at most clockSendTimeout.
 func (s *session) sendClockRequest(ctx context.Context, peer string) {
 	number := s.clocks.register(pendingRequest{peer: peer, sentAt: s.edge.wall(), startedAt: time.Now()})
 	s.sendClockMessage(ctx, peer, clockMessage{Number: number, IsRequest: true})
 }
 
-// handleClockMessage handles a request or an answer of another pooler.
+// handleClockMessage answers another pooler's request, or records its answer as a clock sample. It drops messages that can't be decoded
+// and answers to no pending request.
 func (s *session) handleClockMessage(ctx context.Context, from string, body []byte) {
 	receivedAt := s.edge.wall()
-	var reading clockMessage
-	if json.Unmarshal(body, &reading) != nil {
+	var message clockMessage
+	if json.Unmarshal(body, &message) != nil {
 		return
 	}
-	if reading.IsRequest {
-		s.sendClockAnswer(ctx, from, reading.Number, receivedAt)
+	if message.IsRequest {
+		s.sendClockAnswer(ctx, from, message.Number, receivedAt)
 		return
 	}
-	request, ok := s.clocks.take(reading.Number, from)
+	request, ok := s.clocks.take(message.Number, from)
 	if !ok {
 		return
 	}
 	s.edge.addClockSample(clockSample{
 		peer:           from,
 		sentAt:         request.sentAt,
-		peerReceivedAt: reading.ReceivedAt,
-		peerSentAt:     reading.SentAt,
+		peerReceivedAt: message.ReceivedAt,
+		peerSentAt:     message.SentAt,
 		receivedAt:     receivedAt,
 		roundTrip:      time.Since(request.startedAt),
 	})
 }
 
-// sendClockAnswer answers a request that was received at a time of the wall clock.
+// sendClockAnswer answers a request that was received at receivedAt on the wall clock. It does not block; it drops the request if
+// maxConcurrentAnswers are being sent.
 func (s *session) sendClockAnswer(ctx context.Context, to string, number uint64, receivedAt int64) {
 	select {
 	case s.clocks.answerSlots <- struct{}{}:
 	default:
-		return // the peer sends another
+		return // the peer sends another request
 	}
-	go func() { // ends with the sending, which readingSendTimeout bounds
+	go func() { // ends after the send, within clockSendTimeout
 		defer func() { <-s.clocks.answerSlots }()
 		s.sendClockMessage(ctx, to, clockMessage{Number: number, ReceivedAt: receivedAt, SentAt: s.edge.wall()})
 	}()
 }
 
-// sendClockMessage sends one pooler a request or an answer.
-func (s *session) sendClockMessage(ctx context.Context, to string, r clockMessage) {
-	body, err := json.Marshal(r)
+// sendClockMessage sends a message to one pooler. It blocks for at most clockSendTimeout; errors are logged.
+func (s *session) sendClockMessage(ctx context.Context, to string, message clockMessage) {
+	body, err := json.Marshal(message)
 	if err != nil {
-		panic(err) // a reading holds numbers alone
+		panic(err) // unreachable: all fields are numbers or booleans
 	}
-	call, cancel := context.WithTimeout(ctx, clockSendTimeout)
+	sendCtx, cancel := context.WithTimeout(ctx, clockSendTimeout)
 	defer cancel()
-	if err := s.runtime.Bus.Send(call, to, clockTopic, body); err != nil && ctx.Err() == nil {
-		s.runtime.Log.Debug().Err(err).Str("to", to).Msg("purge: clock reading not sent")
+	if err := s.runtime.Bus.Send(sendCtx, to, clockTopic, body); err != nil && ctx.Err() == nil {
+		s.runtime.Log.Debug().Err(err).Str("to", to).Msg("purge: sending clock message failed")
 	}
 }
--- a/internal/fleet/purge/component.go
+++ b/internal/fleet/purge/component.go
@@ -11,20 +11,21 @@
 	"threadsail/internal/fleet/audit"
 )
 
-// reportInterval is how often what the caches did is logged.
+// reportInterval is the interval at which cache statistics are logged.
 const reportInterval = time.Minute
 
-// Component is the purges at one pooler. Its exported fields are set before Run. It is safe for concurrent use.
+// Component runs the purges of one pooler. Its exported fields must be set before Run and not changed afterwards. It is safe for concurrent
+// use.
 type Component struct {
 	Site            string
-	JournalPath     string        // path of the pooler's audit journal; empty: purges of earlier processes are not known
-	RotatedJournals int           // rotated files beside the journal
-	Term            time.Duration // of leases
+	JournalPath     string        // path of the pooler's audit journal; if empty, purges recorded by earlier processes are unknown
+	RotatedJournals int           // number of rotated files beside the journal
+	Term            time.Duration // length of the writer's lease
 
-	edge            atomic.Pointer[Edge] // nil while the component does not run
-	proposalChanged chan struct{}        // wakes proposePlans
+	edge            atomic.Pointer[Edge] // nil unless Run is active
+	proposalChanged chan struct{}        // wakes syncProposal
 	eventsChanged   chan struct{}        // wakes firePurges
-	wall            func() int64         // Unix ns; nil: the machine's wall clock
+	wall            func() int64         // replaces the machine's wall clock if not nil; Unix ns
 	clocks          *clockExchange
 
 	mu       sync.Mutex // guards the fields below
@@ -34,7 +35,7 @@
 
 var _ fleet.Component = (*Component)(nil)
 
-// New returns a component that proposes what its operators' file says.
+// New returns the component of a pooler at a site, with the proposal from the operators' configuration file.
 func New(site string, p Proposal) *Component {
 	return &Component{
 		Site:            site,
@@ -45,7 +46,7 @@
 	}
 }
 
-// Propose replaces the proposal, when the operators' file was read again.
+// Propose replaces the proposal after the configuration file was reloaded.
 func (c *Component) Propose(next Proposal) {
 	c.mu.Lock()
 	c.proposal = next
@@ -53,24 +54,24 @@
 	notify(c.proposalChanged)
 }
 
-// currentProposal returns the proposal.
 func (c *Component) currentProposal() Proposal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.proposal
 }
 
-// currentGuards returns the frontends' guards.
+// currentGuards returns a copy of the list of guards.
 func (c *Component) currentGuards() []*CacheGuard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.guards)
 }
 
-// Run implements fleet.Component. It returns no error. While the component does not run, requests are answered as without it.
+// Run implements fleet.Component. It blocks until ctx ends and always returns nil. While the component does not run, no request is
+// answered from a cache.
 func (c *Component) Run(ctx context.Context, runtime fleet.Runtime) error {
 	history, err := ReadHistory(c.JournalPath, c.RotatedJournals)
-	if err != nil { // purges may be recorded again; answers are as ever
+	if err != nil { // purges may be recorded twice; cached answers are not affected
 		runtime.Log.Error().Err(err).Msg("purge: journal can't be read")
 	}
 	s := &session{Component: c, runtime: runtime}
@@ -82,7 +83,7 @@
 	c.edge.Store(s.edge)
 	defer c.edge.Store(nil)
 	var running sync.WaitGroup
-	defer running.Wait() // all end with ctx
+	defer running.Wait() // all goroutines end with ctx
 	running.Go(func() { s.followDocuments(ctx) })
 	running.Go(func() { s.compareClocks(ctx) })
 	running.Go(func() { s.firePurges(ctx) })
@@ -91,14 +92,15 @@
 	return nil
 }
 
-// session is one run of a Component.
+// session is one call of Component.Run.
 type session struct {
 	*Component
 	runtime fleet.Runtime
 	edge    *Edge
 }
 
-// handlePurge records a purge, and empties the caches. Their answers would not be given any more in any case.
+// handlePurge records a purge in the journal and removes the purged answers from the caches, to free memory: the edge would not serve them
+// any more in any case.
 func (s *session) handlePurge(e Event, now int64) {
 	s.runtime.Audit(audit.Record{Act: audit.Purged, Purge: e.ID, Due: e.At})
 	s.runtime.Log.Info().Str("purge", e.ID).Int64("due_ns", e.At).Int64("at_ns", now).Msg("purge: purged")
@@ -107,9 +109,9 @@
 	}
 }
 
-// followDocuments has the edge load each newer version of the documents.
+// followDocuments makes the edge load each new version of the documents. It blocks until ctx ends.
 func (s *session) followDocuments(ctx context.Context) {
-	logged := ""
+	lastLogged := ""
 	for ctx.Err() == nil {
 		changed := s.runtime.View.Changed()
 		s.edge.Refresh()
@@ -117,10 +119,10 @@
 		err := s.edge.Err()
 		switch {
 		case err == nil:
-			logged = ""
-		case err.Error() != logged:
-			logged = err.Error()
-			s.runtime.Log.Warn().Err(err).Msg("purge: nothing is answered from the cache")
+			lastLogged = ""
+		case err.Error() != lastLogged:
+			lastLogged = err.Error()
+			s.runtime.Log.Warn().Err(err).Msg("purge: no usable plan; cached answers are disabled")
 		}
 		select {
 		case <-ctx.Done():
@@ -129,7 +131,7 @@
 	}
 }
 
-// firePurges records purges as they come.
+// firePurges records each purge when it becomes due. It blocks until ctx ends.
 func (s *session) firePurges(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(s.edge.FireDue())
@@ -142,17 +144,17 @@
 	}
 }
 
-// report logs what the caches did, now and then and at the end.
+// report logs cache statistics every reportInterval and when ctx ends.
 func (s *session) report(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, reportInterval)
 		for _, g := range s.currentGuards() {
-			s.runtime.Log.Info().Stringer("answers", g).Msg("purge: cache")
+			s.runtime.Log.Info().Stringer("answers", g).Msg("purge: cache statistics")
 		}
 	}
 }
 
-// bounds returns the fleet's bounds, or those of this pooler's proposal while it knows of no plan.
+// bounds returns the bounds of the fleet's plan, or those of this pooler's proposal if there is no readable plan.
 func (s *session) bounds() Bounds {
 	plan, _, err := parseDocuments(s.runtime.View.List(keyPrefix))
 	if err == nil && plan != nil {
@@ -161,7 +163,7 @@
 	return s.currentProposal().Bounds
 }
 
-// notify wakes the receiver of a channel that holds one element.
+// notify wakes the receiver of a channel with a buffer of one element. It does not block.
 func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -169,7 +171,7 @@
 	}
 }
 
-// sleep waits for a duration, or until ctx ends.
+// sleep blocks for a duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/fleet/purge/edge.go
+++ b/internal/fleet/purge/edge.go
@@ -10,64 +10,64 @@
 )
 
 const (
-	// maxRememberedPurges is how many purges an edge remembers to have recorded: a year of ten a day.
+	// maxRememberedPurges is the number of recorded purges that an edge remembers: a year with ten purges a day.
 	maxRememberedPurges = 4096
-	// eventLookahead is how far ahead events are loaded, and eventReload how far ahead they must reach.
+	// eventLookahead is how far ahead of the clock events are loaded. They are loaded again when less than minEventLookahead is left.
 	eventLookahead    = 48 * time.Hour
 	minEventLookahead = 24 * time.Hour
-	// maxFireInterval bounds the time until an edge looks for due purges again, as clocks and documents change.
+	// maxFireInterval is the longest interval between checks for due purges, since clocks and documents may change.
 	maxFireInterval = time.Second
 )
 
-// Edge is one pooler's decisions about its cache. It is safe for concurrent use, and no method blocks. Its times are Unix times in ns by
-// this process's wall clock, unless they are durations.
+// Edge decides for one pooler whether cached answers may be served and stored, and which purges to record. It is safe for concurrent use,
+// and no method blocks. All instants are Unix times in ns on this process's wall clock.
 type Edge struct {
 	site      string
 	view      replication.View
-	onPurge   func(e Event, now int64) // called with each purge that happens here; must not block or call back
-	wall      func() int64             // the wall clock
+	onPurge   func(e Event, now int64) // called for each purge to record, with the mutex held; must not block or call the edge
+	wall      func() int64             // reads the wall clock
 	startedAt time.Time                // origin of the edge's monotonic clock
 
 	mu           sync.Mutex // guards the fields below
 	clock        clockComparison
-	otherPoolers int // that are taken to be alive
+	otherPoolers int // number of other poolers that are considered alive
 	documents    loadedDocuments
 	events       loadedEvents
-	recordFrom   int64 // purges before are not this edge's to record
+	recordFrom   int64 // instant of the earliest purge that this edge records
 	fired        firedPurges
-	lastPurgeAt  map[int]int64 // by cluster: the generation, which only grows
+	lastPurgeAt  map[int]int64 // by cluster; never decreases, so a purge stays effective after its event is removed
 }
 
-// loadedDocuments is what the edge has made of the documents.
+// loadedDocuments holds the documents that the edge has read, and the timetable built from them.
 type loadedDocuments struct {
-	version      uint64                 // of the replica, or an earlier one
-	documents    []replication.Document // nil: none were loaded
-	timetable    *Timetable             // nil: there is none
-	timetableErr error                  // why there is none
+	version      uint64                 // replica version at which the documents were read, or an earlier one
+	documents    []replication.Document // nil if there were none
+	timetable    *Timetable             // nil if it could not be built
+	timetableErr error                  // error that prevented building the timetable
 }
 
-// loadedEvents is the timetable's events within a span.
+// loadedEvents holds the timetable's events after from and up to to.
 type loadedEvents struct {
 	events   []Event
 	from, to int64
 }
 
-// History is what an edge has recorded in earlier processes, by its journal.
+// History holds the purges that earlier processes of an edge recorded in the audit journal.
 type History struct {
-	Since int64    // of the oldest record; 0: there is none
-	Fired []string // events, by ID
+	Since int64    // time of the oldest record, Unix ns; 0 if there is none
+	Fired []string // IDs of the recorded events
 }
 
-// NewEdge returns the edge of a site. onPurge is called for each purge, once over all processes that share the history.
-func NewEdge(site string, view replication.View, h History, onPurge func(e Event, now int64)) *Edge {
+// NewEdge returns the edge of a pooler at a site. It calls onPurge for each purge, but not for those in the history.
+func NewEdge(site string, view replication.View, history History, onPurge func(e Event, now int64)) *Edge {
 	e := &Edge{
 		site:        site,
 		view:        view,
 		onPurge:     onPurge,
 		wall:        func() int64 { return time.Now().UnixNano() },
 		startedAt:   time.Now(),
-		recordFrom:  h.Since,
-		fired:       newFiredPurges(h.Fired),
+		recordFrom:  history.Since,
+		fired:       newFiredPurges(history.Fired),
 		lastPurgeAt: map[int]int64{},
 	}
 	if e.recordFrom == 0 {
@@ -77,13 +77,13 @@
 	return e
 }
 
-// monotonic is the time on the edge's monotonic clock.
+// monotonic returns the time on the edge's monotonic clock.
 func (e *Edge) monotonic() time.Duration { return time.Since(e.startedAt) }
 
-// Refresh loads the documents that the replica has now. Documents that can't be used leave the edge without a timetable. A change of other
-// components' documents costs next to nothing.
+// Refresh loads the documents from the replica. If they are unusable, the edge has no timetable and Err returns the reason. If only other
+// components' documents have changed, the timetable is not built again.
 func (e *Edge) Refresh() {
-	version := e.view.Version() // before the documents are read: they may be newer
+	version := e.view.Version() // read before the documents, which may then be newer but not older
 	documents := e.view.List(keyPrefix)
 	if e.updateVersionIfUnchanged(documents, version) {
 		return
@@ -95,7 +95,7 @@
 	e.events = loadedEvents{}
 }
 
-// updateVersionIfUnchanged reports whether the documents are those that are loaded, and records then that they are of a version.
+// updateVersionIfUnchanged reports whether the given documents are those that are already loaded. If so, it sets their version.
 func (e *Edge) updateVersionIfUnchanged(documents []replication.Document, version uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,7 +107,7 @@
 	return true
 }
 
-// parseTimetable returns the site's timetable by the documents.
+// parseTimetable builds the site's timetable from the documents.
 func (e *Edge) parseTimetable(documents []replication.Document) (*Timetable, error) {
 	plan, orders, err := parseDocuments(documents)
 	if err != nil {
@@ -119,35 +119,35 @@
 	return newTimetable(e.site, plan, orders)
 }
 
-// Err returns why the edge has no timetable; nil if it has one.
+// Err returns the error because of which the edge has no timetable, or nil if it has one.
 func (e *Edge) Err() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.documents.timetableErr
 }
 
-// addClockSample records a comparison with another pooler's clock that has just ended.
+// addClockSample records a comparison with another pooler's clock whose answer has just been received.
 func (e *Edge) addClockSample(r clockSample) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.clock.add(r, e.monotonic())
 }
 
-// SetOtherPoolers sets how many other poolers are taken to be alive.
+// SetOtherPoolers sets the number of other poolers that are considered alive.
 func (e *Edge) SetOtherPoolers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.otherPoolers = n
 }
 
-// ClockCompared reports whether the clock was compared with enough others.
+// ClockCompared reports whether the clock has been compared with enough other clocks.
 func (e *Edge) ClockCompared() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.clock.measurements) >= max(min(minPeers, e.otherPoolers), 1)
 }
 
-// ClockAgrees reads the wall clock, and reports whether it is right within a guard.
+// ClockAgrees returns the time of the wall clock, and reports whether it agrees with a majority of the other clocks within half of guard.
 func (e *Edge) ClockAgrees(guard time.Duration) (now int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,17 +155,17 @@
 	return now, e.isClockTrusted(now, guard)
 }
 
-// isClockTrusted reports whether the wall clock agrees with most others within half of a guard, by the measurements and by what may have come
-// since. The caller holds the mutex.
+// isClockTrusted reports whether the wall clock agrees with a majority of the other clocks within half of guard, allowing for drift since
+// the measurements. The caller holds the mutex.
 func (e *Edge) isClockTrusted(now int64, guard time.Duration) bool {
 	bound, ok := e.clock.offsetBound(now, e.monotonic(), e.otherPoolers, true)
 	return ok && bound <= guard/2
 }
 
-// ServableSince reports whether a cached answer for a cluster may be given now, and since when by this clock it must have been requested. All
-// due purges are recorded first, so an edge that was stalled or cut off has caught up before its answer. From a guard before a purge until
-// a guard and Settle after it, nothing can have been requested late enough: requests go to servers.
-func (e *Edge) ServableSince(cluster int) (since int64, why Reason) {
+// ServableSince reports whether cached answers for a cluster may be served now, and returns the earliest time on this clock at which they
+// must have been requested. It first records all due purges, so an edge that was stalled or partitioned catches up before it serves an
+// answer. From Guard before a purge until Guard plus Settle after it, that time is in the future, so all requests go to servers.
+func (e *Edge) ServableSince(cluster int) (since int64, reason Reason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.wall()
@@ -183,24 +183,24 @@
 	return e.lastPurgeAt[cluster] + int64(timetable.bounds.Guard+timetable.bounds.Settle), Allowed
 }
 
-// MayStore reports whether an answer that was requested some time ago, and has just arrived, may be stored; requestedAt is when that was,
-// by this clock. An answer that was under way across a purge may not.
-func (e *Edge) MayStore(cluster int, ago time.Duration) (requestedAt int64, ok bool) {
-	since, why := e.ServableSince(cluster)
-	requestedAt = e.wall() - int64(ago)
-	return requestedAt, why == Allowed && requestedAt >= since
+// MayStore reports whether an answer that has just arrived, and to a request of the given age, may be stored.
+// requestedAt is the time of the request on this clock. An answer to a request that was in flight during a purge must not be stored.
+func (e *Edge) MayStore(cluster int, age time.Duration) (requestedAt int64, ok bool) {
+	since, reason := e.ServableSince(cluster)
+	requestedAt = e.wall() - int64(age)
+	return requestedAt, reason == Allowed && requestedAt >= since
 }
 
-// isStale reports whether the documents may have changed unknown to this edge for longer than an order waits. The replica may have been
-// brought up to date and confirmed just now, with documents that are not loaded yet, so the confirmation is read first. The caller holds
-// the mutex.
+// isStale reports whether the replica was last confirmed more than MaxReplicaAge ago, or holds documents that are not loaded yet. The time
+// of the confirmation is read before the version: the replica may be updated and confirmed in between, and the version then shows it. The
+// caller holds the mutex.
 func (e *Edge) isStale() bool {
-	confirmedAt := e.view.ConfirmedAt() // the zero time is older than any
+	confirmedAt := e.view.ConfirmedAt() // the zero time if never confirmed, which counts as stale
 	return time.Since(confirmedAt) > e.documents.timetable.bounds.MaxReplicaAge || e.view.Version() > e.documents.version
 }
 
-// lastPurge is the instant of the last purge of a cluster that may have come by now: by a clock that is ahead by a guard it has. The
-// caller holds the mutex.
+// lastPurge returns the instant of the last purge of a cluster that may have passed in true time: this clock may be slow by Guard. It
+// returns 0 if there is none. The caller holds the mutex.
 func (e *Edge) lastPurge(now int64, cluster int) int64 {
 	e.loadEvents(now)
 	for _, event := range slices.Backward(e.events.events) {
@@ -212,7 +212,7 @@
 	return 0
 }
 
-// loadEvents loads the events around now, unless they are loaded. The caller holds the mutex.
+// loadEvents loads the events around now, unless the loaded ones suffice. The caller holds the mutex.
 func (e *Edge) loadEvents(now int64) {
 	if e.events.from <= now-int64(eventRetention) && now <= e.events.to-int64(minEventLookahead) {
 		return
@@ -222,9 +222,10 @@
 	e.events = loadedEvents{events: e.documents.timetable.Between(from, to), from: from, to: to}
 }
 
-// FireDue records the purges that are due, and returns when to look again: at the next purge, within maxFireInterval. An edge that is cut
-// off goes by its own clock. One whose clock disagrees with others waits until the clock is right, and gives no cached answer meanwhile.
-func (e *Edge) FireDue() (again time.Duration) {
+// FireDue records the purges that are due, and returns the time until it must be called again: until the next purge, but at most
+// maxFireInterval. An edge that can't reach the other poolers uses its own clock. If its clock disagrees with the others, FireDue records
+// nothing until it agrees again; the edge serves no cached answers meanwhile.
+func (e *Edge) FireDue() (retryAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	timetable := e.documents.timetable
@@ -234,7 +235,7 @@
 	now := e.wall()
 	bound, measured := e.clock.offsetBound(now, e.monotonic(), e.otherPoolers, false)
 	clockDisagrees := measured && bound > timetable.bounds.Guard/2
-	awaitingComparison := !measured && e.monotonic() < timetable.bounds.MaxReplicaAge // it has just started
+	awaitingComparison := !measured && e.monotonic() < timetable.bounds.MaxReplicaAge // the first comparisons may still be in progress
 	if clockDisagrees || awaitingComparison {
 		return maxFireInterval
 	}
@@ -247,8 +248,8 @@
 	return maxFireInterval
 }
 
-// fire records each purge up to now that was not recorded, from the edge's beginning on, but no further back than eventRetention. The
-// caller holds the mutex.
+// fire calls onPurge for each purge up to now that has not been recorded. It ignores purges before recordFrom and those older than
+// eventRetention. The caller holds the mutex.
 func (e *Edge) fire(now int64) {
 	e.loadEvents(now)
 	after := max(e.recordFrom-1, now-int64(eventRetention))
@@ -259,10 +260,10 @@
 	}
 }
 
-// firedPurges is the set of purges that were recorded, maxRememberedPurges at most.
+// firedPurges is a set of the last recorded purges, with at most maxRememberedPurges elements.
 type firedPurges struct {
 	ids   map[string]bool
-	order []string // of ids, the oldest first
+	order []string // IDs, the oldest first
 }
 
 func newFiredPurges(ids []string) firedPurges {
@@ -273,7 +274,7 @@
 	return f
 }
 
-// add adds a purge, and reports whether it was not in the set. The oldest is forgotten where there are too many.
+// add adds a purge, and reports whether it was not in the set yet. It removes the oldest purge if the set is full.
 func (f *firedPurges) add(id string) bool {
 	if f.ids[id] {
 		return false
--- a/internal/fleet/purge/history.go
+++ b/internal/fleet/purge/history.go
@@ -9,9 +9,10 @@
 	"threadsail/internal/fleet/audit"
 )
 
-// ReadHistory reads which purges an audit journal, and the rotated files beside it, have recorded. The journal itself thus says whether a
-// purge was recorded: one that a crash kept from the journal is recorded after the restart, and no other. A place that can't be read hides
-// what stood there. The history that could be read is returned with an error too.
+// ReadHistory reads the recorded purges from an audit journal and the rotated files beside it; it returns an empty history for an empty
+// path. The journal is the only record of purges: after a restart, only the purges that a crash kept out of the journal are
+// recorded. Purges in unreadable parts of a file are missing from the history. If a file can't be read, ReadHistory returns an error together
+// with the history of the other files.
 func ReadHistory(path string, rotatedFiles int) (h History, err error) {
 	if path == "" {
 		return History{}, nil
@@ -36,7 +37,7 @@
 	return h, errors.Join(errs...)
 }
 
-// add adds the records of a file.
+// add adds the records of one file.
 func (h *History) add(records []audit.Record) {
 	for _, r := range records {
 		if h.Since == 0 || r.At < h.Since {
--- a/internal/fleet/purge/plan.go
+++ b/internal/fleet/purge/plan.go
@@ -10,20 +10,20 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Plan is the calendars of all sites, one document for the fleet. It holds the plan that it replaced, so that an edge that learns late of
-// the change knows both.
+// Plan is the document with the calendars of all sites of the fleet. It includes the plan that it replaced, so that an edge that receives
+// it late can still compute the purges before the change.
 type Plan struct {
-	Revision    uint64        `json:"revision"` // the operators', which only grows
-	EffectiveAt int64         `json:"at"`       // Unix ns; the change is a purge of all sites itself
+	Revision    uint64        `json:"revision"` // set by the operators; only increases
+	EffectiveAt int64         `json:"at"`       // Unix ns; the change itself purges all sites
 	Bounds      Bounds        `json:"bounds"`
 	Book        calendar.Book `json:"book"`
-	// ZoneDigests has, by zone, the digest of the zone's rules from a month before EffectiveAt until the plan expires, as the writer's
-	// zone data have them.
+	// ZoneDigests holds, by zone name, the digest of the zone's rules in the writer's zone data, from a month before EffectiveAt until
+	// the plan expires.
 	ZoneDigests map[string]uint64 `json:"zones"`
-	Previous    *Plan             `json:"was,omitempty"` // its own Previous is nil
+	Previous    *Plan             `json:"was,omitempty"` // the replaced plan, without its own Previous; nil for the first plan
 }
 
-// Order is a purge by the operators' order.
+// Order is the document of a purge that the operators ordered.
 type Order struct {
 	Name        string `json:"name"`
 	EffectiveAt int64  `json:"at"`                // Unix ns
@@ -31,10 +31,11 @@
 	Cluster     *int   `json:"cluster,omitempty"` // nil: all clusters
 }
 
-// validUntil is when the plan expires, as Unix time in ns.
+// validUntil returns when the plan expires, as a Unix time in ns.
 func (p *Plan) validUntil() int64 { return p.EffectiveAt + int64(planValidity) }
 
-// activationDelay is Bounds.activationDelay by whichever bounds an edge may keep to: those of the plan or of the plan before it.
+// activationDelay returns the longer Bounds.activationDelay of the plan and of the previous plan, since an edge may still use the bounds of
+// either.
 func (p *Plan) activationDelay() time.Duration {
 	if p.Previous != nil {
 		return max(p.Bounds.activationDelay(), p.Previous.Bounds.activationDelay())
@@ -42,13 +43,13 @@
 	return p.Bounds.activationDelay()
 }
 
-// changeEvent is the purge that the plan's taking effect is.
+// changeEvent returns the purge of all clusters that happens when the plan takes effect.
 func (p *Plan) changeEvent() Event {
 	return Event{ID: fmt.Sprintf("plan %d", p.Revision), At: p.EffectiveAt, Cluster: AllClusters}
 }
 
-// schedule returns the site's schedule, nil if the plan has no such site. The rules of its zone must be those of the plan's writer: by two
-// editions of zone data a site would close at two instants.
+// schedule returns the site's schedule, or nil if the plan does not contain the site. It returns an error if the rules of the site's zone
+// differ from those of the plan's writer: with different zone data, edges of one site would purge at different instants.
 func (p *Plan) schedule(site string) (*calendar.Schedule, error) {
 	plan, ok := p.Book.Plan(site)
 	if !ok {
@@ -59,31 +60,31 @@
 		return nil, fmt.Errorf("purge: plan %d: %w", p.Revision, err)
 	}
 	if zoneDigest(schedule.Zone, p.EffectiveAt) != p.ZoneDigests[plan.Zone] {
-		return nil, fmt.Errorf("purge: the rules of %s here are not those that plan %d was written by", plan.Zone, p.Revision)
+		return nil, fmt.Errorf("purge: local rules of %s differ from those that plan %d was written with", plan.Zone, p.Revision)
 	}
 	return schedule, nil
 }
 
-// zoneDigest is the digest of a zone's rules for a plan that takes effect at a time.
+// zoneDigest returns the digest of a zone's rules for a plan that takes effect at effectiveAt, a Unix time in ns.
 func zoneDigest(zone *time.Location, effectiveAt int64) uint64 {
 	from := time.Unix(0, effectiveAt)
 	return calendar.Digest(zone, from.AddDate(0, -1, 0), from.Add(planValidity))
 }
 
-// zoneDigests returns the digests of a book's zones as this process's zone data have them.
+// zoneDigests returns, by zone name, the digests of the zones of all sites according to this process's zone data.
 func zoneDigests(b calendar.Book, effectiveAt int64) (map[string]uint64, error) {
 	digests := map[string]uint64{}
 	for _, site := range b.Sites {
 		zone, err := time.LoadLocation(site.Zone)
 		if err != nil {
-			return nil, fmt.Errorf("purge: zone of a site: %w", err)
+			return nil, fmt.Errorf("purge: load time zone of a site: %w", err)
 		}
 		digests[site.Zone] = zoneDigest(zone, effectiveAt)
 	}
 	return digests, nil
 }
 
-// parseDocuments decodes the documents of purges. plan is nil if there is none.
+// parseDocuments decodes the plan and the orders among the documents. plan is nil if there is none.
 func parseDocuments(documents []replication.Document) (plan *Plan, orders []Order, err error) {
 	for _, d := range documents {
 		switch {
--- a/internal/fleet/purge/proposal.go
+++ b/internal/fleet/purge/proposal.go
@@ -13,15 +13,16 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Proposal is what one pooler's operators have in their file. Nothing follows from it until the documents say so.
+// Proposal is the plan and the orders in the configuration file of one pooler. It has no effect until a pooler has written it to the shared
+// documents.
 type Proposal struct {
-	Revision uint64 // a plan is written if the fleet's has a lower one; 0: no plan is proposed
+	Revision uint64 // the plan is written if the fleet's revision is lower; 0: no plan is proposed
 	Bounds   Bounds
 	Book     calendar.Book
 	Orders   []RequestedOrder
 }
 
-// RequestedOrder is a purge that the operators order.
+// RequestedOrder is a purge that the operators request in the configuration file.
 type RequestedOrder struct {
 	Name    string
 	Issued  time.Time
@@ -29,30 +30,30 @@
 	Cluster *int   // nil: all clusters
 }
 
-// orderFreshness is for how long after it was issued an order in a file counts. It is shorter than orders are remembered, so that an order
-// whose document was deleted is not written again.
+// orderFreshness is the time after which an order in the configuration file is ignored, counted from its issue. It is shorter than the
+// retention of order documents, so that an order whose document was deleted is not written again.
 const orderFreshness = 24 * time.Hour
 
-// documentWrite is a document to be written or, with a nil value, deleted.
+// documentWrite is a pending write of a document. A nil value deletes the document.
 type documentWrite struct {
 	key             string
 	expectedVersion uint64
 	value           []byte
 }
 
-// errConflictingPlan tells that the file's plan will never be the fleet's.
-var errConflictingPlan = errors.New("purge: this file's plan differs from the fleet's of the same revision")
+// errConflictingPlan is returned for a plan that can't be written, because the fleet has a different plan of the same revision.
+var errConflictingPlan = errors.New("purge: plan in the configuration file differs from the fleet's plan of the same revision")
 
-// nextWrite decides the next write that the documents need to hold the proposal, as of now on the writer's clock. A nil write means that
-// there is none now; again is after how long there may be one, 0: not before something changes. The error says what the operators must
-// mend in the file; a write may be due all the same.
-func (p Proposal) nextWrite(documents []replication.Document, now int64) (w *documentWrite, again time.Duration, err error) {
+// nextWrite returns the next write that is needed to bring the documents in line with the proposal. now is the time on the writer's clock.
+// The write is nil if none is due; retryAfter is then the time until one may be, or 0 if none will be until the documents or the proposal
+// change. An error means that the plan can't be decoded, encoded or accepted; with errConflictingPlan, an order may be due nevertheless.
+func (p Proposal) nextWrite(documents []replication.Document, now int64) (write *documentWrite, retryAfter time.Duration, err error) {
 	plan, version, err := findPlan(documents)
 	if err != nil {
 		return nil, 0, err
 	}
-	step := p.planAction(plan, now)
-	switch step {
+	action := p.planAction(plan, now)
+	switch action {
 	case planNeedsWrite:
 		value, err := p.encodePlan(plan, now)
 		return &documentWrite{key: planKey, expectedVersion: version, value: value}, 0, err
@@ -61,20 +62,20 @@
 	case planConflicts:
 		err = errConflictingPlan
 	}
-	if plan != nil { // without a plan nothing is cached, so nothing is purged
+	if plan != nil { // without a plan nothing is cached, so there is nothing to purge
 		var orderErr error
-		w, again, orderErr = p.nextOrder(plan, documents, now)
-		if w != nil {
-			return w, 0, orderErr
+		write, retryAfter, orderErr = p.nextOrder(plan, documents, now)
+		if write != nil {
+			return write, 0, orderErr
 		}
 	}
 	if expired := expiredOrderDeletion(documents, now); expired != nil {
 		return expired, 0, err
 	}
-	return nil, again, err
+	return nil, retryAfter, err
 }
 
-// findPlan returns the plan among the documents and its version; nil if there is none.
+// findPlan returns the plan among the documents and its document version, or nil if there is none.
 func findPlan(documents []replication.Document) (plan *Plan, version uint64, err error) {
 	for _, d := range documents {
 		if d.Key != planKey {
@@ -89,17 +90,17 @@
 	return plan, version, nil
 }
 
-// planAction is what is to be done about the plan.
+// planAction is the next step for the plan document.
 type planAction int
 
 const (
-	planUnchanged  planAction = iota // the fleet has the proposal's plan, or a later one, or none is proposed
-	planNeedsWrite                   // the proposal's plan is to be written
-	planMustWait                     // the fleet's plan is not in force yet; what it replaced must be known to all before it is dropped
-	planConflicts                    // the fleet has another plan of the same revision
+	planUnchanged  planAction = iota // the fleet has the proposed plan or a later one, or none is proposed
+	planNeedsWrite                   // the proposed plan must be written
+	planMustWait                     // the fleet's plan is not in force yet, so the plan before it must stay in the document
+	planConflicts                    // the fleet has a different plan of the same revision
 )
 
-// planAction decides what is to be done about the plan; plan is the fleet's, nil if there is none.
+// planAction returns the next step for the plan document. plan is the fleet's plan, or nil if there is none.
 func (p Proposal) planAction(plan *Plan, now int64) planAction {
 	switch {
 	case p.Revision == 0:
@@ -118,9 +119,9 @@
 	return planConflicts
 }
 
-// nextOrder returns the write of the first requested order that the documents lack; again is after how long the next one will have been
-// issued, 0: there is none.
-func (p Proposal) nextOrder(plan *Plan, documents []replication.Document, now int64) (w *documentWrite, again time.Duration, err error) {
+// nextOrder returns the write of the first requested order that the documents lack. If there is none, retryAfter is the time until the next
+// order is issued, or 0.
+func (p Proposal) nextOrder(plan *Plan, documents []replication.Document, now int64) (write *documentWrite, retryAfter time.Duration, err error) {
 	for _, requested := range p.Orders {
 		key := orderPrefix + requested.Name
 		age := time.Duration(now - requested.Issued.UnixNano())
@@ -128,8 +129,8 @@
 		switch {
 		case known || age > orderFreshness:
 		case age < 0:
-			if again == 0 || -age < again {
-				again = -age
+			if retryAfter == 0 || -age < retryAfter {
+				retryAfter = -age
 			}
 		default:
 			order := Order{Name: requested.Name, EffectiveAt: now + int64(plan.activationDelay()), Site: requested.Site, Cluster: requested.Cluster}
@@ -137,10 +138,10 @@
 			return &documentWrite{key: key, value: value}, 0, err
 		}
 	}
-	return nil, again, nil
+	return nil, retryAfter, nil
 }
 
-// expiredOrderDeletion returns the deletion of an order that is remembered no longer; nil if there is none.
+// expiredOrderDeletion returns the deletion of the first order whose retention has ended, or nil if there is none.
 func expiredOrderDeletion(documents []replication.Document, now int64) *documentWrite {
 	retainedSince := now - int64(eventRetention+orderFreshness)
 	for _, d := range documents {
@@ -155,17 +156,17 @@
 	return nil
 }
 
-// encodePlan returns the document of the proposal's plan, which replaces old; nil if it is the first.
-func (p Proposal) encodePlan(old *Plan, now int64) ([]byte, error) {
+// encodePlan returns the encoded document of the proposed plan. replaced is the fleet's plan, or nil if there is none.
+func (p Proposal) encodePlan(replaced *Plan, now int64) ([]byte, error) {
 	plan := Plan{Revision: p.Revision, Bounds: p.Bounds, Book: p.Book}
-	reach := p.Bounds.activationDelay()
-	if old != nil {
-		reach = max(reach, old.activationDelay())
-		previous := *old
+	delay := p.Bounds.activationDelay()
+	if replaced != nil {
+		delay = max(delay, replaced.activationDelay())
+		previous := *replaced
 		previous.Previous = nil
 		plan.Previous = &previous
 	}
-	plan.EffectiveAt = now + int64(reach)
+	plan.EffectiveAt = now + int64(delay)
 	var err error
 	if plan.ZoneDigests, err = zoneDigests(p.Book, plan.EffectiveAt); err != nil {
 		return nil, err
@@ -173,7 +174,7 @@
 	return json.Marshal(plan)
 }
 
-// sameBook reports whether two books are encoded alike.
+// sameBook reports whether two books have the same JSON encoding.
 func sameBook(a, b calendar.Book) bool {
 	encodedA, errA := json.Marshal(a)
 	encodedB, errB := json.Marshal(b)
--- a/internal/fleet/purge/purge.go
+++ b/internal/fleet/purge/purge.go
@@ -1,16 +1,17 @@
-// Package purge empties the caches of all edges (poolers) of a site at the site's local close of business, at the same instant, and by the
-// operators' order.
+// Package purge empties the answer caches of all edges (poolers) of a site at the same instant: at the site's local closing time, and
+// when the operators order it.
 //
-// It decides which purges there are (Timetable, from the fleet's documents), whether an edge may answer from its cache now and since when
-// such an answer must have been requested (Edge.Current), which purges an edge still has to record (each once), and what the documents
-// lack of the operators' file (Proposal). It owns the comparison of clocks between edges and, through CacheGuard, the cached answers.
-// Edge and Timetable do no I/O; Component runs on goroutines of its own; CacheGuard is called on the event loop of a frontend.
+// The package determines the purge events of a site (Timetable, from the fleet's shared documents), whether an edge may serve a cached
+// answer and the earliest time at which that answer must have been requested (Edge.ServableSince), which purges an edge has yet to record
+// in its audit journal (each exactly once), and which documents must be written to publish the operators' configuration file (Proposal).
+// It owns the comparison of clocks between edges and, through CacheGuard, the cached answers. Edge and Timetable do no I/O; Component
+// runs its own goroutines; the methods of CacheGuard are called on a frontend's event loop.
 //
-// Invariant: let a clock be right that is within Bounds.Guard of true time, and let each edge's clock be right if it agrees with most of
-// those that it was compared with within half of that. Then no edge gives a cached answer, after the instant of a purge of its site, that
-// was requested before that instant. An edge gives none within a guard of the instant by its own clock, none that was requested earlier
-// than a guard and Settle after the last purge, and none at all without a replica of the documents that is younger than MaxReplicaAge.
-// Orders and plans take effect late enough for that (Bounds.reach). docs/purges.md has the derivation.
+// Invariant: after the instant of a purge of its site, no edge serves a cached answer that was requested before that instant. This holds
+// if every edge's clock that agrees within half of Bounds.Guard with a majority of the clocks that it was compared with is also within
+// Bounds.Guard of true time. An edge serves no cached answer while its own clock is within Bounds.Guard of the instant, none that was
+// requested earlier than Guard plus Settle after the last purge, and none without a replica of the documents that is younger than
+// MaxReplicaAge. Orders and plans take effect late enough for that (Bounds.activationDelay). docs/purges.md has the derivation.
 package purge
 
 import (
@@ -19,52 +20,53 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// writerLease is held by the pooler that writes plans and orders, while it does.
+// writerLease is the lease that a pooler holds while it writes plans and orders.
 const writerLease lease.Name = "purges"
 
-// The keys of the documents.
+// Keys of the shared documents.
 const (
 	keyPrefix   = "purge/"
 	planKey     = "purge/plan"
-	orderPrefix = "purge/order/" // followed by the order's name
+	orderPrefix = "purge/order/" // prefix of an order's key; the order's name follows
 )
 
 const (
-	// planValidity is how long a plan is in force: for so long zone data of two editions are compared. A term's calendar comes sooner.
+	// planValidity is how long a plan stays in force, and the period over which the zone rules of the plan's writer and of an edge must
+	// agree. A new plan with the calendar of the next term is expected sooner.
 	planValidity = 400 * 24 * time.Hour
-	// eventRetention is how far back an edge that was out catches up, and how long an order stays a document.
+	// eventRetention is the age up to which an edge that was down records missed purges, and for which an order's document is kept.
 	eventRetention = 7 * 24 * time.Hour
 )
 
-// AllClusters stands for all clusters of a site.
+// AllClusters is the Event.Cluster of a purge of all clusters of a site.
 const AllClusters = -1
 
-// Bounds is what the whole fleet keeps to. The bounds are part of the plan, so all edges keep to the same.
+// Bounds holds the time limits on which the consistency of purges rests. They are part of the plan, so all edges use the same values.
 type Bounds struct {
-	Guard         time.Duration `json:"guard_ns"`   // how far a trusted clock may be off
-	MaxReplicaAge time.Duration `json:"confirm_ns"` // how old a replica may be by which cached answers are given
-	Settle        time.Duration `json:"settle_ns"`  // for how long after a purge database replicas may answer from before it
-	WriteLead     time.Duration `json:"lead_ns"`    // how long the voters may take to apply a write that was sent
+	Guard         time.Duration `json:"guard_ns"`   // largest deviation of a trusted clock from true time
+	MaxReplicaAge time.Duration `json:"confirm_ns"` // largest age of the documents' replica with which cached answers are served
+	Settle        time.Duration `json:"settle_ns"`  // time after a purge in which database replicas may still return data from before it
+	WriteLead     time.Duration `json:"lead_ns"`    // longest time from sending a write until the voters apply it
 }
 
-// activationDelay is how long after it was written an order or a plan takes effect. An edge whose replica lacks it by then has stopped to answer
-// from its cache: its replica is as of a time before the write was applied, which is WriteLead after it was sent at most, and is valid for
-// MaxReplicaAge. The writer's clock may be behind by a guard.
+// activationDelay returns the time from writing an order or a plan until it takes effect. An edge whose replica still lacks the document
+// by then has stopped serving cached answers: its replica was confirmed before the write was applied, which happens at most WriteLead
+// after the write was sent, and a replica is used for at most MaxReplicaAge. Guard covers a writer whose clock is slow.
 func (b Bounds) activationDelay() time.Duration { return b.MaxReplicaAge + b.WriteLead + b.Guard }
 
-// Reason is why an edge does not answer from its cache.
+// Reason is the result of the check whether an edge may serve cached answers: Allowed, or the reason why not.
 type Reason uint8
 
-// The reasons.
+// Results of the check.
 const (
-	Allowed        Reason = iota // the edge may answer
-	NoPlan                       // no plan is in force here, or the plan has expired
-	ReplicaStale                 // the replica of the documents was not confirmed for too long
-	ClockUntrusted               // the clock disagrees with most others, or was compared with too few
-	ReasonCount                  // how many reasons there are
+	Allowed        Reason = iota // the edge may serve cached answers
+	NoPlan                       // no plan is in force for the site, or the plan has expired
+	ReplicaStale                 // the replica of the documents was confirmed longer than MaxReplicaAge ago
+	ClockUntrusted               // the clock disagrees with a majority of the others, or was compared with too few
+	ReasonCount                  // number of results
 )
 
-// String returns the reason as it stands in the log.
+// String returns the name of the reason in log lines.
 func (r Reason) String() string {
 	return [...]string{"may", "no plan", "unheard", "clock"}[r]
 }
--- a/internal/fleet/purge/timetable.go
+++ b/internal/fleet/purge/timetable.go
@@ -10,28 +10,28 @@
 	"threadsail/internal/calendar"
 )
 
-// Event is one purge of one site: a close, a change of the plan or an order.
+// Event is one purge at one site, caused by a closing time, a change of the plan or an order.
 type Event struct {
-	ID      string // names the purge for good, the same at every edge
+	ID      string // identifies the purge at every edge and across restarts
 	At      int64  // Unix ns
 	Cluster int    // or AllClusters
 }
 
-// Timetable is a site's purges, by the documents of one version. It does not change and is safe for concurrent use. Its times are Unix
-// times in ns.
+// Timetable holds the purges of one site according to one version of the documents. It is immutable and safe for concurrent use. Its times
+// are Unix times in ns.
 type Timetable struct {
 	site        string
 	bounds      Bounds
-	knownFrom   int64              // nothing is known of purges before
+	knownFrom   int64              // purges before this time are unknown
 	effectiveAt int64              // when the plan takes effect
 	validUntil  int64              // when the plan expires
-	previous    *calendar.Schedule // before planAt; nil: the site has none
-	current     *calendar.Schedule // from planAt on
-	fixedEvents []Event            // changes of the plan, and orders
+	previous    *calendar.Schedule // schedule before effectiveAt; nil if there is no previous plan or it lacks the site
+	current     *calendar.Schedule // schedule from effectiveAt
+	fixedEvents []Event            // plan changes and orders
 }
 
-// newTimetable returns the timetable of a site. It fails if the site is not in the plan, or if the rules of its zone are not those of the
-// plan's writer.
+// newTimetable returns the timetable of a site. It returns an error if the plan does not contain the site, or if the rules of the site's
+// zone differ from those of the plan's writer.
 func newTimetable(site string, p *Plan, orders []Order) (*Timetable, error) {
 	t := &Timetable{site: site, bounds: p.Bounds, knownFrom: p.EffectiveAt, effectiveAt: p.EffectiveAt, validUntil: p.validUntil()}
 	var err error
@@ -55,7 +55,7 @@
 	return t, nil
 }
 
-// addPrevious adds the plan that was replaced. Of both plans' bounds the stricter hold.
+// addPrevious adds the schedule of the replaced plan, and applies the stricter of both plans' bounds.
 func (t *Timetable) addPrevious(p *Plan) error {
 	t.knownFrom = p.EffectiveAt
 	t.bounds.MaxReplicaAge = min(t.bounds.MaxReplicaAge, p.Bounds.MaxReplicaAge)
@@ -66,7 +66,7 @@
 	return err
 }
 
-// event is the purge that an order is.
+// event returns the purge that the order causes.
 func (o Order) event() Event {
 	e := Event{ID: "order " + o.Name, At: o.EffectiveAt, Cluster: AllClusters}
 	if o.Cluster != nil {
@@ -75,7 +75,7 @@
 	return e
 }
 
-// Between returns the events after from and up to to, in their order.
+// Between returns the events after from and up to to, sorted by time and then by ID.
 func (t *Timetable) Between(from, to int64) []Event {
 	from = max(from, t.knownFrom-1)
 	events := t.closeEvents(t.previous, from, min(to, t.effectiveAt-1))
@@ -91,14 +91,14 @@
 	return events
 }
 
-// closeEvents returns the closeEvents of a schedule after from and up to to.
+// closeEvents returns an event for each closing time of a schedule after from and up to to. A nil schedule has none.
 func (t *Timetable) closeEvents(schedule *calendar.Schedule, from, to int64) []Event {
 	if schedule == nil || from >= to {
 		return nil
 	}
 	var events []Event
-	for _, o := range schedule.Between(time.Unix(0, from), time.Unix(0, to)) {
-		events = append(events, Event{ID: fmt.Sprintf("close %s %s %s", t.site, o.Date, o.Close), At: o.At.UnixNano(), Cluster: AllClusters})
+	for _, occurrence := range schedule.Between(time.Unix(0, from), time.Unix(0, to)) {
+		events = append(events, Event{ID: fmt.Sprintf("close %s %s %s", t.site, occurrence.Date, occurrence.Close), At: occurrence.At.UnixNano(), Cluster: AllClusters})
 	}
 	return events
 }
--- a/internal/fleet/purge/writer.go
+++ b/internal/fleet/purge/writer.go
@@ -8,32 +8,33 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// syncProposal writes what the documents lack of the operators' file.
+// syncProposal keeps the documents in line with the proposal: it writes the missing plan and orders and deletes expired orders. It blocks
+// until ctx ends.
 func (s *session) syncProposal(ctx context.Context) {
-	logged := ""
+	lastLogged := ""
 	for ctx.Err() == nil {
 		changed := s.runtime.View.Changed()
-		write, again, err := s.pendingWrite()
-		if err != nil && err.Error() != logged {
-			logged = err.Error()
-			s.runtime.Log.Error().Err(err).Msg("purge: file's plan is not taken")
+		write, retryAfter, err := s.pendingWrite()
+		if err != nil && err.Error() != lastLogged {
+			lastLogged = err.Error()
+			s.runtime.Log.Error().Err(err).Msg("purge: plan in the configuration file not proposed")
 		}
 		if write != nil {
 			s.campaignAndWrite(ctx)
-			again = s.Term
+			retryAfter = s.Term
 		}
-		if s.waitForChange(ctx, changed, again) {
-			logged = ""
+		if s.waitForChange(ctx, changed, retryAfter) {
+			lastLogged = ""
 		}
 	}
 }
 
-// waitForChange waits until there may be something to write: the documents or the proposal have changed, or again has passed (0: never).
-// It reports whether the proposal has changed.
-func (s *session) waitForChange(ctx context.Context, documentsChanged <-chan struct{}, again time.Duration) (proposalChanged bool) {
+// waitForChange blocks until the documents or the proposal have changed, retryAfter has passed (0: no limit), or ctx ends. It reports
+// whether the proposal has changed.
+func (s *session) waitForChange(ctx context.Context, documentsChanged <-chan struct{}, retryAfter time.Duration) (proposalChanged bool) {
 	var due <-chan time.Time
-	if again > 0 {
-		timer := time.NewTimer(again)
+	if retryAfter > 0 {
+		timer := time.NewTimer(retryAfter)
 		defer timer.Stop()
 		due = timer.C
 	}
@@ -47,9 +48,9 @@
 	return false
 }
 
-// pendingWrite decides what this pooler's replica lacks of the proposal. Until the replica is confirmed and the clock compared there is
-// nothing to go by.
-func (s *session) pendingWrite() (w *documentWrite, again time.Duration, err error) {
+// pendingWrite returns the next write by this pooler's replica of the documents, as Proposal.nextWrite. It returns no write, and an early
+// retryAfter, until the replica has been confirmed once and the clock agrees with the others.
+func (s *session) pendingWrite() (write *documentWrite, retryAfter time.Duration, err error) {
 	proposal := s.currentProposal()
 	if proposal.Revision == 0 && len(proposal.Orders) == 0 {
 		return nil, 0, nil
@@ -61,17 +62,17 @@
 	return proposal.nextWrite(s.runtime.View.List(keyPrefix), now)
 }
 
-// hasPendingWrite reports whether there is something to write that can be written.
+// hasPendingWrite reports whether a write is due and can be made.
 func (s *session) hasPendingWrite() bool {
-	w, _, err := s.pendingWrite()
-	return w != nil && err == nil
+	write, _, err := s.pendingWrite()
+	return write != nil && err == nil
 }
 
-// campaignAndWrite campaigns for the writers' lease, and writes all that is missing. A write that may yet be applied is given up together with
-// the lease that it names, so it is applied within Bounds.WriteLead or not at all. Of many poolers that start with one file the first
-// writes, and the others find it written.
+// campaignAndWrite campaigns for the writer's lease and then makes all pending writes. It starts after a random delay of up to a lease term:
+// of many poolers that start with the same file, the first one writes, and the others find the documents written. A write with an unknown
+// result is fenced by the lease, which is given up on failure, so the write is applied within Bounds.WriteLead or not at all.
 func (s *session) campaignAndWrite(ctx context.Context) {
-	ctx, cancel := context.WithCancel(ctx) // ends the campaign
+	ctx, cancel := context.WithCancel(ctx) // ends the campaign and gives up the lease
 	defer cancel()
 	sleep(ctx, rand.N(s.Term))
 	if ctx.Err() != nil || !s.hasPendingWrite() {
@@ -85,7 +86,7 @@
 	}
 }
 
-// waitForLease waits until the lease is held. It reports false if ctx ends, or if the write is missing no longer.
+// waitForLease blocks until the lease is held and then returns true. It returns false if ctx ends or no write is pending any more.
 func (s *session) waitForLease(ctx context.Context, leadership replication.Leadership) bool {
 	for {
 		leadershipChanged := leadership.Changed()
@@ -105,11 +106,12 @@
 	}
 }
 
-// writeNext writes the next document that is missing, by the documents as the voters have them. It reports whether there may be more.
+// writeNext makes the next pending write, decided by the documents as read from the voters. It reports whether more writes may be pending;
+// it returns false if a write fails, the lease is lost, or the clock disagrees with the others. Errors are logged.
 func (s *session) writeNext(ctx context.Context, leadership replication.Leadership) bool {
 	documents, err := s.readDocuments(ctx)
 	token, _, held := leadership.Token()
-	now, agrees := s.edge.ClockAgrees(s.bounds().Guard) // last, as times are counted from here on
+	now, agrees := s.edge.ClockAgrees(s.bounds().Guard) // read last: the write's times are computed from it
 	if !held || !agrees {
 		return false
 	}
@@ -121,7 +123,7 @@
 		err = s.put(ctx, write, token)
 	}
 	if err != nil {
-		s.runtime.Log.Warn().Err(err).Msg("purge: document not written")
+		s.runtime.Log.Warn().Err(err).Msg("purge: writing document failed")
 		return false
 	}
 	if write == nil {
@@ -131,15 +133,16 @@
 	return true
 }
 
-// put writes a document under a token of the writers' lease.
-func (s *session) put(ctx context.Context, w *documentWrite, token uint64) error {
+// put makes a write, fenced by a token of the writer's lease. It blocks for at most a lease term.
+func (s *session) put(ctx context.Context, write *documentWrite, token uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, s.Term)
 	defer cancel()
-	_, err := s.runtime.Store.Put(ctx, w.key, w.expectedVersion, w.value, replication.Fence{Lease: writerLease, Token: token})
+	_, err := s.runtime.Store.Put(ctx, write.key, write.expectedVersion, write.value, replication.Fence{Lease: writerLease, Token: token})
 	return err
 }
 
-// readDocuments reads the documents that the proposal may change, as the voters have them.
+// readDocuments reads from the voters the plan, the requested orders and the orders in this pooler's replica. It blocks for at most a lease
+// term.
 func (s *session) readDocuments(ctx context.Context) ([]replication.Document, error) {
 	keys := map[string]bool{planKey: true}
 	for _, requested := range s.currentProposal().Orders {
