--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -1,10 +1,11 @@
-// Package calendar decides when a site closes: local closing times by weekday, and holidays and exceptions of a term, in an IANA zone,
-// converted to instants. It owns nothing, reads no clock, and its functions may be called concurrently. The caller owes it zone data
-// (time/tzdata or the machine's), and must compare Digest with other processes before it takes their instants and its own for the same.
+// Package calendar computes when a site closes. It converts local closing times, defined by weekday, by holiday and by exceptions for spans
+// of dates, in an IANA time zone, to instants. It has no state, reads no clock, and its functions may be called concurrently. The caller
+// must provide zone data (time/tzdata or the machine's), and must compare Digest with that of another process before it relies on both
+// computing the same instants.
 //
-// Invariants: an occurrence is named by its local date and its close, both as the operators wrote them, so no change of zone data renames
-// it; the same plan and the same zone data give the same occurrences everywhere. A close is a reading of the local clock, and falls on
-// the first instant at which that clock reads it or later (FirstInstant).
+// Invariants: an occurrence is identified by its local date and its closing time as written by the operators, so a change of zone data
+// never changes its identity. The same plan and the same zone data yield the same occurrences everywhere. A closing time is a local clock
+// reading, and occurs at the first instant at which the local clock shows that reading or a later one (FirstInstant).
 package calendar
 
 import (
@@ -13,57 +14,57 @@
 	"time"
 )
 
-// MaxClose is the latest close of a day, counted from the day's midnight: a night that ends at noon.
+// MaxClose is the latest closing time of a day, counted from the day's midnight: noon of the following day.
 const MaxClose = 36 * time.Hour
 
-// Calendar is when a kind of site closes, as its operators write it.
+// Calendar holds the closing times of one kind of site, as written by the operators.
 type Calendar struct {
-	// Close has closing times by weekday, in English and lower case, as "HH:MM" or "HH:MM:SS" on the local clock. A weekday that is not
-	// named has none. "25:30" is half past one in the night that follows: it belongs to the day on which the site opened.
+	// Close holds the closing time by weekday, as "HH:MM" or "HH:MM:SS" on the local clock. Weekdays are English and in lower case. The
+	// site does not open on a missing weekday. "25:30" is 01:30 of the following day, and belongs to the day on which the site opened.
 	Close      map[string]string `json:"close"`
 	Holidays   []Holiday         `json:"holidays,omitempty"`
-	Exceptions []Exception       `json:"exceptions,omitempty"` // they take precedence over holidays and weekdays
+	Exceptions []Exception       `json:"exceptions,omitempty"` // take precedence over holidays and weekdays
 }
 
-// Holiday is a day of each year: a day of a month, the nth weekday of a month (negative: from its end), or a day at a distance from
-// Easter.
+// Holiday is a day of each year: a fixed day of a month, the nth weekday of a month (counted from the end of the month if negative), or a
+// number of days before or after Easter Sunday.
 type Holiday struct {
 	Name            string `json:"name"`
 	Month           int    `json:"month,omitempty"`
 	Day             int    `json:"day,omitempty"`
 	Weekday         string `json:"weekday,omitempty"`
 	Nth             int    `json:"nth,omitempty"`
-	Easter          *int   `json:"easter,omitempty"`            // days after Easter Sunday
-	MondayIfWeekend bool   `json:"monday_if_weekend,omitempty"` // kept on the Monday that follows a Saturday or Sunday
+	Easter          *int   `json:"easter,omitempty"`            // days after Easter Sunday; negative: before it
+	MondayIfWeekend bool   `json:"monday_if_weekend,omitempty"` // observed on the following Monday if it falls on a weekend
 	Close           string `json:"close,omitempty"`             // empty: the site does not open
 }
 
-// Exception is a span of dates, from From ("2026-12-19") to To or that day alone, with a close of its own or none.
+// Exception is a span of dates with its own closing time: the dates From ("2026-12-19") to To inclusive, or From alone if To is empty.
 type Exception struct {
 	From  string `json:"from"`
 	To    string `json:"to,omitempty"`
 	Close string `json:"close,omitempty"` // empty: the site does not open
 }
 
-// Plan is what one site closes by.
+// Plan is the time zone and the calendar of one site.
 type Plan struct {
-	Zone string `json:"zone"` // an IANA name
+	Zone string `json:"zone"` // IANA time zone name
 	Calendar
 }
 
-// Error is what is wrong with a calendar, and at which key.
+// Error is an invalid value in a calendar, with the path of its key.
 type Error struct {
-	Path []string // keys and, as numbers from 0, places in lists
+	Path []string // keys, and indexes of list elements counted from 0
 	Err  error
 }
 
-// Error returns the path and the cause.
+// Error implements error. It returns the path and the cause.
 func (e *Error) Error() string { return strings.Join(e.Path, ".") + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// wrapPath returns an *Error of a cause below a path; nil for nil.
+// wrapPath returns an *Error with the given path. If err wraps an *Error, its path is appended. wrapPath returns nil if err is nil.
 func wrapPath(err error, path ...string) error {
 	if err == nil {
 		return nil
--- a/internal/calendar/golden_test.go
+++ b/internal/calendar/golden_test.go
@@ -7,13 +7,13 @@
 	"threadsail/internal/goldentest"
 )
 
-// Calendars are part of the operators' files and of the purge plan that the voters keep.
-func TestStoredForms(t *testing.T) {
+// TestStoredFormat guards the JSON encoding of calendars, which are part of configuration files and of the stored purge plan.
+func TestStoredFormat(t *testing.T) {
 	goldentest.CheckJSONOf(t, "book.json", goldentest.Filled[Book](t))
 	goldentest.CheckJSONOf(t, "plan.json", goldentest.Filled[Plan](t))
 }
 
-// A zone's digest is compared with the one that another pooler wrote into the plan.
+// TestStoredDigest guards the value of a zone's digest, which is compared with the one that another pooler wrote into the plan.
 func TestStoredDigest(t *testing.T) {
 	berlin, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
--- a/internal/calendar/schedule.go
+++ b/internal/calendar/schedule.go
@@ -13,13 +13,13 @@
 	"github.com/rickar/cal/v2"
 )
 
-// init has the library count Easter and the weekdays of a month in UTC, which has no skipped midnight.
+// init makes the library compute holidays in UTC, where no midnight is skipped.
 func init() { cal.DefaultLoc = time.UTC }
 
-// Schedule is a compiled plan. It does not change and is safe for concurrent use.
+// Schedule is a compiled plan. It is immutable and safe for concurrent use.
 type Schedule struct {
 	Zone          *time.Location
-	weekdayCloses [7]time.Duration // by time.Weekday, from the day's midnight; or closed
+	weekdayCloses [7]time.Duration // by time.Weekday: closing time counted from midnight, or closed
 	holidays      []holiday
 	exceptions    []exception
 }
@@ -27,19 +27,19 @@
 // holiday is a compiled Holiday.
 type holiday struct {
 	rule  cal.Holiday
-	close time.Duration // from the day's midnight; or closed
+	close time.Duration // closing time counted from midnight, or closed
 }
 
 // exception is a compiled Exception.
 type exception struct {
-	from, to time.Time     // dates, at midnight UTC
-	close    time.Duration // from the day's midnight; or closed
+	from, to time.Time     // first and last date, as midnight UTC
+	close    time.Duration // closing time counted from midnight, or closed
 }
 
-// closed stands for the close of a day on which the site does not open.
+// closed is the closing time of a day on which the site does not open.
 const closed = time.Duration(-1)
 
-// weekdays is the names of weekdays in a calendar.
+// weekdays maps the names that a calendar uses to weekdays.
 var weekdays = map[string]time.Weekday{
 	"sunday":    time.Sunday,
 	"monday":    time.Monday,
@@ -50,10 +50,10 @@
 	"saturday":  time.Saturday,
 }
 
-// maxEasterDistance bounds how many days a holiday may be from Easter.
+// maxEasterDistance is the largest number of days between a holiday and Easter Sunday.
 const maxEasterDistance = 100
 
-// Compile checks and compiles a plan. Its error is an *Error.
+// Compile checks and compiles a plan. It returns an *Error for the first invalid value.
 func Compile(p Plan) (*Schedule, error) {
 	s := &Schedule{}
 	var err error
@@ -83,15 +83,15 @@
 	return s, nil
 }
 
-// loadZone returns a zone by its IANA name. "Local" is none: it is whatever each machine is set to.
+// loadZone returns a zone by its IANA name. It rejects "Local", which depends on the settings of the machine.
 func loadZone(name string) (*time.Location, error) {
 	if name == "" || name == "Local" {
-		return nil, fmt.Errorf("%q is no IANA zone", name)
+		return nil, fmt.Errorf("%q is not an IANA time zone name", name)
 	}
 	return time.LoadLocation(name)
 }
 
-// compileWeekdays compiles the closes by weekday.
+// compileWeekdays parses the closing times by weekday. Missing weekdays are closed.
 func compileWeekdays(closes map[string]string) ([7]time.Duration, error) {
 	var compiled [7]time.Duration
 	for day := range compiled {
@@ -130,44 +130,44 @@
 	return compiled, nil
 }
 
-// rule returns on which day of a year the holiday is.
+// rule returns the library's rule for the date of the holiday in a year.
 func (h Holiday) rule() (cal.Holiday, error) {
 	switch {
 	case h.Easter != nil:
 		return h.easterRule()
 	case h.Month < 1 || h.Month > 12:
-		return cal.Holiday{}, wrapPath(fmt.Errorf("%d is no month", h.Month), "month")
+		return cal.Holiday{}, wrapPath(fmt.Errorf("%d is not a month from 1 to 12", h.Month), "month")
 	case h.Weekday != "":
 		return h.weekdayRule()
 	}
 	return h.dayRule()
 }
 
-// easterRule is the rule of a holiday at a distance from Easter.
+// easterRule returns the rule of a holiday that is a number of days before or after Easter Sunday.
 func (h Holiday) easterRule() (cal.Holiday, error) {
 	days := *h.Easter
-	alone := h.Month == 0 && h.Day == 0 && h.Weekday == ""
-	if !alone || days < -maxEasterDistance || days > maxEasterDistance {
-		return cal.Holiday{}, wrapPath(errors.New("stands alone, within 100 days"), "easter")
+	onlyEaster := h.Month == 0 && h.Day == 0 && h.Weekday == ""
+	if !onlyEaster || days < -maxEasterDistance || days > maxEasterDistance {
+		return cal.Holiday{}, wrapPath(errors.New("expected -100 to 100 days, and no month, day or weekday"), "easter")
 	}
 	return cal.Holiday{Offset: days, Func: cal.CalcEasterOffset}, nil
 }
 
-// weekdayRule is the rule of the nth weekday of a month.
+// weekdayRule returns the rule of the nth weekday of a month.
 func (h Holiday) weekdayRule() (cal.Holiday, error) {
 	weekday, ok := weekdays[h.Weekday]
 	validNth := h.Nth != 0 && h.Nth >= -5 && h.Nth <= 5
 	if !ok || !validNth || h.Day != 0 {
-		return cal.Holiday{}, wrapPath(errors.New("it takes a weekday's name and nth from -5 to 5, not 0, and no day"), "weekday")
+		return cal.Holiday{}, wrapPath(errors.New("expected the name of a weekday, nth from -5 to -1 or 1 to 5, and no day"), "weekday")
 	}
 	return cal.Holiday{Month: time.Month(h.Month), Weekday: weekday, Offset: h.Nth, Func: cal.CalcWeekdayOffset}, nil
 }
 
-// dayRule is the rule of a day of a month, of a leap year.
+// dayRule returns the rule of a fixed day of a month. It accepts February 29.
 func (h Holiday) dayRule() (cal.Holiday, error) {
 	month := time.Month(h.Month)
 	if h.Day < 1 || time.Date(2024, month, h.Day, 0, 0, 0, 0, time.UTC).Month() != month {
-		return cal.Holiday{}, wrapPath(fmt.Errorf("%d is no day of month %d", h.Day, h.Month), "day")
+		return cal.Holiday{}, wrapPath(fmt.Errorf("%d is not a day of month %d", h.Day, h.Month), "day")
 	}
 	return cal.Holiday{Month: month, Day: h.Day, Func: cal.CalcDayOfMonth}, nil
 }
@@ -175,11 +175,11 @@
 // compile checks and compiles an exception.
 func (e Exception) compile() (compiled exception, err error) {
 	if compiled.from, err = time.Parse(time.DateOnly, e.From); err != nil {
-		return exception{}, wrapPath(fmt.Errorf("%q is no date such as 2026-12-19", e.From), "from")
+		return exception{}, wrapPath(fmt.Errorf("%q is not a date of the form 2026-12-19", e.From), "from")
 	}
 	compiled.to, err = time.Parse(time.DateOnly, cmp.Or(e.To, e.From))
 	if err != nil || compiled.to.Before(compiled.from) {
-		return exception{}, wrapPath(fmt.Errorf("%q is no date from %s on", e.To, e.From), "to")
+		return exception{}, wrapPath(fmt.Errorf("%q is not a date on or after %s", e.To, e.From), "to")
 	}
 	if compiled.close, err = parseOptionalClose(e.Close); err != nil {
 		return exception{}, wrapPath(err, "close")
@@ -187,7 +187,7 @@
 	return compiled, nil
 }
 
-// checkOverlap refuses an exception that overlaps with an earlier one: nothing says which of two counts.
+// checkOverlap returns an error if the exception overlaps with an earlier one, since neither takes precedence.
 func (e exception) checkOverlap(earlier []exception) error {
 	for i, other := range earlier {
 		if !e.from.After(other.to) && !other.from.After(e.to) {
@@ -197,37 +197,37 @@
 	return nil
 }
 
-// parseOptionalClose parses a close; an empty text is closed.
-func parseOptionalClose(text string) (time.Duration, error) {
-	if text == "" {
+// parseOptionalClose parses a closing time. It returns closed for an empty value.
+func parseOptionalClose(value string) (time.Duration, error) {
+	if value == "" {
 		return closed, nil
 	}
-	return parseClose(text)
+	return parseClose(value)
 }
 
-// parseClose parses a close, "HH:MM" or "HH:MM:SS", as the time from midnight.
-func parseClose(text string) (time.Duration, error) {
+// parseClose parses a closing time, "HH:MM" or "HH:MM:SS", and returns it as the duration from midnight.
+func parseClose(value string) (time.Duration, error) {
 	units := []time.Duration{time.Hour, time.Minute, time.Second}
-	parts := strings.Split(text, ":")
+	parts := strings.Split(value, ":")
 	valid := len(parts) == 2 || len(parts) == 3
 	sinceMidnight := time.Duration(0)
 	for i, part := range parts[:min(len(parts), len(units))] {
-		n, err := strconv.ParseUint(part, 10, 8)
-		inRange := i == 0 || n <= 59
+		number, err := strconv.ParseUint(part, 10, 8)
+		inRange := i == 0 || number <= 59
 		valid = valid && err == nil && len(part) == 2 && inRange
-		sinceMidnight += time.Duration(n) * units[i]
+		sinceMidnight += time.Duration(number) * units[i]
 	}
 	if !valid || sinceMidnight > MaxClose {
-		return 0, fmt.Errorf("%q is no time of day from 00:00 to 36:00", text)
+		return 0, fmt.Errorf("%q is not a time from 00:00 to 36:00, as HH:MM or HH:MM:SS", value)
 	}
 	return sinceMidnight, nil
 }
 
-// formatClose returns a close as the operators write it.
+// formatClose formats a closing time as "HH:MM", or as "HH:MM:SS" if it has seconds.
 func formatClose(sinceMidnight time.Duration) string {
-	text := fmt.Sprintf("%02d:%02d", sinceMidnight/time.Hour, sinceMidnight/time.Minute%60)
+	formatted := fmt.Sprintf("%02d:%02d", sinceMidnight/time.Hour, sinceMidnight/time.Minute%60)
 	if seconds := sinceMidnight / time.Second % 60; seconds != 0 {
-		text += fmt.Sprintf(":%02d", seconds)
+		formatted += fmt.Sprintf(":%02d", seconds)
 	}
-	return text
+	return formatted
 }
