--- a/cmd/threadsail-fleet/shared_test.go
+++ b/cmd/threadsail-fleet/shared_test.go
@@ -113,7 +113,7 @@
 	if full == 0 {
 		t.Error("no voter's log was full")
 	}
-	for _, text := range []string{"replica can't be written", "replica is written again", "acts can't be written", "acts are written again"} {
+	for _, text := range []string{"replica can't be written", "replica can be written to disk again", "acts can't be written", "acts are written again"} {
 		if !logged(4, text) {
 			t.Errorf("pooler 4 never logs: %s", text)
 		}
--- a/internal/fleet/broadcast_queue.go
+++ b/internal/fleet/broadcast_queue.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// maxQueuedAnnouncements is how many of the leader's messages may wait to be sent: a round each of many groups.
+// maxQueuedAnnouncements is the capacity of the broadcast queue, in messages. It holds a round of messages about many groups.
 const maxQueuedAnnouncements = 64
 
-// queuedBroadcast is a leader's message that waits to be sent.
+// queuedBroadcast is a message of the leader that is queued for sending.
 type queuedBroadcast struct {
 	topic    string
 	message  message
-	deadline time.Time           // of the leader's lease: nothing is sent from then on
+	deadline time.Time           // end of the leader's lease; nothing is sent after it
 	done     func(complete bool) // called once
 }
 
-// broadcaster sends a message to all poolers, and nothing from the deadline on; complete says that the deadline was not
-// reached.
+// broadcaster sends a message to all poolers. It stops at the deadline; complete reports whether it finished before.
 type broadcaster interface {
-	Broadcast(topic string, text []byte, deadline time.Time) (complete bool)
+	Broadcast(topic string, encoded []byte, deadline time.Time) (complete bool)
 }
 
-// broadcastQueue sends the leader's messages on a goroutine of its own, because hundreds of datagrams must not delay the
+// broadcastQueue sends the leader's messages on a separate goroutine, because sending hundreds of datagrams must not delay the
 // pooler's event loop.
 type broadcastQueue struct {
 	network broadcaster
@@ -30,7 +29,8 @@
 	return &broadcastQueue{network: network, queue: make(chan queuedBroadcast, maxQueuedAnnouncements)}
 }
 
-// enqueue never blocks: where the sender is behind the message is dropped, and the leader repeats it.
+// enqueue queues a message without blocking. If the queue is full, the message is dropped and done is called with complete
+// false; the leader repeats the message.
 func (q *broadcastQueue) enqueue(b queuedBroadcast) {
 	select {
 	case q.queue <- b:
@@ -39,14 +39,15 @@
 	}
 }
 
-// run sends what is queued, until shutdown is closed and the queue is empty.
+// run sends the queued messages until shutdown is closed and the queue is empty.
 func (q *broadcastQueue) run(shutdown <-chan struct{}) {
 	for b, ok := receive(q.queue, shutdown); ok; b, ok = receive(q.queue, shutdown) {
 		b.done(q.network.Broadcast(b.topic, encodeMessage(b.message), b.deadline))
 	}
 }
 
-// receive waits for the next item of a queue; ok false: shutdown is closed and nothing is queued.
+// receive returns the next item of a queue. It blocks until there is one, or until shutdown is closed; ok is false if shutdown
+// is closed and the queue is empty.
 func receive[T any](queue <-chan T, shutdown <-chan struct{}) (item T, ok bool) {
 	select {
 	case item = <-queue:
--- a/internal/fleet/component.go
+++ b/internal/fleet/component.go
@@ -11,21 +11,22 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Component is one concern of the fleet at one pooler: limits, outlier detection, purges, shard maps. What it decides about
-// requests it decides as a dispatch.Guard, on the pooler's event loop, from state of its own behind a mutex.
+// Component is one task of the fleet at one pooler: limits, outlier detection, purges or shard maps. A component that decides
+// about requests does so as a dispatch.Guard, which the pooler calls on its event loop; a mutex of the component protects the
+// state that the guard reads.
 type Component interface {
-	// Run acts until ctx ends. It returns an error only where the pooler must not serve without the component.
-	Run(ctx context.Context, r Runtime) error
+	// Run runs the component until ctx ends. It returns an error only if the pooler must not serve without the component.
+	Run(ctx context.Context, runtime Runtime) error
 }
 
-// Runtime is what a component uses of the fleet at one pooler.
+// Runtime gives a component access to the fleet at one pooler.
 type Runtime struct {
 	Bus   bus.Bus
 	View  replication.View
 	Store replication.Store
-	// Campaign has this pooler be a candidate for a lease until ctx ends.
+	// Campaign makes this pooler a candidate for a lease until ctx ends.
 	Campaign func(ctx context.Context, name lease.Name) replication.Leadership
-	// Audit takes a record for the journal; At, Instance, Build, Config and Revision are filled in.
+	// Audit writes a record to the journal. The pooler fills in At, Instance, Build, Config and Revision.
 	Audit func(audit.Record)
 	Log   zerolog.Logger
 }
--- a/internal/fleet/component_host.go
+++ b/internal/fleet/component_host.go
@@ -20,68 +20,69 @@
 )
 
 const (
-	documentClients = 1 // requests of documents in flight: a connection each
-	leaseClients    = 1 // and of leases, which must not wait behind a slow write
+	documentClients = 1 // concurrent document requests, one connection each
+	leaseClients    = 1 // concurrent lease requests; a separate pool, so that they don't wait behind a slow document write
 	shutdownTimeout = time.Second
 )
 
-// The resources that streams carry.
+// Names of the resources that the streams distribute.
 const (
-	documentsFeed  = "shared"
-	serverListFeed = "lists"
+	documentsResource  = "shared"
+	serverListResource = "lists"
 )
 
-// componentHost keeps the replicas that the components read, and runs the components.
+// componentHost runs the components and maintains the replicas that they read.
 type componentHost struct {
 	options        Options
-	replica        *replication.Replica   // of the shared documents
-	serverList     *serverListReplica     // nil: lists are fetched from pooler to pooler
-	persister      *replication.Persister // nil: the replica is kept in memory alone
+	replica        *replication.Replica   // replica of the shared documents
+	serverList     *serverListReplica     // nil if poolers fetch lists from each other
+	persister      *replication.Persister // nil if the replica is kept in memory only
 	documentClient *consensus.ClientPool
 	leaseClient    *consensus.ClientPool
 	events         coordination.Events
 	log            zerolog.Logger
-	cancel         context.CancelFunc // ends all that start has started; nil: it has not been called
+	cancel         context.CancelFunc // ends the goroutines started by start; nil before start is called
 	goroutines     sync.WaitGroup
 }
 
-// componentWiring is what the coordinator gives the components besides their options.
+// componentWiring holds the connections that the coordinator passes to the components.
 type componentWiring struct {
 	bus            bus.Bus
-	replicationBus bus.Bus                                        // brings the replicas from pooler to pooler; nil: a stream does
-	candidate      bool                                           // this pooler may lead
-	confirmVersion func() (version uint64, at time.Time, ok bool) // of this process's voter; nil: it has none
+	replicationBus bus.Bus                                        // replicates between poolers; nil if a stream updates the replicas
+	candidate      bool                                           // this pooler may hold leases
+	confirmVersion func() (version uint64, at time.Time, ok bool) // ConfirmVersion of this process's voter; nil without one
 }
 
-// newComponentHost loads the replica from the disk. A damaged one is logged, replaced by the first that comes, and not used.
-// The caller owes stop.
-func newComponentHost(o Options, instance string, events coordination.Events, t *traffic.Counter) (*componentHost, error) {
-	h := &componentHost{options: o, events: events, log: o.Log.With().Str("part", "shared").Logger()}
+// newComponentHost returns a componentHost with the replica loaded from disk. A damaged replica is logged and not used; the
+// first snapshot received replaces it. The caller must call stop.
+func newComponentHost(options Options, instance string, events coordination.Events, counter *traffic.Counter) (*componentHost, error) {
+	h := &componentHost{options: options, events: events, log: options.Log.With().Str("part", "shared").Logger()}
 	loaded, err := h.loadReplica()
 	if err != nil {
 		return nil, err
 	}
 	h.replica = replication.NewReplica(loaded)
-	if o.Config.UsesDistributors() {
+	if options.Config.UsesDistributors() {
 		h.serverList = newServerListReplica()
 	}
-	voters := voterPeers(o.Config)
-	renewalTimeout := o.Config.Term / 4 // so that a renewal, a third of the duration in, can be tried twice
+	voters := voterPeers(options.Config)
+	renewalTimeout := options.Config.Term / 4 // a renewal starts after a third of the term and can then be tried twice
 	h.leaseClient = consensus.NewClientPool(leaseClients, instance, voters, renewalTimeout)
-	h.leaseClient.CountTraffic(t)
-	h.documentClient = consensus.NewClientPool(documentClients, instance, voters, o.Config.Term)
-	h.documentClient.CountTraffic(t)
+	h.leaseClient.CountTraffic(counter)
+	h.documentClient = consensus.NewClientPool(documentClients, instance, voters, options.Config.Term)
+	h.documentClient.CountTraffic(counter)
 	return h, nil
 }
 
-// loadReplica reads the replica on the disk; the zero Snapshot: there is none, or none that can be used.
+// loadReplica returns the replica stored on disk, or the zero Snapshot if there is none or it can't be used. It returns an
+// error if the directory can't be created.
 func (h *componentHost) loadReplica() (replication.Snapshot, error) {
 	dir := h.options.Config.Replica.Dir
 	if dir == "" {
 		return replication.Snapshot{}, nil
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return replication.Snapshot{}, fmt.Errorf("fleet: replica: %w", err)
+		return replication.Snapshot{}, fmt.Errorf("fleet: create replica directory: %w", err)
 	}
 	snapshot, confirmedAt, err := replication.LoadSnapshot(dir)
 	if err != nil {
@@ -94,23 +95,23 @@
 	return snapshot, nil
 }
 
-// resources are the replicas that streams carry.
+// resources returns the replicas that the streams distribute.
 func (h *componentHost) resources() []distribution.Resource {
 	return []distribution.Resource{
-		{Name: documentsFeed, Replica: h.replica},
-		{Name: serverListFeed, Replica: h.serverList.replica, FullReplacement: true},
+		{Name: documentsResource, Replica: h.replica},
+		{Name: serverListResource, Replica: h.serverList.replica, FullReplacement: true},
 	}
 }
 
-// start has the replicas updated and persisted, and runs the components, each on a goroutine of its own, until stop.
-func (h *componentHost) start(w componentWiring) {
+// start starts replication and persistence and runs each component on its own goroutine, all until stop is called.
+func (h *componentHost) start(wiring componentWiring) {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
 	if dir := h.options.Config.Replica.Dir; dir != "" {
 		h.persister = replication.StartPersister(ctx, dir, h.replica, h.persistenceChanged)
 	}
-	if w.replicationBus != nil {
-		h.startReplicators(ctx, w)
+	if wiring.replicationBus != nil {
+		h.startReplicators(ctx, wiring)
 	}
 	if h.serverList != nil {
 		h.goroutines.Go(func() {
@@ -118,14 +119,14 @@
 		})
 	}
 	runtime := Runtime{
-		Bus:      w.bus,
+		Bus:      wiring.bus,
 		View:     h.replica,
 		Store:    h.documentClient,
 		Campaign: h.campaign,
 		Audit:    h.events.Audit,
 		Log:      h.options.Log,
 	}
-	if !w.candidate {
+	if !wiring.candidate {
 		runtime.Campaign = func(context.Context, lease.Name) replication.Leadership { return nonCandidate{} }
 	}
 	for _, component := range h.options.Components {
@@ -133,38 +134,38 @@
 	}
 }
 
-// startReplicators has the replicas updated from pooler to pooler.
-func (h *componentHost) startReplicators(ctx context.Context, w componentWiring) {
-	o := replication.ReplicatorOptions{
-		Bus:               w.replicationBus,
+// startReplicators starts the replication of the documents and of the server list between poolers.
+func (h *componentHost) startReplicators(ctx context.Context, wiring componentWiring) {
+	common := replication.ReplicatorOptions{
+		Bus:               wiring.replicationBus,
 		HeartbeatInterval: h.options.Config.Term / 3,
 		JitterFraction:    h.options.JitterFraction,
 		Log:               h.log,
 	}
-	documents := o
+	documents := common
 	documents.Replica = h.replica
 	documents.Voters = h.documentClient
-	documents.Confirm = w.confirmVersion
+	documents.Confirm = wiring.confirmVersion
 	replication.StartReplicator(ctx, documents)
 	if h.serverList == nil {
 		return
 	}
-	serverList := o
-	serverList.Name = serverListFeed
+	serverList := common
+	serverList.Name = serverListResource
 	serverList.Replica = h.serverList.replica
 	serverList.Confirm = h.serverList.confirmVersion
 	replication.StartReplicator(ctx, serverList)
 }
 
-// run runs a component until its end, and reports its failure.
-func (h *componentHost) run(ctx context.Context, c Component, r Runtime) {
-	if err := c.Run(ctx, r); err != nil && ctx.Err() == nil {
-		h.events.Failed(fmt.Errorf("%T: %w", c, err))
+// run runs a component until it returns, and reports an error that it returns before ctx ends.
+func (h *componentHost) run(ctx context.Context, component Component, runtime Runtime) {
+	if err := component.Run(ctx, runtime); err != nil && ctx.Err() == nil {
+		h.events.Failed(fmt.Errorf("%T: %w", component, err))
 	}
 }
 
-// campaign has this pooler be a candidate for a lease until ctx ends. stop waits until the lease is released, so that another
-// candidate need not wait for its expiry.
+// campaign makes this pooler a candidate for a lease until ctx ends. stop waits for the release of the lease, so that another
+// candidate does not have to wait for its expiry.
 func (h *componentHost) campaign(ctx context.Context, name lease.Name) replication.Leadership {
 	candidate := replication.Campaign(ctx, h.leaseClient, name, replication.CandidateOptions{
 		LeaseTerm:      h.options.Config.Term,
@@ -175,28 +176,29 @@
 	return candidate
 }
 
-// nonCandidate is the leadership of a pooler that is a candidate for no lease.
+// nonCandidate is the replication.Leadership of a pooler that may not hold leases.
 type nonCandidate struct{}
 
-// Token implements replication.Leadership.
+// Token implements replication.Leadership. It never returns a token.
 func (nonCandidate) Token() (token uint64, until time.Time, ok bool) { return 0, time.Time{}, false }
 
-// Changed implements replication.Leadership: it never is.
+// Changed implements replication.Leadership. The leadership never changes.
 func (nonCandidate) Changed() <-chan struct{} { return nil }
 
-// persistenceChanged reports that the replica can't be written to the disk, or can again. The pooler goes on from memory.
+// persistenceChanged logs and records that writing the replica to disk has begun to fail (err is not nil) or works again. The
+// pooler continues with the replica in memory.
 func (h *componentHost) persistenceChanged(err error) {
 	if err != nil {
-		h.log.Error().Err(err).Str("dir", h.options.Config.Replica.Dir).Msg("replication: replica can't be written, kept in memory alone")
+		h.log.Error().Err(err).Str("dir", h.options.Config.Replica.Dir).Msg("replication: replica can't be written to disk; continuing with the copy in memory")
 		h.events.Audit(audit.Record{Act: audit.ReplicaNotSaved})
 		return
 	}
-	h.log.Info().Msg("replication: replica is written again")
+	h.log.Info().Msg("replication: replica can be written to disk again")
 	h.events.Audit(audit.Record{Act: audit.ReplicaSaved})
 }
 
-// stop ends the components and closes the clients. A component that has not ended after shutdownTimeout is left behind: the
-// process ends.
+// stop ends the components and closes the clients. It waits for at most shutdownTimeout: a component that still runs then ends
+// with the process.
 func (h *componentHost) stop() {
 	if h.cancel != nil {
 		h.cancel()
@@ -213,11 +215,12 @@
 	select {
 	case <-ended:
 	case <-timeout.C:
-		h.log.Warn().Msg("fleet: a component or a request does not end")
+		h.log.Warn().Msg("fleet: components or requests still running after the shutdown timeout")
 	}
 }
 
-// status is what the replicas show; the rest is left to the caller. It may be called on any goroutine.
+// status returns a Status with the fields that describe the replica of the documents; the caller fills in the others. It is
+// safe for concurrent use.
 func (h *componentHost) status() coordination.Status {
 	s := coordination.Status{DocumentsVersion: h.replica.Version(), DocumentsAge: -1}
 	if at := h.replica.ConfirmedAt(); !at.IsZero() {
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -16,41 +16,43 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// maxListTransfers is how many lists are on their way to others at the same time: further requests are left to other poolers.
+// maxListTransfers is the maximum number of lists sent at the same time. Further requests are dropped; the requesting poolers
+// get the list from others.
 const maxListTransfers = 8
 
-// Coordinator is a pooler's way to the other poolers and to the voters. It implements pooler.Fleet. Its exported methods are
-// safe for use by several goroutines, and none blocks but Close.
+// Coordinator connects a pooler to the other poolers and to the voters. It implements pooler.Fleet. Its exported methods are
+// safe for concurrent use, and only Close blocks.
 type Coordinator struct {
 	config         *config.Fleet
-	instance       string // this process as a holder of leases: a restarted pooler does not hold what the process before it held
+	instance       string // lease holder name, unique to this process: a restarted pooler does not hold its predecessor's leases
 	events         coordination.Events
-	voter          *consensus.Voter // nil: this pooler is none
+	voter          *consensus.Voter // nil if this process has no voter
 	network        network
 	components     *componentHost
 	broadcasts     *broadcastQueue
 	leases         *leaseRequester
-	listTransfers  chan struct{} // a slot for each list on its way
+	listTransfers  chan struct{} // semaphore: one slot for each list being sent
 	traffic        traffic.Counter
 	minimumVersion atomic.Pointer[discoveryleader.MinimumVersion]
 	log            zerolog.Logger
 	shutdown       chan struct{}  // closed by Close
-	goroutines     sync.WaitGroup // of broadcasts and leases
+	goroutines     sync.WaitGroup // run broadcasts and leases
 }
 
-// AcquireLease requests the leader's lease, or its renewal, and calls done once, on any goroutine.
+// AcquireLease requests the leader's lease or its renewal. It calls done once, on any goroutine.
 func (c *Coordinator) AcquireLease(done func(current lease.Lease, granted bool, err error)) {
 	c.leases.enqueue(leaseRequest{done: done})
 }
 
-// ReleaseLease releases the leader's lease. If that fails the lease expires.
+// ReleaseLease queues the release of the leader's lease. If the release fails, the lease expires at the end of its term.
 func (c *Coordinator) ReleaseLease() { c.leases.enqueue(leaseRequest{release: true}) }
 
-// Announce broadcasts the leader's newest list to all poolers. It stops when what remains of the leader's lease is over, and
-// calls done once, on any goroutine; complete says that it was not cut short.
+// Announce broadcasts the announcement of the leader's newest list to all poolers. remaining is the time until the leader's
+// lease expires; nothing is sent after that. Announce calls done once, on any goroutine, with complete set if the broadcast was
+// sent to all poolers before the expiry.
 func (c *Coordinator) Announce(a discoveryleader.Announcement, remaining time.Duration, done func(complete bool)) {
 	if list := c.components.serverList; list != nil && list.observeAnnouncement(a, time.Now().Add(remaining)) {
-		c.events.ListRequested(c.config.Name) // the pooler answers with SendList to itself, which publishes the list
+		c.events.ListRequested(c.config.Name) // the pooler then calls SendList with its own name, which publishes the list
 	}
 	minimum := c.minimumVersion.Load()
 	c.broadcast(topicAnnouncement, message{
@@ -61,8 +63,8 @@
 	}, remaining, done)
 }
 
-// AnnouncePrimary broadcasts which server the leader has found to be a group's primary, as of a Unix time; "": none yet.
-// remaining and done are as in Announce.
+// AnnouncePrimary broadcasts the server that the leader has found to be a group's primary, or "" if none was found. asOf is the
+// Unix time of that observation. remaining and done are as in Announce.
 func (c *Coordinator) AnnouncePrimary(token uint64, group int, server string, asOf, remaining time.Duration, done func(complete bool)) {
 	c.broadcast(fmt.Sprint(topicPrimaryPrefix, group), message{
 		Kind:         kindPrimary,
@@ -73,18 +75,20 @@
 	}, remaining, done)
 }
 
-// broadcast queues a leader's message, which is not sent once the leader's lease is over, wherever it is then.
-func (c *Coordinator) broadcast(topic string, m message, remaining time.Duration, done func(complete bool)) {
-	c.broadcasts.enqueue(queuedBroadcast{topic: topic, message: m, deadline: time.Now().Add(remaining), done: done})
+// broadcast queues a message of the leader. The message is not sent after the leader's lease has expired, even if it is still
+// queued or sent to only some poolers by then.
+func (c *Coordinator) broadcast(topic string, content message, remaining time.Duration, done func(complete bool)) {
+	c.broadcasts.enqueue(queuedBroadcast{topic: topic, message: content, deadline: time.Now().Add(remaining), done: done})
 }
 
-// ReportPrimaryDown tells the leader that this pooler has lost a group's primary: a hint, which may be lost.
+// ReportPrimaryDown reports to the leader that this pooler has found a group's primary down. The message may be lost.
 func (c *Coordinator) ReportPrimaryDown(leader string, group int) {
 	c.network.SendBestEffort(leader, encodeMessage(message{Kind: kindPrimaryDown, From: c.config.Name, Group: group}))
 }
 
-// FetchList asks a pooler that has it for the list of an announcement. It comes as coordination.Events.ListReceived, or not at
-// all. The goroutine that sends the request ends some seconds later at the latest.
+// FetchList requests the list of an announcement from a pooler that has it. The list arrives by
+// coordination.Events.ListReceived; the request or the answer may be lost. If the network delivers lists without
+// requests, FetchList reports the current list again instead. It starts a goroutine for this, which ends within seconds.
 func (c *Coordinator) FetchList(a discoveryleader.Announcement) {
 	source, needed := c.network.ListSource(a)
 	if !needed {
@@ -94,13 +98,13 @@
 	request := encodeMessage(message{Kind: kindListRequest, From: c.config.Name})
 	go func() {
 		if err := c.network.Send(source, request); err != nil {
-			c.log.Warn().Err(err).Str("from", source).Msg("list: request not sent")
+			c.log.Warn().Err(err).Str("from", source).Msg("list: request for the list could not be sent")
 		}
 	}()
 }
 
-// SendList sends a list to a pooler that asked for it, or publishes this pooler's own list to all where streams carry it. The
-// goroutine that does so ends some seconds later at the latest.
+// SendList sends a list to the pooler that requested it. If streams distribute the lists and to is this pooler itself, SendList
+// publishes the list to all poolers. It starts a goroutine for this, which ends within seconds.
 func (c *Coordinator) SendList(to string, a discoveryleader.Announcement, list []byte) {
 	if c.components.serverList != nil && to == c.config.Name {
 		go c.publishList(a, list)
@@ -111,28 +115,30 @@
 	default:
 		return
 	}
-	text := encodeMessage(message{Kind: kindList, Announcement: a, List: list})
+	encoded := encodeMessage(message{Kind: kindList, Announcement: a, List: list})
 	go func() {
 		defer func() { <-c.listTransfers }()
-		if err := c.network.Send(to, text); err != nil {
-			c.log.Warn().Err(err).Str("to", to).Msg("list: not sent")
+		if err := c.network.Send(to, encoded); err != nil {
+			c.log.Warn().Err(err).Str("to", to).Msg("list: requested list could not be sent")
 		}
 	}()
 }
 
+// publishList publishes a list of this pooler on the streams.
 func (c *Coordinator) publishList(a discoveryleader.Announcement, list []byte) {
 	if err := c.components.serverList.publish(a, list); err != nil {
-		c.log.Error().Err(err).Msg("list: can't be published")
+		c.log.Error().Err(err).Msg("list: own list can't be published")
 	}
 }
 
-// SetStatus changes what the other poolers see of this one: the list in force, the build and the digest of the configuration.
+// SetStatus sets the status that this pooler publishes to the others: the announcement of the list in force, the build and the
+// digest of the configuration.
 func (c *Coordinator) SetStatus(a discoveryleader.Announcement, build, configDigest string) {
 	c.network.SetStatus(a, build, configDigest)
 }
 
-// Reload takes over what can change in the operators' file while the pooler runs: the least version that is allowed, and who
-// the voters are.
+// Reload applies the settings of the fleet's configuration file that can change while the pooler runs: the minimum version and
+// the voters.
 func (c *Coordinator) Reload(file *config.Fleet) {
 	c.minimumVersion.Store(&discoveryleader.MinimumVersion{Build: file.MinBuild, ConfigRevision: file.MinConfigRevision})
 	if c.voter != nil {
@@ -140,7 +146,7 @@
 	}
 }
 
-// Status is how the pooler's part in its fleet stands; what it says of the journal is left to the pooler.
+// Status returns the status of this pooler as a member of its fleet. The pooler fills in the fields about the journal.
 func (c *Coordinator) Status() coordination.Status {
 	status := c.components.status()
 	status.Traffic = c.traffic.Snapshot()
@@ -149,13 +155,13 @@
 	return status
 }
 
-// logWarning takes a line of the packages that the coordinator starts.
+// logWarning logs a line from a package that the coordinator starts.
 func (c *Coordinator) logWarning(line string) { c.log.Warn().Msg(line) }
 
-// voterPeers are the voters that the operators' file names.
+// voterPeers returns the voters that the fleet's configuration file names.
 func voterPeers(file *config.Fleet) (voters []consensus.Peer) {
-	for _, p := range file.Voters {
-		voters = append(voters, consensus.Peer(p))
+	for _, voter := range file.Voters {
+		voters = append(voters, consensus.Peer(voter))
 	}
 	return voters
 }
--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -18,7 +18,7 @@
 	"threadsail/internal/lab/relay"
 )
 
-// freeAddr returns an address for a listener that is opened later.
+// freeAddr returns a free address, for a listener that is opened later.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := relay.FreeAddr()
@@ -28,7 +28,8 @@
 	return addr
 }
 
-// Requests before Close are answered, and calls after it do no harm: where a start fails, the event loop still runs.
+// Requests made before Close are answered, and calls after Close neither block nor panic: the event loop still runs when the
+// start of the pooler fails.
 func TestCallsAfterClose(t *testing.T) {
 	coordinator, err := Start(Options{Config: &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: freeAddr(t)},
 		Voters: []config.Peer{{Name: "s", Addr: "127.0.0.1:1"}}, LeaseConfig: config.LeaseConfig{Term: 400 * time.Millisecond}},
@@ -43,7 +44,7 @@
 	coordinator.Close()
 	for range 3 {
 		if err := <-answered; err == nil || !errors.Is(err, consensus.ErrNoLeader) {
-			t.Errorf("a request without voters ends with %v", err)
+			t.Errorf("a request without voters ends with %v, want consensus.ErrNoLeader", err)
 		}
 	}
 	for range 2 * maxQueuedAnnouncements {
@@ -52,7 +53,7 @@
 	}
 }
 
-// failingComponent is a component that the pooler must not serve without.
+// failingComponent is a component whose Run returns an error at once.
 type failingComponent struct{}
 
 func (failingComponent) Run(_ context.Context, r Runtime) error {
@@ -60,8 +61,8 @@
 	return errors.New("broken")
 }
 
-// A component's failure is reported; and documents are written and read, and a lease is won, through a voter of this process, whose
-// replica shows them and keeps them on its disk.
+// The failure of a component is reported. Another component acquires a lease and writes and reads documents through a voter in
+// the same process; the replica shows the documents and stores them on disk.
 func TestRuntime(t *testing.T) {
 	addr, gossipAddr := freeAddr(t), freeAddr(t)
 	failed := make(chan error, 1)
@@ -83,7 +84,7 @@
 	r, ctx := <-runtimes, t.Context()
 	leadership := r.Campaign(ctx, "d")
 	changed, version := r.View.Changed(), uint64(0)
-	for version == 0 { // a slow disk may cost the lease, or the answer to a write that is taken
+	for version == 0 { // on a slow disk the lease may expire, or a write may succeed without an answer
 		leadershipChanged := leadership.Changed()
 		if token, _, ok := leadership.Token(); !ok {
 			<-leadershipChanged
@@ -96,7 +97,7 @@
 	if d, err := r.Store.Read(ctx, "p/a"); err != nil || d.Version != version {
 		t.Errorf("%+v %v, want version %d", d, err, version)
 	}
-	for { // on the disk and confirmed, some time
+	for { // until the document is on disk and the replica is confirmed
 		status := coordinator.Status()
 		if s, _, err := replication.LoadSnapshot(dir); err == nil && s.Version == version && status.DocumentsVersion == version && status.DocumentsAge >= 0 {
 			break
@@ -105,7 +106,7 @@
 	}
 }
 
-// runningComponent is a component that hands out its runtime.
+// runningComponent is a component that sends its Runtime on the channel and runs until it is stopped.
 type runningComponent chan Runtime
 
 func (c runningComponent) Run(ctx context.Context, r Runtime) error {
--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The fleet does not depend on the assembled pooler: what the two exchange stands below both, in package coordination.
+// The package does not depend on the assembled pooler: the types that the two exchange are in package coordination.
 func TestIndependentOfPooler(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -14,7 +14,7 @@
 	}
 	for pkg := range strings.Lines(string(out)) {
 		if pkg = strings.TrimSpace(pkg); strings.HasPrefix(pkg, "threadsail/internal/pooler") {
-			t.Errorf("it depends on %s", pkg)
+			t.Errorf("package fleet depends on %s", pkg)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet is a pooler's part in its fleet: it wires the voter, the clients of the voters, the network to the other
-// poolers and the components that share state over them. It decides nothing; packages discoveryleader and lease decide, and
-// each component for itself.
+// Package fleet connects a pooler to the rest of its fleet. It starts the voter, the clients of the voters, the network to the
+// other poolers and the components that share state over it. The package makes no decisions itself: packages discoveryleader
+// and lease do, and each component.
 //
-// A Coordinator owns all that Start opens, and Close closes it. Its goroutines are one that sends the leader's broadcasts, one
-// that requests leases, one for each component, and those of the packages that it starts. The pooler calls the Coordinator on
-// its event loop, and no call blocks but Start and Close; coordination.Events are called on any goroutine. The package does
-// not depend on the assembled pooler.
+// A Coordinator owns everything that Start opens, and Close closes it. It runs one goroutine that sends the leader's
+// broadcasts, one that requests leases and one for each component, in addition to the goroutines of the packages that it
+// starts. The pooler calls the Coordinator on its event loop; only Start and Close block. coordination.Events are called on any
+// goroutine. The package does not depend on the assembled pooler.
 package fleet
 
 import (
@@ -21,66 +21,66 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// Options are a pooler's settings in its fleet.
+// Options are the settings of a Coordinator.
 type Options struct {
 	Config         *config.Fleet
-	JitterFraction float64 // from 0 up to 1, by the pooler's own seed
+	JitterFraction float64 // from 0 to 1, derived from the pooler's seed
 	Components     []Component
 	Log            zerolog.Logger
 }
 
-// Start starts the pooler's part in the fleet and returns at once. Errors are of addresses and directories. The caller owes
-// Close.
-func Start(o Options, events coordination.Events) (*Coordinator, error) {
-	c := newCoordinator(o, events)
+// Start starts a Coordinator and returns without waiting for the other poolers. It returns an error if an address or a
+// directory can't be used. The caller must call Close.
+func Start(options Options, events coordination.Events) (*Coordinator, error) {
+	c := newCoordinator(options, events)
 	var err error
-	if c.components, err = newComponentHost(o, c.instance, events, &c.traffic); err != nil {
+	if c.components, err = newComponentHost(options, c.instance, events, &c.traffic); err != nil {
 		return nil, err
 	}
 	if err := c.startVoter(); err != nil {
 		c.components.stop()
 		return nil, err
 	}
-	if err := c.openNetwork(o.JitterFraction); err != nil {
+	if err := c.openNetwork(options.JitterFraction); err != nil {
 		c.components.stop()
 		c.stopVoter()
 		return nil, err
 	}
 	c.broadcasts = newBroadcastQueue(c.network)
-	c.leases = newLeaseRequester(c.newLeaseClient(), o.Config.Term, c.log)
+	c.leases = newLeaseRequester(c.newLeaseClient(), options.Config.Term, c.log)
 	c.goroutines.Go(func() { c.broadcasts.run(c.shutdown) })
 	c.goroutines.Go(func() { c.leases.run(c.shutdown) })
 	c.components.start(componentWiring{
 		bus:            c.network.Bus(),
 		replicationBus: c.network.replicationBus(),
-		candidate:      o.Config.UsesGossip(),
+		candidate:      options.Config.UsesGossip(),
 		confirmVersion: c.confirmVersion(),
 	})
 	return c, nil
 }
 
-// newCoordinator returns a Coordinator with nothing started.
-func newCoordinator(o Options, events coordination.Events) *Coordinator {
+// newCoordinator returns a Coordinator that has not started anything.
+func newCoordinator(options Options, events coordination.Events) *Coordinator {
 	c := &Coordinator{
-		config:        o.Config,
-		instance:      fmt.Sprintf("%s/%d-%d", o.Config.Name, os.Getpid(), time.Now().UnixNano()),
+		config:        options.Config,
+		instance:      fmt.Sprintf("%s/%d-%d", options.Config.Name, os.Getpid(), time.Now().UnixNano()),
 		events:        events,
 		listTransfers: make(chan struct{}, maxListTransfers),
 		shutdown:      make(chan struct{}),
-		log:           o.Log.With().Str("part", "fleet").Logger(),
+		log:           options.Log.With().Str("part", "fleet").Logger(),
 	}
-	c.Reload(o.Config)
+	c.Reload(options.Config)
 	return c
 }
 
-// startVoter starts this pooler's voter, if the operators' file has one.
+// startVoter starts the voter of this process, if the fleet's configuration file defines one.
 func (c *Coordinator) startVoter() (err error) {
 	settings := c.config.Voter
 	if settings.Listen == "" {
 		return nil
 	}
 	if err := os.MkdirAll(settings.Dir, 0o700); err != nil {
-		return fmt.Errorf("fleet: voter: %w", err)
+		return fmt.Errorf("fleet: create voter directory: %w", err)
 	}
 	c.voter, err = consensus.Start(consensus.Options{
 		Name:               c.config.Name,
@@ -92,19 +92,20 @@
 		MaxClockDrift:      c.config.MaxClockDrift,
 		ElectionTimeout:    c.config.ElectionTimeout,
 		Log:                c.log,
-		OnDocumentsChanged: func(s replication.Snapshot) { c.components.replica.Install(s) },
+		OnDocumentsChanged: func(snapshot replication.Snapshot) { c.components.replica.Install(snapshot) },
 		Traffic:            &c.traffic,
 	})
 	return err
 }
 
+// stopVoter stops the voter of this process, if there is one.
 func (c *Coordinator) stopVoter() {
 	if c.voter != nil {
 		c.voter.Close()
 	}
 }
 
-// openNetwork opens the way to the other poolers, by gossip or by distributors.
+// openNetwork opens the connection to the other poolers: by streams if the fleet has distributors, otherwise by gossip.
 func (c *Coordinator) openNetwork(jitterFraction float64) error {
 	node, err := c.startGossip()
 	if err != nil {
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// newLeaseClient returns the client of the leader's lease. Its timeout lets a renewal, a third of the duration in, be tried
-// twice.
+// newLeaseClient returns a client for the leader's lease. A renewal starts after a third of the term; the timeout of a quarter
+// lets it be tried twice before the lease expires.
 func (c *Coordinator) newLeaseClient() *consensus.Client {
 	return &consensus.Client{
 		Holder:  c.instance,
@@ -144,7 +145,7 @@
 	}
 }
 
-// confirmVersion is the voter's ConfirmVersion; nil: this pooler is no voter.
+// confirmVersion returns the ConfirmVersion method of this process's voter, or nil if it has no voter.
 func (c *Coordinator) confirmVersion() func() (version uint64, at time.Time, ok bool) {
 	if c.voter == nil {
 		return nil
@@ -152,10 +153,11 @@
 	return c.voter.ConfirmVersion
 }
 
-// Close leaves the fleet. Requests to the voters that wait, a release above all, are sent before.
+// Close stops the Coordinator. It first sends the queued requests to the voters, so that a lease is released rather than left
+// to expire, and blocks until its goroutines have ended.
 func (c *Coordinator) Close() {
 	c.components.stop()
-	close(c.shutdown) // and not the queues: the event loop may still be running where the start has failed
+	close(c.shutdown) // the queues stay open: after a failed start the event loop may still enqueue requests
 	c.goroutines.Wait()
 	c.network.Close()
 	c.stopVoter()
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -20,36 +20,39 @@
 	"threadsail/internal/goldentest"
 )
 
-// sent is one message as it was handed to the network.
-type sent struct{ way, to, text string }
+// sentMessage is one message passed to the network.
+type sentMessage struct{ method, to, encoded string }
 
-// recorder is a network that keeps what it is given.
-type recorder chan sent
+// recorder is a network that records the messages passed to it.
+type recorder chan sentMessage
 
 func (recorder) Bus() bus.Bus { return nil }
-func (r recorder) Broadcast(topic string, text []byte, _ time.Time) bool {
-	r <- sent{"tell", topic, string(text)}
+func (r recorder) Broadcast(topic string, encoded []byte, _ time.Time) bool {
+	r <- sentMessage{"tell", topic, string(encoded)}
 	return true
 }
-func (r recorder) Send(name string, text []byte) error {
-	r <- sent{"send", name, string(text)}
+func (r recorder) Send(name string, encoded []byte) error {
+	r <- sentMessage{"send", name, string(encoded)}
 	return nil
 }
-func (r recorder) SendBestEffort(name string, text []byte)              { r <- sent{"hint", name, string(text)} }
+func (r recorder) SendBestEffort(name string, encoded []byte) {
+	r <- sentMessage{"hint", name, string(encoded)}
+}
 func (recorder) SetStatus(discoveryleader.Announcement, string, string) {}
-func (recorder) ListSource(w discoveryleader.Announcement) (name string, ask bool) {
-	return w.Source, true
+func (recorder) ListSource(a discoveryleader.Announcement) (name string, needed bool) {
+	return a.Source, true
 }
 func (recorder) replicationBus() bus.Bus         { return nil }
 func (recorder) fillStatus(*coordination.Status) {}
 func (recorder) Close()                          {}
 
-// Each kind of message that poolers say to each other goes out as it always did, and is understood as it always was.
+// The encoding of each kind of message is unchanged, and messages of earlier builds are decoded: poolers of different builds
+// run in one fleet.
 func TestMessageForms(t *testing.T) {
 	goldentest.CheckJSONOf(t, "message.json", goldentest.Filled[message](t))
 
 	network := make(recorder, 1)
-	f := &Coordinator{
+	coordinator := &Coordinator{
 		config:        &config.Fleet{Name: "pooler-1"},
 		network:       network,
 		broadcasts:    newBroadcastQueue(network),
@@ -59,65 +62,67 @@
 	}
 	shutdown := make(chan struct{})
 	var sender sync.WaitGroup
-	sender.Go(func() { f.broadcasts.run(shutdown) })
+	sender.Go(func() { coordinator.broadcasts.run(shutdown) })
 	defer sender.Wait()
 	defer close(shutdown)
-	f.minimumVersion.Store(&discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6})
-	w := discoveryleader.Announcement{Token: 7, Sequence: 3, Holder: "pooler-1/1-2", Source: "pooler-1"}
+	coordinator.minimumVersion.Store(&discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6})
+	announcement := discoveryleader.Announcement{Token: 7, Sequence: 3, Holder: "pooler-1/1-2", Source: "pooler-1"}
 	list := []byte(`{"revision":5,"complete":true,"members":[]}`)
 	var log strings.Builder
 	for _, send := range []func(){
-		func() { f.Announce(w, time.Minute, func(bool) {}) },
+		func() { coordinator.Announce(announcement, time.Minute, func(bool) {}) },
 		func() {
-			f.AnnouncePrimary(7, 4, "db-2", 8*time.Second, time.Minute, func(bool) {})
+			coordinator.AnnouncePrimary(7, 4, "db-2", 8*time.Second, time.Minute, func(bool) {})
 		},
-		func() { f.ReportPrimaryDown("pooler-2", 4) },
-		func() { f.FetchList(discoveryleader.Announcement{Token: 7, Sequence: 3, Source: "pooler-2"}) },
-		func() { f.SendList("pooler-3", w, list) },
+		func() { coordinator.ReportPrimaryDown("pooler-2", 4) },
+		func() { coordinator.FetchList(discoveryleader.Announcement{Token: 7, Sequence: 3, Source: "pooler-2"}) },
+		func() { coordinator.SendList("pooler-3", announcement, list) },
 	} {
 		send()
-		s := <-network
-		fmt.Fprintln(&log, s.way, s.to, s.text)
+		recorded := <-network
+		fmt.Fprintln(&log, recorded.method, recorded.to, recorded.encoded)
 	}
 
 	var got []any
 	events := coordination.Events{
-		Announced: func(w discoveryleader.Announcement, least discoveryleader.MinimumVersion) {
-			got = append(got, "word", w, least)
+		Announced: func(announcement discoveryleader.Announcement, minimum discoveryleader.MinimumVersion) {
+			got = append(got, "word", announcement, minimum)
+		},
+		ListRequested: func(from string) { got = append(got, "wanted", from) },
+		ListReceived: func(announcement discoveryleader.Announcement, list []byte) {
+			got = append(got, "list", announcement, string(list))
 		},
-		ListRequested:       func(from string) { got = append(got, "wanted", from) },
-		ListReceived:        func(w discoveryleader.Announcement, list []byte) { got = append(got, "list", w, string(list)) },
 		PrimaryReportedDown: func(group int) { got = append(got, "lost", group) },
 		PrimaryAnnounced: func(token uint64, group int, server string, asOf time.Duration) {
 			got = append(got, "found", token, group, server, asOf)
 		},
 	}
-	f.events = events
+	coordinator.events = events
 	for _, line := range bytes.Split(bytes.TrimSpace(goldentest.Check(t, "messages.txt", []byte(log.String()))), []byte("\n")) {
-		f.dispatch(bytes.SplitN(line, []byte(" "), 3)[2])
+		coordinator.dispatch(bytes.SplitN(line, []byte(" "), 3)[2])
 	}
-	want := []any{"word", w, discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6}, "found", uint64(7), 4, "db-2", 8 * time.Second, "lost", 4, "wanted", "pooler-1", "list", w, string(list)}
+	want := []any{"word", announcement, discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6}, "found", uint64(7), 4, "db-2", 8 * time.Second, "lost", 4, "wanted", "pooler-1", "list", announcement, string(list)}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got the events\n%v, want\n%v", got, want)
 	}
 }
 
 func TestNames(t *testing.T) {
-	goldentest.CheckNames(t, map[string]string{"shared": documentsFeed, "lists": serverListFeed, "duty/": leaderTopicPrefix, "duty/one": directTopic, "head": headerKey, "server/": serverKeyPrefix})
+	goldentest.CheckNames(t, map[string]string{"shared": documentsResource, "lists": serverListResource, "duty/": leaderTopicPrefix, "duty/one": directTopic, "head": headerKey, "server/": serverKeyPrefix})
 }
 
-// A list goes over the streams as documents, which poolers of other builds put together again.
+// The documents of a list on the streams are unchanged: poolers of other builds decode the list from them.
 func TestListDocuments(t *testing.T) {
 	goldentest.CheckJSONOf(t, "head.json", goldentest.Filled[listHeader](t))
 	goldentest.CheckJSONOf(t, "list.json", goldentest.Filled[encodedList](t))
 
-	w := discoveryleader.Announcement{Token: 7, Sequence: 3, Holder: "pooler-1/1-2", Source: "pooler-1"}
+	announcement := discoveryleader.Announcement{Token: 7, Sequence: 3, Holder: "pooler-1/1-2", Source: "pooler-1"}
 	list := `{"revision":5,"complete":true,"members":[{"id":"db-1","zone":"a"},{"id":"db-2","zone":"b"}]}`
-	holder := newServerListReplica()
-	if err := holder.publish(w, []byte(list)); err != nil {
+	publisher := newServerListReplica()
+	if err := publisher.publish(announcement, []byte(list)); err != nil {
 		t.Fatal(err)
 	}
-	state, err := json.Marshal(holder.replica.Snapshot())
+	state, err := json.Marshal(publisher.replica.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +130,7 @@
 	if err := json.Unmarshal(goldentest.Check(t, "list_documents.json", append(state, '\n')), &stored); err != nil {
 		t.Fatal(err)
 	}
-	if word, text, err := decodeList(stored); err != nil || word != w || string(text) != list {
-		t.Errorf("got %+v, %s, %v, want %+v, %s", word, text, err, w, list)
+	if decoded, encoded, err := decodeList(stored); err != nil || decoded != announcement || string(encoded) != list {
+		t.Errorf("got %+v, %s, %v, want %+v, %s", decoded, encoded, err, announcement, list)
 	}
 }
--- a/internal/fleet/gossip_network.go
+++ b/internal/fleet/gossip_network.go
@@ -9,14 +9,14 @@
 	"threadsail/internal/fleet/gossip"
 )
 
-// startGossip starts this pooler's gossip; nil: it takes no part in one.
+// startGossip starts this pooler's gossip node. It returns nil if the configuration does not use gossip.
 func (c *Coordinator) startGossip() (*gossip.Node, error) {
 	if !c.config.UsesGossip() {
 		return nil, nil
 	}
 	var peers []gossip.Peer
-	for _, p := range c.config.Peers {
-		peers = append(peers, gossip.Peer(p))
+	for _, peer := range c.config.Peers {
+		peers = append(peers, gossip.Peer(peer))
 	}
 	return gossip.Start(gossip.Options{
 		Name:      c.config.Name,
@@ -29,7 +29,7 @@
 	}, gossip.Meta{})
 }
 
-// gossipNetwork is the network of a fleet whose poolers all know each other.
+// gossipNetwork is a network in which all poolers know each other by gossip.
 type gossipNetwork struct{ *gossip.Node }
 
 var _ network = gossipNetwork{}
@@ -37,6 +37,7 @@
 // Bus implements network.
 func (g gossipNetwork) Bus() bus.Bus { return g.Node.Bus() }
 
+// replicationBus implements network.
 func (g gossipNetwork) replicationBus() bus.Bus { return g.Node.Bus() }
 
 // SetStatus implements network.
@@ -44,14 +45,14 @@
 	g.SetMeta(gossip.Meta{Build: build, Config: configDigest, Token: a.Token, Sequence: a.Sequence})
 }
 
-// ListSource implements network: it picks one of the poolers that show the announcement's list at random, or the
-// announcement's own source while none does.
+// ListSource implements network. It picks at random one of the other poolers whose published status shows the announcement's
+// list, or returns the announcement's source if there is none.
 func (g gossipNetwork) ListSource(a discoveryleader.Announcement) (name string, needed bool) {
 	var sources []string
-	for _, m := range g.Members() {
-		hasList := m.Meta.Token == a.Token && m.Meta.Sequence == a.Sequence
-		if hasList && m.Name != g.Bus().Self() {
-			sources = append(sources, m.Name)
+	for _, member := range g.Members() {
+		hasList := member.Meta.Token == a.Token && member.Meta.Sequence == a.Sequence
+		if hasList && member.Name != g.Bus().Self() {
+			sources = append(sources, member.Name)
 		}
 	}
 	if len(sources) == 0 {
@@ -60,7 +61,8 @@
 	return sources[rand.IntN(len(sources))], true
 }
 
+// fillStatus implements network.
 func (g gossipNetwork) fillStatus(s *coordination.Status) {
 	s.Poolers = g.Bus().Size()
-	s.DocumentTransport = wayGossip
+	s.DocumentTransport = transportGossip
 }
--- a/internal/fleet/lease_requester.go
+++ b/internal/fleet/lease_requester.go
@@ -11,42 +11,42 @@
 	"threadsail/internal/fleet/lease"
 )
 
-// maxQueuedLeaseRequests is how many requests and releases may wait for the voters.
+// maxQueuedLeaseRequests is the capacity of the queue of lease requests and releases.
 const maxQueuedLeaseRequests = 16
 
-// leaseRequest requests the leader's lease, or its renewal, or releases it.
+// leaseRequest is a request for the leader's lease, its renewal or its release.
 type leaseRequest struct {
 	release bool
-	done    func(current lease.Lease, granted bool, err error) // called once; nil: it is a release
+	done    func(current lease.Lease, granted bool, err error) // called once; nil for a release
 }
 
-// leaseRequester sends the requests for the leader's lease on a goroutine of its own, one at a time.
+// leaseRequester sends the requests for the leader's lease one at a time, on a separate goroutine.
 type leaseRequester struct {
-	client   *consensus.Client // used by run alone
-	duration time.Duration     // of the lease
-	queue    chan leaseRequest
-	log      zerolog.Logger
+	client *consensus.Client // used only by run
+	term   time.Duration     // of the lease
+	queue  chan leaseRequest
+	log    zerolog.Logger
 }
 
-// newLeaseRequester takes over the client, which run closes.
-func newLeaseRequester(client *consensus.Client, duration time.Duration, log zerolog.Logger) *leaseRequester {
-	return &leaseRequester{client: client, duration: duration, queue: make(chan leaseRequest, maxQueuedLeaseRequests), log: log}
+// newLeaseRequester returns a leaseRequester that owns the client; run closes it.
+func newLeaseRequester(client *consensus.Client, term time.Duration, log zerolog.Logger) *leaseRequester {
+	return &leaseRequester{client: client, term: term, queue: make(chan leaseRequest, maxQueuedLeaseRequests), log: log}
 }
 
-// enqueue never blocks: where too many requests wait, or after the end, a request fails with consensus.ErrNoLeader, and a
-// release is left to the lease's expiry.
+// enqueue queues a request without blocking. If the queue is full, which it also becomes after run has returned, a request
+// fails with consensus.ErrNoLeader and a release is dropped: the lease then expires.
 func (q *leaseRequester) enqueue(r leaseRequest) {
 	select {
 	case q.queue <- r:
 	default:
-		q.log.Warn().Msg("lease: too many requests wait for the voters")
+		q.log.Warn().Msg("lease: request queue is full; request dropped")
 		if !r.release {
 			go r.done(lease.Lease{}, false, consensus.ErrNoLeader)
 		}
 	}
 }
 
-// run sends what is queued, until shutdown is closed and the queue is empty, and closes the client.
+// run sends the queued requests until shutdown is closed and the queue is empty, then closes the client.
 func (q *leaseRequester) run(shutdown <-chan struct{}) {
 	defer q.client.Close()
 	for r, ok := receive(q.queue, shutdown); ok; r, ok = receive(q.queue, shutdown) {
@@ -54,12 +54,13 @@
 	}
 }
 
-// send is not ended by the shutdown: a release that waits is sent, within the client's timeout.
+// send sends a request and blocks for at most the client's timeout. The shutdown does not cancel it, so that a queued release
+// is still sent.
 func (q *leaseRequester) send(r leaseRequest) {
 	ctx := context.Background()
 	if r.release {
-		_ = q.client.Release(ctx, discoveryleader.LeaseName) // if that fails the lease expires
+		_ = q.client.Release(ctx, discoveryleader.LeaseName) // after an error the lease expires by itself
 		return
 	}
-	r.done(q.client.Acquire(ctx, discoveryleader.LeaseName, q.duration))
+	r.done(q.client.Acquire(ctx, discoveryleader.LeaseName, q.term))
 }
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -7,50 +7,51 @@
 	"threadsail/internal/fleet/discoveryleader"
 )
 
-// messageKind says what a message is about. The kinds are those of the protocol between poolers.
+// messageKind is the kind of a message in the protocol between poolers.
 type messageKind string
 
 // The kinds of messages.
 const (
-	kindAnnouncement messageKind = "word"  // the leader's newest list: Announcement, MinimumBuild, MinimumConfigRevision
-	kindListRequest  messageKind = "want"  // From asks for the list in force
-	kindList         messageKind = "list"  // Announcement and its List
-	kindPrimaryDown  messageKind = "lost"  // From has lost a Group's primary
-	kindPrimary      messageKind = "found" // what the leader has found of a Group: Announcement's Token, Server, AsOf
+	kindAnnouncement messageKind = "word"  // Announcement of the leader's newest list, MinimumBuild, MinimumConfigRevision
+	kindListRequest  messageKind = "want"  // From requests the list in force
+	kindList         messageKind = "list"  // List of an Announcement
+	kindPrimaryDown  messageKind = "lost"  // From has found the primary of Group down
+	kindPrimary      messageKind = "found" // Server, which the leader has found to be the primary of Group; Announcement.Token, AsOf
 )
 
-// The topics under which the leader's messages are broadcast: a newer message replaces an older one of its topic.
+// Topics of the leader's broadcasts. A newer message replaces an older one of the same topic.
 const (
 	topicAnnouncement  = "lists"
-	topicPrimaryPrefix = "found/" // and the group's number
+	topicPrimaryPrefix = "found/" // followed by the group's number
 )
 
-// message is what poolers send each other, one JSON object. The zero value of a field that a kind has no use for is left out.
+// message is a message between poolers, encoded as one JSON object. Fields that its kind does not use are zero and omitted.
 type message struct {
 	Kind                  messageKind                  `json:"kind"`
 	From                  string                       `json:"from,omitempty"`
 	Announcement          discoveryleader.Announcement `json:"word"`
-	MinimumBuild          string                       `json:"least,omitempty"`        // that the leader's operators allow; empty: any
-	MinimumConfigRevision uint64                       `json:"least_config,omitempty"` // that they allow
+	MinimumBuild          string                       `json:"least,omitempty"`        // minimum that the leader's operators allow; empty for any
+	MinimumConfigRevision uint64                       `json:"least_config,omitempty"` // minimum that they allow
 	List                  json.RawMessage              `json:"list,omitempty"`
 	Group                 int                          `json:"group,omitempty"`
-	Server                string                       `json:"server,omitempty"`   // the group's primary; empty: none was found
-	AsOf                  time.Duration                `json:"as_of_ns,omitempty"` // Unix time: all machines read one clock (PROTOCOL)
+	Server                string                       `json:"server,omitempty"`   // the group's primary; empty if none was found
+	AsOf                  time.Duration                `json:"as_of_ns,omitempty"` // Unix time in ns, comparable between machines (PROTOCOL)
 }
 
+// encodeMessage returns the JSON of a message.
 func encodeMessage(m message) []byte {
-	text, err := json.Marshal(m)
+	encoded, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // a list is JSON that this process wrote
+		panic(err) // unreachable: the only raw JSON is the list, which this process has encoded
 	}
-	return text
+	return encoded
 }
 
-// dispatch decodes a message of another pooler and reports it to this one. What can't be decoded is logged and has no effect;
-// a kind that is not known has none either.
-func (c *Coordinator) dispatch(text []byte) {
+// dispatch decodes a message of another pooler and calls the event callback of its kind. A message that can't be decoded is
+// logged and ignored; a message of an unknown kind is ignored.
+func (c *Coordinator) dispatch(encoded []byte) {
 	var m message
-	if err := json.Unmarshal(text, &m); err != nil {
+	if err := json.Unmarshal(encoded, &m); err != nil {
 		c.log.Warn().Err(err).Msg("fleet: message of another pooler can't be decoded")
 		return
 	}
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -8,34 +8,35 @@
 	"threadsail/internal/fleet/discoveryleader"
 )
 
-// network is the way to the other poolers: gossip among all, or streams by way of distributors. It is safe for use by several
-// goroutines.
+// network carries messages to and from the other poolers, either by gossip among all poolers or by streams through
+// distributors. It is safe for concurrent use.
 type network interface {
-	// Bus is the components'.
+	// Bus returns the bus that the components use.
 	Bus() bus.Bus
-	// Broadcast sends a message to all poolers. Nothing is sent from the deadline on; complete says that it was not reached.
-	Broadcast(topic string, text []byte, deadline time.Time) (complete bool)
-	// Send sends a message to one pooler. It waits for the network, some seconds at most.
-	Send(name string, text []byte) error
-	// SendBestEffort sends a message to one pooler, which may be lost. It does not wait.
-	SendBestEffort(name string, text []byte)
-	// SetStatus changes what the others see of this pooler.
+	// Broadcast sends a message to all poolers. It stops at the deadline; complete reports whether it finished before.
+	Broadcast(topic string, encoded []byte, deadline time.Time) (complete bool)
+	// Send sends a message to one pooler. It blocks on the network for a few seconds at most.
+	Send(name string, encoded []byte) error
+	// SendBestEffort sends a message to one pooler without blocking. The message may be lost.
+	SendBestEffort(name string, encoded []byte)
+	// SetStatus sets the status that this pooler publishes to the others.
 	SetStatus(a discoveryleader.Announcement, build, configDigest string)
-	// ListSource is the pooler to ask for the list of an announcement; needed false: the list comes by itself.
+	// ListSource returns the pooler from which to fetch the list of an announcement. needed is false if the network delivers
+	// lists without a request.
 	ListSource(a discoveryleader.Announcement) (name string, needed bool)
-	// Close leaves the network.
+	// Close disconnects the pooler from the network.
 	Close()
 
-	// replicationBus brings replicas from pooler to pooler; nil: a stream brings them.
+	// replicationBus returns the bus for replication between poolers, or nil if a stream updates the replicas.
 	replicationBus() bus.Bus
-	// fillStatus fills in Poolers and all after it.
+	// fillStatus sets Poolers and the fields declared after it.
 	fillStatus(s *coordination.Status)
 }
 
-// The ways by which shared documents come to a pooler, as coordination.Status has them.
+// Values of coordination.Status.DocumentTransport: how a pooler receives the shared documents.
 const (
-	wayGossip      = "gossip"
-	wayStream      = "stream"
-	wayDistributor = "distributor"
-	wayNone        = "none"
+	transportGossip      = "gossip"
+	transportStream      = "stream"
+	transportDistributor = "distributor"
+	transportNone        = "none"
 )
--- a/internal/fleet/server_list.go
+++ b/internal/fleet/server_list.go
@@ -14,20 +14,22 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// serverListReplica is the leader's list of servers as a replica that the streams bring to all: a document for each server,
-// and one with the list's announcement. Its version is that of the announcement. It is safe for use by several goroutines.
+// serverListReplica is a replica of the leader's list of servers, which the streams distribute to all poolers. It has a
+// document for each server and one header document with the list's announcement. Its version is derived from the announcement.
+// It is safe for concurrent use.
 type serverListReplica struct {
 	replica *replication.Replica
 
-	mu               sync.Mutex // guards the fields below, and is held while a list is published
-	announcedVersion uint64     // the version that this process announced last as the leader
-	leaseDeadline    time.Time  // until when it is the leader
+	mu               sync.Mutex // guards the fields below; also held while a list is published
+	announcedVersion uint64     // version that this process last announced as the leader
+	leaseDeadline    time.Time  // end of the time for which it is the leader
 }
 
 const (
 	headerKey       = "head"
-	serverKeyPrefix = "server/" // and the server's name
-	// sequenceBits of a version count the lists under one lease: 4,000 a day for 260 days.
+	serverKeyPrefix = "server/" // followed by the server's name
+	// sequenceBits is the number of low bits of a version that hold the sequence number of a list under one lease: enough for
+	// 4,000 lists a day for 260 days.
 	sequenceBits = 20
 )
 
@@ -35,27 +37,27 @@
 	return &serverListReplica{replica: replication.NewReplica(replication.Snapshot{})}
 }
 
-// announcementVersion is an announcement's version: announcements are ordered by token, then sequence.
+// announcementVersion returns the version of an announcement. Versions order announcements by token, then by sequence.
 func announcementVersion(a discoveryleader.Announcement) uint64 {
 	return a.Token<<sequenceBits | min(a.Sequence, 1<<sequenceBits-1)
 }
 
-// listHeader is what a list has beside its servers.
+// listHeader is the header document of a list: everything but its servers.
 type listHeader struct {
 	Announcement discoveryleader.Announcement `json:"word"`
 	Revision     uint64                       `json:"revision"`
 	Complete     bool                         `json:"complete"`
 }
 
-// encodedList is a list as discovery.List.Format writes it.
+// encodedList is a list in the JSON form that discovery.List.Format writes.
 type encodedList struct {
 	Revision uint64            `json:"revision"`
 	Complete bool              `json:"complete"`
 	Members  []json.RawMessage `json:"members"`
 }
 
-// observeAnnouncement takes an announcement of this process, which is the leader until the deadline, and reports whether the
-// announcement's list is still to be published.
+// observeAnnouncement records an announcement of this process, which is the leader until the deadline. It reports whether the
+// announcement's list has not been published yet.
 func (l *serverListReplica) observeAnnouncement(a discoveryleader.Announcement, deadline time.Time) (missing bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,8 +66,8 @@
 	return a.Sequence > 0 && l.replica.Version() < l.announcedVersion
 }
 
-// confirmVersion is as consensus.Voter.ConfirmVersion: while this process is the leader nothing is newer than what it has
-// announced.
+// confirmVersion returns the version of the replica and the current time, like consensus.Voter.ConfirmVersion. ok is true if
+// that version is the newest: this process is the leader, and the version is the one that it announced last.
 func (l *serverListReplica) confirmVersion() (version uint64, at time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,17 +76,17 @@
 	return version, time.Now(), newest && time.Now().Before(l.leaseDeadline)
 }
 
-// publish replaces the list by one that this process announces. Servers that have not changed under one lease keep their
-// versions, so that a delta names only the others; under a new lease all are named, because another leader's last list may not
-// have come here.
-func (l *serverListReplica) publish(a discoveryleader.Announcement, text []byte) error {
+// publish replaces the list with one that this process announces. Servers that have not changed since the last list under the
+// same lease keep their versions, so that a delta contains only the changed ones. Under a new lease all servers get the new
+// version, because the last list of the previous leader may not have been received here.
+func (l *serverListReplica) publish(a discoveryleader.Announcement, encoded []byte) error {
 	var list encodedList
-	if err := json.Unmarshal(text, &list); err != nil {
-		return fmt.Errorf("fleet: publish: %w", err)
+	if err := json.Unmarshal(encoded, &list); err != nil {
+		return fmt.Errorf("fleet: publish list: decode: %w", err)
 	}
 	header, err := json.Marshal(listHeader{a, list.Revision, list.Complete})
 	if err != nil {
-		return fmt.Errorf("fleet: publish: %w", err)
+		return fmt.Errorf("fleet: publish list: encode header: %w", err)
 	}
 	servers, err := serverDocuments(list.Members)
 	if err != nil {
@@ -95,64 +97,67 @@
 	old := l.replica.Snapshot()
 	sameLease := old.Version>>sequenceBits == a.Token
 	next := replication.Snapshot{Version: announcementVersion(a), Documents: make(map[string]replication.Document, len(servers)+1)}
-	for _, d := range append(servers, replication.Document{Key: headerKey, Value: header}) {
-		d.Version = next.Version
-		if previous, ok := old.Documents[d.Key]; ok && sameLease && bytes.Equal(previous.Value, d.Value) {
-			d = previous
+	for _, document := range append(servers, replication.Document{Key: headerKey, Value: header}) {
+		document.Version = next.Version
+		if previous, ok := old.Documents[document.Key]; ok && sameLease && bytes.Equal(previous.Value, document.Value) {
+			document = previous
 		}
-		next.Documents[d.Key] = d
+		next.Documents[document.Key] = document
 	}
 	l.replica.Install(next)
 	return nil
 }
 
-// serverDocuments are the documents of a list's servers, without versions.
+// serverDocuments returns the documents of a list's servers, without versions. It returns an error if a member can't be decoded
+// or has no id.
 func serverDocuments(members []json.RawMessage) ([]replication.Document, error) {
 	documents := make([]replication.Document, 0, len(members)+1)
-	for i, m := range members {
+	for i, member := range members {
 		var server struct {
 			ID string `json:"id"`
 		}
-		if err := json.Unmarshal(m, &server); err != nil {
-			return nil, fmt.Errorf("fleet: publish: members[%d]: %w", i, err)
+		if err := json.Unmarshal(member, &server); err != nil {
+			return nil, fmt.Errorf("fleet: publish list: members[%d]: %w", i, err)
 		}
 		if server.ID == "" {
-			return nil, fmt.Errorf("fleet: publish: members[%d]: no id", i)
+			return nil, fmt.Errorf("fleet: publish list: members[%d]: id is missing", i)
 		}
-		documents = append(documents, replication.Document{Key: serverKeyPrefix + server.ID, Value: m})
+		documents = append(documents, replication.Document{Key: serverKeyPrefix + server.ID, Value: member})
 	}
 	return documents, nil
 }
 
-// decodeList undoes publish; the servers come by name.
-func decodeList(s replication.Snapshot) (a discoveryleader.Announcement, text []byte, err error) {
+// decodeList returns the announcement and the encoded list that a published snapshot holds, with the servers sorted by name. It
+// returns an error if the header is missing or malformed, or does not match the version of the snapshot.
+func decodeList(snapshot replication.Snapshot) (a discoveryleader.Announcement, encoded []byte, err error) {
 	var header listHeader
-	if err := json.Unmarshal(s.Documents[headerKey].Value, &header); err != nil {
+	if err := json.Unmarshal(snapshot.Documents[headerKey].Value, &header); err != nil {
 		return a, nil, fmt.Errorf("fleet: decode list: header: %w", err)
 	}
 	a = header.Announcement
-	if s.Version != announcementVersion(a) {
-		return a, nil, fmt.Errorf("fleet: decode list: version %d under the announcement of %d", s.Version, announcementVersion(a))
+	if snapshot.Version != announcementVersion(a) {
+		return a, nil, fmt.Errorf("fleet: decode list: snapshot has version %d, its announcement %d", snapshot.Version, announcementVersion(a))
 	}
 	list := encodedList{Revision: header.Revision, Complete: header.Complete, Members: []json.RawMessage{}}
-	for _, d := range s.List(serverKeyPrefix) {
-		list.Members = append(list.Members, d.Value)
+	for _, document := range snapshot.List(serverKeyPrefix) {
+		list.Members = append(list.Members, document.Value)
 	}
-	text, err = json.Marshal(list)
-	return a, text, err
+	encoded, err = json.Marshal(list)
+	return a, encoded, err
 }
 
-// follow reports each list that comes, until ctx ends; not those that this process publishes itself.
+// follow calls onList with each list that the replica receives, until ctx ends. It skips the lists that this process has
+// published.
 func (l *serverListReplica) follow(ctx context.Context, self string, onList func(a discoveryleader.Announcement, list []byte), log zerolog.Logger) {
 	for {
 		changed := l.replica.Changed()
-		if s := l.replica.Snapshot(); s.Version > 0 {
-			a, text, err := decodeList(s)
+		if snapshot := l.replica.Snapshot(); snapshot.Version > 0 {
+			a, encoded, err := decodeList(snapshot)
 			switch {
 			case err != nil:
 				log.Warn().Err(err).Msg("list: replica can't be decoded")
 			case a.Source != self:
-				onList(a, text)
+				onList(a, encoded)
 			}
 		}
 		select {
@@ -163,13 +168,14 @@
 	}
 }
 
-// redeliver reports the list in force once more, to a pooler that lacks an announcement's list still.
+// redeliver calls onList again with the current list if that is at least as new as the announcement. It serves a pooler that
+// has not received the announcement's list yet.
 func (l *serverListReplica) redeliver(a discoveryleader.Announcement, onList func(a discoveryleader.Announcement, list []byte)) {
-	s := l.replica.Snapshot()
-	if s.Version < announcementVersion(a) {
+	snapshot := l.replica.Snapshot()
+	if snapshot.Version < announcementVersion(a) {
 		return
 	}
-	if current, text, err := decodeList(s); err == nil {
-		onList(current, text)
+	if current, encoded, err := decodeList(snapshot); err == nil {
+		onList(current, encoded)
 	}
 }
--- a/internal/fleet/server_list_test.go
+++ b/internal/fleet/server_list_test.go
@@ -12,11 +12,12 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// listedServer is a server as a list has it.
+// listedServer is a server in a list.
 type listedServer struct{ ID, HostPort string }
 
-// drawList draws some of five servers at one of two addresses each, and returns the list's text and its addresses by server.
-func drawList(t *rapid.T, revision uint64) (text []byte, addresses map[string]string) {
+// drawList draws a list of up to five servers, each at one of two addresses. It returns the encoded list and its addresses by
+// server.
+func drawList(t *rapid.T, revision uint64) (encoded []byte, addresses map[string]string) {
 	list := encodedList{Revision: revision, Complete: true}
 	addresses = map[string]string{}
 	for i := range 5 {
@@ -29,18 +30,18 @@
 		member, _ := json.Marshal(server)
 		list.Members = append(list.Members, member)
 	}
-	text, _ = json.Marshal(list)
-	return text, addresses
+	encoded, _ = json.Marshal(list)
+	return encoded, addresses
 }
 
-// decodedAddresses returns the version and the addresses by server of a replica's list.
+// decodedAddresses returns the version of the list in a snapshot, and its addresses by server.
 func decodedAddresses(t *rapid.T, s replication.Snapshot) (version uint64, addresses map[string]string) {
-	a, text, err := decodeList(s)
+	a, encoded, err := decodeList(s)
 	if err != nil {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	var list encodedList
-	if err := json.Unmarshal(text, &list); err != nil {
+	if err := json.Unmarshal(encoded, &list); err != nil {
 		t.Fatal(err)
 	}
 	addresses = map[string]string{}
@@ -52,18 +53,18 @@
 	return announcementVersion(a), addresses
 }
 
-// publications are the lists that some leaders have published in turn, and what a distributor has recorded of them.
+// publications holds the lists that several leaders have published in turn, and those that a distributor has recorded.
 type publications struct {
 	leaders     []*serverListReplica
 	distributor replication.History
-	recorded    []replication.Snapshot       // as the distributor had them
+	recorded    []replication.Snapshot       // snapshots of the distributor
 	addresses   map[uint64]map[string]string // by version, then server
 }
 
-// publish has a leader publish a list; some of the others receive it, and the distributor may record it.
+// publish makes a leader publish a random list. Some of the other leaders receive it, and the distributor may record it.
 func (p *publications) publish(t *rapid.T, leader int, a discoveryleader.Announcement) {
-	text, addresses := drawList(t, a.Sequence)
-	if err := p.leaders[leader].publish(a, text); err != nil {
+	encoded, addresses := drawList(t, a.Sequence)
+	if err := p.leaders[leader].publish(a, encoded); err != nil {
 		t.Fatal(err)
 	}
 	published := p.leaders[leader].replica.Snapshot()
@@ -79,7 +80,7 @@
 	}
 }
 
-// checkDelta checks that the distributor's delta leads from an old list to the newest one.
+// checkDelta checks that the distributor's delta turns an old list into the newest one.
 func (p *publications) checkDelta(t *rapid.T, old, newest replication.Snapshot) {
 	delta, ok := p.distributor.DeltaSince(old.Version)
 	if !ok {
@@ -87,7 +88,7 @@
 	}
 	got, ok := delta.ApplyTo(old)
 	if !ok {
-		t.Fatalf("%+v does not follow %d", delta, old.Version)
+		t.Fatalf("delta %+v does not apply to version %d", delta, old.Version)
 	}
 	version, addresses := decodedAddresses(t, got)
 	if version != newest.Version {
@@ -98,8 +99,8 @@
 	}
 }
 
-// However leaders follow each other, of whom each may have missed what others published last, a pooler that has the list of any
-// announcement which a distributor has recorded comes by that distributor's delta to just the list of the newest announcement.
+// Leaders may miss lists that other leaders have published. A pooler with any list that a distributor has recorded still gets
+// exactly the newest list by applying the distributor's delta.
 func TestListsOfManyLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &publications{
@@ -127,17 +128,17 @@
 			p.checkDelta(t, old, newest)
 		}
 		if _, ok := p.distributor.DeltaSince(newest.Version - 1); ok && p.recorded[max(last-1, 0)].Version != newest.Version-1 {
-			t.Errorf("a delta since a version that was not recorded")
+			t.Errorf("got a delta since a version that was not recorded")
 		}
 	})
 }
 
-// What is no list of an announcement, or no list at all, is not published and not reported.
+// A malformed list is not published, and a snapshot whose header is missing or does not match its version is not decoded.
 func TestMalformedLists(t *testing.T) {
 	l := newServerListReplica()
-	for _, text := range []string{"", "{", `{"members":[{"host_port":"a"}]}`, `{"members":[3]}`} {
-		if err := l.publish(discoveryleader.Announcement{Token: 1, Sequence: 1}, []byte(text)); err == nil || l.replica.Version() > 0 {
-			t.Errorf("%q: %v, version %d", text, err, l.replica.Version())
+	for _, encoded := range []string{"", "{", `{"members":[{"host_port":"a"}]}`, `{"members":[3]}`} {
+		if err := l.publish(discoveryleader.Announcement{Token: 1, Sequence: 1}, []byte(encoded)); err == nil || l.replica.Version() > 0 {
+			t.Errorf("%q: %v, version %d", encoded, err, l.replica.Version())
 		}
 	}
 	if err := l.publish(discoveryleader.Announcement{Token: 1, Sequence: 1}, []byte(`{"complete":true,"members":[{"id":"a"}]}`)); err != nil {
@@ -149,9 +150,9 @@
 	}
 	s.Version++
 	if _, _, err := decodeList(s); err == nil {
-		t.Error("a list under another announcement's version")
+		t.Error("a list whose version does not match its announcement was decoded")
 	}
 	if _, _, err := decodeList(replication.Snapshot{Version: 3}); err == nil {
-		t.Error("a list without a header")
+		t.Error("a list without a header was decoded")
 	}
 }
--- a/internal/fleet/stream_network.go
+++ b/internal/fleet/stream_network.go
@@ -15,21 +15,21 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// The topics of the leader's messages along streams.
+// Topics of the leader's messages on the streams.
 const (
-	leaderTopicPrefix = "duty/"                   // all of them begin so
-	directTopic       = leaderTopicPrefix + "one" // of messages to one pooler
+	leaderTopicPrefix = "duty/"                   // prefix of all topics of leader messages
+	directTopic       = leaderTopicPrefix + "one" // topic of messages to one pooler
 )
 
-// sendTimeout bounds how long a message to one pooler may wait for its stream.
+// sendTimeout is the maximum time to send a message to one pooler.
 const sendTimeout = 2 * time.Second
 
-// streamNetwork is the network of a fleet with distributors. Either subscriber or distributor is set.
+// streamNetwork is the network of a fleet with distributors. Exactly one of subscriber and distributor is set.
 type streamNetwork struct {
 	bus               bus.Bus
-	subscriber        *distribution.Subscriber  // this pooler's stream
-	distributor       *distribution.Distributor // this pooler is a distributor
-	distributorGossip *gossip.Node              // the distributors' own network; nil: this pooler is no distributor
+	subscriber        *distribution.Subscriber  // this pooler's stream; nil if this pooler is a distributor
+	distributor       *distribution.Distributor // nil if this pooler is not a distributor
+	distributorGossip *gossip.Node              // gossip among the distributors; nil if this pooler is not one
 }
 
 var _ network = (*streamNetwork)(nil)
@@ -39,31 +39,33 @@
 	config            *config.Fleet
 	jitterFraction    float64
 	resources         []distribution.Resource
-	distributorGossip *gossip.Node // by which a distributor knows the others
-	onMessage         func(text []byte)
+	distributorGossip *gossip.Node // gossip among the distributors; nil if this pooler is not one
+	onMessage         func(encoded []byte)
 	log               func(line string)
 	traffic           *traffic.Counter
 }
 
-// newStreamNetwork opens the pooler's stream, or as a distributor takes those of others. Close closes it and the
-// distributors' gossip.
-func newStreamNetwork(o streamNetworkOptions) (*streamNetwork, error) {
-	n := &streamNetwork{distributorGossip: o.distributorGossip}
-	if o.config.Distribution.Listen == "" {
-		n.subscriber = distribution.Subscribe(o.subscriberOptions())
+// newStreamNetwork opens the pooler's stream, or, on a distributor, starts to accept the streams of others. It returns an error
+// if a distributor's address can't be listened on. The caller must call Close, which also closes the gossip of the
+// distributors.
+func newStreamNetwork(options streamNetworkOptions) (*streamNetwork, error) {
+	n := &streamNetwork{distributorGossip: options.distributorGossip}
+	if options.config.Distribution.Listen == "" {
+		n.subscriber = distribution.Subscribe(options.subscriberOptions())
 		n.bus = n.subscriber
 	} else {
-		listener, err := net.Listen("tcp", o.config.Distribution.Listen)
+		listener, err := net.Listen("tcp", options.config.Distribution.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("distribution: %w", err)
 		}
-		n.distributor = distribution.NewDistributor(listener, o.distributorOptions())
+		n.distributor = distribution.NewDistributor(listener, options.distributorOptions())
 		n.bus = n.distributor
 	}
-	n.bus.Handle(leaderTopicPrefix, func(_ string, body []byte) { o.onMessage(body) })
+	n.bus.Handle(leaderTopicPrefix, func(_ string, body []byte) { options.onMessage(body) })
 	return n, nil
 }
 
+// subscriberOptions returns the options of this pooler's stream.
 func (o streamNetworkOptions) subscriberOptions() distribution.SubscriberOptions {
 	return distribution.SubscriberOptions{
 		Name:              o.config.Name,
@@ -77,6 +79,7 @@
 	}
 }
 
+// distributorOptions returns the options of a distributor.
 func (o streamNetworkOptions) distributorOptions() distribution.DistributorOptions {
 	return distribution.DistributorOptions{
 		Name:              o.config.Name,
@@ -89,12 +92,13 @@
 	}
 }
 
-// heartbeatInterval is a third of a lease's duration.
+// heartbeatInterval returns the interval between heartbeats on a stream, a third of the lease term.
 func (o streamNetworkOptions) heartbeatInterval() time.Duration { return o.config.Term / 3 }
 
+// distributors returns the endpoints of all distributors.
 func (o streamNetworkOptions) distributors() (endpoints []distribution.Endpoint) {
-	for _, d := range o.config.Distribution.Distributors {
-		endpoints = append(endpoints, distribution.Endpoint(d))
+	for _, distributor := range o.config.Distribution.Distributors {
+		endpoints = append(endpoints, distribution.Endpoint(distributor))
 	}
 	return endpoints
 }
@@ -102,6 +106,7 @@
 // Bus implements network.
 func (n *streamNetwork) Bus() bus.Bus { return n.bus }
 
+// replicationBus implements network.
 func (n *streamNetwork) replicationBus() bus.Bus {
 	if n.distributorGossip == nil {
 		return nil
@@ -110,49 +115,50 @@
 }
 
 // Broadcast implements network.
-func (n *streamNetwork) Broadcast(topic string, text []byte, deadline time.Time) (complete bool) {
+func (n *streamNetwork) Broadcast(topic string, encoded []byte, deadline time.Time) (complete bool) {
 	if !time.Now().Before(deadline) {
 		return false
 	}
-	n.bus.Broadcast(leaderTopicPrefix+topic, text)
+	n.bus.Broadcast(leaderTopicPrefix+topic, encoded)
 	return true
 }
 
 // Send implements network.
-func (n *streamNetwork) Send(name string, text []byte) error {
+func (n *streamNetwork) Send(name string, encoded []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	return n.bus.Send(ctx, name, directTopic, text)
+	return n.bus.Send(ctx, name, directTopic, encoded)
 }
 
-// SendBestEffort implements network. A send along a stream never waits: see package distribution.
-func (n *streamNetwork) SendBestEffort(name string, text []byte) { _ = n.Send(name, text) }
+// SendBestEffort implements network. It relies on sends on a stream not blocking; see package distribution.
+func (n *streamNetwork) SendBestEffort(name string, encoded []byte) { _ = n.Send(name, encoded) }
 
-// SetStatus implements network. A distributor shows nothing.
+// SetStatus implements network. A distributor publishes no status.
 func (n *streamNetwork) SetStatus(a discoveryleader.Announcement, build, configDigest string) {
 	if n.subscriber != nil {
 		n.subscriber.SetStatus(distribution.Status{Build: build, Config: configDigest, Token: a.Token, Sequence: a.Sequence})
 	}
 }
 
-// ListSource implements network: the lists are a resource, and come by themselves.
+// ListSource implements network. No request is needed, because the streams distribute the lists as a resource.
 func (*streamNetwork) ListSource(discoveryleader.Announcement) (name string, needed bool) {
 	return "", false
 }
 
+// fillStatus implements network.
 func (n *streamNetwork) fillStatus(s *coordination.Status) {
 	s.Poolers = n.bus.Size()
 	switch {
 	case n.distributor != nil:
 		own, all := n.distributor.Summary()
-		s.DocumentTransport = wayDistributor
+		s.DocumentTransport = transportDistributor
 		s.Streams = own.Poolers
 		s.PoolersBehind = all.Lagging
 		s.OldestVersion = all.OldestVersion
 	case n.subscriber.Distributor() != "":
-		s.DocumentTransport = wayStream
+		s.DocumentTransport = transportStream
 	default:
-		s.DocumentTransport = wayNone
+		s.DocumentTransport = transportNone
 	}
 }
 
@@ -166,7 +172,7 @@
 	n.distributorGossip.Close()
 }
 
-// trafficCounter counts the streams' frames with the pooler's other traffic. It implements distribution.Counter.
+// trafficCounter adds the frames of the streams to the pooler's traffic.Counter. It implements distribution.Counter.
 type trafficCounter struct{ counter *traffic.Counter }
 
 // In implements distribution.Counter.
@@ -179,5 +185,5 @@
 	c.counter.AddSent(streamKindPrefix+kind, 1, bytes)
 }
 
-// streamKindPrefix begins the kinds of the streams' frames among all kinds of traffic.
+// streamKindPrefix is the prefix of the traffic kinds of stream frames.
 const streamKindPrefix = "stream/"
