--- a/internal/policy/read_staleness.go
+++ b/internal/policy/read_staleness.go
@@ -32,8 +32,8 @@
 // assumption that its lag has not changed since its last report. If it is 0 or less, the replica is
 // fresh enough.
 func (r *Router) positionShortfall(req *request, s *server) time.Duration {
-	sinceProof := r.now - s.replication.advancedAt
-	return r.requiredPosition(req) + positionTolerance - s.replication.position - sinceProof
+	sinceReport := r.now - s.replication.advancedAt
+	return r.requiredPosition(req) + positionTolerance - s.replication.position - sinceReport
 }
 
 // freshEnough reports whether a replica is fresh enough for a read. It is if the position that it
@@ -50,7 +50,7 @@
 	if r.settings.StaleReads == StaleReadAnswered || r.recentlyRejectedStaleRead(s) {
 		return false
 	}
-	if s.replication.advancedAt == 0 && !r.inSlowStart(s) { // nothing is known of its position
+	if s.replication.advancedAt == 0 && !r.inSlowStart(s) { // it has never reported a position
 		return true
 	}
 	return !r.refreshesPositionsProactively(req.class) && r.positionShortfall(req, s) <= 0
@@ -59,9 +59,9 @@
 // recentlyRejectedStaleRead reports whether a server has rejected a read as too far behind within
 // the last roundInterval and has not reported a newer position since.
 func (r *Router) recentlyRejectedStaleRead(s *server) bool {
-	p := &s.replication
-	rejected := p.lagRejectedAt >= max(p.advancedAt, time.Millisecond) // 0 for never
-	return rejected && r.now < p.lagRejectedAt+roundInterval
+	reported := &s.replication
+	rejected := reported.lagRejectedAt >= max(reported.advancedAt, time.Millisecond) // 0 for never
+	return rejected && r.now < reported.lagRejectedAt+roundInterval
 }
 
 // refreshesPositionsProactively reports whether replicas are probed before their positions become
@@ -72,19 +72,21 @@
 	if c.Access != ReadBounded || !r.positionsOmitted || !r.settings.ProbesAllowed {
 		return false
 	}
+	// Rearranged from Poolers/minInterval <= maxSmallFleet/primaryPingInterval, where minInterval is
+	// minPositionProbeIntervalFraction of MaxStaleness.
 	fleetPingTime := float64(r.settings.Poolers) * float64(primaryPingInterval)
 	return fleetPingTime <= maxSmallFleet*minPositionProbeIntervalFraction*float64(c.MaxStaleness)
 }
 
 // refreshPositionProactively probes a replica before its position becomes too old for the bounded
-// reads of a class, if refreshesPositionsProactively.
+// reads of a class, if refreshesPositionsProactively is true for the class.
 func (r *Router) refreshPositionProactively(c *Class, s *server) {
 	if !r.refreshesPositionsProactively(c) || s.State != Ready || s.ejection.ejected {
 		return
 	}
 	refreshAfter := time.Duration(positionRefreshFraction * float64(c.MaxStaleness))
-	gap := time.Duration(minPositionProbeIntervalFraction * float64(c.MaxStaleness))
-	if r.now >= max(s.replication.position+refreshAfter, s.replication.probedAt+gap) {
+	minProbeInterval := time.Duration(minPositionProbeIntervalFraction * float64(c.MaxStaleness))
+	if r.now >= max(s.replication.position+refreshAfter, s.replication.probedAt+minProbeInterval) {
 		r.probePosition(s, probeForPosition)
 	}
 }
--- a/internal/policy/read_staleness_test.go
+++ b/internal/policy/read_staleness_test.go
@@ -147,8 +147,8 @@
 
 func TestBoundedReadAtExactStaleness(t *testing.T) {
 	for _, c := range []struct {
-		age     time.Duration // age of the replicas' positions
-		replica bool          // whether the read may go to a replica
+		age         time.Duration // age of the replicas' positions
+		wantReplica bool          // whether the read may go to a replica
 	}{
 		{time.Second - positionTolerance, true},
 		{time.Second - positionTolerance + time.Microsecond, false},
@@ -162,8 +162,8 @@
 			}
 			host.sendRequest(2, classBounded)
 			sent := host.attempts[2]
-			if toReplica := len(sent) == 1 && sent[0] != 1; toReplica != c.replica {
-				t.Errorf("read was sent to %v, want a replica: %v", sent, c.replica)
+			if toReplica := len(sent) == 1 && sent[0] != 1; toReplica != c.wantReplica {
+				t.Errorf("read was sent to %v, want a replica: %v", sent, c.wantReplica)
 			}
 		})
 	}
--- a/internal/policy/replica_selection.go
+++ b/internal/policy/replica_selection.go
@@ -105,18 +105,18 @@
 func (r *Router) evaluateStaleReplica(search *replicaSearch, s *server) {
 	req := search.request
 	req.blockedByLag = true
-	lag := r.positionShortfall(req, s)
-	if !s.ejection.ejected && lag <= search.fallbackWait {
+	shortfall := r.positionShortfall(req, s)
+	if !s.ejection.ejected && shortfall <= search.fallbackWait {
 		req.catchUpExpected = true
 	}
 	if !r.fleet.isLarge || !r.settings.ProbesAllowed || s.ejection.ejected || search.probeCandidate != nil {
 		return
 	}
-	wait := positionRefreshInterval
-	if lag > 0 || s.replication.probedAt > s.replication.advancedAt {
-		wait = roundInterval
+	minProbeInterval := positionRefreshInterval
+	if shortfall > 0 || s.replication.probedAt > s.replication.advancedAt {
+		minProbeInterval = roundInterval
 	}
-	if r.now >= s.replication.probedAt+wait {
+	if r.now >= s.replication.probedAt+minProbeInterval {
 		search.probeCandidate = s
 	}
 }
@@ -210,10 +210,10 @@
 // the fleet is large and the primary is congested, or else the reachable ejected member with the
 // fewest outstanding attempts that is fresh enough. It returns nil if there is none.
 func (r *Router) chooseFallback(req *request) *server {
-	p := req.group.primary
-	if p != nil && r.canTake(req, p) {
-		if !r.fleet.isLarge || p.latency.decayedRatio(r.now) <= congestedLatencyRatio {
-			return p
+	recordedPrimary := req.group.primary
+	if recordedPrimary != nil && r.canTake(req, recordedPrimary) {
+		if !r.fleet.isLarge || recordedPrimary.latency.decayedRatio(r.now) <= congestedLatencyRatio {
+			return recordedPrimary
 		}
 	}
 	var best *server
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -96,12 +96,12 @@
 // retryOrFinish is called when an attempt was not served and none is in flight. It sends the
 // request again, queues it, or finishes it.
 func (r *Router) retryOrFinish(req *request, result Result) {
-	repeated := req.possiblyExecuted != nil && req.class.Idempotency == Idempotent && result != Cancelled
-	if !r.mayRetry(req, result) || repeated && r.retryBudget < 1 {
+	needsBudget := req.possiblyExecuted != nil && req.class.Idempotency == Idempotent && result != Cancelled
+	if !r.mayRetry(req, result) || needsBudget && r.retryBudget < 1 {
 		r.finishRequest(req)
 		return
 	}
-	if repeated {
+	if needsBudget {
 		r.retryBudget--
 	}
 	if !r.dispatch(req) {
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -70,7 +70,7 @@
 	Classes     []Class
 
 	StaleReads          StaleReadHandling
-	StaleReadWait       time.Duration // StaleReadWaits: how long a server waits to catch up at most
+	StaleReadWait       time.Duration // StaleReadWaits: maximum time that a server waits to catch up
 	PositionEpoch       time.Duration // clock time that positions are counted from
 	TrackSessions       bool          // whether the Router tracks the writes of sessions itself
 	RolesReported       bool          // whether status reports of servers include the role
