--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -10,7 +10,7 @@
 
 const (
 	// minOutageCoverageFraction is the fraction of the remaining outage of a group that a request's
-	// remaining time must cover. With less time the request is rejected before its deadline.
+	// remaining time must cover. With less, the request is rejected when half of its time has passed.
 	minOutageCoverageFraction = 0.3
 	// rejectMargin is how long before its deadline a queued request is rejected.
 	rejectMargin = 5 * time.Millisecond
@@ -24,12 +24,12 @@
 type requestQueue struct {
 	requests       []*request
 	checkScheduled bool
-	nextRefreshAt  time.Duration // when replicas that are far behind may be asked for positions again
+	nextRefreshAt  time.Duration // earliest time to probe replicas that are far behind again
 }
 
-// insert inserts a request before the first one for which worthNoMore returns true.
-func (q *requestQueue) insert(req *request, worthNoMore func(*request) bool) {
-	i := slices.IndexFunc(q.requests, worthNoMore)
+// insert inserts a request before the first one for which belongsAfter returns true.
+func (q *requestQueue) insert(req *request, belongsAfter func(*request) bool) {
+	i := slices.IndexFunc(q.requests, belongsAfter)
 	if i < 0 {
 		i = len(q.requests)
 	}
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -89,7 +89,7 @@
 	return r == Misdirected || r == Overloaded || r == ConnectFailed || r == NotSent
 }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt.
 type Outcome struct {
 	RequestID   uint32
 	Attempt     int // number of the attempt within its request, from 0
@@ -102,7 +102,7 @@
 	Status      ServerStatus
 }
 
-// ProbeResult is the end of a probe.
+// ProbeResult reports the end of a probe.
 type ProbeResult struct {
 	Server uint32
 	Result Result
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -45,10 +45,10 @@
 
 // attemptHistory holds the attempts made for a request.
 type attemptHistory struct {
-	attempts         []*attempt
-	inFlight         int      // number of attempts that have not ended
-	possiblyExecuted *attempt // first attempt that may have been executed; nil for none
-	reachedServer    bool     // whether an attempt has reached a server
+	attempts         []*attempt // in the order of their sends
+	inFlight         int        // number of attempts that have not ended
+	possiblyExecuted *attempt   // first attempt that may have been executed; nil for none
+	reachedServer    bool       // whether an attempt has reached a server
 }
 
 // readFreshness holds the position that a read requires and the result of its last search for a
@@ -94,7 +94,8 @@
 	}
 }
 
-// attemptNumber returns the number of an attempt within its request, or -1 if it is not one of them.
+// attemptNumber returns the number of an attempt within the request, or -1 if the attempt belongs to
+// another one.
 func (h *attemptHistory) attemptNumber(a *attempt) int { return slices.Index(h.attempts, a) }
 
 // recordAttempt adds an attempt that is about to be sent to its request and its server. An attempt
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -16,9 +16,10 @@
 )
 
 // attemptAllowed reports whether a server is listed and the idempotency of a request permits
-// sending the request to it. A request that may have executed is never sent again if it is not
-// idempotent. If it is idempotent by its key, it is sent again only within the deduplication window
-// and only to servers within the deduplication scope.
+// sending the request to it. An idempotent request may always be sent, and any other if it has no
+// attempt in flight and none that may have executed. After an attempt that may have executed, a
+// request that is idempotent by its key may be sent again within the deduplication window to servers
+// within the deduplication scope, and a request that is not idempotent never again.
 func (r *Router) attemptAllowed(req *request, s *server) bool {
 	if !s.listed {
 		return false
