--- a/internal/fleet/purge/answercache/answercache_test.go
+++ b/internal/fleet/purge/answercache/answercache_test.go
@@ -5,43 +5,45 @@
 	"testing"
 )
 
+// TestCache checks that the cache returns no answer requested before the given time, keeps the answer that was requested last, and stays
+// within its size.
 func TestCache(t *testing.T) {
-	c := New(64 << 10)
+	cache := New(64 << 10)
 	key := Key{1, 2, "SELECT 1"}
-	c.Put(key, "a", 1, 10)
-	if v, ok := c.Get(key, 10); !ok || v != "a" {
-		t.Errorf("%v %v", v, ok)
+	cache.Put(key, "a", 1, 10)
+	if answer, ok := cache.Get(key, 10); !ok || answer != "a" {
+		t.Errorf("got answer %v, found %v; want the stored answer", answer, ok)
 	}
-	c.Put(key, "late", 4, 5) // was asked for earlier, and came later
-	if v, _ := c.Get(key, 0); v != "a" {
-		t.Errorf("%v took the place of a later one", v)
+	cache.Put(key, "late", 4, 5) // requested earlier, received later
+	if answer, _ := cache.Get(key, 0); answer != "a" {
+		t.Errorf("got %v: an answer requested earlier replaced the stored one", answer)
 	}
-	if _, ok := c.Get(key, 11); ok {
-		t.Error("older than asked for")
+	if _, ok := cache.Get(key, 11); ok {
+		t.Error("got an answer requested before the given time")
 	}
-	if _, ok := c.Get(key, 0); ok {
-		t.Error("an outdated answer stays")
+	if _, ok := cache.Get(key, 0); ok {
+		t.Error("an outdated answer was not removed")
 	}
-	c.Put(key, "large", 8<<10, 20)
-	if _, ok := c.Get(key, 0); ok {
-		t.Error("one answer takes an eighth")
+	cache.Put(key, "large", 8<<10, 20)
+	if _, ok := cache.Get(key, 0); ok {
+		t.Error("an answer of an eighth of the cache was stored")
 	}
 	for i := range 1000 {
-		c.Put(Key{i % 2, 0, fmt.Sprint(i)}, i, 1000, 30)
-		if n := c.Bytes(); n > 64<<10 {
-			t.Fatalf("%d bytes", n)
+		cache.Put(Key{i % 2, 0, fmt.Sprint(i)}, i, 1000, 30)
+		if size := cache.Bytes(); size > 64<<10 {
+			t.Fatalf("cache holds %d bytes, more than its limit", size)
 		}
 	}
-	c.Drop(1, false)
+	cache.Drop(1, false)
 	for i := range 1000 {
-		if _, ok := c.Get(Key{i % 2, 0, fmt.Sprint(i)}, 0); ok && i%2 == 1 {
-			t.Fatal("an answer of the dropped cluster")
+		if _, ok := cache.Get(Key{i % 2, 0, fmt.Sprint(i)}, 0); ok && i%2 == 1 {
+			t.Fatal("got an answer of the dropped cluster")
 		}
 	}
-	if c.Bytes() == 0 {
-		t.Error("the other cluster's are gone too")
+	if cache.Bytes() == 0 {
+		t.Error("answers of the other cluster were removed too")
 	}
-	if c.Drop(0, true); c.Bytes() != 0 {
-		t.Error("not empty")
+	if cache.Drop(0, true); cache.Bytes() != 0 {
+		t.Error("cache is not empty after all answers were dropped")
 	}
 }
--- a/internal/fleet/purge/clock_test.go
+++ b/internal/fleet/purge/clock_test.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// The offset is bounded by a majority of the clocks, a slow round does not replace a better one, and a step counts at once.
+// TestOffsetBoundByMajority checks that the bound follows a majority of the clocks, that a sample with a long round trip does not replace a
+// better one, and that a step of a clock is reflected at once.
 func TestOffsetBoundByMajority(t *testing.T) {
-	var c clockComparison
-	at, mono := int64(1e18), time.Hour
-	measure := func(peer string, ahead, round time.Duration) {
-		theirs := at - int64(ahead) + int64(round/2)
-		c.add(clockSample{peer: peer, sentAt: at, peerReceivedAt: theirs, peerSentAt: theirs, receivedAt: at + int64(round), roundTrip: round}, mono+round)
-		at += int64(round)
-		mono += round
+	var comparison clockComparison
+	wall, monotonic := int64(1e18), time.Hour
+	measure := func(peer string, ahead, roundTrip time.Duration) {
+		peerWall := wall - int64(ahead) + int64(roundTrip/2)
+		comparison.add(clockSample{peer: peer, sentAt: wall, peerReceivedAt: peerWall, peerSentAt: peerWall, receivedAt: wall + int64(roundTrip), roundTrip: roundTrip}, monotonic+roundTrip)
+		wall += int64(roundTrip)
+		monotonic += roundTrip
 	}
-	if _, ok := c.offsetBound(at, mono, 5, true); ok {
-		t.Error("nothing measured")
+	if _, ok := comparison.offsetBound(wall, monotonic, 5, true); ok {
+		t.Error("got a bound without any measurement")
 	}
 	measure("a", time.Millisecond, 0)
 	measure("b", -2*time.Millisecond, 0)
-	if _, ok := c.offsetBound(at, mono, 5, true); ok {
-		t.Error("two are no majority of five others")
+	if _, ok := comparison.offsetBound(wall, monotonic, 5, true); ok {
+		t.Error("got a bound from two measurements with five other poolers")
 	}
-	if off, ok := c.offsetBound(at, mono, 2, true); !ok || off != 2*time.Millisecond {
-		t.Errorf("of two others: %v %v", off, ok)
+	if bound, ok := comparison.offsetBound(wall, monotonic, 2, true); !ok || bound != 2*time.Millisecond {
+		t.Errorf("with two other poolers: got bound %v, %v, want 2ms", bound, ok)
 	}
-	measure("liar", time.Hour, 0)
-	if off, ok := c.offsetBound(at, mono, 5, true); !ok || off != 2*time.Millisecond {
-		t.Errorf("with a liar: %v %v", off, ok)
+	measure("wrong", time.Hour, 0)
+	if bound, ok := comparison.offsetBound(wall, monotonic, 5, true); !ok || bound != 2*time.Millisecond {
+		t.Errorf("with one wrong clock: got bound %v, %v, want 2ms", bound, ok)
 	}
-	measure("a", 0, time.Second) // a slow round says less than the one before
-	if off, _ := c.offsetBound(at, mono, 5, false); off != 2*time.Millisecond {
-		t.Errorf("behind a slow round: %v", off)
+	measure("a", 0, time.Second) // less certain than the earlier sample
+	if bound, _ := comparison.offsetBound(wall, monotonic, 5, false); bound != 2*time.Millisecond {
+		t.Errorf("after a long round trip: got bound %v, want 2ms", bound)
 	}
-	measure("a", time.Minute, time.Second) // but one that gainsays it counts
-	if off, _ := c.offsetBound(at, mono, 5, false); off < 59*time.Second {
-		t.Errorf("the peer's clock moved: %v", off)
+	measure("a", time.Minute, time.Second) // inconsistent with the earlier sample, so it replaces it
+	if bound, _ := comparison.offsetBound(wall, monotonic, 5, false); bound < 59*time.Second {
+		t.Errorf("after a step of a peer's clock: got bound %v, want at least 59s", bound)
 	}
-	if off, _ := c.offsetBound(at+int64(time.Second), mono, 2, false); off < time.Second-2*time.Millisecond {
-		t.Errorf("this clock stepped by a second: %v", off)
+	if bound, _ := comparison.offsetBound(wall+int64(time.Second), monotonic, 2, false); bound < time.Second-2*time.Millisecond {
+		t.Errorf("after a step of the local clock by 1s: got bound %v, want at least 998ms", bound)
 	}
 }
--- a/internal/fleet/purge/component_test.go
+++ b/internal/fleet/purge/component_test.go
@@ -11,15 +11,16 @@
 	"pgregory.net/rapid"
 )
 
-// scenario is five edges of two sites and what their operators want, driven by drawn numbers.
+// scenario is a world of five edges at two sites, with the proposal of their operators. Its course is determined by drawn numbers.
 type scenario struct {
 	*world
 	revision uint64
 	orders   []RequestedOrder
-	proposal Proposal // of all operators' files
+	proposal Proposal // the same at all edges
 }
 
-// newScenario starts the edges. The majority's clocks are within a sixth of a guard; the last edge's is anywhere.
+// newScenario starts the edges. The clocks of the first four are within a sixth of Guard of true time; that of the last may be wrong by far
+// more.
 func newScenario(t *testing.T, numbers []int) *scenario {
 	s := &scenario{world: newWorld(t, "a", "a", "a", "b", "b"), revision: 1}
 	s.proposal = s.newProposal(numbers[0])
@@ -34,12 +35,12 @@
 	return s
 }
 
-// newProposal returns a proposal of the present revision and orders.
+// newProposal returns a proposal with the current revision and orders, and a closing time drawn from n.
 func (s *scenario) newProposal(n int) Proposal {
 	return dailyCloseProposal(s.revision, 1+n%4, s.orders...)
 }
 
-// request sends requests to all edges for a time.
+// request sends requests to all edges for a duration. Its numbers are drawn from n.
 func (s *scenario) request(d time.Duration, n int) {
 	for end := time.Now().Add(d); time.Now().Before(end); n++ {
 		for _, e := range s.edges {
@@ -49,48 +50,49 @@
 	}
 }
 
-// inject does the ith of the drawn acts, to an edge by its number.
-func (s *scenario) inject(i, act, n int) {
+// inject applies the ith drawn action: a fault, a restart, a change of the proposal, a step of the last edge's clock, or nothing. n selects
+// the edge and the details.
+func (s *scenario) inject(i, action, n int) {
 	e := s.edges[n%len(s.edges)]
 	switch {
-	case act < 20:
+	case action < 20:
 		e.setIsolated(!e.isolated)
-	case act < 30:
+	case action < 30:
 		e.stop()
 		if e.isolated {
 			e.view = e.view.Restart()
 		}
 		e.start(s.proposal)
-	case act < 36:
+	case action < 36:
 		e.stop()
-	case act < 44:
+	case action < 44:
 		if e.cancel == nil {
 			e.start(s.proposal)
 		}
-	case act < 48:
+	case action < 48:
 		s.revision++
 		s.proposal = s.newProposal(n / 8)
 		e.propose(s.proposal)
-	case act < 56:
+	case action < 56:
 		s.orders = append(s.orders, drawnOrder(fmt.Sprint("o", i), n))
 		s.proposal.Orders = s.orders
 		e.propose(s.proposal)
-	case act < 64:
+	case action < 64:
 		s.edges[4].skew.Add(int64(time.Duration(n%2001-1000) * time.Millisecond * time.Duration(1<<(n/2048%10)) / 16))
 	}
 }
 
-// drawnOrder returns an order for a site or all, and a cluster or all, by a drawn number.
+// drawnOrder returns an order for one site or all sites, and for one cluster or all clusters, as determined by n.
 func drawnOrder(name string, n int) RequestedOrder {
-	o := RequestedOrder{Name: name, Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
+	order := RequestedOrder{Name: name, Issued: time.Now().Add(-time.Second), Site: []string{"", "a", "b"}[n/8%3]}
 	if n/32%2 == 0 {
 		cluster := n / 64 % 2
-		o.Cluster = &cluster
+		order.Cluster = &cluster
 	}
-	return o
+	return order
 }
 
-// heal heals all faults.
+// heal ends all partitions, starts stopped edges, and corrects the last edge's clock.
 func (s *scenario) heal() {
 	for _, e := range s.edges {
 		e.setIsolated(false)
@@ -101,7 +103,7 @@
 	s.edges[4].skew.Store(0)
 }
 
-// stop stops all edges, and waits for what is still in flight.
+// stop stops all edges, and waits until requests in flight have ended.
 func (s *scenario) stop() {
 	for _, e := range s.edges {
 		e.stop()
@@ -109,21 +111,21 @@
 	time.Sleep(10 * time.Second)
 }
 
-// Five edges of two sites, one of them with a clock that is anywhere and steps; cuts, restarts while cut off, plans changed around their
-// closes, orders, and requests in flight across all of that. No cached answer is from before a purge that was over, and each edge records
-// each purge once.
+// TestNoStaleAnswers checks the invariants of the package on random scenarios: no cached answer has data from before a past purge, and each
+// edge records each purge exactly once. The scenarios have five edges at two sites, one with a clock that is wrong and steps; partitions,
+// restarts during a partition, plan changes near closing times, orders, and requests in flight during all of these.
 func TestNoStaleAnswers(t *testing.T) {
-	runs, shares := 0, 0.0
+	runs, hitRates := 0, 0.0
 	rapid.Check(t, func(rt *rapid.T) {
-		acts := rapid.SliceOfN(rapid.IntRange(0, 99), 5, 30).Draw(rt, "acts")
-		numbers := rapid.SliceOfN(rapid.IntRange(0, 1<<16), len(acts)+8, len(acts)+8).Draw(rt, "how")
+		actions := rapid.SliceOfN(rapid.IntRange(0, 99), 5, 30).Draw(rt, "acts")
+		numbers := rapid.SliceOfN(rapid.IntRange(0, 1<<16), len(actions)+8, len(actions)+8).Draw(rt, "how")
 		var violations []string
 		synctest.Test(t, func(t *testing.T) {
 			s := newScenario(t, numbers)
 			s.request(8*time.Second, 0)
-			for i, act := range acts {
+			for i, action := range actions {
 				n := numbers[i+8]
-				s.inject(i, act, n)
+				s.inject(i, action, n)
 				s.request(time.Duration(n%4000)*time.Millisecond, n)
 			}
 			s.heal()
@@ -131,15 +133,15 @@
 			synctest.Wait()
 			violations = s.violations()
 			runs++
-			shares += s.hitRate()
+			hitRates += s.hitRate()
 			s.stop()
 		})
 		if len(violations) > 0 {
 			rt.Fatal(strings.Join(violations[:min(len(violations), 5)], "\n"))
 		}
 	})
-	if mean := shares / float64(max(runs, 1)); mean < 0.1 {
-		t.Errorf("%.2f of the answers came from caches: the property is idle", mean)
+	if mean := hitRates / float64(max(runs, 1)); mean < 0.1 {
+		t.Errorf("%.2f of the answers came from caches, want at least 0.1: the scenarios hardly exercise the caches", mean)
 	} else {
 		t.Logf("%d runs, %.2f of the answers came from caches", runs, mean)
 	}
--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -12,228 +12,237 @@
 	"threadsail/internal/fleet/replication/replicationtest"
 )
 
-// soloEdge is an edge without a Component, whose clock has been compared with three others; skew moves its clock.
+// soloEdge is an edge without a Component, whose clock has been compared with minPeers others.
 type soloEdge struct {
 	*Edge
 	view     *replicationtest.View
 	cluster  *replicationtest.Cluster
-	skew     time.Duration
-	recorded []string
+	skew     time.Duration // offset of the edge's clock from true time
+	recorded []string      // IDs of the recorded purges
 }
 
-// newSoloEdge returns an edge whose plan is in force.
+// newSoloEdge returns an edge at site "a" with the plan of a proposal already in force.
 func newSoloEdge(t *testing.T, p Proposal, h History) *soloEdge {
-	l := &soloEdge{cluster: replicationtest.New(drift)}
+	edge := &soloEdge{cluster: replicationtest.New(drift)}
 	value, err := p.encodePlan(nil, time.Now().Add(-bounds.activationDelay()).UnixNano()) // in force now
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.put(t, planKey, 0, value)
-	l.view = l.cluster.View()
-	l.Edge = NewEdge("a", l.view, h, func(e Event, _ int64) { l.recorded = append(l.recorded, e.ID) })
-	l.wall = func() int64 { return time.Now().Add(l.skew).UnixNano() }
-	l.compare()
-	return l
+	edge.put(t, planKey, 0, value)
+	edge.view = edge.cluster.View()
+	edge.Edge = NewEdge("a", edge.view, h, func(e Event, _ int64) { edge.recorded = append(edge.recorded, e.ID) })
+	edge.wall = func() int64 { return time.Now().Add(edge.skew).UnixNano() }
+	edge.compare()
+	return edge
 }
 
-func (l *soloEdge) compare() {
+// compare records a sample of the true time from each of minPeers peers.
+func (edge *soloEdge) compare() {
 	for i := range minPeers {
 		at := time.Now().UnixNano()
-		l.addClockSample(clockSample{peer: fmt.Sprint("m", i), sentAt: l.wall(), peerReceivedAt: at, peerSentAt: at, receivedAt: l.wall()})
+		edge.addClockSample(clockSample{peer: fmt.Sprint("m", i), sentAt: edge.wall(), peerReceivedAt: at, peerSentAt: at, receivedAt: edge.wall()})
 	}
 }
 
-func (l *soloEdge) put(t *testing.T, key string, expect uint64, value []byte) uint64 {
+// put writes a document and returns its version.
+func (edge *soloEdge) put(t *testing.T, key string, expect uint64, value []byte) uint64 {
 	t.Helper()
-	version, err := l.cluster.Client("w").Put(t.Context(), key, expect, value, replication.Fence{})
+	version, err := edge.cluster.Client("w").Put(t.Context(), key, expect, value, replication.Fence{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return version
 }
 
-func (l *soloEdge) order(t *testing.T, o Order) uint64 {
+// order writes an order's document, makes the edge load it, and returns its version.
+func (edge *soloEdge) order(t *testing.T, o Order) uint64 {
 	value, err := json.Marshal(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	version := l.put(t, orderPrefix+o.Name, 0, value)
-	l.Refresh()
+	version := edge.put(t, orderPrefix+o.Name, 0, value)
+	edge.Refresh()
 	return version
 }
 
-func (l *soloEdge) checkServable(t *testing.T, what string, cluster int, want Reason) (since int64) {
+// checkServable checks the reason that ServableSince returns for a cluster, and returns its time.
+func (edge *soloEdge) checkServable(t *testing.T, situation string, cluster int, want Reason) (since int64) {
 	t.Helper()
-	since, why := l.ServableSince(cluster)
-	if why != want {
-		t.Errorf("%s: %s, want %s", what, why, want)
+	since, reason := edge.ServableSince(cluster)
+	if reason != want {
+		t.Errorf("%s: got reason %q, want %q", situation, reason, want)
 	}
 	return since
 }
 
-// An edge that did nothing through a close records the close before its first cached answer, and gives no answer from before it.
+// TestPurgesRecordedBeforeFirstCachedAnswer checks that an edge that was stalled across a close records the close before it serves a cached
+// answer, and serves none that was requested before the close.
 func TestPurgesRecordedBeforeFirstCachedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
+		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		time.Sleep(time.Minute)
-		l.checkServable(t, "before", 0, Allowed)
-		asked, ok := l.MayStore(0, 0)
+		edge.checkServable(t, "before the close", 0, Allowed)
+		requestedAt, ok := edge.MayStore(0, 0)
 		if !ok {
-			t.Error("nothing may be kept")
+			t.Error("MayStore rejects an answer before the close")
 		}
-		time.Sleep(20 * time.Minute) // no timer runs
-		l.compare()
-		if since := l.checkServable(t, "after", 0, Allowed); asked >= since {
-			t.Error("an answer from before the close may be given")
+		time.Sleep(20 * time.Minute) // FireDue is not called meanwhile
+		edge.compare()
+		if since := edge.checkServable(t, "after the close", 0, Allowed); requestedAt >= since {
+			t.Error("an answer requested before the close is servable after it")
 		}
-		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
-			t.Errorf("recorded %q, want %q", l.recorded, want)
+		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(edge.recorded, want) {
+			t.Errorf("recorded %q, want %q", edge.recorded, want)
 		}
 	})
 }
 
-// Around the instant of a purge nothing is given or stored, nor is anything that was in flight across it.
+// TestCacheDisabledAroundPurge checks that around a purge no cached answer is served and no answer is stored, and that an answer to a request
+// that was in flight during the purge is not stored later.
 func TestCacheDisabledAroundPurge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
+		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		at := time.Date(2000, 1, 1, 0, 10, 0, 0, time.UTC)
-		sleepTo := func(d time.Duration) { time.Sleep(time.Until(at.Add(d))); l.compare() }
-		given := func() bool { since, why := l.ServableSince(0); return why == Allowed && l.wall() > since }
+		sleepTo := func(d time.Duration) { time.Sleep(time.Until(at.Add(d))); edge.compare() }
+		servable := func() bool { since, reason := edge.ServableSince(0); return reason == Allowed && edge.wall() > since }
 		sleepTo(-bounds.Guard - time.Millisecond)
-		if !given() {
-			t.Error("nothing is given a guard before")
+		if !servable() {
+			t.Error("no answer is servable more than Guard before the purge")
 		}
 		for _, d := range []time.Duration{-bounds.Guard, 0, bounds.Guard, bounds.Guard + bounds.Settle - time.Millisecond} {
-			if sleepTo(d); given() {
-				t.Errorf("given %v behind the instant", d)
+			if sleepTo(d); servable() {
+				t.Errorf("an answer is servable %v after the purge", d)
 			}
 		}
-		if _, ok := l.MayStore(0, 0); ok {
-			t.Error("kept while replicas may answer from before")
+		if _, ok := edge.MayStore(0, 0); ok {
+			t.Error("MayStore accepts an answer while replicas may return data from before the purge")
 		}
 		sleepTo(time.Second)
-		if _, ok := l.MayStore(0, time.Second); ok {
-			t.Error("kept though it was asked for before the purge")
+		if _, ok := edge.MayStore(0, time.Second); ok {
+			t.Error("MayStore accepts an answer requested at the instant of the purge")
 		}
-		if _, ok := l.MayStore(0, time.Second-bounds.Guard-bounds.Settle); !ok {
-			t.Error("not kept though it was asked for behind the purge")
+		if _, ok := edge.MayStore(0, time.Second-bounds.Guard-bounds.Settle); !ok {
+			t.Error("MayStore rejects an answer requested Guard plus Settle after the purge")
 		}
 	})
 }
 
-// A clock that is set back has nothing recorded twice and no answer revived; one that is off keeps the edge from its cache, and from
-// recording purges that have not come.
+// TestClockSteps checks that an edge whose clock is wrong serves no cached answers and records no purge twice or early: after its clock is
+// set back, set ahead, or not compared for a long time.
 func TestClockSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
+		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		time.Sleep(11 * time.Minute)
-		l.compare()
-		l.checkServable(t, "right", 0, Allowed)
-		l.skew = -5 * time.Minute
-		l.checkServable(t, "set back", 0, ClockUntrusted)
-		l.FireDue()
-		l.skew = 24 * time.Hour
-		l.checkServable(t, "a day ahead", 0, ClockUntrusted)
-		l.FireDue()
-		l.compare() // the others say so too
-		l.checkServable(t, "a day ahead, compared", 0, ClockUntrusted)
-		l.FireDue()
-		l.skew = 0
-		l.checkServable(t, "mended", 0, Allowed)
-		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
-			t.Errorf("recorded %q, want %q", l.recorded, want)
-		}
-		l.skew = -bounds.Guard / 4 // within what is trusted
-		l.checkServable(t, "a little back", 0, Allowed)
+		edge.compare()
+		edge.checkServable(t, "correct clock", 0, Allowed)
+		edge.skew = -5 * time.Minute
+		edge.checkServable(t, "clock set back", 0, ClockUntrusted)
+		edge.FireDue()
+		edge.skew = 24 * time.Hour
+		edge.checkServable(t, "clock a day ahead", 0, ClockUntrusted)
+		edge.FireDue()
+		edge.compare() // the samples show the offset too
+		edge.checkServable(t, "clock a day ahead, compared again", 0, ClockUntrusted)
+		edge.FireDue()
+		edge.skew = 0
+		edge.checkServable(t, "clock corrected", 0, Allowed)
+		if want := []string{"plan 1", "close a 2000-01-01 00:10"}; !slices.Equal(edge.recorded, want) {
+			t.Errorf("recorded %q, want %q", edge.recorded, want)
+		}
+		edge.skew = -bounds.Guard / 4 // within half of Guard
+		edge.checkServable(t, "clock slightly slow", 0, Allowed)
 		time.Sleep(time.Hour)
-		l.checkServable(t, "not compared for an hour", 0, ClockUntrusted)
+		edge.checkServable(t, "clock not compared for an hour", 0, ClockUntrusted)
 	})
 }
 
-// A replica that is old, or newer than the documents that are loaded, keeps the edge from its cache.
+// TestStaleReplica checks that no cached answer is servable while the replica is older than MaxReplicaAge, or newer than the loaded documents.
 func TestStaleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
+		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
 		time.Sleep(time.Minute)
-		l.compare()
-		l.view.SetPartitioned(true)
+		edge.compare()
+		edge.view.SetPartitioned(true)
 		time.Sleep(bounds.MaxReplicaAge)
-		l.checkServable(t, "as old as it may be", 0, Allowed)
+		edge.checkServable(t, "replica of the largest age", 0, Allowed)
 		time.Sleep(time.Millisecond)
-		l.checkServable(t, "older", 0, ReplicaStale)
-		l.put(t, "other/doc", 0, []byte("1"))
-		l.view.SetPartitioned(false)
-		l.checkServable(t, "newer than the loaded documents", 0, ReplicaStale)
-		l.Refresh()
-		l.checkServable(t, "loaded", 0, Allowed)
+		edge.checkServable(t, "replica too old", 0, ReplicaStale)
+		edge.put(t, "other/doc", 0, []byte("1"))
+		edge.view.SetPartitioned(false)
+		edge.checkServable(t, "replica newer than the loaded documents", 0, ReplicaStale)
+		edge.Refresh()
+		edge.checkServable(t, "documents loaded again", 0, Allowed)
 	})
 }
 
-// Orders purge their cluster or all clusters, at their sites; a deleted order does not bring older answers back.
+// TestOrders checks that an order purges only its cluster and only at its site, and that answers from before the purge stay unservable after
+// the order is deleted.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newSoloEdge(t, dailyCloseProposal(1, 59), History{})
+		edge := newSoloEdge(t, dailyCloseProposal(1, 59), History{})
 		time.Sleep(time.Minute)
-		l.compare()
-		two, at := 2, time.Now().Add(time.Minute).UnixNano()
-		version := l.order(t, Order{Name: "x", EffectiveAt: at, Cluster: &two})
-		l.order(t, Order{Name: "y", EffectiveAt: at, Site: "b"})
+		edge.compare()
+		cluster, at := 2, time.Now().Add(time.Minute).UnixNano()
+		version := edge.order(t, Order{Name: "x", EffectiveAt: at, Cluster: &cluster})
+		edge.order(t, Order{Name: "y", EffectiveAt: at, Site: "b"})
 		time.Sleep(2 * time.Minute)
-		l.compare()
+		edge.compare()
 		margin := int64(bounds.Guard + bounds.Settle)
-		if since := l.checkServable(t, "its cluster", 2, Allowed); since != at+margin {
-			t.Errorf("since %d, want %d", since, at+margin)
+		if since := edge.checkServable(t, "cluster of the order", 2, Allowed); since != at+margin {
+			t.Errorf("servable since %d, want %d", since, at+margin)
 		}
-		if since := l.checkServable(t, "another cluster", 1, Allowed); since >= at {
-			t.Error("another cluster is purged")
+		if since := edge.checkServable(t, "another cluster", 1, Allowed); since >= at {
+			t.Error("the order purged another cluster")
 		}
-		if want := []string{"plan 1", "order x"}; !slices.Equal(l.recorded, want) {
-			t.Errorf("recorded %q, want %q", l.recorded, want)
+		if want := []string{"plan 1", "order x"}; !slices.Equal(edge.recorded, want) {
+			t.Errorf("recorded %q, want %q", edge.recorded, want)
 		}
-		l.put(t, orderPrefix+"x", version, nil)
-		l.Refresh()
-		if since := l.checkServable(t, "forgotten", 2, Allowed); since != at+margin {
-			t.Errorf("the generation fell to %d", since)
+		edge.put(t, orderPrefix+"x", version, nil)
+		edge.Refresh()
+		if since := edge.checkServable(t, "order deleted", 2, Allowed); since != at+margin {
+			t.Errorf("order deleted: servable since %d, want %d", since, at+margin)
 		}
 	})
 }
 
-// An edge that was cut off just before an order was applied, as late as that may be, has stopped answering from its cache when the
-// order takes effect, though its writer's clock is behind.
+// TestOrderTakesEffectAfterReplicaIsStale covers the worst case of activationDelay: the writer's clock is slow by Guard, the order is applied
+// WriteLead after it was sent, and the edge is partitioned just before that. The edge must have stopped serving cached answers when the
+// order takes effect.
 func TestOrderTakesEffectAfterReplicaIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := dailyCloseProposal(1, 59, RequestedOrder{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
 		p.Bounds.WriteLead = 2 * time.Second
-		l := newSoloEdge(t, p, History{})
+		edge := newSoloEdge(t, p, History{})
 		time.Sleep(time.Minute)
-		w, _, err := p.nextWrite(l.view.List("purge/"), time.Now().Add(-bounds.Guard).UnixNano())
-		var o Order
+		write, _, err := p.nextWrite(edge.view.List("purge/"), time.Now().Add(-bounds.Guard).UnixNano())
+		var order Order
 		if err == nil {
-			err = json.Unmarshal(w.value, &o)
+			err = json.Unmarshal(write.value, &order)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(p.Bounds.WriteLead)
-		l.compare()
-		l.view.SetPartitioned(true)
-		l.put(t, w.key, 0, w.value)
-		time.Sleep(time.Until(time.Unix(0, o.EffectiveAt)))
-		l.checkServable(t, "as the copy's age just allows", 0, Allowed)
+		edge.compare()
+		edge.view.SetPartitioned(true)
+		edge.put(t, write.key, 0, write.value)
+		time.Sleep(time.Until(time.Unix(0, order.EffectiveAt)))
+		edge.checkServable(t, "replica of the largest age", 0, Allowed)
 		time.Sleep(time.Nanosecond)
-		l.checkServable(t, "when the order takes effect", 0, ReplicaStale)
+		edge.checkServable(t, "order in effect", 0, ReplicaStale)
 	})
 }
 
-// What stands in the journal is not noted again, what a crash kept from it is.
+// TestRecordedPurgesAreNotRepeated checks that an edge does not record the purges in its history again, but records those that are missing
+// from it, as after a crash.
 func TestRecordedPurgesAreNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		since := time.Now().Add(-time.Hour).UnixNano()
-		l := newSoloEdge(t, dailyCloseProposal(1, 10), History{Since: since, Fired: []string{"plan 1"}})
+		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{Since: since, Fired: []string{"plan 1"}})
 		time.Sleep(20 * time.Minute)
-		l.FireDue()
-		if want := []string{"close a 2000-01-01 00:10"}; !slices.Equal(l.recorded, want) {
-			t.Errorf("recorded %q, want %q", l.recorded, want)
+		edge.FireDue()
+		if want := []string{"close a 2000-01-01 00:10"}; !slices.Equal(edge.recorded, want) {
+			t.Errorf("recorded %q, want %q", edge.recorded, want)
 		}
 	})
 }
--- a/internal/fleet/purge/golden_test.go
+++ b/internal/fleet/purge/golden_test.go
@@ -9,22 +9,25 @@
 	"threadsail/internal/goldentest"
 )
 
+// TestStoredFormat guards the JSON encoding of the documents, which poolers of different builds read.
 func TestStoredFormat(t *testing.T) {
-	plan, was := goldentest.Filled[Plan](t), goldentest.Filled[Plan](t)
-	plan.Previous = &was
+	plan, previous := goldentest.Filled[Plan](t), goldentest.Filled[Plan](t)
+	plan.Previous = &previous
 	goldentest.CheckJSONOf(t, "plan.json", plan)
 	goldentest.CheckJSONOf(t, "order.json", goldentest.Filled[Order](t))
 }
 
+// TestMessageFormat guards the JSON encoding of the messages between poolers.
 func TestMessageFormat(t *testing.T) {
 	goldentest.CheckJSONOf(t, "reading.json", goldentest.Filled[clockMessage](t))
 }
 
+// TestNames guards the keys of the documents, the name of the lease and the bus topic.
 func TestNames(t *testing.T) {
 	goldentest.CheckNames(t, map[string]string{"purge/": keyPrefix, "purge/plan": planKey, "purge/order/": orderPrefix, "purges": string(writerLease), "purge/time": clockTopic})
 }
 
-// A purge's name is what tells, in the journals and over restarts, that it has been carried out already.
+// TestEventNames guards the IDs of purges. An edge recognizes by its ID a purge that is already in its journal, across restarts and builds.
 func TestEventNames(t *testing.T) {
 	at := time.Date(2026, time.December, 2, 12, 0, 0, 0, time.UTC)
 	book := calendar.Book{Calendars: map[string]calendar.Calendar{"hall": {Close: map[string]string{"wednesday": "20:00", "thursday": "25:30:15"}}},
--- a/internal/fleet/purge/main_test.go
+++ b/internal/fleet/purge/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the package where a goroutine outlives the tests.
+// TestMain fails if a goroutine is still running after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/fleet/purge/world_test.go
+++ b/internal/fleet/purge/world_test.go
@@ -29,24 +29,25 @@
 	drift = 50 * time.Millisecond
 )
 
-// The test cluster applies a write at once or never: a lead would hide what the rest of the reach is for.
+// bounds has no WriteLead, since the test cluster applies a write immediately or never. A lead would only hide faults in the rest of
+// activationDelay.
 var bounds = Bounds{Guard: 400 * time.Millisecond, MaxReplicaAge: 5 * time.Second, Settle: 200 * time.Millisecond}
 
-// receivedAnswer is an answer as a client received it. Its times are true, in Unix ns.
+// receivedAnswer is an answer that a client received. Its times are true times, in Unix ns.
 type receivedAnswer struct {
 	at      int64
-	dataAt  int64 // as of when its server's data were
-	cached  bool  // the edge answered
+	dataAt  int64 // time of the data that the server answered from
+	cached  bool  // served from the edge's cache
 	edge    *testEdge
 	cluster int
 }
 
-// testEdge is one pooler, over all its restarts.
+// testEdge is one pooler across its restarts.
 type testEdge struct {
 	name, site string
 	world      *world
-	skew       atomic.Int64 // of its clock, ns
-	startedAt  int64        // by its own clock
+	skew       atomic.Int64 // offset of its clock from true time, ns
+	startedAt  int64        // first start, by its own clock
 	journal    string
 	view       *replicationtest.View
 	client     *replicationtest.Client
@@ -57,7 +58,7 @@
 	stopped    chan struct{}
 }
 
-// world is some edges on one network, with servers whose data are as of the time at which they are read, less a database replica's lag.
+// world is a set of edges on one network. It simulates database servers whose data are those of the time of the read, less a replica lag.
 type world struct {
 	t       *testing.T
 	network *bustest.Network
@@ -67,10 +68,11 @@
 	view    *replicationtest.View
 
 	mu      sync.Mutex
-	plans   map[uint64]Plan // by revision: each that was in the documents
+	plans   map[uint64]Plan // each plan that was stored, by revision
 	answers []receivedAnswer
 }
 
+// newWorld returns a world with one edge for each given site. It records the stored plans until the test ends.
 func newWorld(t *testing.T, sites ...string) *world {
 	w := &world{t: t, network: bustest.New(1), cluster: replicationtest.New(drift), dir: t.TempDir(), plans: map[uint64]Plan{}}
 	w.network.SetDelay(0, 20*time.Millisecond)
@@ -96,7 +98,7 @@
 	return w
 }
 
-// start runs the edge until stop.
+// start starts the edge, which runs until stop is called.
 func (e *testEdge) start(p Proposal) {
 	file, _, err := audit.Open(e.journal, 1<<20, 1)
 	if err != nil {
@@ -108,14 +110,14 @@
 	if e.startedAt == 0 {
 		e.startedAt = e.component.wall()
 	}
-	e.guard = e.component.NewCacheGuard(1<<20, []string{"any"}, func(c int) policy.Class { return classes[c] }, func(a any) (any, int, bool) { return a, 8, true })
+	e.guard = e.component.NewCacheGuard(1<<20, []string{"any"}, func(class int) policy.Class { return classes[class] }, func(answer any) (any, int, bool) { return answer, 8, true })
 	ctx, cancel := context.WithCancel(e.world.t.Context())
 	runtime := fleet.Runtime{Bus: e.world.network.Join(e.name), View: e.view, Store: e.client, Log: zerolog.Nop(),
 		Campaign: func(ctx context.Context, d lease.Name) replication.Leadership {
 			return e.client.Campaign(ctx, d, replication.CandidateOptions{LeaseTerm: term, MaxClockDrift: drift})
 		},
 		Audit: func(r audit.Record) {
-			if ctx.Err() != nil { // of a request that was in flight
+			if ctx.Err() != nil { // the record comes from a request that was in flight during stop
 				return
 			}
 			r.At, r.Instance = e.component.wall(), e.name+"/1"
@@ -132,6 +134,7 @@
 	}()
 }
 
+// stop stops the edge if it is running, and waits until it has stopped.
 func (e *testEdge) stop() {
 	if e.cancel != nil {
 		e.cancel()
@@ -140,7 +143,7 @@
 	}
 }
 
-// setIsolated cuts the edge off from all others and the voters, or heals that.
+// setIsolated partitions the edge from all other edges and the voters, or heals the partition.
 func (e *testEdge) setIsolated(isolated bool) {
 	e.isolated = isolated
 	e.world.network.SetIsolated(e.name, isolated)
@@ -148,37 +151,40 @@
 	e.view.SetPartitioned(isolated)
 }
 
+// classes are the classes of requests, by number.
 var classes = []policy.Class{{Name: "any"}, {Name: "bounded", Access: policy.ReadBounded}, {Name: "other"}, {Name: "any", Idempotency: policy.NotIdempotent}}
 
-// request sends one request, which the cache answers, or a server that takes some time and whose data lag.
-func (e *testEdge) request(cluster int, there, back, lag time.Duration) {
+// request sends one request. It is answered from the cache, or by a server: toServer later the server reads data that is lag old, and its
+// answer arrives after a further toClient.
+func (e *testEdge) request(cluster int, toServer, toClient, lag time.Duration) {
 	if e.cancel == nil {
 		return
 	}
 	r := &dispatch.Request{Class: 0, Group: cluster, CacheVariant: "f", Statement: "SELECT 1"}
 	guard := e.guard
 	now := time.Now()
-	if a := guard.Admit(0, r); a.Answer != nil {
-		e.world.receive(receivedAnswer{now.UnixNano(), a.Answer.(int64), true, e, cluster})
+	if admission := guard.Admit(0, r); admission.Answer != nil {
+		e.world.receive(receivedAnswer{now.UnixNano(), admission.Answer.(int64), true, e, cluster})
 		return
 	}
 	go func() {
-		time.Sleep(there)
-		data := time.Now().Add(-lag).UnixNano()
-		time.Sleep(back)
-		guard.RequestEnded(0, r, dispatch.FinalAnswer{Served: true, Answer: data, ArrivedAt: time.Duration(now.UnixNano()), EndedAt: time.Duration(time.Now().UnixNano())})
-		e.world.receive(receivedAnswer{time.Now().UnixNano(), data, false, e, cluster})
+		time.Sleep(toServer)
+		dataAt := time.Now().Add(-lag).UnixNano()
+		time.Sleep(toClient)
+		guard.RequestEnded(0, r, dispatch.FinalAnswer{Served: true, Answer: dataAt, ArrivedAt: time.Duration(now.UnixNano()), EndedAt: time.Duration(time.Now().UnixNano())})
+		e.world.receive(receivedAnswer{time.Now().UnixNano(), dataAt, false, e, cluster})
 	}()
 }
 
+// receive records an answer that a client received.
 func (w *world) receive(a receivedAnswer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.answers = append(w.answers, a)
 }
 
-// purges returns all purges of a site in true time, by the plans that were in force one after another.
-func (w *world) purges(site string) (out []Event) {
+// purges returns all purges of a site until now, according to all plans that were in force and the orders.
+func (w *world) purges(site string) (events []Event) {
 	_, orders, _ := parseDocuments(w.view.List(keyPrefix))
 	end := time.Now().UnixNano()
 	revisions := slices.Sorted(maps.Keys(w.plans))
@@ -188,26 +194,26 @@
 			to = min(to, w.plans[revisions[i+1]].EffectiveAt-1)
 		}
 		p.Previous = nil
-		t, err := newTimetable(site, &p, nil)
+		timetable, err := newTimetable(site, &p, nil)
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		out = append(out, t.Between(p.EffectiveAt-1, to)...)
+		events = append(events, timetable.Between(p.EffectiveAt-1, to)...)
 	}
 	for _, o := range orders {
 		if o.Site == "" || o.Site == site {
-			e := Event{ID: "order " + o.Name, At: o.EffectiveAt, Cluster: AllClusters}
+			event := Event{ID: "order " + o.Name, At: o.EffectiveAt, Cluster: AllClusters}
 			if o.Cluster != nil {
-				e.Cluster = *o.Cluster
+				event.Cluster = *o.Cluster
 			}
-			out = append(out, e)
+			events = append(events, event)
 		}
 	}
-	return out
+	return events
 }
 
-// violations returns what went wrong: cached answers from before a purge that was over, and purges that an edge recorded twice or not
-// at all.
+// violations describes all violations of the invariants: cached answers with data from before a past purge, and purges that an edge recorded
+// twice or not at all.
 func (w *world) violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -223,21 +229,21 @@
 	return found
 }
 
-// staleAnswers returns the cached answers of an edge from before a purge that was over. The caller holds the mutex.
+// staleAnswers describes the cached answers of an edge with data from before a past purge. The caller holds the mutex.
 func (w *world) staleAnswers(e *testEdge) []string {
 	var found []string
 	for _, p := range w.purges(e.site) {
 		for _, a := range w.answers {
-			concerned := a.edge == e && a.cached && (p.Cluster == AllClusters || p.Cluster == a.cluster)
-			if concerned && p.At <= a.at && a.dataAt < p.At {
-				found = append(found, fmt.Sprintf("%s: an answer as of %v at %v, behind %s", e.name, time.Unix(0, a.dataAt).UTC(), time.Unix(0, a.at).UTC(), p.ID))
+			affected := a.edge == e && a.cached && (p.Cluster == AllClusters || p.Cluster == a.cluster)
+			if affected && p.At <= a.at && a.dataAt < p.At {
+				found = append(found, fmt.Sprintf("%s: cached answer with data of %v received at %v, after %s", e.name, time.Unix(0, a.dataAt).UTC(), time.Unix(0, a.at).UTC(), p.ID))
 			}
 		}
 	}
 	return found
 }
 
-// recordingFaults returns the purges that an edge recorded twice, or not at all though it runs. The caller holds the mutex.
+// recordingFaults describes the purges that an edge recorded twice or, if the edge is running, not at all. The caller holds the mutex.
 func (w *world) recordingFaults(e *testEdge, h History) []string {
 	var found []string
 	recorded := map[string]int{}
@@ -263,32 +269,33 @@
 	return found
 }
 
-// hitRate returns the share of answers that came from the cache.
+// hitRate returns the fraction of answers that were served from a cache.
 func (w *world) hitRate() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := 0
-	for _, g := range w.answers {
-		if g.cached {
-			n++
+	hits := 0
+	for _, answer := range w.answers {
+		if answer.cached {
+			hits++
 		}
 	}
-	return float64(n) / float64(max(len(w.answers), 1))
+	return float64(hits) / float64(max(len(w.answers), 1))
 }
 
-// dailyCloseProposal returns a proposal by which all sites close some minutes after midnight, when a test's time begins.
+// dailyCloseProposal returns a proposal in which sites "a" and "b" close every day the given minutes after midnight UTC, which is when the
+// simulated time of a test starts.
 func dailyCloseProposal(revision uint64, minutes int, orders ...RequestedOrder) Proposal {
-	at := fmt.Sprintf("%02d:%02d", minutes/60, minutes%60)
-	every := map[string]string{}
-	for _, d := range []string{"sunday", "monday", "tuesday", "wednesday", "thursday", "friday", "saturday"} {
-		every[d] = at
+	closeTime := fmt.Sprintf("%02d:%02d", minutes/60, minutes%60)
+	closeByWeekday := map[string]string{}
+	for _, day := range []string{"sunday", "monday", "tuesday", "wednesday", "thursday", "friday", "saturday"} {
+		closeByWeekday[day] = closeTime
 	}
 	return Proposal{Revision: revision, Bounds: bounds, Orders: orders,
-		Book: calendar.Book{Calendars: map[string]calendar.Calendar{"c": {Close: every}},
+		Book: calendar.Book{Calendars: map[string]calendar.Calendar{"c": {Close: closeByWeekday}},
 			Sites: map[string]calendar.Site{"a": {Zone: "UTC", Calendar: "c"}, "b": {Zone: "UTC", Calendar: "c"}}}}
 }
 
-// propose replaces the operators' file of an edge that runs.
+// propose replaces the proposal of the edge if it is running.
 func (e *testEdge) propose(p Proposal) {
 	if e.cancel != nil {
 		e.component.Propose(p)
