--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestFirstInstantIsEarliest compares FirstInstant with a search minute by minute for the first instant at which the clock shows the reading.
+// TestFirstInstantIsEarliest compares FirstInstant with a search minute by minute for the first instant at which the clock shows the
+// reading.
 func TestFirstInstantIsEarliest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"Europe/Budapest", "America/Jamaica", "America/New_York", "Africa/Casablanca", "Pacific/Apia", "Australia/Lord_Howe"}).Draw(t, "zone")
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestBetweenOfAdjacentSpans checks that two adjacent spans together have as many occurrences as the whole span, so none is lost or repeated
-// at the boundary, and that each date closes once.
+// TestBetweenOfAdjacentSpans checks that two adjacent spans together have as many occurrences as the whole span, so none is lost or
+// repeated at the boundary, and that each date closes once.
 func TestBetweenOfAdjacentSpans(t *testing.T) {
 	schedule, err := Compile(budapest)
 	if err != nil {
--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -64,8 +64,8 @@
 // and one on a date that the zone skipped to the start of the next date. Every reading maps to exactly one instant.
 func FirstInstant(zone *time.Location, reading time.Time) time.Time {
 	target := time.Date(reading.Year(), reading.Month(), reading.Day(), reading.Hour(), reading.Minute(), reading.Second(), 0, time.UTC)
-	const beforeAnyZone = 48 * time.Hour // exceeds every UTC offset and every change of one, past or present
-	for at := target.Add(-beforeAnyZone); ; {
+	const offsetLimit = 48 * time.Hour // exceeds every UTC offset and every change of one, past or present
+	for at := target.Add(-offsetLimit); ; {
 		local := at.In(zone)
 		_, offset := local.Zone()
 		_, end := local.ZoneBounds()
--- a/internal/fleet/purge/cache_guard_test.go
+++ b/internal/fleet/purge/cache_guard_test.go
@@ -7,8 +7,8 @@
 	"threadsail/internal/policy"
 )
 
-// TestCacheable checks that only idempotent requests of the named classes, allowed on any server without a staleness bound and independent of
-// their session, are cached.
+// TestCacheable checks that only idempotent requests of the named classes, allowed on any server without a staleness bound and independent
+// of their session, are cached.
 func TestCacheable(t *testing.T) {
 	guard := New("a", Proposal{}).NewCacheGuard(1<<20, []string{"any", "bounded"}, func(class int) policy.Class { return classes[class] }, nil)
 	for _, test := range []struct {
--- a/internal/fleet/purge/clock.go
+++ b/internal/fleet/purge/clock.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// isBetterThan reports whether m is more certain than a later measurement of the same peer, even after drift since m, and is consistent with
-// it. The two are inconsistent if the peer's clock was changed in between.
+// isBetterThan reports whether m is more certain than a later measurement of the same peer, even after drift since m, and is consistent
+// with it. The two are inconsistent if the peer's clock was changed in between.
 func (m measurement) isBetterThan(later measurement) bool {
 	uncertainty := m.uncertainty + time.Duration(maxDriftRate*float64(later.measuredAt-m.measuredAt))
 	change := m.offset + later.wallMinusMonotonic - m.wallMinusMonotonic - later.offset
--- a/internal/fleet/purge/component.go
+++ b/internal/fleet/purge/component.go
@@ -17,7 +17,7 @@
 // Component runs the purges of one pooler. Its exported fields must be set before Run and not changed afterwards. It is safe for concurrent
 // use.
 type Component struct {
-	Site            string
+	Site            string        // name of the pooler's site in the plan
 	JournalPath     string        // path of the pooler's audit journal; if empty, purges recorded by earlier processes are unknown
 	RotatedJournals int           // number of rotated files beside the journal
 	Term            time.Duration // length of the writer's lease
@@ -99,8 +99,8 @@
 	edge    *Edge
 }
 
-// handlePurge records a purge in the journal and removes the purged answers from the caches, to free memory: the edge would not serve them
-// any more in any case.
+// handlePurge records a purge in the journal, and removes the purged answers from the caches to free memory. The edge would not serve them
+// even if they stayed.
 func (s *session) handlePurge(e Event, now int64) {
 	s.runtime.Audit(audit.Record{Act: audit.Purged, Purge: e.ID, Due: e.At})
 	s.runtime.Log.Info().Str("purge", e.ID).Int64("due_ns", e.At).Int64("at_ns", now).Msg("purge: purged")
--- a/internal/fleet/purge/edge.go
+++ b/internal/fleet/purge/edge.go
@@ -41,7 +41,7 @@
 // loadedDocuments holds the documents that the edge has read, and the timetable built from them.
 type loadedDocuments struct {
 	version      uint64                 // replica version at which the documents were read, or an earlier one
-	documents    []replication.Document // nil if there were none
+	documents    []replication.Document // nil if none have been loaded
 	timetable    *Timetable             // nil if it could not be built
 	timetableErr error                  // error that prevented building the timetable
 }
@@ -58,7 +58,7 @@
 	Fired []string // IDs of the recorded events
 }
 
-// NewEdge returns the edge of a pooler at a site. It calls onPurge for each purge, but not for those in the history.
+// NewEdge returns the edge of a pooler at a site. The edge calls onPurge once for each purge that is not in the history.
 func NewEdge(site string, view replication.View, history History, onPurge func(e Event, now int64)) *Edge {
 	e := &Edge{
 		site:        site,
@@ -183,8 +183,8 @@
 	return e.lastPurgeAt[cluster] + int64(timetable.bounds.Guard+timetable.bounds.Settle), Allowed
 }
 
-// MayStore reports whether an answer that has just arrived, and to a request of the given age, may be stored.
-// requestedAt is the time of the request on this clock. An answer to a request that was in flight during a purge must not be stored.
+// MayStore reports whether an answer that has just arrived may be stored, given the age of its request. requestedAt is the time of the
+// request on this clock. An answer to a request that was in flight during a purge must not be stored.
 func (e *Edge) MayStore(cluster int, age time.Duration) (requestedAt int64, ok bool) {
 	since, reason := e.ServableSince(cluster)
 	requestedAt = e.wall() - int64(age)
@@ -222,10 +222,10 @@
 	e.events = loadedEvents{events: e.documents.timetable.Between(from, to), from: from, to: to}
 }
 
-// FireDue records the purges that are due, and returns the time until it must be called again: until the next purge, but at most
+// FireDue records the purges that are due, and returns the time until it must be called again: the time until the next purge, but at most
 // maxFireInterval. An edge that can't reach the other poolers uses its own clock. If its clock disagrees with the others, FireDue records
 // nothing until it agrees again; the edge serves no cached answers meanwhile.
-func (e *Edge) FireDue() (retryAfter time.Duration) {
+func (e *Edge) FireDue() (wait time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	timetable := e.documents.timetable
--- a/internal/fleet/purge/edge_test.go
+++ b/internal/fleet/purge/edge_test.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// TestCacheDisabledAroundPurge checks that around a purge no cached answer is served and no answer is stored, and that an answer to a request
-// that was in flight during the purge is not stored later.
+// TestCacheDisabledAroundPurge checks that around a purge no cached answer is served and no answer is stored, and that an answer to a
+// request that was in flight during the purge is not stored later.
 func TestCacheDisabledAroundPurge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
@@ -156,7 +156,8 @@
 	})
 }
 
-// TestStaleReplica checks that no cached answer is servable while the replica is older than MaxReplicaAge, or newer than the loaded documents.
+// TestStaleReplica checks that no cached answer is servable while the replica is older than MaxReplicaAge, or newer than the loaded
+// documents.
 func TestStaleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newSoloEdge(t, dailyCloseProposal(1, 10), History{})
@@ -175,8 +176,8 @@
 	})
 }
 
-// TestOrders checks that an order purges only its cluster and only at its site, and that answers from before the purge stay unservable after
-// the order is deleted.
+// TestOrders checks that an order purges only its cluster and only at its site, and that answers from before the purge stay unservable
+// after the order is deleted.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		edge := newSoloEdge(t, dailyCloseProposal(1, 59), History{})
@@ -205,9 +206,9 @@
 	})
 }
 
-// TestOrderTakesEffectAfterReplicaIsStale covers the worst case of activationDelay: the writer's clock is slow by Guard, the order is applied
-// WriteLead after it was sent, and the edge is partitioned just before that. The edge must have stopped serving cached answers when the
-// order takes effect.
+// TestOrderTakesEffectAfterReplicaIsStale covers the worst case of activationDelay: the writer's clock is slow by Guard, the order is
+// applied WriteLead after it was sent, and the edge is partitioned just before that. The edge must have stopped serving cached answers when
+// the order takes effect.
 func TestOrderTakesEffectAfterReplicaIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := dailyCloseProposal(1, 59, RequestedOrder{Name: "x", Issued: time.Unix(0, 0).AddDate(29, 11, 31)})
--- a/internal/fleet/purge/history.go
+++ b/internal/fleet/purge/history.go
@@ -10,9 +10,9 @@
 )
 
 // ReadHistory reads the recorded purges from an audit journal and the rotated files beside it; it returns an empty history for an empty
-// path. The journal is the only record of purges: after a restart, only the purges that a crash kept out of the journal are
-// recorded. Purges in unreadable parts of a file are missing from the history. If a file can't be read, ReadHistory returns an error together
-// with the history of the other files.
+// path. The journal is the only record of purges: after a restart, an edge records those that a crash kept out of the journal, and no
+// others. Purges in unreadable parts of a file are missing from the history. If a file can't be read, ReadHistory returns an error
+// together with the history of the other files.
 func ReadHistory(path string, rotatedFiles int) (h History, err error) {
 	if path == "" {
 		return History{}, nil
--- a/internal/fleet/purge/proposal.go
+++ b/internal/fleet/purge/proposal.go
@@ -96,7 +96,7 @@
 const (
 	planUnchanged  planAction = iota // the fleet has the proposed plan or a later one, or none is proposed
 	planNeedsWrite                   // the proposed plan must be written
-	planMustWait                     // the fleet's plan is not in force yet, so the plan before it must stay in the document
+	planMustWait                     // the fleet's plan is not in force yet; until then its document must keep the plan before it
 	planConflicts                    // the fleet has a different plan of the same revision
 )
 
--- a/internal/fleet/purge/proposal_test.go
+++ b/internal/fleet/purge/proposal_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestPlanReplacesPrevious checks that a plan takes effect activationDelay after it is written, and that its timetable includes the purges of
-// the previous plan until then.
+// TestPlanReplacesPrevious checks that a plan takes effect activationDelay after it is written, and that its timetable includes the purges
+// of the previous plan until then.
 func TestPlanReplacesPrevious(t *testing.T) {
 	now := planTestStart
 	later := now + int64(time.Hour)
@@ -98,7 +98,8 @@
 	}
 }
 
-// TestOrderIsWrittenWhileFresh checks that an order is written within orderFreshness of its issue, and deleted when its retention has ended.
+// TestOrderIsWrittenWhileFresh checks that an order is written within orderFreshness of its issue, and deleted when its retention has
+// ended.
 func TestOrderIsWrittenWhileFresh(t *testing.T) {
 	later := planTestStart + int64(time.Hour)
 	first := mustWrite(t, dailyCloseProposal(1, 10), nil, planTestStart)
--- a/internal/fleet/purge/purge.go
+++ b/internal/fleet/purge/purge.go
@@ -7,10 +7,10 @@
 // It owns the comparison of clocks between edges and, through CacheGuard, the cached answers. Edge and Timetable do no I/O; Component
 // runs its own goroutines; the methods of CacheGuard are called on a frontend's event loop.
 //
-// Invariant: after the instant of a purge of its site, no edge serves a cached answer that was requested before that instant. This holds
-// if every edge's clock that agrees within half of Bounds.Guard with a majority of the clocks that it was compared with is also within
-// Bounds.Guard of true time. An edge serves no cached answer while its own clock is within Bounds.Guard of the instant, none that was
-// requested earlier than Guard plus Settle after the last purge, and none without a replica of the documents that is younger than
+// Invariant: after the instant of a purge of its site, no edge serves a cached answer that was requested before that instant. The invariant
+// assumes that an edge's clock is within Bounds.Guard of true time whenever it agrees, within half of Bounds.Guard, with a majority of the
+// clocks that it was compared with. An edge serves no cached answer while its own clock is within Bounds.Guard of the instant, none that
+// was requested earlier than Guard plus Settle after the last purge, and none without a replica of the documents that is younger than
 // MaxReplicaAge. Orders and plans take effect late enough for that (Bounds.activationDelay). docs/purges.md has the derivation.
 package purge
 
@@ -34,7 +34,7 @@
 	// planValidity is how long a plan stays in force, and the period over which the zone rules of the plan's writer and of an edge must
 	// agree. A new plan with the calendar of the next term is expected sooner.
 	planValidity = 400 * 24 * time.Hour
-	// eventRetention is the age up to which an edge that was down records missed purges, and for which an order's document is kept.
+	// eventRetention is how far back an edge that was down records missed purges. The documents of orders are kept for longer than that.
 	eventRetention = 7 * 24 * time.Hour
 )
 
--- a/internal/fleet/purge/world_test.go
+++ b/internal/fleet/purge/world_test.go
@@ -212,8 +212,8 @@
 	return events
 }
 
-// violations describes all violations of the invariants: cached answers with data from before a past purge, and purges that an edge recorded
-// twice or not at all.
+// violations describes all violations of the invariants: cached answers with data from before a past purge, and purges that an edge
+// recorded twice or not at all.
 func (w *world) violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fleet/purge/writer.go
+++ b/internal/fleet/purge/writer.go
@@ -68,9 +68,9 @@
 	return write != nil && err == nil
 }
 
-// campaignAndWrite campaigns for the writer's lease and then makes all pending writes. It starts after a random delay of up to a lease term:
-// of many poolers that start with the same file, the first one writes, and the others find the documents written. A write with an unknown
-// result is fenced by the lease, which is given up on failure, so the write is applied within Bounds.WriteLead or not at all.
+// campaignAndWrite campaigns for the writer's lease and then makes all pending writes. It starts after a random delay of up to a lease
+// term: of many poolers that start with the same file, the first one writes, and the others find the documents written. A write with an
+// unknown result is fenced by the lease, which is given up on failure, so the write is applied within Bounds.WriteLead or not at all.
 func (s *session) campaignAndWrite(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx) // ends the campaign and gives up the lease
 	defer cancel()
