--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -30,10 +30,10 @@
 // number of days before or after Easter Sunday.
 type Holiday struct {
 	Name            string `json:"name"`
-	Month           int    `json:"month,omitempty"`
-	Day             int    `json:"day,omitempty"`
-	Weekday         string `json:"weekday,omitempty"`
-	Nth             int    `json:"nth,omitempty"`
+	Month           int    `json:"month,omitempty"`             // 1 to 12; 0 with Easter
+	Day             int    `json:"day,omitempty"`               // day of the month; 0 with Weekday or Easter
+	Weekday         string `json:"weekday,omitempty"`           // as in Calendar.Close; requires Nth
+	Nth             int    `json:"nth,omitempty"`               // -5 to 5, but not 0
 	Easter          *int   `json:"easter,omitempty"`            // days after Easter Sunday; negative: before it
 	MondayIfWeekend bool   `json:"monday_if_weekend,omitempty"` // observed on the following Monday if it falls on a weekend
 	Close           string `json:"close,omitempty"`             // empty: the site does not open
@@ -64,7 +64,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// wrapPath returns an *Error with the given path. If err wraps an *Error, its path is appended. wrapPath returns nil if err is nil.
+// wrapPath returns err as an *Error with the given path, followed by the path of err if it is an *Error itself. It returns nil if err is
+// nil.
 func wrapPath(err error, path ...string) error {
 	if err == nil {
 		return nil
