--- a/internal/fleet/purge/proposal.go
+++ b/internal/fleet/purge/proposal.go
@@ -46,7 +46,8 @@
 
 // nextWrite returns the next write that is needed to bring the documents in line with the proposal. now is the time on the writer's clock.
 // The write is nil if none is due; retryAfter is then the time until one may be, or 0 if none will be until the documents or the proposal
-// change. An error means that the plan can't be decoded, encoded or accepted; with errConflictingPlan, an order may be due nevertheless.
+// change. An error means that a document can't be decoded or encoded, or that the plan conflicts with the fleet's. errConflictingPlan is
+// returned only while no order is due; the write may then be the deletion of an expired order. With any other error, no write must be made.
 func (p Proposal) nextWrite(documents []replication.Document, now int64) (write *documentWrite, retryAfter time.Duration, err error) {
 	plan, version, err := findPlan(documents)
 	if err != nil {
