--- a/internal/fleet/audit/audit_test.go
+++ b/internal/fleet/audit/audit_test.go
@@ -13,16 +13,18 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
+// record returns a record whose size depends on i.
 func record(i int) Record {
 	return Record{At: int64(i), Instance: "n1", Build: "b", Config: "c", Revision: uint64(i), Act: ListApplied, Server: strings.Repeat("s", i%7)}
 }
 
-// A journal cut at any byte is opened again, loses the torn record alone, and goes on; nothing torn is ever read.
+// A journal truncated at any byte, as by a crash of the machine, can be opened again: only the torn record is lost, and new records
+// are appended after the complete ones.
 func TestCutAnywhere(t *testing.T) {
 	var whole []byte
 	var ends []int
 	for i := range 4 {
-		whole, _ = Append(whole, record(i))
+		whole, _ = AppendFrame(whole, record(i))
 		ends = append(ends, len(whole))
 	}
 	path := filepath.Join(t.TempDir(), "acts")
@@ -30,7 +32,7 @@
 		if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j, lost, err := Open(path, 1<<20, 1)
+		j, truncated, err := Open(path, 1<<20, 1)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -41,22 +43,22 @@
 				want, kept = append(want, record(i)), end
 			}
 		}
-		if lost != int64(cut-kept) {
-			t.Errorf("cut at %d: %d bytes lost, want %d", cut, lost, cut-kept)
+		if truncated != int64(cut-kept) {
+			t.Errorf("cut at %d: %d bytes truncated, want %d", cut, truncated, cut-kept)
 		}
 		if err := errors.Join(j.Write(record(9)), j.Close()); err != nil {
 			t.Fatal(err)
 		}
-		text, _ := os.ReadFile(path)
-		got, damage := Parse(path, text)
+		content, _ := os.ReadFile(path)
+		got, damage := Parse(path, content)
 		if d := cmp.Diff(append(want, record(9)), got); d != "" || len(damage) > 0 {
 			t.Errorf("cut at %d: %s %v", cut, d, damage)
 		}
 	}
 }
 
-// What a full disk leaves behind a write that failed is cut off before the next one, and a file that could not be opened after it
-// was put aside is opened later: each act that can be written is whole.
+// The part of a record that a failed write leaves on a full disk is truncated before the next write, and a file that could not be opened
+// after a rotation is opened by a later write.
 func TestAfterAFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "acts")
 	j, _, err := Open(path, 1<<20, 1)
@@ -77,49 +79,49 @@
 		t.Fatal(err)
 	}
 	if err := j.Write(record(3)); err == nil {
-		t.Error("written into a folder")
+		t.Error("Write to a directory succeeded")
 	}
 	if err := errors.Join(os.Remove(path), j.Write(record(4)), j.Close()); err != nil {
 		t.Fatal(err)
 	}
 	for name, want := range map[string][]Record{path + ".1": {record(1), record(2)}, path: {record(4)}} {
-		text, _ := os.ReadFile(name)
-		got, damage := Parse(name, text)
+		content, _ := os.ReadFile(name)
+		got, damage := Parse(name, content)
 		if d := cmp.Diff(want, got); d != "" || len(damage) > 0 {
 			t.Errorf("%s: %s %v", name, d, damage)
 		}
 	}
 }
 
-// Damage names the file and the place, and the rest is still read.
+// A damaged record is reported with its file and offset, and the other records are still read.
 func TestDamage(t *testing.T) {
 	var b []byte
 	for i := range 3 {
-		b, _ = Append(b, record(i))
+		b, _ = AppendFrame(b, record(i))
 	}
-	one, _ := Append(nil, record(0))
-	two, _ := Append(one, record(1))
+	first, _ := AppendFrame(nil, record(0))
+	firstTwo, _ := AppendFrame(first, record(1))
 	flipped := append([]byte(nil), b...)
-	flipped[len(one)+20] ^= 1
+	flipped[len(first)+20] ^= 1
 	for _, c := range []struct {
-		name string
-		text []byte
-		read int
-		want string
+		name    string
+		content []byte
+		records int
+		want    string
 	}{
 		{"whole", b, 3, ""},
-		{"torn", b[:len(b)-1], 2, fmt.Sprintf("j: at byte %d: the journal ends inside a record", len(two))},
-		{"flipped", flipped, 2, fmt.Sprintf("j: at byte %d: a record's checksum", len(one))},
+		{"torn", b[:len(b)-1], 2, fmt.Sprintf("j: at byte %d: the journal ends inside a record", len(firstTwo))},
+		{"flipped", flipped, 2, fmt.Sprintf("j: at byte %d: a record's checksum", len(first))},
 		{"foreign", []byte("{\"a\": 1}\n{\"b\": 2}\n"), 0, "j: at byte 0: no journal"},
 		{"empty", nil, 0, ""},
 	} {
-		got, damage := Parse("j", c.text)
-		said := ""
+		got, damage := Parse("j", c.content)
+		message := ""
 		if len(damage) > 0 {
-			said = damage[0].Error()
+			message = damage[0].Error()
 		}
-		if len(got) != c.read || c.want == "" && said != "" || !strings.Contains(said, c.want) {
-			t.Errorf("%s: %d records, %q; want %d, %q", c.name, len(got), said, c.read, c.want)
+		if len(got) != c.records || c.want == "" && message != "" || !strings.Contains(message, c.want) {
+			t.Errorf("%s: %d records, %q; want %d, %q", c.name, len(got), message, c.records, c.want)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "foreign")
@@ -127,18 +129,18 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Open(path, 1<<20, 1); !errors.Is(err, ErrForeign) {
-		t.Errorf("a foreign file: %v", err)
+		t.Errorf("opening a foreign file: got error %v, want ErrForeign", err)
 	}
-	if text, _ := os.ReadFile(path); len(text) != 18 {
+	if content, _ := os.ReadFile(path); len(content) != 18 {
 		t.Error("a foreign file was changed")
 	}
 }
 
-// Full files are put aside, and the oldest go.
+// Full files are rotated, and the oldest rotated files are removed.
 func TestRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "acts")
-	one, _ := Append(nil, record(0))
-	j, _, err := Open(path, int64(2*len(one)+20), 2)
+	frame, _ := AppendFrame(nil, record(0))
+	j, _, err := Open(path, int64(2*len(frame)+20), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,8 +154,8 @@
 	_ = j.Close()
 	var at []int64
 	for _, name := range []string{path + ".2", path + ".1", path} {
-		text, err := os.ReadFile(name)
-		records, damage := Parse(name, text)
+		content, err := os.ReadFile(name)
+		records, damage := Parse(name, content)
 		if err != nil || len(damage) > 0 {
 			t.Errorf("%s: %v %v", name, err, damage)
 		}
@@ -167,27 +169,27 @@
 }
 
 func FuzzParse(f *testing.F) {
-	b, _ := Append(nil, record(1))
-	b, _ = Append(b, record(2))
+	b, _ := AppendFrame(nil, record(1))
+	b, _ = AppendFrame(b, record(2))
 	f.Add(b)
 	f.Add(b[:len(b)-3])
 	f.Add([]byte("text"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		records, damage := Parse("f", b)
-		var again []byte
+		var encoded []byte
 		for _, r := range records {
-			next, err := Append(again, r)
+			next, err := AppendFrame(encoded, r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			again = next
+			encoded = next
 		}
-		if got, bad := Parse("f", again); len(bad) > 0 || cmp.Diff(records, got, cmpopts.EquateEmpty()) != "" {
-			t.Fatalf("records do not survive: %v", bad)
+		if got, newDamage := Parse("f", encoded); len(newDamage) > 0 || cmp.Diff(records, got, cmpopts.EquateEmpty()) != "" {
+			t.Fatalf("records changed by encoding and parsing; damage: %v", newDamage)
 		}
-		for _, p := range damage {
-			if p.Offset < 0 || p.Offset >= int64(len(b)) {
-				t.Fatalf("a problem at %d of %d", p.Offset, len(b))
+		for _, damaged := range damage {
+			if damaged.Offset < 0 || damaged.Offset >= int64(len(b)) {
+				t.Fatalf("damage at offset %d of %d bytes", damaged.Offset, len(b))
 			}
 		}
 	})
@@ -195,8 +197,8 @@
 
 func TestMerge(t *testing.T) {
 	s := int64(time.Second)
-	act := func(at int64, who string, what Act, change func(*Record)) Record {
-		r := Record{At: at * s, Instance: who, Build: "b1", Config: "c1", Act: what}
+	act := func(at int64, instance string, kind Act, change func(*Record)) Record {
+		r := Record{At: at * s, Instance: instance, Build: "b1", Config: "c1", Act: kind}
 		if change != nil {
 			change(&r)
 		}
@@ -205,8 +207,8 @@
 	list := func(token, seq uint64) func(*Record) { return func(r *Record) { r.Token, r.Sequence = token, seq } }
 	primary := func(server string) func(*Record) { return func(r *Record) { r.Group, r.Server = 2, server } }
 	config := func(digest string) func(*Record) { return func(r *Record) { r.Config = digest } }
-	rep := Merge([]Record{
-		// Journals come one after the other, not by time.
+	report := Merge([]Record{
+		// The records are ordered by journal, not by time.
 		act(0, "a", Started, nil), act(1, "a", ListAnnounced, list(5, 1)), act(10, "a", ListAnnounced, list(5, 2)), act(11, "a", PrimaryAdopted, primary("p")),
 		act(20, "a", ConfigApplied, config("c2")), act(30, "a", ListAnnounced, list(5, 3)), act(40, "a", Ended, config("c2")),
 		act(0, "b", Started, nil), act(2, "b", ListApplied, list(5, 1)), act(12, "b", ListApplied, list(5, 2)), act(12, "b", PrimaryAdopted, primary("q")),
@@ -217,29 +219,28 @@
 		{"c", "list", 10 * s, 28 * s, "5.1", "5.2"},
 		{"c", "config", 20 * s, 0, "c1", "c2"},
 	}
-	// a, the old holder, acts by token 5 at 30 s and never takes 9.1 in the fourteen seconds that it has.
+	// a, the old leader, acts with token 5 at 30 s, and does not apply 9.1 in the 14 s until its end.
 	want = append(want, Straggler{"a", "list", 26 * s, 0, "5.3", "9.1"})
-	if d := cmp.Diff(want, rep.Stragglers); d != "" {
+	if d := cmp.Diff(want, report.Stragglers); d != "" {
 		t.Error(d)
 	}
-	if len(rep.OldTokens) != 1 || rep.OldTokens[0].Record.At != 30*s || rep.OldTokens[0].Newer.Token != 9 {
-		t.Errorf("old tokens: %+v", rep.OldTokens)
+	if len(report.OldTokens) != 1 || report.OldTokens[0].Record.At != 30*s || report.OldTokens[0].Newer.Token != 9 {
+		t.Errorf("acts with old tokens: %+v", report.OldTokens)
 	}
-	if d := cmp.Diff([]Disagreement{{Group: 2, InstanceA: "a", InstanceB: "b", PrimaryA: "p", PrimaryB: "q", From: 12 * s, To: 15 * s}}, rep.Disagreements); d != "" {
+	if d := cmp.Diff([]Disagreement{{Group: 2, InstanceA: "a", InstanceB: "b", PrimaryA: "p", PrimaryB: "q", From: 12 * s, To: 15 * s}}, report.Disagreements); d != "" {
 		t.Error(d)
 	}
 	killed := Merge([]Record{act(0, "a/1", Started, nil), act(1, "b/1", Started, nil), act(5, "a/2", Started, nil)}, Limits{})
 	if last := killed.VersionCounts[len(killed.VersionCounts)-1]; last.Poolers != 2 {
-		t.Errorf("%d poolers after one was killed and started again, want 2", last.Poolers)
+		t.Errorf("%d live poolers after one was killed and restarted, want 2", last.Poolers)
 	}
-	if n := len(rep.VersionCounts); n == 0 || rep.VersionCounts[n-1].Poolers != 2 || rep.VersionCounts[2].Poolers != 3 {
-		t.Errorf("moments: %+v", rep.VersionCounts)
+	if n := len(report.VersionCounts); n == 0 || report.VersionCounts[n-1].Poolers != 2 || report.VersionCounts[2].Poolers != 3 {
+		t.Errorf("version counts: %+v", report.VersionCounts)
 	}
 }
 
-// An instance that begins when others have a newer list is a straggler once it has been without that for the grace since it
-// began, not for the time before.
-func TestStragglerIsJudgedFromItsBeginning(t *testing.T) {
+// The grace of an instance that starts after others have applied a newer list begins when the instance starts.
+func TestGraceBeginsWithInstance(t *testing.T) {
 	s := int64(time.Second)
 	list := func(at int64, instance string, act Act, sequence uint64) Record {
 		return Record{At: at * s, Instance: instance, Build: "b1", Config: "c1", Act: act, Token: 5, Sequence: sequence}
@@ -247,13 +248,13 @@
 	started := func(at int64, instance string) Record {
 		return Record{At: at * s, Instance: instance, Build: "b1", Config: "c1", Act: Started}
 	}
-	rep := Merge([]Record{
+	report := Merge([]Record{
 		started(0, "a/1"), list(1, "a/1", ListAnnounced, 1), list(10, "a/1", ListAnnounced, 2),
 		started(13, "b/2"), list(17, "b/2", ListApplied, 2),
 		started(14, "c/2"), list(20, "c/2", ListApplied, 2),
 	}, Limits{Grace: 5 * time.Second})
 	want := []Straggler{{"c/2", "list", 10 * s, 20 * s, "5.1", "5.2"}}
-	if d := cmp.Diff(want, rep.Stragglers); d != "" {
+	if d := cmp.Diff(want, report.Stragglers); d != "" {
 		t.Error(d)
 	}
 }
--- a/internal/fleet/audit/frame.go
+++ b/internal/fleet/audit/frame.go
@@ -8,14 +8,14 @@
 	"hash/crc32"
 )
 
-// A frame is four bytes of length and four of CRC-32C, both little-endian, followed by one Record as JSON.
+// A frame is a four-byte length and a four-byte CRC-32C, both little-endian, followed by one Record as JSON.
 const (
-	frameHeaderSize = 4 + 4
-	// maxRecordSize bounds a frame's JSON, in bytes: names are short, and the length in a torn header must not be believed.
+	frameHeaderSize = 4 + 4 // bytes
+	// maxRecordSize is the maximum size of a frame's JSON in bytes. Names are short, so a larger length means that the header is damaged.
 	maxRecordSize = 64 << 10
 )
 
-// Errors of Next. Their texts follow the place in the output of the audit command.
+// Errors of DecodeFrame. The audit command prints their texts after the file and offset of the damage.
 var (
 	ErrTorn    = errors.New("the journal ends inside a record")
 	ErrCorrupt = errors.New("a record's checksum does not fit")
@@ -24,23 +24,23 @@
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Append appends a record's frame to b.
-func Append(b []byte, r Record) ([]byte, error) {
-	text, err := json.Marshal(r)
+// AppendFrame appends the frame of a record to b. It returns an error if the record is larger than maxRecordSize.
+func AppendFrame(b []byte, r Record) ([]byte, error) {
+	encoded, err := json.Marshal(r)
 	if err != nil {
 		return b, fmt.Errorf("audit: encode record: %w", err)
 	}
-	if len(text) > maxRecordSize {
-		return b, fmt.Errorf("audit: a record of %d bytes is over %d", len(text), maxRecordSize)
+	if len(encoded) > maxRecordSize {
+		return b, fmt.Errorf("audit: encode record: %d bytes exceed the limit of %d", len(encoded), maxRecordSize)
 	}
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(text, castagnoliTable))
-	return append(b, text...), nil
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(encoded)))
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(encoded, castagnoliTable))
+	return append(b, encoded...), nil
 }
 
-// Next reads the frame at the beginning of b, and returns its size. The error is ErrTorn, ErrCorrupt or ErrForeign. With an error the size
-// is 0, except for a corrupt or foreign frame whose length can be believed, so that what follows can still be read.
-func Next(b []byte) (r Record, size int, err error) {
+// DecodeFrame decodes the frame at the beginning of b and returns its record and size. The error is ErrTorn, ErrCorrupt or ErrForeign. In
+// case of an error the size is 0, unless the frame is complete and its length plausible: the caller can then skip it and continue.
+func DecodeFrame(b []byte) (r Record, size int, err error) {
 	if len(b) < frameHeaderSize {
 		return Record{}, 0, ErrTorn
 	}
@@ -52,36 +52,36 @@
 	case len(b) < size:
 		return Record{}, 0, ErrTorn
 	}
-	text := b[frameHeaderSize:size]
-	if crc32.Checksum(text, castagnoliTable) != binary.LittleEndian.Uint32(b[4:]) {
+	encoded := b[frameHeaderSize:size]
+	if crc32.Checksum(encoded, castagnoliTable) != binary.LittleEndian.Uint32(b[4:]) {
 		return Record{}, size, ErrCorrupt
 	}
-	if err := json.Unmarshal(text, &r); err != nil || r.Act == "" || r.Instance == "" {
+	if err := json.Unmarshal(encoded, &r); err != nil || r.Act == "" || r.Instance == "" {
 		return Record{}, size, ErrForeign
 	}
 	return r, size, nil
 }
 
-// DamageError is a place in a journal that could not be read.
+// DamageError describes a part of a journal that could not be read.
 type DamageError struct {
 	File   string
-	Offset int64 // bytes
+	Offset int64 // position in the file, in bytes
 	Err    error // ErrTorn, ErrCorrupt or ErrForeign
 }
 
-// Error returns the place and the cause.
+// Error returns the file, the offset and the cause.
 func (e DamageError) Error() string {
 	return fmt.Sprintf("%s: at byte %d: %v", e.File, e.Offset, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e DamageError) Unwrap() error { return e.Err }
 
-// Parse reads the content of a journal: its records, and a DamageError for each place that can't be read. What follows a corrupt record is
-// read if the record's length leads to another one; where framing is lost, reading ends.
+// Parse decodes the content of a journal. It returns its records and a DamageError for each frame that can't be decoded. It skips a
+// damaged frame whose size is known, and stops where the size is not known.
 func Parse(file string, content []byte) (records []Record, damage []DamageError) {
 	for offset := 0; offset < len(content); {
-		r, size, err := Next(content[offset:])
+		r, size, err := DecodeFrame(content[offset:])
 		if err == nil {
 			records = append(records, r)
 		} else {
--- a/internal/fleet/audit/golden_test.go
+++ b/internal/fleet/audit/golden_test.go
@@ -8,7 +8,7 @@
 	"threadsail/internal/goldentest"
 )
 
-// A journal is read by later builds, and by those who compare the journals of a whole fleet: its frames, tags and acts stay.
+// The format of the journal is stable: later builds read it, and the audit command merges the journals of a whole fleet.
 func TestStoredRecord(t *testing.T) {
 	full := goldentest.Filled[Record](t)
 	goldentest.CheckJSONOf(t, "record.json", full)
@@ -16,13 +16,13 @@
 	var journal []byte
 	for _, r := range records {
 		var err error
-		if journal, err = Append(journal, r); err != nil {
+		if journal, err = AppendFrame(journal, r); err != nil {
 			t.Fatal(err)
 		}
 	}
-	read, problems := Parse("journal", goldentest.Check(t, "journal", journal))
-	if d := cmp.Diff(records, read); d != "" || len(problems) > 0 {
-		t.Errorf("%s %v", d, problems)
+	read, damage := Parse("journal", goldentest.Check(t, "journal", journal))
+	if d := cmp.Diff(records, read); d != "" || len(damage) > 0 {
+		t.Errorf("%s %v", d, damage)
 	}
 }
 
--- a/internal/fleet/audit/journal.go
+++ b/internal/fleet/audit/journal.go
@@ -8,28 +8,29 @@
 	"os"
 )
 
-// Journal is a pooler's journal on disk: a file of frames, to which records are appended, and rotated files beside it. It is not safe for
-// concurrent use.
+// Journal is a pooler's journal on disk: a file of frames to which records are appended, and rotated files in the same directory. It is
+// not safe for concurrent use.
 //
 // Invariants:
 //   - A frame whose checksum does not match is never read as a record.
 //   - Records before a torn or corrupt one are kept.
-//   - A failed Write leaves no part of its record in the file, and the next Write is tried on its own, whatever had failed.
+//   - A failed Write leaves no part of its record in the file, and does not prevent the next Write from being tried.
 //
-// Recovery: a crash of the process leaves each record whole or not at all, as it is written by one system call; a crash of the machine may
-// leave a torn one. Open cuts a torn tail off. A corrupt record inside the file stays, for readers to report.
+// Recovery: each record is written with one system call, so after a crash of the process it is in the file either completely or not at all.
+// A crash of the machine may leave a torn record. Open truncates a torn tail. A corrupt record inside the file stays, and readers report
+// it.
 type Journal struct {
-	path     string
-	maxBytes int64    // of one file
-	rotated  int      // how many rotated files are kept: path.1 is the youngest
-	file     *os.File // nil: it could not be opened after the rotation
-	size     int64    // of the file's whole records
-	torn     bool     // part of a record follows size, and could not be cut off
+	path       string
+	maxBytes   int64    // maximum size of one file
+	maxRotated int      // maximum number of rotated files; path.1 is the newest
+	file       *os.File // nil if it could not be opened after a rotation
+	size       int64    // bytes of complete records in the file
+	torn       bool     // part of a record follows size and could not be truncated yet
 }
 
-// Open opens a journal for writing, or creates it, and returns how many bytes of a torn tail were cut off. It returns an error for a file
-// that is not a journal, and leaves the file as it is.
-func Open(path string, maxBytes int64, rotatedFiles int) (j *Journal, cut int64, err error) {
+// Open opens or creates a journal for writing. It truncates a torn tail and returns the number of bytes removed. If the file is not a
+// journal, Open returns an error that wraps ErrForeign and leaves the file unchanged.
+func Open(path string, maxBytes int64, maxRotated int) (j *Journal, truncated int64, err error) {
 	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, fmt.Errorf("audit: read journal: %w", err)
@@ -44,12 +45,13 @@
 	}
 	if err := truncate(file, size); err != nil {
 		_ = file.Close()
-		return nil, 0, fmt.Errorf("audit: cut torn record off: %w", err)
+		return nil, 0, fmt.Errorf("audit: truncate torn record: %w", err)
 	}
-	return &Journal{path: path, maxBytes: maxBytes, rotated: rotatedFiles, file: file, size: size}, int64(len(content)) - size, nil
+	return &Journal{path: path, maxBytes: maxBytes, maxRotated: maxRotated, file: file, size: size}, int64(len(content)) - size, nil
 }
 
-// recoveredSize returns the size of the file's content up to a torn tail. A corrupt record inside the file is not cut off.
+// recoveredSize returns the size of the file's content without a torn tail. A corrupt record inside the file is kept. The error is a
+// DamageError if the file is not a journal.
 func recoveredSize(path string, content []byte) (int64, error) {
 	_, damage := Parse(path, content)
 	if len(damage) == 0 {
@@ -66,7 +68,7 @@
 	return last.Offset, nil
 }
 
-// truncate cuts a file off at a size, and goes on there.
+// truncate truncates a file to a size and sets the write position to its end.
 func truncate(file *os.File, size int64) error {
 	if err := file.Truncate(size); err != nil {
 		return err
@@ -75,9 +77,9 @@
 	return err
 }
 
-// Write appends a record. A full file is rotated first.
+// Write appends a record. It first rotates the file if the record would make it larger than the maximum size.
 func (j *Journal) Write(r Record) error {
-	frame, err := Append(nil, r)
+	frame, err := AppendFrame(nil, r)
 	if err != nil {
 		return err
 	}
@@ -94,14 +96,14 @@
 	case err == nil:
 		j.size += int64(written)
 		return nil
-	case written > 0: // a full disk: no part of the record stays
+	case written > 0: // the disk is full: remove the partial record
 		j.torn = true
 		return fmt.Errorf("audit: write record: %w", errors.Join(err, j.prepare()))
 	}
 	return fmt.Errorf("audit: write record: %w", err)
 }
 
-// prepare opens the file if it is not open, and cuts off what follows its last whole record.
+// prepare opens the file if it is not open, and truncates it after its last complete record.
 func (j *Journal) prepare() error {
 	if j.file == nil {
 		file, err := os.OpenFile(j.path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -122,9 +124,9 @@
 	return nil
 }
 
-// rotate renames the file and the rotated files. After an error the record is not written, and the next one tries again.
+// rotate renames the rotated files and the file itself, and closes it. After an error the next Write tries to rotate again.
 func (j *Journal) rotate() error {
-	for i := j.rotated; i > 0; i-- {
+	for i := j.maxRotated; i > 0; i-- {
 		err := os.Rename(j.rotatedPath(i-1), j.rotatedPath(i))
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
@@ -136,7 +138,7 @@
 	return err
 }
 
-// rotatedPath returns the path of the ith rotated file; 0 stands for the journal's own.
+// rotatedPath returns the path of the ith rotated file, or of the journal's current file if i is 0.
 func (j *Journal) rotatedPath(i int) string {
 	if i == 0 {
 		return j.path
--- a/internal/fleet/audit/report.go
+++ b/internal/fleet/audit/report.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// Limits say what counts as a straggler.
+// Limits are the thresholds of a report.
 type Limits struct {
-	// Grace is how long a pooler may act on an older list or configuration after another has applied a newer one.
+	// Grace is the time for which a pooler may act on an older list or configuration after another pooler has applied a newer one.
 	Grace time.Duration
 }
 
-// Report is what the journals of a fleet say together. Its times are Unix times in ns.
+// Report is the result of merging the journals of a fleet. Its times are Unix times in ns.
 type Report struct {
-	Records       []Record        `json:"Records"` // of all journals, by time
-	VersionCounts []VersionCounts `json:"Moments"` // whenever they change
+	Records       []Record        `json:"Records"` // records of all journals, sorted by time
+	VersionCounts []VersionCounts `json:"Moments"` // one entry for each change
 	Stragglers    []Straggler     `json:"Stragglers"`
 	OldTokens     []OldToken      `json:"OldTokens"`
 	Disagreements []Disagreement  `json:"Disagreements"`
 }
 
-// OldToken is an act of a leader after another pooler had acted by a newer token.
+// OldToken is an act that a leader carried out after another pooler had acted with a newer token.
 type OldToken struct {
 	Record Record `json:"Record"`
 	Newer  Record `json:"Newer"`
 }
 
-// Merge puts the records of many journals on one timeline, by the poolers' clocks, and finds what they say together.
+// Merge sorts the records of many journals by time, as given by the poolers' clocks, and returns a report on them. It does not change
+// records.
 func Merge(records []Record, limits Limits) Report {
 	merged := slices.Clone(records)
 	slices.SortStableFunc(merged, func(a, b Record) int {
@@ -43,7 +44,7 @@
 	}
 }
 
-// findOldTokens finds the announcements by a token that is older than one that had been acted on.
+// findOldTokens returns the list announcements whose token is older than one that has already been used.
 func findOldTokens(records []Record) []OldToken {
 	var found []OldToken
 	var newest Record
@@ -59,7 +60,7 @@
 	return found
 }
 
-// poolerName returns the name of an instance's pooler.
+// poolerName returns the pooler's name in the name of an instance.
 func poolerName(instance string) string {
 	name, _, _ := strings.Cut(instance, "/")
 	return name
--- a/internal/fleet/audit/stored_test.go
+++ b/internal/fleet/audit/stored_test.go
@@ -12,7 +12,7 @@
 	"threadsail/internal/goldentest"
 )
 
-// everyAct is a journal with one record of each act, and one that sets every field.
+// everyAct returns one record of each act; the first one sets every field.
 func everyAct() []Record {
 	records := []Record{{At: 1, Instance: "n1/2-3", Build: "v1.4.0", Config: "cc5c15486db1aca1", Revision: 4, Token: 5, Sequence: 6, Act: Started,
 		Group: 7, Server: "db1", Purge: "site1/2026-12-02", Due: 8}}
@@ -23,33 +23,33 @@
 	return records
 }
 
-// A journal that an earlier build has written is read whole, and written with the same bytes.
+// A journal written by an earlier build is read completely, and the same records are encoded to the same bytes.
 func TestStoredJournal(t *testing.T) {
 	var written []byte
 	for _, r := range everyAct() {
 		var err error
-		if written, err = Append(written, r); err != nil {
+		if written, err = AppendFrame(written, r); err != nil {
 			t.Fatal(err)
 		}
 	}
 	goldentest.Check(t, "every.acts", written)
-	text, err := os.ReadFile("testdata/every.acts")
+	content, err := os.ReadFile("testdata/every.acts")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, problems := Parse("every.acts", text)
-	if d := cmp.Diff(everyAct(), got); d != "" || len(problems) > 0 {
-		t.Error(d, problems)
+	got, damage := Parse("every.acts", content)
+	if d := cmp.Diff(everyAct(), got); d != "" || len(damage) > 0 {
+		t.Error(d, damage)
 	}
 }
 
-// The audit's report keeps its keys: operators' scripts read it.
+// The JSON keys of the report are stable, because operators' scripts read them.
 func TestStoredReport(t *testing.T) {
 	goldentest.CheckJSON[Report](t, "report.json")
 	var out bytes.Buffer
-	enc := json.NewEncoder(&out)
-	enc.SetIndent("", "  ")
-	if err := enc.Encode(Merge(everyAct(), Limits{Grace: time.Second})); err != nil {
+	encoder := json.NewEncoder(&out)
+	encoder.SetIndent("", "  ")
+	if err := encoder.Encode(Merge(everyAct(), Limits{Grace: time.Second})); err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Check(t, "merged.json", out.Bytes())
--- a/internal/fleet/audit/versions.go
+++ b/internal/fleet/audit/versions.go
@@ -2,25 +2,25 @@
 
 import "maps"
 
-// VersionCounts is how many live poolers acted on each version from a time on.
+// VersionCounts holds the numbers of live poolers that act on each version, from a given time.
 type VersionCounts struct {
-	At      int64                     `json:"At"`      // Unix ns
+	At      int64                     `json:"At"`      // Unix time in ns
 	Builds  map[string]int            `json:"Builds"`  // poolers by build
-	Configs map[string]int            `json:"Configs"` // poolers by digest of the configuration
-	Lists   map[uint64]map[uint64]int `json:"Handed"`  // poolers by the token and number of their list; 0, 0: of an own call
+	Configs map[string]int            `json:"Configs"` // poolers by configuration digest
+	Lists   map[uint64]map[uint64]int `json:"Handed"`  // poolers by token and sequence of their list; 0 and 0 if it was not announced
 	Poolers int                       `json:"Poolers"`
 }
 
-// Version is what a pooler acts on.
+// Version identifies the build, configuration and list that a pooler acts on.
 type Version struct {
 	Build    string
 	Config   string
-	Token    uint64 // of the list, if it was announced
-	Sequence uint64 // of the list, likewise
+	Token    uint64 // token of the list, if it was announced
+	Sequence uint64 // sequence of the list, if it was announced
 	Revision uint64
 }
 
-// countVersions counts the versions over time, each time that they change.
+// countVersions returns the version counts after each record that may have changed them.
 func countVersions(records []Record) []VersionCounts {
 	var counts []VersionCounts
 	live := map[string]Version{} // by instance
@@ -41,7 +41,7 @@
 	before, known := live[r.Instance]
 	after := Version{Build: r.Build, Config: r.Config, Token: before.Token, Sequence: before.Sequence, Revision: r.Revision}
 	switch r.Act {
-	case Started: // an earlier process of the pooler was killed
+	case Started: // earlier processes of the pooler have ended, even without a record
 		maps.DeleteFunc(live, func(other string, _ Version) bool { return isSamePooler(other, r.Instance) })
 	case ListApplied, ListAnnounced:
 		after.Token = r.Token
@@ -54,16 +54,16 @@
 	return true
 }
 
-// newVersionCounts counts the versions of the live instances.
+// newVersionCounts returns the version counts of the live instances.
 func newVersionCounts(at int64, live map[string]Version) VersionCounts {
-	c := VersionCounts{At: at, Builds: map[string]int{}, Configs: map[string]int{}, Lists: map[uint64]map[uint64]int{}, Poolers: len(live)}
-	for _, v := range live {
-		c.Builds[v.Build]++
-		c.Configs[v.Config]++
-		if c.Lists[v.Token] == nil {
-			c.Lists[v.Token] = map[uint64]int{}
+	counts := VersionCounts{At: at, Builds: map[string]int{}, Configs: map[string]int{}, Lists: map[uint64]map[uint64]int{}, Poolers: len(live)}
+	for _, version := range live {
+		counts.Builds[version.Build]++
+		counts.Configs[version.Config]++
+		if counts.Lists[version.Token] == nil {
+			counts.Lists[version.Token] = map[uint64]int{}
 		}
-		c.Lists[v.Token][v.Sequence]++
+		counts.Lists[version.Token][version.Sequence]++
 	}
-	return c
+	return counts
 }
