--- a/internal/fleet/shardmap/component.go
+++ b/internal/fleet/shardmap/component.go
@@ -83,14 +83,14 @@
 	return c.router.newGuard(isWrite, func() { notify(c.routerWake) })
 }
 
-// Reload replaces the orders and the retired processes by those of o, after the operators' file has been reloaded. It does not block. It
-// must not be called concurrently with itself.
-func (c *Component) Reload(o Options) {
+// Reload replaces the orders and the retired processes by those of options, after the operators' file has been reloaded. It does not
+// block. It must not be called concurrently with itself.
+func (c *Component) Reload(options Options) {
 	select {
 	case <-c.reloads: // discards older options that were not read
 	default:
 	}
-	c.reloads <- o
+	c.reloads <- options
 }
 
 // Run runs the component until ctx ends. It always returns nil.
--- a/internal/fleet/shardmap/component_test.go
+++ b/internal/fleet/shardmap/component_test.go
@@ -38,7 +38,7 @@
 // A router that is partitioned while its range is copied writes for less than a term, and then tells clients when to retry. The other
 // routers reject writes for at most a term, the drift, a check interval and the message delays. Once the partition has healed, the router
 // writes to the new home.
-func TestRouterCutOff(t *testing.T) {
+func TestPartitionedRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		defer f.stopAll()
@@ -46,42 +46,42 @@
 		f.submitOrder(firstOrder)
 		f.waitFor(5*term, "copying", func() bool { return f.state("first") == Copying })
 		time.Sleep(term)
-		lone := f.poolers[(f.coordinatorIndex()+1)%len(f.poolers)]
+		partitioned := f.poolers[(f.coordinatorIndex()+1)%len(f.poolers)]
 		other := f.poolers[(f.coordinatorIndex()+2)%len(f.poolers)]
-		f.network.SetIsolated(lone.component.options.Name, true)
-		lone.client.SetPartitioned(true)
-		lone.view.SetPartitioned(true)
+		f.network.SetIsolated(partitioned.component.options.Name, true)
+		partitioned.client.SetPartitioned(true)
+		partitioned.view.SetPartitioned(true)
 		f.copier.mu.Lock()
 		f.copier.failing[ActCopy] = false
 		f.copier.mu.Unlock()
-		began, last := time.Now(), time.Now()
-		var none time.Duration
+		partitionedAt, lastWrite := time.Now(), time.Now()
+		var withoutWrites time.Duration
 		f.waitFor(5*term, "done", func() bool {
-			if lone.writeKey("b") >= 0 {
-				last = time.Now()
+			if partitioned.writeKey("b") >= 0 {
+				lastWrite = time.Now()
 			}
 			if other.writeKey("b") < 0 {
-				none += time.Millisecond
+				withoutWrites += time.Millisecond
 			}
 			return f.state("first") == Done
 		})
-		if wrote := last.Sub(began); wrote > term-drift {
-			t.Errorf("partitioned router writes for %v, want at most a term minus the drift", wrote)
+		if wroteFor := lastWrite.Sub(partitionedAt); wroteFor > term-drift {
+			t.Errorf("partitioned router writes for %v, want at most a term minus the drift", wroteFor)
 		}
-		if bound := term + drift + term/checksPerTerm + 100*time.Millisecond; none < term/2 || none > bound {
-			t.Errorf("no writes at the other routers for %v, want at least half a term and at most %v", none, bound)
+		if bound := term + drift + term/checksPerTerm + 100*time.Millisecond; withoutWrites < term/2 || withoutWrites > bound {
+			t.Errorf("no writes at the other routers for %v, want at least half a term and at most %v", withoutWrites, bound)
 		}
-		if w, after := lone.component.router.BeginWrite("b", time.Now()); w != nil || after <= 0 {
-			t.Errorf("write at the partitioned router: admitted or without a retry delay (%v)", after)
+		if w, retryAfter := partitioned.component.router.BeginWrite("b", time.Now()); w != nil || retryAfter <= 0 {
+			t.Errorf("write at the partitioned router: admitted or without a retry delay (%v)", retryAfter)
 		}
-		if home, _, _ := lone.component.router.Home("b"); home != 0 || lone.writeKey("d") != 0 {
+		if home, _, _ := partitioned.component.router.Home("b"); home != 0 || partitioned.writeKey("d") != 0 {
 			t.Error("partitioned router does not serve reads and writes to other ranges")
 		}
-		t.Logf("no writes for %v; the partitioned router wrote for %v", none, last.Sub(began))
-		f.network.SetIsolated(lone.component.options.Name, false)
-		lone.client.SetPartitioned(false)
-		lone.view.SetPartitioned(false)
-		f.waitFor(term, "partitioned router writes to the new home", func() bool { return lone.writeKey("b") == 1 })
+		t.Logf("no writes for %v; the partitioned router wrote for %v", withoutWrites, lastWrite.Sub(partitionedAt))
+		f.network.SetIsolated(partitioned.component.options.Name, false)
+		partitioned.client.SetPartitioned(false)
+		partitioned.view.SetPartitioned(false)
+		f.waitFor(term, "partitioned router writes to the new home", func() bool { return partitioned.writeKey("b") == 1 })
 	})
 }
 
@@ -93,30 +93,30 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 4)
 				defer f.stopAll()
-				old := f.poolers[0].view.Restart()
+				oldReplica := f.poolers[0].view.Restart()
 				f.poolers[0].view.SetPartitioned(false)
-				stopped := map[State]Act{Copying: ActCopy, Fenced: ActFinish, Switched: ActClose}[state]
-				f.copier.failing[stopped] = true
-				idle := f.poolers[(f.coordinatorIndex()+1)%4]
+				failingAct := map[State]Act{Copying: ActCopy, Fenced: ActFinish, Switched: ActClose}[state]
+				f.copier.failing[failingAct] = true
+				follower := f.poolers[(f.coordinatorIndex()+1)%4]
 				if state == Prepared {
-					idle.view.SetPartitioned(true) // keeps a router from learning of the move
+					follower.view.SetPartitioned(true) // keeps a router from learning of the move
 				}
 				f.submitOrder(firstOrder)
 				f.waitFor(8*term, string(state), func() bool { return f.state("first") == state })
 				killed := f.coordinatorIndex()
 				f.kill(f.poolers[killed])
 				f.copier.mu.Lock()
-				f.copier.failing[stopped] = false
+				f.copier.failing[failingAct] = false
 				f.copier.mu.Unlock()
-				idle.view.SetPartitioned(false)
-				f.poolers[killed] = f.start(killed, old)
+				follower.view.SetPartitioned(false)
+				f.poolers[killed] = f.start(killed, oldReplica)
 				for range 10 {
 					if home := f.poolers[killed].writeKey("b"); home >= 0 {
 						t.Errorf("restarted router with an old replica writes to %d", home)
 					}
 					time.Sleep(term / 10)
 				}
-				old.SetPartitioned(false)
+				oldReplica.SetPartitioned(false)
 				f.waitFor(12*term, "done", func() bool { return f.state("first") == Done })
 				for i, p := range f.poolers {
 					f.waitFor(term, "writes at the new home", func() bool { return p.writeKey("b") == 1 })
@@ -130,27 +130,27 @@
 }
 
 // A move does not wait for a pooler that has shut down cleanly. It waits for one that was killed, until the operators retire it.
-func TestPoolersThatEnd(t *testing.T) {
+func TestStoppedAndKilledPoolers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5)
 		defer f.stopAll()
-		others := f.poolers[:2]
+		nonCoordinators := f.poolers[:2]
 		if f.coordinatorIndex() < 2 {
-			others = f.poolers[2:4]
+			nonCoordinators = f.poolers[2:4]
 		}
-		others[0].end()
-		<-others[0].ended
-		if others[0].writeKey("b") >= 0 {
+		nonCoordinators[0].end()
+		<-nonCoordinators[0].ended
+		if nonCoordinators[0].writeKey("b") >= 0 {
 			t.Error("stopped pooler writes although moves do not wait for it")
 		}
-		f.kill(others[1])
+		f.kill(nonCoordinators[1])
 		f.submitOrder(firstOrder)
 		time.Sleep(5 * term)
 		if got := f.state("first"); got != Prepared {
 			t.Errorf("move is %s, want prepared while a killed pooler is not retired", got)
 		}
 		options := f.poolers[4].component.options
-		options.Orders, options.Retired = []Order{firstOrder}, []string{others[1].component.router.Instance}
+		options.Orders, options.Retired = []Order{firstOrder}, []string{nonCoordinators[1].component.router.Instance}
 		f.poolers[4].component.Reload(options)
 		f.waitFor(5*term, "done", func() bool { return f.state("first") == Done })
 	})
@@ -158,7 +158,7 @@
 
 // Changes of other documents, which are frequent while a fleet restarts, do not make poolers send requests. A pooler sends three requests
 // per term, and another one when it has something new to acknowledge.
-func TestRequestsAreNoStorm(t *testing.T) {
+func TestUnrelatedChangesTriggerNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		defer f.stopAll()
--- a/internal/fleet/shardmap/coordination.go
+++ b/internal/fleet/shardmap/coordination.go
@@ -147,19 +147,19 @@
 
 // enrollment returns the processes that are enrolled according to the replica.
 func (s *session) enrollment() Enrollment {
-	e := Enrollment{Version: s.runtime.View.Version(), Instances: map[string]string{}}
+	enrolled := Enrollment{Version: s.runtime.View.Version(), Instances: map[string]string{}}
 	for _, stored := range s.runtime.View.List(RouterPrefix) {
-		e.Instances[strings.TrimPrefix(stored.Key, RouterPrefix)] = string(stored.Value)
+		enrolled.Instances[strings.TrimPrefix(stored.Key, RouterPrefix)] = string(stored.Value)
 	}
-	return e
+	return enrolled
 }
 
 // logWaiting logs, once for each state of a move and set of processes, that the move waits for the processes' acknowledgements.
-func (s *session) logWaiting(m Move, e Enrollment) {
+func (s *session) logWaiting(m Move, enrollment Enrollment) {
 	if m.State != Prepared && m.State != Fenced {
 		return
 	}
-	waitsFor := s.coordinator.WaitingFor(m.Name, e)
+	waitsFor := s.coordinator.WaitingFor(m.Name, enrollment)
 	if len(waitsFor) == 0 {
 		return
 	}
--- a/internal/fleet/shardmap/coordinator.go
+++ b/internal/fleet/shardmap/coordinator.go
@@ -103,15 +103,15 @@
 // least as new as the document. Processes that enroll later need not be considered: they start with a map of that epoch or a newer one.
 // This includes a process that replaces one that has acknowledged, under the same name, because it enrolls after the acknowledgement. The
 // caller holds the mutex.
-func (c *Coordinator) allAcknowledged(m Move, e Enrollment) bool {
-	return e.Version >= c.version && len(c.unacknowledged(m, e)) == 0
+func (c *Coordinator) allAcknowledged(m Move, enrollment Enrollment) bool {
+	return enrollment.Version >= c.version && len(c.unacknowledged(m, enrollment)) == 0
 }
 
 // unacknowledged returns, sorted, the instances of the enrolled processes that have not acknowledged the epoch of a move's state. The
 // caller holds the mutex.
-func (c *Coordinator) unacknowledged(m Move, e Enrollment) []string {
+func (c *Coordinator) unacknowledged(m Move, enrollment Enrollment) []string {
 	var instances []string
-	for pooler, instance := range e.Instances {
+	for pooler, instance := range enrollment.Instances {
 		if c.lastRequests[pooler].AcknowledgedEpoch < m.SinceEpoch {
 			instances = append(instances, instance)
 		}
@@ -124,8 +124,8 @@
 // because all write leases from before the fence have expired. Those were requested before this coordinator learned of the fence. They
 // last a term minus the drift on their routers' clocks, which is at most a term plus the drift on this pooler's clock. The caller holds the
 // mutex.
-func (c *Coordinator) isDrained(m Move, e Enrollment) bool {
-	if !c.disabled.inForce(ruleDrain) || c.allAcknowledged(m, e) {
+func (c *Coordinator) isDrained(m Move, enrollment Enrollment) bool {
+	if !c.disabled.inForce(ruleDrain) || c.allAcknowledged(m, enrollment) {
 		return true
 	}
 	return time.Since(c.stateSince[m.Name]) >= c.maxWriteLease()
@@ -133,14 +133,14 @@
 
 // WaitingFor returns the instances of the processes whose acknowledgement a move waits for. It returns nil until the move has been in its
 // state for a term, because until then most acknowledgements are still in transit.
-func (c *Coordinator) WaitingFor(name string, e Enrollment) []string {
+func (c *Coordinator) WaitingFor(name string, enrollment Enrollment) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m, ok := c.document.Move(name)
 	if !ok || time.Since(c.stateSince[name]) < c.Term {
 		return nil
 	}
-	return c.unacknowledged(m, e)
+	return c.unacknowledged(m, enrollment)
 }
 
 // Instruct returns an instruction for the act of a step. The instruction is newer than all earlier ones of this coordinator.
@@ -153,7 +153,7 @@
 
 // NextStep returns the step that a move can take now. ok is false if there is none. done is the last act that has succeeded in the move's
 // current state.
-func (c *Coordinator) NextStep(name string, e Enrollment, done Act) (s Step, ok bool) {
+func (c *Coordinator) NextStep(name string, enrollment Enrollment, done Act) (s Step, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m, found := c.document.Move(name)
@@ -162,11 +162,11 @@
 	}
 	switch m.State {
 	case Prepared:
-		return c.stepFromPrepared(m, e)
+		return c.stepFromPrepared(m, enrollment)
 	case Copying:
 		return c.stepAfterAct(m, ActCopy, done), true
 	case Fenced:
-		return c.stepFromFenced(m, e, done)
+		return c.stepFromFenced(m, enrollment, done)
 	case Switched:
 		return c.stepAfterAct(m, ActClose, done), true
 	}
@@ -175,19 +175,19 @@
 
 // stepFromPrepared advances a move that all enrolled processes have acknowledged, and undoes one that has been prepared for MaxPrepared.
 // The caller holds the mutex.
-func (c *Coordinator) stepFromPrepared(m Move, e Enrollment) (s Step, ok bool) {
+func (c *Coordinator) stepFromPrepared(m Move, enrollment Enrollment) (s Step, ok bool) {
 	switch {
-	case !c.disabled.inForce(ruleAllAcknowledge) || c.allAcknowledged(m, e):
+	case !c.disabled.inForce(ruleAllAcknowledge) || c.allAcknowledged(m, enrollment):
 		return c.advanceStep(m), true
 	case time.Since(c.stateSince[m.Name]) >= c.MaxPrepared:
-		return c.undoStep(m, fmt.Sprintf("not all routers knew of it after %v: %v", c.MaxPrepared, c.unacknowledged(m, e))), true
+		return c.undoStep(m, fmt.Sprintf("not all routers knew of it after %v: %v", c.MaxPrepared, c.unacknowledged(m, enrollment))), true
 	}
 	return Step{}, false
 }
 
 // stepFromFenced has the source fenced, waits for the routers to drain, has the copy finished and advances the move. It undoes a move that
 // has been fenced for MaxFenced. The caller holds the mutex.
-func (c *Coordinator) stepFromFenced(m Move, e Enrollment, done Act) (s Step, ok bool) {
+func (c *Coordinator) stepFromFenced(m Move, enrollment Enrollment, done Act) (s Step, ok bool) {
 	switch {
 	case done == ActFinish:
 		return c.advanceStep(m), true
@@ -195,7 +195,7 @@
 		return c.undoStep(m, fmt.Sprintf("fenced for %v", c.MaxFenced)), true
 	case done != ActFence:
 		return Step{Move: m, Act: ActFence}, true
-	case c.isDrained(m, e):
+	case c.isDrained(m, enrollment):
 		return Step{Move: m, Act: ActFinish}, true
 	}
 	return Step{}, false
--- a/internal/fleet/shardmap/copier.go
+++ b/internal/fleet/shardmap/copier.go
@@ -15,7 +15,7 @@
 type Copier interface {
 	// Do executes an instruction. It returns nil once the act has succeeded: an ActCopy once the target is almost up to date with the
 	// source, an ActFinish once it is fully up to date.
-	Do(ctx context.Context, i Instruction) error
+	Do(ctx context.Context, instruction Instruction) error
 }
 
 // maxErrorBody is the maximum number of bytes of a response that are copied to an error.
@@ -25,24 +25,24 @@
 type HTTPCopier struct{ URL string }
 
 // Do implements Copier.
-func (c HTTPCopier) Do(ctx context.Context, i Instruction) error {
-	body, err := json.Marshal(i)
+func (c HTTPCopier) Do(ctx context.Context, instruction Instruction) error {
+	body, err := json.Marshal(instruction)
 	if err != nil {
 		return fmt.Errorf("shardmap: encode instruction: %w", err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.URL, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("shardmap: %s of %s: %w", i.Act, i.Move.Name, err)
+		return fmt.Errorf("shardmap: %s of %s: %w", instruction.Act, instruction.Move.Name, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fmt.Errorf("shardmap: %s of %s: %w", i.Act, i.Move.Name, err)
+		return fmt.Errorf("shardmap: %s of %s: %w", instruction.Act, instruction.Move.Name, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	responseBody, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody)) // an incomplete body is still useful in the error
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("shardmap: %s of %s: %s: %s", i.Act, i.Move.Name, response.Status, bytes.TrimSpace(responseBody))
+		return fmt.Errorf("shardmap: %s of %s: %s: %s", instruction.Act, instruction.Move.Name, response.Status, bytes.TrimSpace(responseBody))
 	}
 	return nil
 }
--- a/internal/fleet/shardmap/document.go
+++ b/internal/fleet/shardmap/document.go
@@ -88,27 +88,27 @@
 
 // Begin returns the document with the move of an order in the state Prepared. It returns errDuplicateMove, errOverlappingMove or
 // errWrongSource if the move can't begin.
-func (d Document) Begin(o Order) (Document, error) {
-	if err := d.checkOrder(o); err != nil {
+func (d Document) Begin(order Order) (Document, error) {
+	if err := d.checkOrder(order); err != nil {
 		return d, err
 	}
 	next := d.nextEpoch()
-	next.Moves = append(next.Moves, Move{Name: o.Name, Range: o.Range, Source: o.Source, State: Prepared, SinceEpoch: next.Epoch})
+	next.Moves = append(next.Moves, Move{Name: order.Name, Range: order.Range, Source: order.Source, State: Prepared, SinceEpoch: next.Epoch})
 	next.dropFinishedMoves()
 	return next, nil
 }
 
 // checkOrder returns the reason why the move of an order can't begin, or nil if it can.
-func (d Document) checkOrder(o Order) error {
-	if d.moveIndex(o.Name) >= 0 {
+func (d Document) checkOrder(order Order) error {
+	if d.moveIndex(order.Name) >= 0 {
 		return errDuplicateMove
 	}
-	if overlapsUnfinishedMove(d, o.Range) {
+	if overlapsUnfinishedMove(d, order.Range) {
 		return errOverlappingMove
 	}
-	hasOtherHome := slices.ContainsFunc(d.Ranges, func(r Range) bool { return r.Overlaps(o.Range) && r.Cluster != o.Source })
-	emptyRange := o.Range.To != "" && o.Range.To <= o.Range.From
-	if hasOtherHome || emptyRange || len(d.Ranges) == 0 || o.Source == o.Range.Cluster {
+	hasOtherHome := slices.ContainsFunc(d.Ranges, func(r Range) bool { return r.Overlaps(order.Range) && r.Cluster != order.Source })
+	emptyRange := order.Range.To != "" && order.Range.To <= order.Range.From
+	if hasOtherHome || emptyRange || len(d.Ranges) == 0 || order.Source == order.Range.Cluster {
 		return errWrongSource
 	}
 	return nil
--- a/internal/fleet/shardmap/document_test.go
+++ b/internal/fleet/shardmap/document_test.go
@@ -47,14 +47,14 @@
 
 // checkKey checks that the home of a key has changed only by a switch, and that the key is in at most one active move.
 func checkKey(t *rapid.T, key string, before, after Document, switched Range) {
-	was, _ := before.Home(key)
-	is, _ := after.Home(key)
-	want := was
+	homeBefore, _ := before.Home(key)
+	homeAfter, _ := after.Home(key)
+	want := homeBefore
 	if switched.Contains(key) {
 		want = switched.Cluster
 	}
-	if is != want {
-		t.Fatalf("home of %q changed from %d to %d; the switched range is %v", key, was, is, switched)
+	if homeAfter != want {
+		t.Fatalf("home of %q changed from %d to %d; the switched range is %v", key, homeBefore, homeAfter, switched)
 	}
 	active := 0
 	for _, m := range after.Moves {
--- a/internal/fleet/shardmap/fleet_test.go
+++ b/internal/fleet/shardmap/fleet_test.go
@@ -55,16 +55,18 @@
 	starts  int
 }
 
-func newFleet(t *testing.T, n int) *fleet {
+// newFleet starts a fleet and waits until it has a coordinator and a map.
+func newFleet(t *testing.T, size int) *fleet {
 	f := &fleet{t: t, cluster: replicationtest.New(drift), network: bustest.New(1), copier: &fakeCopier{failing: map[Act]bool{}}}
 	f.network.SetDelay(5*time.Millisecond, 5*time.Millisecond)
-	for i := range n {
+	for i := range size {
 		f.poolers = append(f.poolers, f.start(i, nil))
 	}
 	time.Sleep(3 * term)
 	return f
 }
 
+// start starts the ith pooler, on a new replica if view is nil.
 func (f *fleet) start(i int, view *replicationtest.View) *pooler {
 	f.starts++
 	name := fmt.Sprint("n", i+1)
@@ -92,6 +94,7 @@
 	<-p.ended
 }
 
+// stopAll shuts all poolers down cleanly and waits for them.
 func (f *fleet) stopAll() {
 	for _, p := range f.poolers {
 		p.end()
@@ -100,6 +103,7 @@
 	synctest.Wait()
 }
 
+// submitOrder replaces the orders in the operators' file of the last pooler by an order.
 func (f *fleet) submitOrder(o Order) {
 	p := f.poolers[len(f.poolers)-1]
 	options := p.component.options
@@ -107,6 +111,7 @@
 	p.component.Reload(options)
 }
 
+// document returns the document MapKey as the voters have it.
 func (f *fleet) document() Document {
 	doc, err := f.cluster.Client("test").Read(f.t.Context(), MapKey)
 	if err != nil {
@@ -120,17 +125,18 @@
 }
 
 // waitFor waits until a condition holds, and fails the test after a time limit.
-func (f *fleet) waitFor(most time.Duration, what string, holds func() bool) {
+func (f *fleet) waitFor(timeout time.Duration, condition string, holds func() bool) {
 	f.t.Helper()
 	began := time.Now()
 	for !holds() {
-		if time.Since(began) > most {
-			f.t.Fatalf("timed out after %v: %s; document %+v", most, what, f.document())
+		if time.Since(began) > timeout {
+			f.t.Fatalf("timed out after %v: %s; document %+v", timeout, condition, f.document())
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// state returns the state of the move with a name.
 func (f *fleet) state(name string) State {
 	m, _ := f.document().Move(name)
 	return m.State
@@ -159,10 +165,12 @@
 	return w.Home
 }
 
+// firstOrder orders to move the keys from "a" to "c" from cluster 0 to cluster 1.
 var firstOrder = Order{Name: "first", Range: Range{From: "a", To: "c", Cluster: 1}, Source: 0}
 
-// checkWrites writes at all routers while the move of firstOrder is in a state. Writes must go to the old home before the fence and to the new
-// home once the move is done. While the range is fenced they may be rejected, and while the move is switched too.
+// checkWrites writes at all routers while the move of firstOrder is in a state. Writes must go to the old home before the fence and to the
+// new home once the move is done. In between, a write may be rejected or go to either home. Writes to another range must succeed in all
+// states.
 func (f *fleet) checkWrites(state State) {
 	f.t.Helper()
 	for i, p := range f.poolers {
--- a/internal/fleet/shardmap/model_test.go
+++ b/internal/fleet/shardmap/model_test.go
@@ -60,8 +60,8 @@
 			w.exchangeMessages(i, k)
 		}},
 		{2, func(i, _ int) {
-			if a, _, ok := w.routers[i].NextRequest(); ok {
-				w.requests = append(w.requests, a)
+			if request, _, ok := w.routers[i].NextRequest(); ok {
+				w.requests = append(w.requests, request)
 			}
 		}},
 		{2, func(_, k int) {
@@ -132,7 +132,7 @@
 // runHistory runs one short history and returns the first violation of an invariant, or "" if there is none.
 func runHistory(pick func(int) int, disabled disabledRules, steps int) (violation string, w *world) {
 	w = newWorld(pick, disabled)
-	for range w.pick(3) { // may start the history in a later state of the move
+	for range w.pick(3) { // may start the history with a move that all routers know, or with a fenced one that no router knows
 		w.syncRouter(0, 0)
 		w.syncRouter(1, 0)
 		w.runLeaderOnce(0)
@@ -140,8 +140,8 @@
 	}
 	events := w.events()
 	var eventIndexes []int // contains each event as often as its weight
-	for n, act := range events {
-		for range act.weight {
+	for n, event := range events {
+		for range event.weight {
 			eventIndexes = append(eventIndexes, n)
 		}
 	}
@@ -158,43 +158,43 @@
 
 // pickFromBits returns a picker that combines bits drawn by rapid, because rapid's integers prefer small values.
 func pickFromBits(t *rapid.T) func(int) int {
-	return func(n int) (at int) {
+	return func(n int) (value int) {
 		for range 10 {
-			at <<= 1
+			value <<= 1
 			if rapid.Bool().Draw(t, "bit") {
-				at++
+				value++
 			}
 		}
-		return at % n
+		return value % n
 	}
 }
 
-// runHistoryInBubble runs a history on the fake clock of a synctest bubble. rapid draws values within the bubble, and a panic of its draws is
-// passed on to the caller, because it must not end the bubble.
-func runHistoryInBubble(outer *testing.T, pick func(int) int, disabled disabledRules, steps int) (fault string, w *world) {
+// runHistoryInBubble runs a history on the fake clock of a synctest bubble. rapid draws values within the bubble and may panic while it does;
+// the panic is raised again outside the bubble, because it must leave the bubble to reach rapid.
+func runHistoryInBubble(outer *testing.T, pick func(int) int, disabled disabledRules, steps int) (violation string, w *world) {
 	var panicValue any
 	synctest.Test(outer, func(*testing.T) {
 		defer func() { panicValue = recover() }()
-		fault, w = runHistory(pick, disabled, steps)
+		violation, w = runHistory(pick, disabled, steps)
 	})
 	if panicValue != nil {
 		panic(panicValue)
 	}
-	return fault, w
+	return violation, w
 }
 
 // In no history of two routers, two candidates and moves in both directions is a served write lost or a write executed in both clusters.
-func TestMoves(t *testing.T) {
-	reached := map[State]int{}
+func TestNoHistoryViolatesInvariants(t *testing.T) {
+	movesByState := map[State]int{}
 	served := 0
 	for range 10 {
 		rapid.Check(t, func(rt *rapid.T) {
-			fault, w := runHistoryInBubble(t, pickFromBits(rt), 0, 200)
-			if fault != "" {
-				rt.Fatalf("%s\n%s", fault, strings.Join(w.trace, "\n"))
+			violation, w := runHistoryInBubble(t, pickFromBits(rt), 0, 200)
+			if violation != "" {
+				rt.Fatalf("%s\n%s", violation, strings.Join(w.trace, "\n"))
 			}
 			for _, m := range w.latest().doc.Moves {
-				reached[m.State]++
+				movesByState[m.State]++
 			}
 			for _, c := range w.writes {
 				if c.served {
@@ -203,9 +203,9 @@
 			}
 		})
 	}
-	t.Logf("number of moves by final state: %v; %d writes served", reached, served)
-	if reached[Done] == 0 || reached[Undone] == 0 || served == 0 {
-		t.Error("no history has a move that is done, one that is undone, or a served write")
+	t.Logf("number of moves by final state: %v; %d writes served", movesByState, served)
+	if movesByState[Done] == 0 || movesByState[Undone] == 0 || served == 0 {
+		t.Error("histories lack a move that is done, one that is undone, or a served write")
 	}
 }
 
@@ -215,14 +215,14 @@
 		"newestEpoch": ruleNewestEpoch, "leaderOnly": ruleLeaderOnly, "drain": ruleDrain, "freshWait": ruleFreshWait, "inFlight": ruleInFlight, "lateAnswer": ruleLateAnswer,
 		"oneHome": ruleOneHome, "token": ruleToken, "actOrder": ruleActOrder} {
 		t.Run(name, func(t *testing.T) {
-			found, histories := "", 0
-			for ; histories < 20000 && found == ""; histories++ {
-				found, _ = runHistoryInBubble(t, rand.New(rand.NewPCG(uint64(histories), 30)).IntN, disabledRules(r), 200)
+			violation, histories := "", 0
+			for ; histories < 20000 && violation == ""; histories++ {
+				violation, _ = runHistoryInBubble(t, rand.New(rand.NewPCG(uint64(histories), 30)).IntN, disabledRules(r), 200)
 			}
-			if found == "" {
+			if violation == "" {
 				t.Fatalf("no violation in %d histories with the rule disabled", histories)
 			}
-			t.Logf("after %d histories: %s", histories, found)
+			t.Logf("after %d histories: %s", histories, violation)
 		})
 	}
 }
--- a/internal/fleet/shardmap/move.go
+++ b/internal/fleet/shardmap/move.go
@@ -26,8 +26,10 @@
 // nextStates maps each state to the state that follows unless the move is undone.
 var nextStates = map[State]State{Prepared: Copying, Copying: Fenced, Fenced: Switched, Switched: Done}
 
+// beforeSwitch reports whether a move in the state is active: routers need a write lease for its range, and it can still be undone.
 func (s State) beforeSwitch() bool { return s == Prepared || s == Copying || s == Fenced }
 
+// isFinal reports whether a move in the state is finished.
 func (s State) isFinal() bool { return s == Done || s == Undone }
 
 // Move is the move of a range from the cluster Source to the cluster Range.Cluster.
--- a/internal/fleet/shardmap/orders.go
+++ b/internal/fleet/shardmap/orders.go
@@ -43,24 +43,24 @@
 
 // publishOptions writes the orders that the shared documents lack and deletes the documents of retired processes. It continues after
 // a failure and returns all errors.
-func (s *session) publishOptions(ctx context.Context, o Options) error {
+func (s *session) publishOptions(ctx context.Context, options Options) error {
 	var errs []error
-	for _, order := range o.Orders {
+	for _, order := range options.Orders {
 		errs = append(errs, s.publishOrder(ctx, order))
 	}
-	for _, instance := range o.Retired {
+	for _, instance := range options.Retired {
 		errs = append(errs, s.retire(ctx, instance))
 	}
 	return errors.Join(errs...)
 }
 
 // publishOrder writes the document of one order unless it is stored already.
-func (s *session) publishOrder(ctx context.Context, o Order) error {
-	value, err := json.Marshal(o)
+func (s *session) publishOrder(ctx context.Context, order Order) error {
+	value, err := json.Marshal(order)
 	if err != nil {
 		return err
 	}
-	return s.putIfChanged(ctx, OrderPrefix+o.Name, value)
+	return s.putIfChanged(ctx, OrderPrefix+order.Name, value)
 }
 
 // retire deletes the router document of a process that has stopped permanently, according to the operators. It does nothing if the
@@ -100,13 +100,13 @@
 
 // applyOrder returns the document after beginning or undoing the move of an order. It returns the document unchanged if the order has
 // already been executed, or if it undoes a move that has not begun.
-func (d Document) applyOrder(o Order) (Document, error) {
-	_, exists := d.Move(o.Name)
+func (d Document) applyOrder(order Order) (Document, error) {
+	_, exists := d.Move(order.Name)
 	switch {
-	case exists && o.Undo:
-		return d.Undo(o.Name, "ordered"), nil
-	case !exists && !o.Undo:
-		return d.Begin(o)
+	case exists && order.Undo:
+		return d.Undo(order.Name, "ordered"), nil
+	case !exists && !order.Undo:
+		return d.Begin(order)
 	}
 	return d, nil
 }
--- a/internal/fleet/shardmap/world_test.go
+++ b/internal/fleet/shardmap/world_test.go
@@ -64,16 +64,19 @@
 	violation       string // of an invariant, found while sending a write
 }
 
-func (w *world) logf(f string, args ...any) {
-	w.trace = append(w.trace, time.Now().Format("05.000 ")+fmt.Sprintf(f, args...))
+func (w *world) logf(format string, args ...any) {
+	w.trace = append(w.trace, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
+// pickBetween returns a number from least to most, both included.
 func (w *world) pickBetween(least, most int) int { return least + w.pick(most-least+1) }
 
 func pickElement[T any](w *world, from []T) T { return from[w.pick(len(from))] }
 
+// latest returns the newest version of the shared documents.
 func (w *world) latest() documents { return w.log[len(w.log)-1] }
 
+// commit appends a changed copy of the latest documents to the log and returns its version.
 func (w *world) commit(change func(c *documents)) uint64 {
 	c := w.latest()
 	c.version++
@@ -86,32 +89,35 @@
 	return c.version
 }
 
-// assumedDrift picks the clock drift that a process allows for. A process that allows for none stands for one whose clock is off by all of
-// it.
-func (w *world) assumedDrift() time.Duration {
+// pickAllowedDrift returns the clock drift that a process allows for. A process that allows for none models one whose clock is off by all of
+// the drift.
+func (w *world) pickAllowedDrift() time.Duration {
 	return pickElement(w, []time.Duration{0, drift})
 }
 
 // startRouter starts a router's next process, from a replica that may be old.
 func (w *world) startRouter(i int, from int) {
 	w.instances++
-	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("process", w.instances), Term: term, MaxClockDrift: w.assumedDrift(), disabled: w.disabled}
+	w.routers[i] = &Router{Name: fmt.Sprint("r", i), Instance: fmt.Sprint("process", w.instances), Term: term, MaxClockDrift: w.pickAllowedDrift(), disabled: w.disabled}
 	w.replicaIndex[i] = from
 	w.applyReplica(i)
 }
 
+// applyReplica applies the documents of a router's replica to the router.
 func (w *world) applyReplica(i int) {
 	c := w.log[w.replicaIndex[i]]
 	r := w.routers[i]
 	r.Apply(c.doc, c.version, c.routers[r.Name] == r.Instance)
 }
 
+// enrollRouter writes the router document of a router's process.
 func (w *world) enrollRouter(i int) {
 	r := w.routers[i]
 	v := w.commit(func(c *documents) { c.routers[r.Name] = r.Instance })
 	r.SetEnrolled(v)
 }
 
+// enrollmentAt returns the enrollment at an index in the log.
 func (w *world) enrollmentAt(at int) Enrollment {
 	return Enrollment{Version: w.log[at].version, Instances: w.log[at].routers}
 }
@@ -144,14 +150,14 @@
 
 // exchangeMessages sends a router's request and delivers the grant immediately.
 func (w *world) exchangeMessages(i, k int) {
-	if a, _, ok := w.routers[i].NextRequest(); ok {
-		if g, ok := w.candidates[k].coordinator.HandleRequest(a, w.candidates[k].leadsUntil); ok {
+	if request, _, ok := w.routers[i].NextRequest(); ok {
+		if g, ok := w.candidates[k].coordinator.HandleRequest(request, w.candidates[k].leadsUntil); ok {
 			w.routers[i].ApplyGrant(g)
 		}
 	}
 }
 
-// decideStep lets a candidate decide its next step if it takes itself to be the leader. When all moves have ended, the step begins another.
+// decideStep lets a candidate that considers itself the leader decide its next step. When all moves have ended, the step begins another.
 func (w *world) decideStep(k int) {
 	c := w.candidates[k]
 	d, _ := c.coordinator.Document()
@@ -220,6 +226,7 @@
 	return w.log[0].version
 }
 
+// states returns the name and the state of each move.
 func states(d Document) (out []string) {
 	for _, m := range d.Moves {
 		out = append(out, m.Name+" "+string(m.State))
@@ -270,6 +277,7 @@
 	return w.routers[c.router].Instance == c.instance
 }
 
+// sendWrite sends a write if its router still permits it, and ends it otherwise.
 func (w *world) sendWrite(c *clientWrite) {
 	if c.ended || c.inFlight || c.answered || !w.isRouterRunning(c) {
 		return
@@ -342,7 +350,7 @@
 	w := &world{disabled: disabled, pick: pick, leader: -1, data: [2]map[int]bool{{}, {}}, routers: make([]*Router, 2), replicaIndex: make([]int, 2)}
 	w.log = []documents{{version: 1, doc: Document{Epoch: 1, Ranges: []Range{{Cluster: 0}}}, routers: map[string]string{}}}
 	for range 2 {
-		w.candidates = append(w.candidates, &candidate{coordinator: Coordinator{Term: term, MaxClockDrift: w.assumedDrift(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: disabled}})
+		w.candidates = append(w.candidates, &candidate{coordinator: Coordinator{Term: term, MaxClockDrift: w.pickAllowedDrift(), MaxPrepared: 6 * term, MaxFenced: 3 * term, disabled: disabled}})
 	}
 	for i := range w.routers {
 		w.startRouter(i, 0)
