--- a/internal/fleet/shardmap/document.go
+++ b/internal/fleet/shardmap/document.go
@@ -47,7 +47,7 @@
 	return keyrange.ClusterOf(d.Ranges, key)
 }
 
-// activeMoveOf returns the unswitched move whose range contains a key.
+// activeMoveOf returns the active move, that is, the one before its switch, whose range contains a key.
 func (d Document) activeMoveOf(key string) (Move, bool) {
 	for _, m := range d.Moves {
 		if m.State.beforeSwitch() && m.Range.Contains(key) {
@@ -76,7 +76,7 @@
 	return slices.IndexFunc(d.Moves, func(m Move) bool { return m.Name == name })
 }
 
-// hasActiveMove reports whether there is an unswitched move, so that routers need a write lease for its range.
+// hasActiveMove reports whether a move is active, so that routers need a write lease for its range.
 func (d Document) hasActiveMove() bool {
 	return slices.ContainsFunc(d.Moves, func(m Move) bool { return m.State.beforeSwitch() })
 }
--- a/internal/fleet/shardmap/router.go
+++ b/internal/fleet/shardmap/router.go
@@ -105,8 +105,9 @@
 	r.fenceDeadlines = fenceDeadlines
 }
 
-// isEnrolled reports whether this process is enrolled and its replica is at least as new as its router document. Before that, a process that
-// has started from an old replica may have missed moves; moves that begin later wait for the process. The caller holds the mutex.
+// isEnrolled reports whether this process is enrolled and its replica is at least as new as its router document. A process that has started
+// from an old replica can't know which moves it has missed until then. Moves that begin after its document was written wait for its
+// acknowledgement. The caller holds the mutex.
 func (r *Router) isEnrolled() bool {
 	if !r.disabled.inForce(ruleEnrolled) {
 		return true
