--- a/internal/fleet/gossip/bus.go
+++ b/internal/fleet/gossip/bus.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// maxGossipBytes is the largest message that is also passed on by gossip, whose packets hold 1400 bytes with other messages
-	// beside it.
+	// maxGossipBytes is the size of the largest message that is also gossiped, in bytes. A gossip packet holds 1400 bytes,
+	// including other messages.
 	maxGossipBytes = 1 << 10
-	// maxConcurrentSends is how many messages may be on their way to connections at the same time: a descriptor each.
+	// maxConcurrentSends is the maximum number of messages sent over TCP at the same time; each uses a file descriptor.
 	maxConcurrentSends = 8
 )
 
-// Bus is the components' way to the other poolers, over a Node.
+// Bus is the bus.Bus of a Node, by which components exchange messages with other poolers.
 type Bus struct {
 	node      *Node
 	sendSlots chan struct{}
 	wake      chan struct{} // wakes broadcastPending
 
-	mu            sync.Mutex // guards the fields below
-	handlers      map[string]func(from string, body []byte)
-	pending       map[string][]byte // by topic: the newest message that waits to be broadcast
-	pendingTopics []string          // in the order of their first messages
+	mu            sync.Mutex                                // guards the fields below
+	handlers      map[string]func(from string, body []byte) // by topic
+	pending       map[string][]byte                         // by topic: the newest message to broadcast
+	pendingTopics []string                                  // topics in pending, ordered by their first pending message
 }
 
 var _ bus.Bus = (*Bus)(nil)
@@ -42,12 +42,12 @@
 	}
 }
 
-// Self is documented with bus.Bus.
+// Self implements bus.Bus.
 func (b *Bus) Self() string { return b.node.options.Name }
 
-// Members is documented with bus.Bus.
+// Members implements bus.Bus.
 func (b *Bus) Members() []string {
-	nodes := b.node.nodes() // by name alone: decoding their metas takes longer than all else here
+	nodes := b.node.nodes() // not Node.Members, which also decodes each meta, at a higher cost than the rest of this method
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
 		names[i] = n.Name
@@ -56,10 +56,10 @@
 	return names
 }
 
-// Size is documented with bus.Bus.
+// Size implements bus.Bus.
 func (b *Bus) Size() int { return max(len(b.node.nodes()), 1) }
 
-// Send is documented with bus.Bus. A message to this pooler itself goes without the network.
+// Send implements bus.Bus. It delivers a message to this pooler itself directly, without the network.
 func (b *Bus) Send(ctx context.Context, to, topic string, body []byte) error {
 	message, err := encodeMessage(b.Self(), topic, body)
 	if err != nil {
@@ -75,7 +75,7 @@
 		return ctx.Err()
 	}
 	sent := make(chan error, 1)
-	go func() { // ends with the send, after tcpTimeout at the latest; the context may end before
+	go func() { // ends with the send, after tcpTimeout at the latest; ctx may end earlier
 		defer func() { <-b.sendSlots }()
 		sent <- b.send(to, message)
 	}()
@@ -87,7 +87,8 @@
 	}
 }
 
-// send waits for the network.
+// send sends a message to one pooler and blocks on the network. It returns bus.ErrUnknownMember if the pooler is not considered
+// alive.
 func (b *Bus) send(to string, message []byte) error {
 	err := b.node.Send(to, message)
 	if errors.Is(err, ErrUnknownMember) {
@@ -96,7 +97,7 @@
 	return err
 }
 
-// Broadcast is documented with bus.Bus.
+// Broadcast implements bus.Bus.
 func (b *Bus) Broadcast(topic string, body []byte) {
 	message, err := encodeMessage(b.Self(), topic, body)
 	if err != nil {
@@ -104,7 +105,7 @@
 		return
 	}
 	b.mu.Lock()
-	if _, waits := b.pending[topic]; !waits {
+	if _, isPending := b.pending[topic]; !isPending {
 		b.pendingTopics = append(b.pendingTopics, topic)
 	}
 	b.pending[topic] = message
@@ -115,15 +116,15 @@
 	}
 }
 
-// Handle is documented with bus.Bus.
+// Handle implements bus.Bus.
 func (b *Bus) Handle(topic string, handler func(from string, body []byte)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handlers[topic] = handler
 }
 
-// broadcastPending sends all other poolers the messages that wait, the newest of each topic, until the node is closed. It has
-// a goroutine of its own, because hundreds of datagrams must not delay a caller of Broadcast.
+// broadcastPending broadcasts the pending messages, the newest one of each topic, until the node is closed. It runs on a
+// separate goroutine, because sending hundreds of datagrams must not delay the callers of Broadcast.
 func (b *Bus) broadcastPending() {
 	for {
 		select {
@@ -141,7 +142,7 @@
 	}
 }
 
-// nextPending takes the message that has waited longest.
+// nextPending removes the first pending topic and returns it with its message. ok is false if nothing is pending.
 func (b *Bus) nextPending() (topic string, message []byte, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,6 +156,7 @@
 	return topic, message, true
 }
 
+// broadcast queues a message for gossip, if it is small enough, and sends a datagram to each of the other poolers.
 func (b *Bus) broadcast(topic string, message []byte) {
 	if len(message) <= maxGossipBytes {
 		b.node.broadcasts.QueueBroadcast(broadcast{"bus/" + topic, message})
@@ -166,7 +168,8 @@
 	}
 }
 
-// deliver passes a message to its topic's handler. One that can't be decoded, or that nobody handles, has no effect.
+// deliver calls the handler of a message's topic. It logs and ignores a message that can't be decoded, and ignores one without
+// a handler.
 func (b *Bus) deliver(message []byte) {
 	from, topic, body, err := decodeMessage(message)
 	if err != nil {
--- a/internal/fleet/gossip/bus_test.go
+++ b/internal/fleet/gossip/bus_test.go
@@ -10,14 +10,15 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// Messages to one and to all arrive with their sender, the newest of a topic last.
+// Messages to one pooler and to all poolers arrive with the name of their sender, and the newest message of a topic arrives
+// last.
 func TestBus(t *testing.T) {
 	c := startCluster(t, 3)
 	received := make(chan string, 1000)
-	for i, p := range c.nodes {
-		p.Bus().Handle("t", func(from string, body []byte) { received <- fmt.Sprint(from, ">", i, " ", string(body)) })
+	for i, node := range c.nodes {
+		node.Bus().Handle("t", func(from string, body []byte) { received <- fmt.Sprint(from, ">", i, " ", string(body)) })
 	}
-	await(t, "all know all", c.allKnowAll)
+	await(t, "every node sees all nodes", c.allSeeAll)
 	if err := c.nodes[0].Bus().Send(t.Context(), "n2", "t", []byte("to one")); err != nil {
 		t.Fatal(err)
 	}
@@ -31,21 +32,21 @@
 		t.Error(got)
 	}
 	if err := c.nodes[0].Bus().Send(t.Context(), "nobody", "t", nil); !errors.Is(err, bus.ErrUnknownMember) {
-		t.Errorf("to nobody: %v", err)
+		t.Errorf("sending to an unknown pooler: got error %v, want bus.ErrUnknownMember", err)
 	}
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := c.nodes[0].Bus().Send(canceled, "n1", "none", nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("with an ended context: %v", err)
+		t.Errorf("sending with a canceled context: got error %v, want context.Canceled", err)
 	}
 	for i := range 20 {
 		c.nodes[1].Bus().Broadcast("t", fmt.Append(nil, i))
 	}
-	for last := map[string]bool{}; !last["n1>0 19"] || !last["n1>2 19"]; {
-		last[<-received] = true
+	for delivered := map[string]bool{}; !delivered["n1>0 19"] || !delivered["n1>2 19"]; {
+		delivered[<-received] = true
 	}
 	if got := c.nodes[0].Bus().Members(); len(got) == 0 || got[0] != "n0" {
-		t.Errorf("members %v", got)
+		t.Errorf("got members %v, want n0 first", got)
 	}
 }
 
@@ -54,18 +55,18 @@
 	f.Add(encoded)
 	f.Add([]byte{busMessageMarker, 200, 1})
 	f.Add([]byte("{}"))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		from, topic, body, err := decodeMessage(text)
+	f.Fuzz(func(t *testing.T, message []byte) {
+		from, topic, body, err := decodeMessage(message)
 		if err != nil {
 			return
 		}
-		again, err := encodeMessage(from, topic, body)
+		reencoded, err := encodeMessage(from, topic, body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f2, t2, b2, err := decodeMessage(again)
-		if err != nil || f2 != from || t2 != topic || !bytes.Equal(b2, body) {
-			t.Errorf("%q %q %q becomes %q %q %q, %v", from, topic, body, f2, t2, b2, err)
+		from2, topic2, body2, err := decodeMessage(reencoded)
+		if err != nil || from2 != from || topic2 != topic || !bytes.Equal(body2, body) {
+			t.Errorf("encoding and decoding %q, %q, %q returns %q, %q, %q, %v", from, topic, body, from2, topic2, body2, err)
 		}
 	})
 }
--- a/internal/fleet/gossip/counting_transport.go
+++ b/internal/fleet/gossip/counting_transport.go
@@ -10,8 +10,8 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// countingTransport counts what passes a transport. memberlist takes packets and streams off channels, so that each transport
-// needs channels of its own.
+// countingTransport counts the traffic of another transport. It has its own channels of packets and streams, because memberlist
+// receives both from the channels of its transport.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	counter      *traffic.Counter
@@ -19,11 +19,11 @@
 	streams      chan net.Conn
 	shutdown     chan struct{} // closed by Shutdown
 	shutdownOnce sync.Once
-	goroutines   sync.WaitGroup // forward
+	goroutines   sync.WaitGroup // runs forward
 }
 
-// newCountingTransport returns a transport that counts, or t itself where there is no counter. It starts a goroutine, which
-// ends with Shutdown.
+// newCountingTransport returns a countingTransport for t, or t itself if counter is nil. It starts a goroutine, which ends with
+// Shutdown.
 func newCountingTransport(t memberlist.NodeAwareTransport, counter *traffic.Counter) memberlist.NodeAwareTransport {
 	if counter == nil {
 		return t
@@ -39,15 +39,15 @@
 	return c
 }
 
-// forward counts what comes and passes it on. What comes after the shutdown is taken but read by nobody, so that the
-// transport can end.
+// forward counts received packets and passes them and received streams to memberlist. When the shutdown has begun, it discards
+// what memberlist no longer receives, so that the underlying transport can end.
 func (t *countingTransport) forward() {
 	for {
 		select {
-		case p := <-t.NodeAwareTransport.PacketCh():
-			countPacket(p.Buf, t.counter.AddReceived)
+		case packet := <-t.NodeAwareTransport.PacketCh():
+			countPacket(packet.Buf, t.counter.AddReceived)
 			select {
-			case t.packets <- p:
+			case t.packets <- packet:
 			case <-t.shutdown:
 			}
 		case conn := <-t.NodeAwareTransport.StreamCh():
@@ -104,18 +104,20 @@
 	return err
 }
 
-// countingConn counts what a connection carries: a message each way, of the kind that the first bytes sent or received say.
+// countingConn counts the traffic of a connection: one message in each direction. The first bytes sent or received determine
+// the kind of both.
 type countingConn struct {
 	net.Conn
 	counter *traffic.Counter
 
 	mu         sync.Mutex // guards the fields below
-	kind       string     // "": nothing has been sent or received
-	readBegun  bool
-	writeBegun bool
+	kind       string     // "" until something has been sent or received
+	readBegun  bool       // the first bytes have been read
+	writeBegun bool       // the first bytes have been written
 }
 
-// classify returns the connection's kind, and 1 message for the first bytes of a direction.
+// classify returns the connection's kind, and the number of messages to count: 1 for the first bytes of a direction, otherwise
+// 0. It sets begun, the flag of the direction.
 func (c *countingConn) classify(b []byte, begun *bool) (kind string, messages int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/gossip/counting_transport_test.go
+++ b/internal/fleet/gossip/counting_transport_test.go
@@ -10,8 +10,8 @@
 	"threadsail/internal/lab/relay"
 )
 
-// What one node counts as sent the other counts as received, by its kind: memberlist's own, a bus's topics over packets and over
-// streams, and the discovery leader's.
+// What one node counts as sent the other counts as received, for each kind of traffic: memberlist's own messages, the topics of
+// a bus in packets and on streams, and the messages of the discovery leader.
 func TestTraffic(t *testing.T) {
 	var counters [2]traffic.Counter
 	var nodes [2]*Node
@@ -23,15 +23,15 @@
 		}
 	}
 	for i := range nodes {
-		p, err := Start(Options{Name: "n" + string(rune('0'+i)), Listen: addrs[i], Peers: []Peer{{"n0", addrs[0]}, {"n1", addrs[1]}},
+		node, err := Start(Options{Name: "n" + string(rune('0'+i)), Listen: addrs[i], Peers: []Peer{{"n0", addrs[0]}, {"n1", addrs[1]}},
 			OnMessage: func([]byte) {}, Traffic: &counters[i]}, Meta{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer p.Close()
-		nodes[i] = p
+		defer node.Close()
+		nodes[i] = node
 	}
-	await(t, "both know both", func() bool { return len(nodes[0].Members()) == 2 && len(nodes[1].Members()) == 2 })
+	await(t, "each node sees both nodes", func() bool { return len(nodes[0].Members()) == 2 && len(nodes[1].Members()) == 2 })
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	if err := nodes[0].Bus().Send(ctx, "n1", "part/ask", []byte(strings.Repeat("x", 300))); err != nil {
@@ -39,10 +39,10 @@
 	}
 	nodes[0].Bus().Broadcast("part/word", []byte("y"))
 	nodes[0].Broadcast("lists", []byte(`{"kind":"word","word":{}}`), time.Now().Add(time.Minute))
-	await(t, "all of it is counted", func() bool { return trafficCounted(&counters[0], &counters[1]) })
+	await(t, "both nodes have counted all messages", func() bool { return trafficCounted(&counters[0], &counters[1]) })
 	for i := range counters {
 		if c := countOf(&counters[i], traffic.Other); c.MessagesIn+c.MessagesOut > 0 {
-			t.Errorf("node %d has no kind for %+v", i, c)
+			t.Errorf("node %d counted traffic of an unknown kind: %+v", i, c)
 		}
 	}
 }
@@ -59,17 +59,17 @@
 	return largeMessage && busBroadcast && broadcast && probes && exchange && frames
 }
 
-// countOf is what a counter has of a kind.
+// countOf returns the count of a kind of traffic.
 func countOf(counter *traffic.Counter, kind string) traffic.Count {
-	for _, c := range counter.Snapshot() {
-		if c.Kind == kind {
-			return c
+	for _, count := range counter.Snapshot() {
+		if count.Kind == kind {
+			return count
 		}
 	}
 	return traffic.Count{}
 }
 
-// No packet is counted as more or less than it is, whatever it holds.
+// The counted bytes of any packet, even a malformed one, add up to its size.
 func FuzzCountPacket(f *testing.F) {
 	f.Add([]byte{typeCRC, 1, 2, 3, 4, typeCompound, 2, 0, 1, 0, 2, 0, 2, 2})
 	f.Add([]byte{typeCompound, 200, 1})
@@ -78,7 +78,7 @@
 		sum := 0
 		countPacket(b, func(_ string, _, bytes int) { sum += bytes })
 		if sum != len(b) {
-			t.Errorf("%d of %d bytes are counted", sum, len(b))
+			t.Errorf("%d bytes are counted, want %d", sum, len(b))
 		}
 	})
 }
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// broadcast is a message that memberlist passes on through the fleet.
+// broadcast is a message that memberlist gossips to the fleet.
 type broadcast struct {
 	topic   string
 	payload []byte
@@ -14,7 +14,7 @@
 
 var _ memberlist.Broadcast = broadcast{}
 
-// Invalidates implements memberlist.Broadcast: a newer message replaces an older one of its topic.
+// Invalidates implements memberlist.Broadcast. A newer message replaces an older one of the same topic.
 func (b broadcast) Invalidates(other memberlist.Broadcast) bool {
 	older, ok := other.(broadcast)
 	return ok && older.topic == b.topic
@@ -26,7 +26,7 @@
 // Finished implements memberlist.Broadcast.
 func (broadcast) Finished() {}
 
-// delegate is what memberlist calls of a Node, on goroutines of its own. It implements memberlist.Delegate and
+// delegate is a Node with the methods that memberlist calls, on its own goroutines. It implements memberlist.Delegate and
 // memberlist.EventDelegate.
 type delegate Node
 
@@ -38,7 +38,7 @@
 // NodeMeta implements memberlist.Delegate.
 func (d *delegate) NodeMeta(limit int) []byte { return (*Node)(d).encodeMeta(limit) }
 
-// NotifyMsg implements memberlist.Delegate. The bytes are memberlist's and are copied.
+// NotifyMsg implements memberlist.Delegate. It copies the message, because its bytes belong to memberlist.
 func (d *delegate) NotifyMsg(message []byte) {
 	switch {
 	case len(message) == 0:
@@ -54,13 +54,14 @@
 	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: there is none.
+// LocalState implements memberlist.Delegate. A node has no state to exchange.
 func (*delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState implements memberlist.Delegate: there is none.
+// MergeRemoteState implements memberlist.Delegate. A node has no state to exchange.
 func (*delegate) MergeRemoteState([]byte, bool) {}
 
-// NotifyJoin implements memberlist.EventDelegate. Like NotifyUpdate and NotifyLeave it is called with memberlist's lock held.
+// NotifyJoin implements memberlist.EventDelegate. memberlist holds its lock while it calls NotifyJoin, NotifyUpdate and
+// NotifyLeave.
 func (d *delegate) NotifyJoin(node *memberlist.Node) {
 	copied := *node
 	copied.Meta = slices.Clone(node.Meta)
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -12,17 +12,17 @@
 	member := &Node{meta: full}
 	goldentest.Check(t, "meta.json", append((*delegate)(member).NodeMeta(512), '\n'))
 
-	text, err := encodeMessage("pooler-1", "quota/ask", []byte(`{"number":3}`))
+	encoded, err := encodeMessage("pooler-1", "quota/ask", []byte(`{"number":3}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	from, topic, body, err := decodeMessage(goldentest.Check(t, "bus_message", text))
+	from, topic, body, err := decodeMessage(goldentest.Check(t, "bus_message", encoded))
 	if err != nil || from != "pooler-1" || topic != "quota/ask" || string(body) != `{"number":3}` {
 		t.Errorf("got %q, %q, %q, %v", from, topic, body, err)
 	}
 }
 
-// The kind by which a leader's message is counted depends on the first bytes of its JSON.
+// The traffic kind of a message of the leader depends on the first bytes of its JSON, so the encoding must keep them.
 func TestMessageKinds(t *testing.T) {
 	goldentest.CheckNames(t, map[string]string{"duty/word": leaderMessageKinds[`{"kind":"word"`], "duty/want": leaderMessageKinds[`{"kind":"want"`],
 		"duty/list": leaderMessageKinds[`{"kind":"list"`], "duty/lost": leaderMessageKinds[`{"kind":"lost"`], "duty/found": leaderMessageKinds[`{"kind":"found"`]})
--- a/internal/fleet/gossip/main_test.go
+++ b/internal/fleet/gossip/main_test.go
@@ -7,23 +7,23 @@
 	"go.uber.org/goleak"
 )
 
-// longestProbe bounds one probe of another pooler: memberlist stretches the interval up to eight times while it doubts its own
-// health (AwarenessMaxMultiplier).
-const longestProbe = 9 * probeInterval
+// maxProbeDuration is the maximum duration of a probe: memberlist multiplies the interval by up to eight while it considers its
+// own node unhealthy (AwarenessMaxMultiplier).
+const maxProbeDuration = 9 * probeInterval
 
-// TestMain fails the package where a goroutine outlives the tests.
-func TestMain(m *testing.M) { goleak.VerifyTestMain(testsAndLastProbes{m}) }
+// TestMain fails if a goroutine is still running after the tests.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(testsWithProbeWait{m}) }
 
-// testsAndLastProbes runs the tests and then waits, within longestProbe, for goroutines to end: memberlist's Shutdown leaves a
-// probe that is under way to end by itself, at its timeout.
-type testsAndLastProbes struct{ tests *testing.M }
+// testsWithProbeWait runs the tests and then waits for goroutines to end, for at most maxProbeDuration: memberlist's Shutdown
+// does not cancel a running probe, which ends at its timeout.
+type testsWithProbeWait struct{ tests *testing.M }
 
 // Run returns the exit code of the tests.
-func (t testsAndLastProbes) Run() int {
+func (t testsWithProbeWait) Run() int {
 	code := t.tests.Run()
-	deadline := time.Now().Add(longestProbe)
+	deadline := time.Now().Add(maxProbeDuration)
 	for goleak.Find() != nil && time.Now().Before(deadline) {
-		continue // Find itself waits between its looks
+		continue // Find waits between its retries
 	}
 	return code
 }
--- a/internal/fleet/gossip/message_kind.go
+++ b/internal/fleet/gossip/message_kind.go
@@ -7,7 +7,7 @@
 	"threadsail/internal/fleet/traffic"
 )
 
-// memberlist's types of messages, the first byte of each.
+// Types of memberlist's messages. The type is the first byte of a message.
 const (
 	typePushPull = 6
 	typeCompound = 7
@@ -15,17 +15,17 @@
 	typeCRC      = 12
 )
 
-// Lengths in memberlist's packets, in bytes.
+// Sizes of the headers in memberlist's packets, in bytes.
 const (
-	crcHeaderBytes      = 5 // the type and a checksum
-	compoundHeaderBytes = 2 // the type and the number of messages
-	compoundLengthBytes = 2 // of each message's length
+	crcHeaderBytes      = 5 // type and checksum
+	compoundHeaderBytes = 2 // type and number of messages
+	compoundLengthBytes = 2 // length of one message
 )
 
-// trafficKindFrame is the kind of what packets have around their messages: checksums and lengths.
+// trafficKindFrame is the traffic kind of the checksums and lengths that frame the messages in a packet.
 const trafficKindFrame = "frame"
 
-// memberlistKinds names memberlist's own messages by type.
+// memberlistKinds maps the types of memberlist's own messages to traffic kinds.
 var memberlistKinds = map[byte]string{
 	0:            "ping",
 	1:            "ping_req",
@@ -38,8 +38,8 @@
 	13:           "error",
 }
 
-// leaderMessageKinds names the messages that are not of a Bus, those of the discovery leader, by their first bytes up to the
-// first comma.
+// leaderMessageKinds maps messages of the discovery leader, which are not sent with a Bus, to traffic kinds. The keys are the
+// bytes of such a message before the first comma.
 var leaderMessageKinds = map[string]string{
 	`{"kind":"word"`:  "duty/word",
 	`{"kind":"want"`:  "duty/want",
@@ -48,7 +48,7 @@
 	`{"kind":"found"`: "duty/found",
 }
 
-// countPacket counts the messages of a packet, each by its kind, and what is around them.
+// countPacket calls add for each message of a packet with its kind and size, and once for the bytes that frame the messages.
 func countPacket(b []byte, add func(kind string, messages, bytes int)) {
 	frameBytes := 0
 	if len(b) > crcHeaderBytes && b[0] == typeCRC {
@@ -65,7 +65,8 @@
 	}
 }
 
-// splitCompound splits a compound message into the lengths of its messages and the messages; ok false: it is another message.
+// splitCompound splits a compound message into the lengths of its messages and the messages. ok is false if b is not a complete
+// compound message.
 func splitCompound(b []byte) (lengths, messages []byte, ok bool) {
 	if len(b) < compoundHeaderBytes || b[0] != typeCompound {
 		return nil, nil, false
@@ -77,7 +78,7 @@
 	return b[compoundHeaderBytes:end], b[end:], true
 }
 
-// countCompound counts the messages of a compound message and returns how many bytes behind them are no message's.
+// countCompound calls add for each message of a compound message, and returns the number of bytes after the last message.
 func countCompound(lengths, messages []byte, add func(kind string, messages, bytes int)) (rest int) {
 	for ; len(lengths) > 0; lengths = lengths[compoundLengthBytes:] {
 		size := min(int(binary.BigEndian.Uint16(lengths)), len(messages))
@@ -87,7 +88,8 @@
 	return len(messages)
 }
 
-// messageKind names a message: a Bus message by its topic, the discovery leader's by their kind, memberlist's by their type.
+// messageKind returns the traffic kind of a message: the topic of a Bus message, the kind of a message of the discovery leader,
+// or the name of the type of a memberlist message.
 func messageKind(b []byte) string {
 	switch {
 	case len(b) == 0:
@@ -101,7 +103,7 @@
 	return traffic.Other
 }
 
-// userMessageKind names a message that is not memberlist's own.
+// userMessageKind returns the traffic kind of a message that memberlist carries for a Node.
 func userMessageKind(b []byte) string {
 	if _, topic, _, err := decodeMessage(b); err == nil {
 		return topic
@@ -114,24 +116,24 @@
 	return traffic.Other
 }
 
-// userMessageHeader begins a user's message on a stream: its type, and in MessagePack the key of its length. The length and
-// the message follow.
+// userMessageHeader is the beginning of a user message on a stream: its type, and a MessagePack map whose one key is that of
+// the length. The length and the message follow.
 const userMessageHeader = "\x08\x81\xaaUserMsgLen"
 
-// MessagePack's first bytes of a number with 1, 2, 4 or 8 bytes behind, unsigned and signed; every other number is its first
-// byte alone.
+// First and last of the MessagePack type bytes of integers that are followed by 1, 2, 4 or 8 bytes, unsigned and signed. Other
+// integers consist of one byte only.
 const (
 	messagePackFirstSized = 0xcc
 	messagePackLastSized  = 0xd3
 )
 
-// streamKind names a stream by the first bytes that were read from it or written to it.
+// streamKind returns the traffic kind of a stream, given the first bytes read from it or written to it.
 func streamKind(b []byte) string {
 	rest, ok := bytes.CutPrefix(b, []byte(userMessageHeader))
 	if !ok || len(rest) == 0 {
 		return messageKind(b)
 	}
-	size := 0 // of the length behind its first byte
+	size := 0 // bytes of the length after its type byte
 	if first := rest[0]; first >= messagePackFirstSized && first <= messagePackLastSized {
 		size = 1 << (first & 3)
 	}
--- a/internal/fleet/gossip/node_test.go
+++ b/internal/fleet/gossip/node_test.go
@@ -10,13 +10,14 @@
 	"threadsail/internal/lab/relay"
 )
 
-// cluster is some nodes of this process, each reached by each other through a relay of its own.
+// cluster is a set of nodes in this process. Each node reaches each other node through a separate relay.
 type cluster struct {
 	nodes    []*Node
-	messages []chan string // that each has received
-	links    map[[2]int]*relay.Link
+	messages []chan string          // received messages by node
+	links    map[[2]int]*relay.Link // by sending and receiving node
 }
 
+// startCluster starts n nodes, which are closed at the end of the test.
 func startCluster(t *testing.T, n int) *cluster {
 	t.Helper()
 	c := &cluster{links: map[[2]int]*relay.Link{}}
@@ -30,42 +31,42 @@
 	}
 	for i := range n {
 		messages := make(chan string, 1000)
-		o := Options{Name: fmt.Sprint("n", i), Listen: addrs[i], OnMessage: func(text []byte) { messages <- string(text) }}
+		options := Options{Name: fmt.Sprint("n", i), Listen: addrs[i], OnMessage: func(message []byte) { messages <- string(message) }}
 		for j := range n {
 			if i == j {
 				continue
 			}
-			l, err := relay.ListenBoth(addrs[j], uint64(i*n+j))
+			link, err := relay.ListenBoth(addrs[j], uint64(i*n+j))
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(l.Close)
-			c.links[[2]int{i, j}] = l
-			o.Peers = append(o.Peers, Peer{fmt.Sprint("n", j), l.Addr()})
+			t.Cleanup(link.Close)
+			c.links[[2]int{i, j}] = link
+			options.Peers = append(options.Peers, Peer{fmt.Sprint("n", j), link.Addr()})
 		}
-		p, err := Start(o, Meta{Build: "b1"})
+		node, err := Start(options, Meta{Build: "b1"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Close)
-		c.nodes = append(c.nodes, p)
+		t.Cleanup(node.Close)
+		c.nodes = append(c.nodes, node)
 		c.messages = append(c.messages, messages)
 	}
 	return c
 }
 
-// await waits until what must come has come.
-func await(t *testing.T, what string, done func() bool) {
+// await waits until done returns true, and fails the test after a minute.
+func await(t *testing.T, condition string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(60 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+	for deadline := time.Now().Add(60 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timeout while waiting until %s", condition)
 		}
 	}
 }
 
-// allKnowAll reports whether each node considers all nodes alive.
-func (c *cluster) allKnowAll() bool {
+// allSeeAll reports whether each node considers all nodes alive.
+func (c *cluster) allSeeAll() bool {
 	for _, n := range c.nodes {
 		if len(n.Members()) != len(c.nodes) {
 			return false
@@ -74,61 +75,62 @@
 	return true
 }
 
-// Nodes find each other through relays, receive messages and versions, see one that is cut off leave, and find it again.
+// Nodes join each other through relays and exchange messages and versions. A node that is cut off is considered dead, and
+// rejoins when the cut ends.
 func TestMembership(t *testing.T) {
 	c := startCluster(t, 3)
-	await(t, "all know all", c.allKnowAll)
+	await(t, "every node sees all nodes", c.allSeeAll)
 	if c.nodes[0].Broadcast("lists", []byte("late"), time.Now()) {
-		t.Error("a broadcast is complete after its deadline")
+		t.Error("a broadcast after its deadline was reported as complete")
 	}
 	c.nodes[0].Broadcast("lists", []byte("word"), time.Now().Add(time.Minute))
 	for i := 1; i < 3; i++ {
 		if got := <-c.messages[i]; got != "word" {
-			t.Errorf("node %d receives %q", i, got)
+			t.Errorf("node %d received %q", i, got)
 		}
 	}
 	if err := c.nodes[1].Send("n2", []byte("to you")); err != nil {
 		t.Error(err)
 	}
 	if got := <-c.messages[2]; got != "to you" {
-		t.Errorf("node 2 receives %q", got)
+		t.Errorf("node 2 received %q", got)
 	}
 	if err := c.nodes[1].Send("nobody", nil); !errors.Is(err, ErrUnknownMember) {
-		t.Errorf("to nobody: %v", err)
+		t.Errorf("sending to an unknown pooler: got error %v, want ErrUnknownMember", err)
 	}
 	c.nodes[2].SetMeta(Meta{Build: "b2", Token: 7, Sequence: 3})
-	await(t, "versions are known", func() bool {
-		m := c.nodes[0].Members()
-		return len(m) == 3 && m[2].Meta == Meta{Build: "b2", Token: 7, Sequence: 3}
+	await(t, "the new version is known", func() bool {
+		members := c.nodes[0].Members()
+		return len(members) == 3 && members[2].Meta == Meta{Build: "b2", Token: 7, Sequence: 3}
 	})
-	set := func(fault relay.Fault) {
-		for link, l := range c.links {
-			if link[0] == 2 || link[1] == 2 {
-				l.Set(fault)
+	setFault := func(fault relay.Fault) {
+		for ends, link := range c.links {
+			if ends[0] == 2 || ends[1] == 2 {
+				link.Set(fault)
 			}
 		}
 	}
-	set(relay.Fault{Drop: true})
-	await(t, "the node cut off is considered dead", func() bool { return len(c.nodes[0].Members()) == 2 && len(c.nodes[2].Members()) == 1 })
-	set(relay.Fault{})
-	await(t, "all know all again", c.allKnowAll)
+	setFault(relay.Fault{Drop: true})
+	await(t, "the node that is cut off is considered dead", func() bool { return len(c.nodes[0].Members()) == 2 && len(c.nodes[2].Members()) == 1 })
+	setFault(relay.Fault{})
+	await(t, "every node sees all nodes again", c.allSeeAll)
 }
 
-// A meta that memberlist has taken is not published again, whether or not it has been passed on yet.
+// A meta that memberlist has accepted is not published again, whether or not it has been gossiped yet.
 func TestMetaIsPublishedOnce(t *testing.T) {
 	c := startCluster(t, 3)
-	await(t, "all know all", c.allKnowAll)
-	m := c.nodes[0]
+	await(t, "every node sees all nodes", c.allSeeAll)
+	node := c.nodes[0]
 	for i := range 20 {
-		m.mu.Lock()
-		m.meta, m.metaChanged = Meta{Build: fmt.Sprint("b", i)}, false
-		m.mu.Unlock()
-		m.publishMeta()
-		m.mu.Lock()
-		again := m.metaChanged
-		m.mu.Unlock()
-		if again {
-			t.Errorf("meta %d is to be published again", i)
+		node.mu.Lock()
+		node.meta, node.metaChanged = Meta{Build: fmt.Sprint("b", i)}, false
+		node.mu.Unlock()
+		node.publishMeta()
+		node.mu.Lock()
+		changed := node.metaChanged
+		node.mu.Unlock()
+		if changed {
+			t.Errorf("meta %d is marked for another publication", i)
 		}
 	}
 }
@@ -139,11 +141,11 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	for _, o := range []Options{{Name: "a", Listen: "nowhere"}, {Name: "a", Listen: "localhost:0"}, {Name: "a", Listen: ln.Addr().String()},
+	for _, options := range []Options{{Name: "a", Listen: "nowhere"}, {Name: "a", Listen: "localhost:0"}, {Name: "a", Listen: ln.Addr().String()},
 		{Name: "a", Listen: "127.0.0.1:0", Advertise: "nowhere"}} {
-		if p, err := Start(o, Meta{}); err == nil {
-			p.Close()
-			t.Errorf("%+v starts", o)
+		if node, err := Start(options, Meta{}); err == nil {
+			node.Close()
+			t.Errorf("a node started with invalid options %+v", options)
 		}
 	}
 }
--- a/internal/fleet/gossip/routed_transport.go
+++ b/internal/fleet/gossip/routed_transport.go
@@ -7,12 +7,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// routedTransport reaches named poolers at the addresses known here, whatever they advertise.
+// routedTransport is a transport that reaches peers at their configured addresses instead of those that they advertise.
 type routedTransport struct {
 	*memberlist.NetTransport
-	addresses map[string]string // by name
+	addresses map[string]string // by name of the peer
 }
 
+// newRoutedTransport returns a routedTransport over t.
 func newRoutedTransport(t *memberlist.NetTransport, peers []Peer) *routedTransport {
 	addresses := make(map[string]string, len(peers))
 	for _, peer := range peers {
@@ -21,6 +22,7 @@
 	return &routedTransport{NetTransport: t, addresses: addresses}
 }
 
+// resolve replaces the address of a peer with the configured one.
 func (t *routedTransport) resolve(a memberlist.Address) memberlist.Address {
 	if addr, ok := t.addresses[a.Name]; ok {
 		a.Addr = addr
