--- a/internal/fleet/bus/bus.go
+++ b/internal/fleet/bus/bus.go
@@ -1,8 +1,9 @@
-// Package bus is the interface by which the components of poolers send each other messages: one message to one pooler, or a datagram to
-// every pooler that is alive. Packages gossip and distribution implement it over the network, package bustest within one process.
+// Package bus defines the interface by which components exchange messages with the same components of other poolers: a message to one
+// pooler, or a datagram to every pooler that is alive. Packages gossip and distribution implement it over the network, package bustest
+// within one process.
 //
-// The package decides nothing. It promises no order across topics, and does not know what a message means or whether an old message
-// still counts; that is for the component that owns the topic.
+// A bus does not interpret messages and guarantees no order across topics. Whether an old message is still valid is for the component
+// that owns the topic to decide.
 package bus
 
 import (
@@ -10,31 +11,31 @@
 	"errors"
 )
 
-// ErrUnknownMember is the error of a message to a pooler that is not taken to be alive.
+// ErrUnknownMember is the error of a message to a pooler that is not considered alive.
 var ErrUnknownMember = errors.New("bus: no such pooler is alive")
 
-// Handler handles the messages of a topic. body belongs to the handler. A handler must not block, and is called concurrently.
+// Handler handles the messages of a topic. The handler owns body. A handler must not block, and may be called concurrently.
 type Handler = func(from string, body []byte)
 
-// Bus is one pooler's connection to the other poolers. It is safe for concurrent use.
+// Bus connects one pooler to the other poolers. It is safe for concurrent use.
 type Bus interface {
 	// Self returns this pooler's name.
 	Self() string
-	// Members returns the names, sorted, of the poolers that are taken to be alive, this one among them. A pooler that is cut off may
-	// be listed for some seconds, and one that is alive may be missing. Where distributors carry the messages, the members are the
-	// distributors and this pooler: no pooler knows all others there.
+	// Members returns the sorted names of the poolers that are considered alive, including this one. A pooler that is cut off may be
+	// included for some seconds, and one that is alive may be missing. In a fleet with distributors the members are the distributors
+	// and this pooler, because no pooler knows all others.
 	Members() []string
-	// Size returns how many poolers are taken to be alive, this one among them. Members may be only some of them.
+	// Size returns the number of poolers that are considered alive, including this one. It may be larger than the number of Members.
 	Size() int
-	// Send sends one pooler a message, whether it is among Members or not. A nil error means that the message was written to a
-	// connection, or is queued for one that is open; whether it was read is not known. After an error it may have arrived all the
-	// same. Send blocks on the network, but no longer than ctx allows.
+	// Send sends a message to one pooler, which need not be among Members. A nil error means that the message was written to a
+	// connection or queued for an open one, not that it was received. After an error the message may still have arrived. Send blocks
+	// on the network until ctx ends at the latest.
 	Send(ctx context.Context, to, topic string, body []byte) error
-	// Broadcast sends all other poolers a datagram each, by gossip to those that are not known here. A datagram may be lost, be
-	// delivered twice, or overtake another. While a datagram is still being passed on by gossip, a newer one of the same topic
-	// replaces it.
+	// Broadcast sends a datagram to each of the other poolers, and by gossip to those that are not known here. A datagram may be
+	// lost, delivered twice, or delivered before an earlier one. A newer datagram replaces an older one of the same topic that is
+	// still being gossiped.
 	Broadcast(topic string, body []byte)
-	// Handle sets the handler of a topic. The handler is called with each message of the topic that another pooler sends, on
-	// goroutines of the bus. Messages that arrive before Handle is called are dropped.
+	// Handle sets the handler of a topic. The bus calls it on its own goroutines, with each message that another pooler sends on the
+	// topic. Messages that arrive before the call of Handle are dropped.
 	Handle(topic string, handler Handler)
 }
--- a/internal/fleet/bus/bustest/bustest.go
+++ b/internal/fleet/bus/bustest/bustest.go
@@ -1,6 +1,7 @@
-// Package bustest is a network of buses within one process, for tests of what poolers send each other. Links are cut, one way or both
-// ways, slow or lossy, and poolers join and stop. The package reads the time from package time, so testing/synctest can provide the
-// clock; what is lost, delayed or duplicated follows from the seed and the order of the calls. It is for tests alone.
+// Package bustest simulates a network of buses within one process, for tests of components that exchange messages. Tests can cut links in
+// one or both directions, delay messages, lose and duplicate datagrams, and add and stop poolers. The package uses the clock of package
+// time, which testing/synctest can replace. Which messages are lost, delayed or duplicated depends only on the seed and the order of the
+// calls. Only tests use the package.
 package bustest
 
 import (
@@ -16,34 +17,34 @@
 )
 
 const (
-	// detectionDelay is how long a pooler that can't be reached stays among the members of the others, as it does by gossip.
+	// detectionDelay is the time for which an unreachable pooler remains among the members, as it does with gossip.
 	detectionDelay = 3 * time.Second
-	// cutSendTimeout is how long a message into a cut link takes to fail, if it fails and its context does not end earlier.
+	// cutSendTimeout is the time after which a send on a cut link fails, if it fails and its context does not end earlier.
 	cutSendTimeout = 2 * time.Second
 )
 
-// link is one direction between two poolers.
+// link is the connection from one pooler to another, in one direction.
 type link struct{ from, to string }
 
-// Network joins buses. It is safe for concurrent use.
+// Network is a network of buses. It is safe for concurrent use.
 type Network struct {
 	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
-	buses         map[string]*Bus    // by pooler
-	cutSince      map[link]time.Time // of the links that are cut
-	delay, jitter time.Duration      // a message takes from delay to delay+jitter
-	dropRate      float64            // share of the datagrams that are lost
-	duplicateRate float64            // share of the delivered datagrams that are delivered twice
-	sends         int                // messages to one pooler so far
-	broadcasts    int                // datagrams so far, one for each receiver
+	buses         map[string]*Bus    // by name of the pooler
+	cutSince      map[link]time.Time // start of the cut of each link that is cut
+	delay, jitter time.Duration      // a message takes a time in [delay, delay+jitter)
+	dropRate      float64            // fraction of the datagrams that are lost
+	duplicateRate float64            // fraction of the delivered datagrams that are delivered twice
+	sends         int                // number of messages sent to one pooler
+	broadcasts    int                // number of datagrams sent, counted for each receiver
 }
 
-// New returns a network without faults.
+// New returns a network without faults. seed determines the random decisions of the network.
 func New(seed uint64) *Network {
 	return &Network{rng: rand.New(rand.NewPCG(seed, 0)), buses: map[string]*Bus{}, cutSince: map[link]time.Time{}}
 }
 
-// Join adds a pooler, in place of one of the same name.
+// Join adds a pooler and returns its bus. It replaces a pooler of the same name.
 func (n *Network) Join(name string) *Bus {
 	b := &Bus{network: n, name: name, handlers: map[string]bus.Handler{}}
 	n.mu.Lock()
@@ -52,21 +53,21 @@
 	return b
 }
 
-// SetOneWayCut cuts the link from one pooler to another, or heals it. The opposite link stays as it is.
+// SetOneWayCut cuts or restores the link from one pooler to another. The link in the opposite direction does not change.
 func (n *Network) SetOneWayCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := link{from, to}
+	cutLink := link{from, to}
 	if !cut {
-		delete(n.cutSince, l)
+		delete(n.cutSince, cutLink)
 		return
 	}
-	if _, cutBefore := n.cutSince[l]; !cutBefore {
-		n.cutSince[l] = time.Now()
+	if _, wasCut := n.cutSince[cutLink]; !wasCut {
+		n.cutSince[cutLink] = time.Now()
 	}
 }
 
-// SetCut cuts each link between the poolers of two sets, both ways, or heals it.
+// SetCut cuts or restores all links between the poolers of two sets, in both directions.
 func (n *Network) SetCut(a, b []string, cut bool) {
 	for _, first := range a {
 		for _, second := range b {
@@ -78,12 +79,12 @@
 	}
 }
 
-// SetIsolated cuts a pooler off from all that have joined, or heals that.
+// SetIsolated cuts or restores all links between a pooler and the others that have joined.
 func (n *Network) SetIsolated(name string, isolated bool) {
 	n.SetCut([]string{name}, n.poolers(), isolated)
 }
 
-// SetDelay makes each later message take from delay to delay+jitter, so that messages can overtake each other.
+// SetDelay delays each later message by a random time in [delay, delay+jitter). With jitter, messages can overtake each other.
 func (n *Network) SetDelay(delay, jitter time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +92,7 @@
 	n.jitter = jitter
 }
 
-// SetLoss makes the network lose a share of the later datagrams, and deliver a share of the others twice.
+// SetLoss makes the network drop a fraction of the later datagrams, and deliver a fraction of the others twice.
 func (n *Network) SetLoss(dropRate, duplicateRate float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,8 +100,8 @@
 	n.duplicateRate = duplicateRate
 }
 
-// MessageCounts returns the messages to one pooler, and the datagrams to all with one counted for each receiver, that all poolers have
-// sent so far.
+// MessageCounts returns the numbers of messages to one pooler and of datagrams that all poolers have sent. A broadcast counts as one
+// datagram for each receiver.
 func (n *Network) MessageCounts() (sends, broadcasts int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,20 +115,20 @@
 	return slices.Sorted(maps.Keys(n.buses))
 }
 
-// linkOpen reports whether a link is not cut. The caller holds the mutex.
+// linkOpen reports whether a link is not cut. The caller must hold n.mu.
 func (n *Network) linkOpen(from, to string) bool {
 	_, cut := n.cutSince[link{from, to}]
 	return !cut
 }
 
-// detectedDown reports whether a link has been cut for so long that its ends know. The caller holds the mutex.
+// detectedDown reports whether a link has been cut for at least detectionDelay. The caller must hold n.mu.
 func (n *Network) detectedDown(from, to string) bool {
 	since, cut := n.cutSince[link{from, to}]
 	return cut && time.Since(since) >= detectionDelay
 }
 
-// deliverLater delivers a message after the network's delay, which it returns, if the receiver has not stopped and the link is open
-// then. The caller holds the mutex.
+// deliverLater schedules the delivery of a message and returns its delay. The message is lost if the receiver has stopped or the link is
+// cut at the time of delivery. The caller must hold n.mu.
 func (n *Network) deliverLater(from, to, topic string, body []byte) time.Duration {
 	delay := n.delay
 	if n.jitter > 0 {
@@ -136,25 +137,25 @@
 	time.AfterFunc(delay, func() {
 		n.mu.Lock()
 		receiver, joined := n.buses[to]
-		arrives := joined && n.linkOpen(from, to)
+		delivered := joined && n.linkOpen(from, to)
 		n.mu.Unlock()
-		if arrives {
+		if delivered {
 			receiver.deliver(from, topic, slices.Clone(body))
 		}
 	})
 	return delay
 }
 
-// sendOutcome is what becomes of a message to one pooler.
+// sendOutcome is the outcome of sending a message to one pooler.
 type sendOutcome int
 
 const (
-	sendDelivered sendOutcome = iota // it is on its way
-	sendLost                         // it is lost, and the sender does not learn that
-	sendFails                        // it is lost, and the sender waits in vain
+	sendDelivered sendOutcome = iota // the message is scheduled for delivery
+	sendLost                         // the message is lost, and the sender gets no error
+	sendFails                        // the message is lost, and the sender gets an error after a timeout
 )
 
-// send sends a message to one pooler, and returns what becomes of it and how long the sender waits.
+// send sends a message to one pooler, and returns the outcome and the time for which the sender must wait.
 func (n *Network) send(from, to, topic string, body []byte) (outcome sendOutcome, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -168,7 +169,7 @@
 	return sendFails, cutSendTimeout
 }
 
-// sendDatagram sends one pooler a datagram, which may be lost or delivered twice.
+// sendDatagram sends a datagram to one pooler. The datagram may be lost or delivered twice.
 func (n *Network) sendDatagram(from, to, topic string, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -182,7 +183,7 @@
 	}
 }
 
-// Bus is one pooler's. It implements bus.Bus.
+// Bus is the bus of one pooler. It implements bus.Bus.
 type Bus struct {
 	network *Network
 	name    string
@@ -194,7 +195,7 @@
 
 var _ bus.Bus = (*Bus)(nil)
 
-// Stop makes the pooler leave: it sends and receives nothing any more, and is no member.
+// Stop makes the pooler leave the network. It no longer sends or receives messages and is no longer a member.
 func (b *Bus) Stop() {
 	b.mu.Lock()
 	b.stopped = true
@@ -209,8 +210,8 @@
 // Self implements bus.Bus.
 func (b *Bus) Self() string { return b.name }
 
-// Members implements bus.Bus: the poolers that have joined and not stopped, but for those to or from which the link has been cut for
-// detectionDelay.
+// Members implements bus.Bus. It returns the poolers that have joined and not stopped, except those to or from which the link has been cut
+// for detectionDelay.
 func (b *Bus) Members() []string {
 	b.network.mu.Lock()
 	defer b.network.mu.Unlock()
@@ -227,8 +228,7 @@
 // Size implements bus.Bus.
 func (b *Bus) Size() int { return max(len(b.Members()), 1) }
 
-// Send implements bus.Bus. A message into a cut link is lost: by the seed the sender learns nothing of that, or gets an error after
-// cutSendTimeout.
+// Send implements bus.Bus. A message on a cut link is lost; at random, Send returns nil at once or an error after cutSendTimeout.
 func (b *Bus) Send(ctx context.Context, to, topic string, body []byte) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -248,7 +248,7 @@
 	case <-timer.C:
 	}
 	if outcome == sendFails {
-		return fmt.Errorf("bustest: %s can't be reached", to)
+		return fmt.Errorf("bustest: %s is unreachable: link is cut", to)
 	}
 	return nil
 }
@@ -272,20 +272,21 @@
 	b.handlers[topic] = handler
 }
 
+// isStopped reports whether the pooler has stopped.
 func (b *Bus) isStopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stopped
 }
 
-// deliver calls the handler of a message's topic, if there is one and the pooler has not stopped.
+// deliver calls the handler of a message's topic, if the topic has one and the pooler has not stopped.
 func (b *Bus) deliver(from, topic string, body []byte) {
 	if handler := b.handlerOf(topic); handler != nil {
 		handler(from, body)
 	}
 }
 
-// handlerOf returns the handler of a topic; nil if there is none, or if the pooler has stopped.
+// handlerOf returns the handler of a topic, or nil if there is none or the pooler has stopped.
 func (b *Bus) handlerOf(topic string) bus.Handler {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fleet/bus/bustest/bustest_test.go
+++ b/internal/fleet/bus/bustest/bustest_test.go
@@ -16,11 +16,11 @@
 	t       *testing.T
 	network *Network
 
-	mu       sync.Mutex // guards received: several messages are delivered at once
+	mu       sync.Mutex // guards received; messages are delivered concurrently
 	received []string   // "FROM>TO:BODY"
 }
 
-// join adds a pooler whose messages are recorded.
+// join adds a pooler and records the messages that it receives.
 func (r *recorder) join(name string) *Bus {
 	b := r.network.Join(name)
 	b.Handle("t", func(from string, body []byte) {
@@ -31,7 +31,7 @@
 	return b
 }
 
-// take returns what was received within a second, sorted, and forgets it.
+// take waits for a second, then returns the messages received so far, sorted, and clears them.
 func (r *recorder) take() []string {
 	time.Sleep(time.Second)
 	synctest.Wait()
@@ -41,33 +41,33 @@
 	return received
 }
 
-// want checks what was received within a second.
-func (r *recorder) want(what string, messages ...string) {
+// expect waits for a second and checks the messages received so far.
+func (r *recorder) expect(step string, messages ...string) {
 	r.t.Helper()
 	if received := r.take(); !slices.Equal(received, messages) {
-		r.t.Errorf("%s: received %q, want %q", what, received, messages)
+		r.t.Errorf("%s: received %q, want %q", step, received, messages)
 	}
 }
 
-// Messages and datagrams arrive through open links alone, and a link that is cut one way carries the other way's.
+// Messages and datagrams are delivered on open links only, and cutting a link in one direction does not affect the other one.
 func TestOneWayCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{t: t, network: New(1)}
 		a, _, c := r.join("a"), r.join("b"), r.join("c")
 		a.Broadcast("t", []byte("1"))
-		r.want("a broadcast", "a>b:1", "a>c:1")
+		r.expect("a broadcast", "a>b:1", "a>c:1")
 		if err := a.Send(t.Context(), "c", "t", []byte("2")); err != nil {
 			t.Error(err)
 		}
-		r.want("a message", "a>c:2")
+		r.expect("a message", "a>c:2")
 		r.network.SetOneWayCut("a", "c", true)
 		a.Broadcast("t", []byte("3"))
 		c.Broadcast("t", []byte("4"))
-		r.want("one way cut", "a>b:3", "c>a:4", "c>b:4")
+		r.expect("broadcasts with a one-way cut", "a>b:3", "c>a:4", "c>b:4")
 	})
 }
 
-// A message into a cut link fails or is lost, until the cut is detected and the pooler at its other end is no member.
+// Messages on a cut link fail or are lost, until the cut is detected and the pooler at the other end is no longer a member.
 func TestCutIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{t: t, network: New(1)}
@@ -85,22 +85,22 @@
 			}
 		}
 		if failed == 0 {
-			t.Error("no message into a cut link failed")
+			t.Error("no message on a cut link failed")
 		}
 		time.Sleep(detectionDelay)
 		if got := a.Members(); !slices.Equal(got, []string{"a", "b"}) {
-			t.Errorf("members %v", got)
+			t.Errorf("got members %v, want a and b", got)
 		}
 		if err := a.Send(t.Context(), "c", "t", nil); !errors.Is(err, bus.ErrUnknownMember) {
-			t.Errorf("to a pooler that is detected down: %v", err)
+			t.Errorf("sending to a pooler detected as down: got error %v, want bus.ErrUnknownMember", err)
 		}
 		r.network.SetIsolated("c", true)
 		r.network.SetIsolated("c", false)
-		r.want("in a cut")
+		r.expect("messages on a cut link")
 	})
 }
 
-// Delay, a stopped pooler, loss and duplication are as they are set.
+// The network applies the configured delay, loss and duplication, and a stopped pooler receives nothing.
 func TestDelayAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{t: t, network: New(1)}
@@ -110,17 +110,17 @@
 		a.Broadcast("t", []byte("5"))
 		synctest.Wait()
 		if len(r.received) > 0 {
-			t.Errorf("at once: %q", r.received)
+			t.Errorf("received %q before the delay", r.received)
 		}
 		b.Stop()
-		r.want("late, one stopped", "a>c:5")
+		r.expect("delayed broadcast with a stopped pooler", "a>c:5")
 		r.network.SetDelay(0, 0)
 		r.network.SetLoss(0.5, 0.5)
 		for range 100 {
 			a.Broadcast("t", []byte("6"))
 		}
-		if got := len(r.take()); got < 50 || got > 100 {
-			t.Errorf("%d of 100 datagrams were delivered, half of them lost and half of the rest duplicated", got)
+		if delivered := len(r.take()); delivered < 50 || delivered > 100 {
+			t.Errorf("%d of 100 datagrams were delivered, want 50 to 100 with half of them lost and half of the rest duplicated", delivered)
 		}
 	})
 }
