--- a/internal/pooler/postgres/backend.go
+++ b/internal/pooler/postgres/backend.go
@@ -10,64 +10,66 @@
 	"threadsail/internal/protocol/pgwire"
 )
 
-// Who the pooler is to its servers.
+// User and database names of the pooler's connections to servers.
 const (
 	serverUser     = "threadsail"
 	serverDatabase = "core"
 )
 
-// Backend takes attempts and probes to PostgreSQL servers.
+// Backend is a dispatch.Backend for PostgreSQL servers.
 type Backend struct {
 	upstream.Connector
-	Reports bool // servers report their health to probes
+	Reports bool // servers answer SHOW health with a load report
 }
 
-// Send starts an attempt at a *Statement, whose client waits for left more.
-func (b *Backend) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
+// Send starts an attempt to execute a *Statement on a server. remaining is the time until the request's deadline.
+func (b *Backend) Send(addr string, payload any, remaining time.Duration, callbacks dispatch.AttemptCallbacks) dispatch.Call {
 	statement := payload.(*Statement)
-	deadline := b.Loop.Now() + left
-	return b.start(addr, a, func() string { return statement.textFor(deadline - b.Loop.Now()) })
+	deadline := b.Loop.Now() + remaining
+	return b.start(addr, callbacks, func() string { return statement.textFor(deadline - b.Loop.Now()) })
 }
 
-// Probe asks a server for its health.
+// Probe sends a health check to a server and calls done with its result, which includes the server's load report if it sent
+// one.
 func (b *Backend) Probe(addr string, done func(dispatch.AttemptResult)) dispatch.Call {
-	text := "SELECT 1"
+	probeQuery := "SELECT 1"
 	if b.Reports {
-		text = "SHOW health"
+		probeQuery = "SHOW health"
 	}
 	start := func(done func(dispatch.AttemptResult)) dispatch.Call {
-		return b.start(addr, upstream.ProbeAttempt(done), func() string { return text })
+		return b.start(addr, upstream.ProbeAttempt(done), func() string { return probeQuery })
 	}
-	return upstream.StartProbe(start, func(r dispatch.AttemptResult) {
-		if row, ok := r.Answer.([]byte); ok && b.Reports {
+	return upstream.StartProbe(start, func(result dispatch.AttemptResult) {
+		if row, ok := result.Answer.([]byte); ok && b.Reports {
 			if report := loadReport(row); report.HasPosition || report.HasRole {
-				r.Status = report
+				result.Status = report
 			}
 		}
-		done(r)
+		done(result)
 	})
 }
 
-// start runs a query on a connection. text is called when it is sent.
-func (b *Backend) start(addr string, a dispatch.AttemptCallbacks, text func() string) dispatch.Call {
-	x := &query{text: text}
-	x.Start(&b.Connector, addr, x, a, func(any) { x.sendQuery() }, func() {
-		x.Conn.Write(pgwire.AppendStartup(nil, serverUser, serverDatabase))
+// start executes a query on a connection to a server. It calls queryText when the query is about to be sent, so that the text
+// can state the remaining time.
+func (b *Backend) start(addr string, callbacks dispatch.AttemptCallbacks, queryText func() string) dispatch.Call {
+	q := &query{queryText: queryText}
+	q.Start(&b.Connector, addr, q, callbacks, func(any) { q.sendQuery() }, func() {
+		q.Conn.Write(pgwire.AppendStartup(nil, serverUser, serverDatabase))
 	})
-	return x
+	return q
 }
 
-// loadReport reads the load report in the row that SHOW health gave.
+// loadReport returns the load report from the row that answers SHOW health, or a zero ServerStatus if there is none.
 func loadReport(answer []byte) policy.ServerStatus {
 	for len(answer) > 0 {
-		m, n, err := pgwire.NextAnswer(answer)
-		if err != nil || n == 0 {
+		message, length, err := pgwire.NextAnswer(answer)
+		if err != nil || length == 0 {
 			break
 		}
-		if v, ok := pgwire.Column(m.Body); ok && m.Type == 'D' {
-			return protocol.Report(string(v))
+		if value, ok := pgwire.Column(message.Body); ok && message.Type == 'D' {
+			return protocol.Report(string(value))
 		}
-		answer = answer[n:]
+		answer = answer[length:]
 	}
 	return policy.ServerStatus{}
 }
--- a/internal/pooler/postgres/query.go
+++ b/internal/pooler/postgres/query.go
@@ -12,212 +12,216 @@
 	"threadsail/internal/transport"
 )
 
-// query is one query on one connection to a server. It is a dispatch.Call.
+// query is the execution of one query on one connection to a server. It is a dispatch.Call.
 type query struct {
 	upstream.Exchange
-	text        func() string
+	queryText   func() string // returns the query's text at the time it is sent
 	input       []byte
 	querySent   bool
-	lastMessage byte // the last message of the answer: T, D, C; 0: none so far
-	errorCode   string
+	lastMessage byte   // type of the answer's last message: T, D or C; 0: none yet
+	errorCode   string // SQLSTATE of the server's error
 	rows        []byte
-	relay       *relay // of a long answer that has begun
+	relay       *relay // relay of a long answer; nil: the answer is buffered
 }
 
-// sendQuery sends the query itself. From its last byte on it may have run.
-func (x *query) sendQuery() {
-	x.querySent = true
-	x.Conn.Write(pgwire.AppendQuery(nil, x.text()))
-	x.RequestWritten()
+// sendQuery sends the query. Once its last byte is sent, the server may have executed it.
+func (q *query) sendQuery() {
+	q.querySent = true
+	q.Conn.Write(pgwire.AppendQuery(nil, q.queryText()))
+	q.RequestWritten()
 }
 
-// Closed ends the exchange. Before the last byte of the query has gone out nothing can have run.
-func (x *query) Closed(err error) {
+// Closed ends the exchange because the connection was closed. Until the last byte of the query is written, the server can't
+// have executed it.
+func (q *query) Closed(err error) {
 	switch {
-	case x.relay != nil:
-		x.failMalformed()
-	case !x.querySent || !x.Conn.Written():
-		x.FinishBroken(policy.ConnectFailed)
-	case x.errorCode != "" && len(x.input) == 0:
-		x.Finish(resultOf(x.errorCode))
+	case q.relay != nil:
+		q.failMalformed()
+	case !q.querySent || !q.Conn.Written():
+		q.FinishBroken(policy.ConnectFailed)
+	case q.errorCode != "" && len(q.input) == 0:
+		q.Finish(resultOf(q.errorCode))
 	case errors.Is(err, transport.ErrFlood):
-		x.failMalformed()
+		q.failMalformed()
 	default:
-		x.FinishBroken(policy.ConnectionReset)
+		q.FinishBroken(policy.ConnectionReset)
 	}
 }
 
-// Data takes in what the server has sent.
-func (x *query) Data(_ time.Duration, b []byte) {
-	if x.relay != nil {
-		if b = x.relay.receive(b); len(b) == 0 {
+// Data processes the bytes received from the server.
+func (q *query) Data(_ time.Duration, received []byte) {
+	if q.relay != nil {
+		if received = q.relay.receive(received); len(received) == 0 {
 			return
 		}
 	}
-	if !x.Received(len(b), x.querySent, x.failMalformed) {
+	if !q.Received(len(received), q.querySent, q.failMalformed) {
 		return
 	}
-	x.input = append(x.input, b...)
-	rest := x.input
+	q.input = append(q.input, received...)
+	unprocessed := q.input
 	for {
-		n, over := x.nextMessage(rest)
-		if over {
+		length, ended := q.nextMessage(unprocessed)
+		if ended {
 			return
 		}
-		if n == 0 {
+		if length == 0 {
 			break
 		}
-		rest = rest[n:]
+		unprocessed = unprocessed[length:]
 	}
-	x.input = append([]byte(nil), rest...)
+	q.input = append([]byte(nil), unprocessed...)
 }
 
-// nextMessage takes one message, or the beginning of a long row, off input and returns its length; 0: it is not complete. over: the
-// exchange has ended.
-func (x *query) nextMessage(input []byte) (n int, over bool) {
-	m, n, err := pgwire.NextAnswer(input)
+// nextMessage processes the first message of input, or the beginning of a long row, and returns the number of bytes consumed,
+// or 0 if the message is incomplete. ended reports whether the exchange has ended.
+func (q *query) nextMessage(input []byte) (length int, ended bool) {
+	message, length, err := pgwire.NextAnswer(input)
 	if err != nil {
-		x.failMalformed()
+		q.failMalformed()
 		return 0, true
 	}
-	if taken := x.beginRelay(input); taken > 0 {
-		return taken, false
+	if consumed := q.beginRelay(input); consumed > 0 {
+		return consumed, false
 	}
-	if n == 0 {
+	if length == 0 {
 		return 0, false
 	}
-	over, wellFormed := x.handleMessage(m, n == len(input))
+	ended, wellFormed := q.handleMessage(message, length == len(input))
 	if !wellFormed {
-		x.failMalformed()
+		q.failMalformed()
 	}
-	return n, over || !wellFormed
+	return length, ended || !wellFormed
 }
 
-// failMalformed ends an exchange whose answer can't be used. Only exactly one answer made as it should be is served, and only
-// such a one is believed: anything else may have run, whatever code or note stands in it.
-func (x *query) failMalformed() {
-	x.Conn.Close()
-	if x.relay != nil {
-		x.relay.finish(dispatch.StreamBroken, nil)
+// failMalformed ends an exchange whose answer is malformed or incomplete. Only a single, well-formed answer is served, and only in
+// such an answer are the role, the position and the load report used. The query may have been executed, whatever error code was
+// received.
+func (q *query) failMalformed() {
+	q.Conn.Close()
+	if q.relay != nil {
+		q.relay.finish(dispatch.StreamBroken, nil)
 		return
 	}
-	x.Result = dispatch.AttemptResult{}
-	if x.querySent {
-		x.Finish(policy.ServerError)
+	q.Result = dispatch.AttemptResult{}
+	if q.querySent {
+		q.Finish(policy.ServerError)
 	} else {
-		x.Finish(policy.ConnectFailed)
+		q.Finish(policy.ConnectFailed)
 	}
 }
 
-// handleMessage takes in one message. over: the exchange has ended. last: nothing has come after it.
-func (x *query) handleMessage(m pgwire.Message, last bool) (over, wellFormed bool) {
-	if !x.querySent {
-		return x.handleStartup(m, last)
+// handleMessage processes one message. last reports that no bytes follow it; ended, that the exchange has ended.
+func (q *query) handleMessage(message pgwire.Message, last bool) (ended, wellFormed bool) {
+	if !q.querySent {
+		return q.handleStartup(message, last)
 	}
-	switch m.Type {
+	switch message.Type {
 	case 'S': // ParameterStatus
-		return false, x.handleParameter(m.Body)
+		return false, q.handleParameter(message.Body)
 	case 'N': // NoticeResponse
 		return false, true
 	case 'E': // ErrorResponse
-		return false, x.handleError(m.Body)
+		return false, q.handleError(message.Body)
 	case 'Z': // ReadyForQuery
-		idle := m.Body[0] == 'I'
-		if !idle || x.lastMessage != 'C' && x.errorCode == "" {
+		idle := message.Body[0] == 'I'
+		if !idle || q.lastMessage != 'C' && q.errorCode == "" {
 			return false, false
 		}
-		x.finishAnswer(last)
+		q.finishAnswer(last)
 		return true, true
 	}
-	wellFormed = x.inOrder(m)
-	x.lastMessage = m.Type
-	x.rows = append(x.rows, m.Raw...)
+	wellFormed = q.isExpected(message)
+	q.lastMessage = message.Type
+	q.rows = append(q.rows, message.Raw...)
 	return false, wellFormed
 }
 
-// handleError takes in the server's error, which nothing but ReadyForQuery may follow.
-func (x *query) handleError(body []byte) (wellFormed bool) {
-	first := x.lastMessage == 0 && x.errorCode == ""
-	x.errorCode = pgwire.ErrorCode(body)
-	return first && x.errorCode != ""
+// handleError stores the code of the server's error. Only ReadyForQuery may follow an error, apart from notices and parameters.
+func (q *query) handleError(body []byte) (wellFormed bool) {
+	isFirst := q.lastMessage == 0 && q.errorCode == ""
+	q.errorCode = pgwire.ErrorCode(body)
+	return isFirst && q.errorCode != ""
 }
 
-// inOrder tells whether a message of the answer is the one that is due: one row of one column, and the end of the command.
-func (x *query) inOrder(m pgwire.Message) bool {
-	switch m.Type {
+// isExpected reports whether a message is valid at this point of the answer, which has one row of one column and then
+// CommandComplete.
+func (q *query) isExpected(message pgwire.Message) bool {
+	switch message.Type {
 	case 'T': // RowDescription
-		return x.lastMessage == 0 && x.errorCode == "" && pgwire.OneColumn(m.Body)
+		return q.lastMessage == 0 && q.errorCode == "" && pgwire.OneColumn(message.Body)
 	case 'D': // DataRow
-		_, ok := pgwire.Column(m.Body)
-		return x.lastMessage == 'T' && ok
+		_, ok := pgwire.Column(message.Body)
+		return q.lastMessage == 'T' && ok
 	case 'C': // CommandComplete
-		_, ok := pgwire.Text(m.Body)
-		return x.lastMessage == 'D' && ok
+		_, ok := pgwire.Text(message.Body)
+		return q.lastMessage == 'D' && ok
 	}
 	return false
 }
 
-// handleStartup takes in what comes before the query is sent.
-func (x *query) handleStartup(m pgwire.Message, last bool) (over, wellFormed bool) {
-	switch m.Type {
-	case 'E': // rejected by the server
-		x.Conn.Close()
-		x.Finish(policy.ConnectFailed)
+// handleStartup processes a message received before the query is sent.
+func (q *query) handleStartup(message pgwire.Message, last bool) (ended, wellFormed bool) {
+	switch message.Type {
+	case 'E': // the server rejected the connection
+		q.Conn.Close()
+		q.Finish(policy.ConnectFailed)
 		return true, true
-	case 'Z':
-		return x.finishStartup(), last
+	case 'Z': // ReadyForQuery
+		return q.finishStartup(), last
 	}
-	return false, m.Type == 'R' || m.Type == 'K' || m.Type == 'S' || m.Type == 'N'
+	return false, message.Type == 'R' || message.Type == 'K' || message.Type == 'S' || message.Type == 'N'
 }
 
-// handleParameter takes in what the server reports of itself. It comes before ReadyForQuery, and so before the outcome. A value
-// that can't be read reports nothing, and does no harm.
-func (x *query) handleParameter(body []byte) (wellFormed bool) {
+// handleParameter stores a role, position or load report from a ParameterStatus message. These messages precede ReadyForQuery,
+// so the values are known when the exchange ends. A value that can't be parsed is ignored.
+func (q *query) handleParameter(body []byte) (wellFormed bool) {
 	name, value, ok := pgwire.Parameter(body)
 	switch name {
 	case "recovery":
 		switch value {
 		case "off":
-			x.Result.Role = policy.RolePrimary
+			q.Result.Role = policy.RolePrimary
 		case "on":
-			x.Result.Role = policy.RoleReplica
+			q.Result.Role = policy.RoleReplica
 		}
 	case "lsn_ms":
-		x.Result.Position, x.Result.HasPosition = protocol.Position(value)
+		q.Result.Position, q.Result.HasPosition = protocol.Position(value)
 	case "health":
-		x.Result.Status = protocol.Report(value)
+		q.Result.Status = protocol.Report(value)
 	}
 	return ok
 }
 
-// finishAnswer ends the exchange with its answer.
-func (x *query) finishAnswer(clean bool) {
-	x.Conn.Pause(false)
-	x.ReleaseConn(clean, nil)
-	if x.relay != nil {
-		x.relay.finish(dispatch.StreamComplete, x.rows)
+// finishAnswer ends the exchange with its complete answer or error. clean reports that no bytes follow the answer.
+func (q *query) finishAnswer(clean bool) {
+	q.Conn.Pause(false)
+	q.ReleaseConn(clean, nil)
+	if q.relay != nil {
+		q.relay.finish(dispatch.StreamComplete, q.rows)
 		return
 	}
-	if x.errorCode != "" {
-		x.Finish(resultOf(x.errorCode))
+	if q.errorCode != "" {
+		q.Finish(resultOf(q.errorCode))
 		return
 	}
-	x.Result.Answer = x.rows
-	x.Finish(policy.OK)
+	q.Result.Answer = q.rows
+	q.Finish(policy.OK)
 }
 
-// finishStartup sends the query, unless it must not be sent to this server any more. over: the exchange has ended.
-func (x *query) finishStartup() (over bool) {
-	if x.MaySend() {
-		x.sendQuery()
+// finishStartup sends the query if the dispatcher still allows it, and otherwise ends the exchange. ended reports whether the
+// exchange has ended.
+func (q *query) finishStartup() (ended bool) {
+	if q.MaySend() {
+		q.sendQuery()
 		return false
 	}
-	x.ReleaseConn(true, nil)
-	x.Finish(policy.Misdirected)
+	q.ReleaseConn(true, nil)
+	q.Finish(policy.Misdirected)
 	return true
 }
 
-// resultOf returns what a server's error code means to the policy.
+// resultOf returns the policy's result for a server's error code.
 func resultOf(code string) policy.Result {
 	switch code {
 	case pgwire.CodeReadOnly, pgwire.CodeBehind:
