--- a/internal/pooler/postgres/cacheable_test.go
+++ b/internal/pooler/postgres/cacheable_test.go
@@ -8,18 +8,18 @@
 
 func TestCacheable(t *testing.T) {
 	rows := pgwire.AppendRow(make([]byte, 0, 1<<10), "val", "v", "SELECT 1")
-	kept, n, ok := Cacheable(rows)
-	if !ok || n != len(rows) || cap(kept.([]byte)) != n {
-		t.Fatalf("%v %v", n, ok)
+	cached, size, ok := Cacheable(rows)
+	if !ok || size != len(rows) || cap(cached.([]byte)) != size {
+		t.Fatalf("got size %v, ok %v", size, ok)
 	}
-	a, b := pgwire.AppendReady(kept.([]byte)), pgwire.Append(kept.([]byte), 'N', "other")
+	firstAnswer, secondAnswer := pgwire.AppendReady(cached.([]byte)), pgwire.Append(cached.([]byte), 'N', "other")
 	rows[0] = 'X'
-	if string(a[:n]) != string(b[:n]) || a[n] != 'Z' || kept.([]byte)[0] != 'T' {
-		t.Error("what one session does with it shows in another's, or in the server's own")
+	if string(firstAnswer[:size]) != string(secondAnswer[:size]) || firstAnswer[size] != 'Z' || cached.([]byte)[0] != 'T' {
+		t.Error("cached answer shares memory with another session's answer or with the server's")
 	}
-	for _, other := range []any{pgwire.AppendError(nil, "ERROR", "42601", "x", ""), []byte{}, &relay{}, nil} {
-		if _, _, ok := Cacheable(other); ok {
-			t.Errorf("%v is kept", other)
+	for _, answer := range []any{pgwire.AppendError(nil, "ERROR", "42601", "x", ""), []byte{}, &relay{}, nil} {
+		if _, _, ok := Cacheable(answer); ok {
+			t.Errorf("%v is cacheable", answer)
 		}
 	}
 }
--- a/internal/pooler/postgres/relay.go
+++ b/internal/pooler/postgres/relay.go
@@ -9,73 +9,75 @@
 )
 
 const (
-	// A short value is kept whole and checked before any of it is passed on. One that is said to be long is passed on once
-	// so much of it has come: a wrong length on a short one then still leads to another attempt.
-	relayThreshold    = 8 << 10
-	maxRelayBuffer    = 64 << 10        // held before the server has to wait
-	relayStallTimeout = 5 * time.Second // without a byte of a value that has begun: the server is gone
+	// A shorter value is buffered whole and checked before any of it is sent to the client. A value whose length field
+	// announces a long one is relayed once this many bytes are received, so that a wrong length on a short value still leads to
+	// another attempt.
+	relayThresholdBytes = 8 << 10
+	maxRelayBufferBytes = 64 << 10        // buffered bytes beyond which reading from the server is paused
+	relayStallTimeout   = 5 * time.Second // a server that sends no byte of the row for this long is considered failed
 )
 
-// relay passes a long answer on as it comes. What is begun can't be tried again: if it breaks, the client's connection is
-// closed, so that the client can tell. It is a dispatch.Stream.
+// relay forwards a long answer to the client while it is received. Once it has begun, the query can't be retried: if the relay
+// breaks, the client's connection is closed, so that the client can tell that the answer is incomplete. It is a
+// dispatch.Stream.
 type relay struct {
 	query          *query
-	remaining      int    // bytes of the row still to come
-	pending        []byte // what has come and could not be passed on yet
-	trailer        []byte // of a whole answer: what follows the row
-	slot           *slot  // nil: the answer's turn has not come
-	clientFull     bool   // the client has not taken all that it was sent
+	remaining      int    // bytes of the row not received yet
+	pending        []byte // bytes received but not written to the client yet
+	trailer        []byte // messages that follow the row of a complete answer
+	slot           *slot  // nil: earlier answers are still due
+	clientBlocked  bool   // bytes written to the client have not all reached the kernel
 	lastReceivedAt time.Duration
 	stallTimer     *dispatch.Timer
-	onEnd          func(dispatch.StreamEnd) // nil: it has ended
+	onEnd          func(dispatch.StreamEnd) // nil: the relay has ended
 	outcome        dispatch.StreamEnd
 }
 
-// OnEnd has end called when the relay ends, with how it ended.
-func (r *relay) OnEnd(end func(dispatch.StreamEnd)) { r.onEnd = end }
+// OnEnd sets the function that is called with the outcome when the relay ends.
+func (r *relay) OnEnd(callback func(dispatch.StreamEnd)) { r.onEnd = callback }
 
-// Discard ends the relay because nobody waits for it any more.
+// Discard ends the relay because its client no longer waits for the answer.
 func (r *relay) Discard() {
 	if r.finishOnce(dispatch.StreamClientDisconnected) {
 		r.query.Conn.Close()
 	}
 }
 
-// Abort ends the relay because its client's time is over, where none of it has been passed on. What has begun goes on for as long
-// as its server sends: ended before, it would be lost here.
+// Abort ends the relay at its request's deadline if none of it has been sent to the client. A relay that has begun to send
+// continues for as long as the server sends, because ending it would lose the answer.
 func (r *relay) Abort() {
 	if r.onEnd != nil && r.slot == nil {
 		r.query.failMalformed()
 	}
 }
 
-// beginRelay turns a row that is long into a relay and takes what has come of it; it returns how much that is. 0: the row is not
-// long, or not enough of it has come. One that has come as a whole is relayed none the less: netpoll reads megabytes ahead of a
-// late loop, and no connection queues so much at once.
-func (x *query) beginRelay(input []byte) (taken int) {
+// beginRelay starts a relay if input begins with a long row, and returns the number of bytes of input consumed. It returns 0 if
+// the row is not long or too little of it has been received. A long row that was received completely is relayed too: netpoll
+// may read megabytes ahead of a delayed event loop, more than a connection's send queue accepts at once.
+func (q *query) beginRelay(input []byte) (consumed int) {
 	size := pgwire.LongRow(input)
-	if size == 0 || x.lastMessage != 'T' || x.errorCode != "" || len(input) < relayThreshold {
+	if size == 0 || q.lastMessage != 'T' || q.errorCode != "" || len(input) < relayThresholdBytes {
 		return 0
 	}
-	x.lastMessage = 'D'
-	taken = min(size, len(input))
-	x.relay = &relay{
-		query:          x,
-		remaining:      size - taken,
-		pending:        append(x.rows, input[:taken]...),
-		lastReceivedAt: x.Loop().Now(),
+	q.lastMessage = 'D'
+	consumed = min(size, len(input))
+	q.relay = &relay{
+		query:          q,
+		remaining:      size - consumed,
+		pending:        append(q.rows, input[:consumed]...),
+		lastReceivedAt: q.Loop().Now(),
 		onEnd:          func(dispatch.StreamEnd) {},
 	}
-	x.input = nil
-	x.rows = nil
-	x.Result.Answer = x.relay
-	x.relay.watchStall()
-	x.Conn.Pause(true) // before much has been read ahead of the client
-	x.Finish(policy.OK)
-	return taken
+	q.input = nil
+	q.rows = nil
+	q.Result.Answer = q.relay
+	q.relay.watchStall()
+	q.Conn.Pause(true) // limits how much is read ahead of the client
+	q.Finish(policy.OK)
+	return consumed
 }
 
-// watchStall looks out for a server that stops in the middle.
+// watchStall breaks the relay if the server sends nothing for relayStallTimeout.
 func (r *relay) watchStall() {
 	loop := r.query.Loop()
 	r.stallTimer = loop.After(relayStallTimeout, func() {
@@ -87,51 +89,53 @@
 	})
 }
 
-// receive takes the row's bytes off b and returns the rest.
-func (r *relay) receive(b []byte) (rest []byte) {
-	n := min(r.remaining, len(b))
-	r.remaining -= n
+// receive consumes the row's bytes at the beginning of data and returns the rest.
+func (r *relay) receive(data []byte) (rest []byte) {
+	length := min(r.remaining, len(data))
+	r.remaining -= length
 	r.lastReceivedAt = r.query.Loop().Now()
-	turn := r.slot != nil && !r.clientFull
-	if turn && len(r.pending) == 0 && n <= maxRelayBuffer {
-		r.write(b[:n])
-		return b[n:]
+	canWrite := r.slot != nil && !r.clientBlocked
+	if canWrite && len(r.pending) == 0 && length <= maxRelayBufferBytes {
+		r.write(data[:length])
+		return data[length:]
 	}
-	// On a busy machine netpoll has read far ahead: more than a connection queues may come at once.
-	r.pending = append(r.pending, b[:n]...)
+	// On a busy machine netpoll reads far ahead, so that data may exceed what a connection's send queue accepts at once.
+	r.pending = append(r.pending, data[:length]...)
 	switch {
-	case turn:
+	case canWrite:
 		r.sendPending()
-	case len(r.pending) > maxRelayBuffer:
+	case len(r.pending) > maxRelayBufferBytes:
 		r.query.Conn.Pause(true)
 	}
-	return b[n:]
+	return data[length:]
 }
 
-// start passes the answer on, once the client's earlier answers have been sent.
-func (r *relay) start(to *slot) {
-	if r.onEnd == nil && r.outcome == dispatch.StreamBroken { // none of it has been passed on
-		to.relay = nil
-		to.Fail()
+// start sends the answer to target's client, after the answers to the client's earlier commands.
+func (r *relay) start(target *slot) {
+	if r.onEnd == nil && r.outcome == dispatch.StreamBroken { // nothing has been sent to the client
+		target.relay = nil
+		target.Fail()
 		return
 	}
-	r.slot = to
-	to.session.Conn.LimitSendBuffer()
+	r.slot = target
+	target.session.Conn.LimitSendBuffer()
 	r.sendPending()
 }
 
-// sendPending goes on when the client has taken what it was sent. More may wait than a connection queues.
+// sendPending writes the buffered bytes until the client blocks. There may be more of them than a connection's send queue
+// accepts, so it writes at most maxRelayBufferBytes at a time. When all are written, it ends a finished relay or resumes
+// reading from the server.
 func (r *relay) sendPending() {
-	for len(r.pending) > 0 && !r.clientFull {
-		n := min(len(r.pending), maxRelayBuffer)
-		r.write(r.pending[:n])
-		r.pending = r.pending[n:]
+	for len(r.pending) > 0 && !r.clientBlocked {
+		length := min(len(r.pending), maxRelayBufferBytes)
+		r.write(r.pending[:length])
+		r.pending = r.pending[length:]
 	}
 	if len(r.pending) == 0 {
 		r.pending = nil
 	}
 	switch {
-	case r.clientFull:
+	case r.clientBlocked:
 	case r.onEnd == nil:
 		r.finishSlot()
 	default:
@@ -139,45 +143,46 @@
 	}
 }
 
-// write passes bytes on. The server has to wait while the client reads more slowly.
-func (r *relay) write(b []byte) {
+// write sends bytes to the client. Reading from the server is paused while the client reads more slowly.
+func (r *relay) write(data []byte) {
 	conn := r.slot.session.Conn
-	conn.Write(b)
+	conn.Write(data)
 	if conn.Written() {
 		return
 	}
-	r.clientFull = true
+	r.clientBlocked = true
 	if r.onEnd != nil {
 		r.query.Conn.Pause(true)
 	}
 	conn.OnWritten(func() {
-		r.clientFull = false
+		r.clientBlocked = false
 		r.sendPending()
 	})
 }
 
-// finishOnce reports the end of the relay. It returns false where that has been done before.
-func (r *relay) finishOnce(how dispatch.StreamEnd) bool {
+// finishOnce ends the relay and calls the OnEnd function. It returns false if the relay has already ended.
+func (r *relay) finishOnce(end dispatch.StreamEnd) bool {
 	if r.onEnd == nil {
 		return false
 	}
 	onEnd := r.onEnd
 	r.onEnd = nil
-	r.outcome = how
+	r.outcome = end
 	r.stallTimer.Stop()
-	onEnd(how)
+	onEnd(end)
 	return true
 }
 
-// finish ends the relay with what follows the row, or as broken; the client hears of it in its turn.
-func (r *relay) finish(how dispatch.StreamEnd, trailer []byte) {
+// finish ends the relay as complete, with the messages that follow the row, or as broken. The client's answer ends when its
+// turn comes and everything before it is written.
+func (r *relay) finish(end dispatch.StreamEnd, trailer []byte) {
 	r.trailer = trailer
-	if r.finishOnce(how) && r.slot != nil && !r.clientFull {
+	if r.finishOnce(end) && r.slot != nil && !r.clientBlocked {
 		r.finishSlot()
 	}
 }
 
-// finishSlot ends the client's answer, or its connection where the answer broke off.
+// finishSlot completes the client's answer, or closes the client's connection if the relay broke.
 func (r *relay) finishSlot() {
 	switch r.outcome {
 	case dispatch.StreamComplete:
--- a/internal/pooler/postgres/relay_test.go
+++ b/internal/pooler/postgres/relay_test.go
@@ -16,21 +16,21 @@
 	"threadsail/internal/transport"
 )
 
-// tapped is a backend whose attempts the test answers itself, as if their servers had.
-type tapped struct {
+// manualBackend is a backend that leaves it to the test to answer each query in place of its server.
+type manualBackend struct {
 	*Backend
 	sent chan *query
 }
 
-func (b tapped) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
-	x := b.Backend.Send(addr, payload, left, a).(*query)
-	b.sent <- x
-	return x
+func (b manualBackend) Send(addr string, payload any, remaining time.Duration, callbacks dispatch.AttemptCallbacks) dispatch.Call {
+	q := b.Backend.Send(addr, payload, remaining, callbacks).(*query)
+	b.sent <- q
+	return q
 }
 
-// A late loop finds a value of megabytes read ahead whole: it has come at once. It must reach its client all the same, which
-// may take it more slowly, and others behind it too.
-func TestLongAnswersThatComeAtOnce(t *testing.T) {
+// Guards against lost or truncated answers when a delayed event loop finds values of several megabytes read ahead completely.
+// Each value must reach its client whole, also if the client reads slowly and further answers follow.
+func TestLongAnswersReadAtOnce(t *testing.T) {
 	server, err := standin.NewServer("p", false, true, standin.NewLedger())
 	if err != nil {
 		t.Fatal(err)
@@ -38,28 +38,28 @@
 	defer server.Down()
 	server.Do(func(standin.Seen) standin.Act { return standin.Hang })
 	loop, budget := dispatch.NewEventLoop(), transport.NewBudget(100)
-	back := tapped{&Backend{Connector: upstream.Connector{Loop: loop, Budget: budget, Pool: transport.NewPool(time.Minute, 100),
+	backend := manualBackend{&Backend{Connector: upstream.Connector{Loop: loop, Budget: budget, Pool: transport.NewPool(time.Minute, 100),
 		ConnectTimeout: time.Minute}}, make(chan *query, 9)}
-	core, err := dispatch.New(loop, back, dispatch.Options{MaxOpen: 9, ProbeTimeout: time.Minute, Watch: func() {}, Log: func(string) {},
+	dispatcher, err := dispatch.New(loop, backend, dispatch.Options{MaxOpen: 9, ProbeTimeout: time.Minute, Watch: func() {}, Log: func(string) {},
 		Settings: policy.Settings{MaxAttempts: 1, Classes: []policy.Class{{Name: "any", TotalTimeout: time.Minute, PriorityWeight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Address: server.Addr, State: policy.Ready}})
-	front, err := Listen(func(accept func(*transport.Conn)) (*transport.Listener, error) {
+	dispatcher.ApplyList(policy.ListFull, []dispatch.Member{{Name: "p", Address: server.Addr, State: policy.Ready}})
+	frontend, err := Listen(func(accept func(*transport.Conn)) (*transport.Listener, error) {
 		return transport.Listen(loop, budget, "127.0.0.1:0", accept)
-	}, core, connlimit.New(loop, 100, 1<<20), func(string, int) error { return nil })
+	}, dispatcher, connlimit.New(loop, 100, 1<<20), func(string, int) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
-	go func() { loop.Run(); close(ended) }()
+	loopStopped := make(chan struct{})
+	go func() { loop.Run(); close(loopStopped) }()
 	defer func() {
-		loop.Post(front.Terminate)
+		loop.Post(frontend.Terminate)
 		loop.Stop()
-		<-ended
+		<-loopStopped
 	}()
-	client, err := standin.DialPostgres(front.Addr())
+	client, err := standin.DialPostgres(frontend.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,15 +73,15 @@
 		}
 	}
 	if !server.Wait(len(values)) {
-		t.Fatal("the reads never came")
+		t.Fatal("the server did not receive the reads in time")
 	}
-	for _, v := range values {
-		x := <-back.sent
-		loop.Post(func() { x.Data(loop.Now(), pgwire.AppendReady(pgwire.AppendRow(nil, "val", v, "SELECT 1"))) })
+	for _, value := range values {
+		q := <-backend.sent
+		loop.Post(func() { q.Data(loop.Now(), pgwire.AppendReady(pgwire.AppendRow(nil, "val", value, "SELECT 1"))) })
 	}
-	for i, v := range values {
-		if r := client.Receive(); r.Value != v || r.Err != nil {
-			t.Fatalf("value %d: of %d bytes %d came: %v", i, len(v), len(r.Value), r.Err)
+	for i, value := range values {
+		if reply := client.Receive(); reply.Value != value || reply.Err != nil {
+			t.Fatalf("value %d: wrong value received: sent %d bytes, received %d; error %v", i, len(value), len(reply.Value), reply.Err)
 		}
 	}
 }
--- a/internal/pooler/postgres/session.go
+++ b/internal/pooler/postgres/session.go
@@ -13,79 +13,80 @@
 const (
 	protocolMajor = 3
 
-	maxPipelinedCommands = 64      // of one client in flight; it is disconnected beyond
-	maxHeldBytes         = 1 << 20 // of answers that wait for an earlier one
+	maxPipelinedCommands = 64      // commands of one client in flight; a client that exceeds them is disconnected
+	maxQueuedAnswerBytes = 1 << 20 // answers of one client queued behind an earlier one
 )
 
-// session is one client's connection. Answers go out in the order of its commands.
+// session is a client's connection. It sends answers in the order of the client's commands.
 type session struct {
 	frontend.Client
 	frontend            *Frontend
 	input               []byte
 	started             bool
-	cancelKey           pgwire.Key // by which the client cancels
-	requested           bool       // a request has come
-	failedBeforeRequest bool       // a command has met an error: alone that is no reason to stay connected
-	skipToSync          bool       // after an error in an extended query
-	slots               []*slot    // commands whose answers are due, in order
-	heldBytes           int        // in slots
-	reading             bool       // commands that have come are being taken in
-	quitting            bool       // the client leaves after the last answer that it is owed
+	cancelKey           pgwire.Key // identifies the session in cancel requests
+	requestReceived     bool       // a valid request has been received
+	failedBeforeRequest bool       // a command has failed; without a valid request the client still counts as connecting
+	skipToSync          bool       // after an error in an extended query, messages are ignored until Sync
+	slots               []*slot    // commands whose answers are due, in order of arrival
+	queuedAnswerBytes   int        // size of the answers in slots
+	processingInput     bool       // Data is processing commands
+	quitting            bool       // the client is disconnected after its last answer
 }
 
-// Data takes in what the client has sent.
-func (s *session) Data(at time.Duration, b []byte) {
-	s.input = append(s.input, b...)
-	s.reading = true
-	rest := s.input
+// Data processes the bytes received from the client.
+func (s *session) Data(arrivedAt time.Duration, received []byte) {
+	s.input = append(s.input, received...)
+	s.processingInput = true
+	unprocessed := s.input
 	for s.Connected() && !s.quitting {
-		n, ok := s.nextMessage(at, rest)
-		if !ok || n == 0 {
+		length, ok := s.nextMessage(arrivedAt, unprocessed)
+		if !ok || length == 0 {
 			break
 		}
-		rest = rest[n:]
+		unprocessed = unprocessed[length:]
 	}
-	if len(rest) == 0 || s.quitting {
-		s.input = nil // idle clients hold no memory
+	if len(unprocessed) == 0 || s.quitting {
+		s.input = nil // idle clients use no buffer memory
 	} else {
-		s.input = append([]byte(nil), rest...)
+		s.input = append([]byte(nil), unprocessed...)
 	}
-	s.reading = false
+	s.processingInput = false
 	s.updateState()
 	s.closeIfDue()
 }
 
-// nextMessage takes one message off b and returns its length; 0: it is not complete. ok is false where the session has ended.
-func (s *session) nextMessage(at time.Duration, b []byte) (n int, ok bool) {
+// nextMessage processes the first message of input and returns its length, or 0 if it is incomplete. ok is false if the session
+// has ended.
+func (s *session) nextMessage(arrivedAt time.Duration, input []byte) (length int, ok bool) {
 	if !s.started {
-		return s.nextStartup(b)
+		return s.nextStartup(input)
 	}
-	m, n, err := pgwire.Next(b, pgwire.MaxQuery)
+	message, length, err := pgwire.Next(input, pgwire.MaxQuery)
 	if err != nil {
 		s.fatal(pgwire.CodeProtocol, "impossible message length")
 		return 0, false
 	}
-	if n > 0 {
-		s.handleMessage(at, m)
+	if length > 0 {
+		s.handleMessage(arrivedAt, message)
 	}
-	return n, true
+	return length, true
 }
 
-// nextStartup takes one message off b before the session has started.
-func (s *session) nextStartup(b []byte) (n int, ok bool) {
-	code, n, err := pgwire.NextStartup(b)
+// nextStartup is like nextMessage, for messages received before the session has started.
+func (s *session) nextStartup(input []byte) (length int, ok bool) {
+	code, length, err := pgwire.NextStartup(input)
 	switch {
 	case err != nil:
 		s.fatal(pgwire.CodeProtocol, "impossible startup message")
 		return 0, false
-	case n == 0:
+	case length == 0:
 		return 0, true
 	case code == pgwire.SSLCode || code == pgwire.GSSCode:
 		s.Conn.Write([]byte{'N'})
 	case code>>16 == protocolMajor:
 		s.start()
-	case code == pgwire.CancelCode: // it gets no answer, whether the key is right or not
-		if key, ok := pgwire.ReadKey(b[8:n]); ok && s.frontend.sessionsByKey[key] != nil {
+	case code == pgwire.CancelCode: // it gets no answer, whether or not the key is valid
+		if key, ok := pgwire.ReadKey(input[8:length]); ok && s.frontend.sessionsByKey[key] != nil {
 			s.frontend.sessionsByKey[key].cancel()
 		}
 		s.Finish()
@@ -94,10 +95,10 @@
 		s.fatal(pgwire.CodeProtocol, "this protocol version is not supported")
 		return 0, false
 	}
-	return n, true
+	return length, true
 }
 
-// start gives the client the key by which it cancels.
+// start starts the session and sends the client its cancel key.
 func (s *session) start() {
 	s.started = true
 	s.frontend.lastProcessID++
@@ -106,25 +107,25 @@
 	s.Conn.Write(pgwire.AppendWelcome(nil, s.cancelKey))
 }
 
-// handleMessage takes in one message of a started session.
-func (s *session) handleMessage(at time.Duration, m pgwire.Message) {
+// handleMessage processes one message of a started session.
+func (s *session) handleMessage(arrivedAt time.Duration, message pgwire.Message) {
 	if len(s.slots) >= maxPipelinedCommands {
 		s.fatal(pgwire.CodeTooMany, "too many commands in one pipeline")
 		return
 	}
-	switch m.Type {
+	switch message.Type {
 	case 'Q':
-		text, ok := pgwire.Text(m.Body)
+		text, ok := pgwire.Text(message.Body)
 		if !ok {
 			s.answerLocally(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocol, "the query is not one string", "")))
 			return
 		}
-		s.submitQuery(at, text)
+		s.submitQuery(arrivedAt, text)
 	case 'X':
 		s.quitting = true
 		s.sendAnswers()
 	default:
-		s.handleExtended(m.Type)
+		s.handleExtended(message.Type)
 	}
 }
 
@@ -151,24 +152,24 @@
 	}
 }
 
-// answerLocally answers a command that needs no server.
+// answerLocally queues an answer to a command that needs no server.
 func (s *session) answerLocally(answer []byte) {
 	s.slots = append(s.slots, &slot{session: s, answered: true, answer: answer})
-	s.heldBytes += len(answer)
+	s.queuedAnswerBytes += len(answer)
 	s.sendAnswers()
 }
 
-// protocolError answers a query that can't be submitted.
+// protocolError answers a query that can't be submitted with a protocol error.
 func (s *session) protocolError(text string) {
 	s.failedBeforeRequest = true
 	s.answerLocally(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", pgwire.CodeProtocol, text, "")))
 }
 
-// sendAnswers writes the answers that are due, in order.
+// sendAnswers writes the answers that are complete, up to the first that is not. If that one has a relay, it starts the relay.
 func (s *session) sendAnswers() {
 	for len(s.slots) > 0 && s.slots[0].answered {
 		s.Conn.Write(s.slots[0].answer)
-		s.heldBytes -= len(s.slots[0].answer)
+		s.queuedAnswerBytes -= len(s.slots[0].answer)
 		s.slots[0] = nil
 		s.slots = s.slots[1:]
 	}
@@ -184,23 +185,24 @@
 	s.closeIfDue()
 }
 
-// cancel ends the command that is being executed, at once: the first that has no answer yet. Without one nothing happens, so that
-// no cancel reaches a command that comes after it.
+// cancel ends the first command without an answer, which is the one being executed. If there is none, cancel does nothing, so
+// that it can't affect a later command.
 func (s *session) cancel() {
-	for _, w := range s.slots {
-		if w.request == nil || w.answered || w.relayStarted() {
+	for _, sl := range s.slots {
+		if sl.request == nil || sl.answered || sl.relayStarted() {
 			continue
 		}
-		w.request.HandleDisconnect() // the policy ends the attempt; it may have run, and goes on at a server that has begun it
-		w.complete(pgwire.AppendError(nil, "ERROR", translate.Cancelled.Postgres(), "canceling statement due to user request", ""))
+		sl.request.HandleDisconnect() // ends the attempt; the query may have been executed, and a server that has begun it goes on
+		sl.complete(pgwire.AppendError(nil, "ERROR", translate.Cancelled.Postgres(), "canceling statement due to user request", ""))
 		return
 	}
 }
 
-// fatal answers what can't be understood and closes at once: the framing may be lost. Commands that came before it and
-// still wait get their final answer first, a failure: none may end without one.
+// fatal reports invalid or excessive input to the client and closes the connection, because the message framing may be lost.
+// Earlier commands without an answer are answered with a failure first, as each must get a final answer. If part of an answer
+// has been sent, fatal only closes the connection.
 func (s *session) fatal(code, text string) {
-	if s.answerBegun() {
+	if s.answerStarted() {
 		s.Finish()
 		return
 	}
@@ -208,29 +210,29 @@
 	s.Finish()
 }
 
-// failAll returns the final answers of all commands that still wait: failures.
+// failAll fails all commands without an answer, empties the slots and returns all answers that were due.
 func (s *session) failAll() (answers []byte) {
-	for _, w := range s.slots {
-		if !w.answered {
-			w.abandon()
-			w.answer = pgwire.AppendReady(appendFailure(nil))
+	for _, sl := range s.slots {
+		if !sl.answered {
+			sl.abandon()
+			sl.answer = pgwire.AppendReady(appendFailure(nil))
 		}
-		answers = append(answers, w.answer...)
+		answers = append(answers, sl.answer...)
 	}
 	s.slots = nil
 	return answers
 }
 
-// answerBegun tells whether part of an answer has been sent: no message fits into its middle.
-func (s *session) answerBegun() bool { return len(s.slots) > 0 && s.slots[0].relayStarted() }
+// answerStarted reports whether part of an answer has been sent, so that no other message may be written.
+func (s *session) answerStarted() bool { return len(s.slots) > 0 && s.slots[0].relayStarted() }
 
-// updateState tells the connection limiter what the client is doing.
+// updateState reports the client's state to the connection limiter.
 func (s *session) updateState() {
 	state := connlimit.Idle
 	switch {
 	case len(s.slots) > 0:
 		state = connlimit.Active
-	case !s.started || s.failedBeforeRequest && !s.requested:
+	case !s.started || s.failedBeforeRequest && !s.requestReceived:
 		state = connlimit.Connecting
 	case len(s.input) > 0:
 		state = connlimit.Receiving
@@ -238,33 +240,33 @@
 	s.SetState(state)
 }
 
-// closeIfDue disconnects the client after an answer if it is its turn, unless there is more to take in.
+// closeIfDue disconnects the client after an answer if the shutdown requires it, unless input is still being processed.
 func (s *session) closeIfDue() {
-	if !s.reading {
+	if !s.processingInput {
 		s.CloseIfDue(true)
 	}
 }
 
-// InFlight is documented with frontend.Session, as the methods below.
+// InFlight reports whether commands wait for their answers.
 func (s *session) InFlight() bool { return len(s.slots) > 0 }
 
-// BufferedInput returns the bytes of an incomplete message.
+// BufferedInput returns the number of buffered bytes of an incomplete message.
 func (s *session) BufferedInput() int { return len(s.input) }
 
-// HasCommand is always false: every complete command is taken in at once.
+// HasCommand returns false, because every complete command is processed at once.
 func (s *session) HasCommand() bool { return false }
 
-// Abandon gives up the session's commands.
+// Abandon ends the session's commands because the client is disconnected.
 func (s *session) Abandon() {
 	delete(s.frontend.sessionsByKey, s.cancelKey)
-	for _, w := range s.slots {
-		w.abandon()
+	for _, sl := range s.slots {
+		sl.abandon()
 	}
 }
 
-// Terminate answers all commands with a failure, unless part of an answer has been sent already.
+// Terminate answers all commands in flight with a failure, unless part of an answer has been sent already.
 func (s *session) Terminate() {
-	if !s.answerBegun() {
+	if !s.answerStarted() {
 		s.Conn.Write(s.failAll())
 	}
 }
--- a/internal/pooler/postgres/slot.go
+++ b/internal/pooler/postgres/slot.go
@@ -13,48 +13,49 @@
 	"threadsail/internal/translate"
 )
 
-// slot is a command whose answer is due. It is the dispatch.Replier of its request.
+// slot is the place of a command's answer in the order of a session's answers. It is the dispatch.Replier of its request.
 type slot struct {
 	session   *session
-	requestID string // empty: the command needs no server
+	requestID string // empty: the request has no ID, or the command needs no server
 	request   *dispatch.OpenRequest
 	answered  bool
 	answer    []byte
-	relay     *relay // of a long answer
+	relay     *relay // relay of a long answer; nil: none
 }
 
-// submitQuery hands a query to the dispatcher, or answers it where it needs no server or can't be submitted.
-func (s *session) submitQuery(at time.Duration, text string) {
+// submitQuery submits a query to the dispatcher, or answers it locally if it needs no server or is invalid.
+func (s *session) submitQuery(arrivedAt time.Duration, text string) {
 	trimmed := strings.Trim(text, " \t\r\n;")
 	if trimmed == "" {
 		s.answerLocally(pgwire.AppendReady(pgwire.Append(nil, 'I')))
 		return
 	}
-	cm, err := comment.Parse(text)
+	parsedComment, err := comment.Parse(text)
 	if err != nil {
-		s.answerUncommented(trimmed, err)
+		s.answerWithoutComment(trimmed, err)
 		return
 	}
-	request, err := s.newRequest(at, text, cm)
+	request, err := s.newRequest(arrivedAt, text, parsedComment)
 	if err != nil {
 		s.protocolError(err.Error())
 		return
 	}
-	if err := s.frontend.checkStatement(text, cm.Group); err != nil {
-		own := translate.AsError(err)
-		s.answerLocally(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", own.Meaning.Postgres(), own.Text, "")))
+	if err := s.frontend.checkStatement(text, parsedComment.Group); err != nil {
+		translateError := translate.AsError(err)
+		s.answerLocally(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", translateError.Meaning.Postgres(), translateError.Text, "")))
 		return
 	}
-	s.requested = true
-	w := &slot{session: s, requestID: cm.ID}
-	s.frontend.BeginRequest(cm.ID)
-	request.Reply = w
-	s.slots = append(s.slots, w)
-	w.request = s.frontend.dispatcher.Submit(request)
+	s.requestReceived = true
+	sl := &slot{session: s, requestID: parsedComment.ID}
+	s.frontend.BeginRequest(parsedComment.ID)
+	request.Reply = sl
+	s.slots = append(s.slots, sl)
+	sl.request = s.frontend.dispatcher.Submit(request)
 }
 
-// answerUncommented answers a query without a usable comment: SET and the like are accepted, as a session here has no state to set.
-func (s *session) answerUncommented(trimmed string, err error) {
+// answerWithoutComment answers a query that has no usable comment. SET, RESET and DISCARD are accepted without effect, because
+// a session of the pooler has no state; other queries are answered with err.
+func (s *session) answerWithoutComment(trimmed string, err error) {
 	command, _, _ := strings.Cut(strings.ToUpper(trimmed), " ")
 	if errors.Is(err, comment.ErrNone) && (command == "SET" || command == "RESET" || command == "DISCARD") {
 		s.answerLocally(pgwire.AppendReady(pgwire.Append(nil, 'C', command, "\x00")))
@@ -63,100 +64,100 @@
 	s.protocolError(err.Error())
 }
 
-// newRequest returns the request that a query and its comment make, or what is wrong with the comment.
-func (s *session) newRequest(at time.Duration, text string, cm comment.Comment) (*dispatch.Request, error) {
-	class, info, err := s.frontend.Class(cm)
+// newRequest returns the request for a query and its comment, or an error that says what is wrong with the comment.
+func (s *session) newRequest(arrivedAt time.Duration, text string, parsedComment comment.Comment) (*dispatch.Request, error) {
+	class, info, err := s.frontend.Class(parsedComment)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.frontend.CheckRequestID(cm.ID); err != nil {
+	if err := s.frontend.CheckRequestID(parsedComment.ID); err != nil {
 		return nil, err
 	}
-	request := frontend.NewRequest(class, info, cm, at)
-	request.Payload = &Statement{Text: text, Comment: cm}
+	request := frontend.NewRequest(class, info, parsedComment, arrivedAt)
+	request.Payload = &Statement{Text: text, Comment: parsedComment}
 	if info.Access == policy.ReadSession || info.Access == policy.Write {
 		request.Session = comment.Session(text)
 	}
 	if s.frontend.dispatcher.HasGuards() {
 		request.Statement = comment.Bare(text)
 		request.Key = comment.QuotedKey(text)
-		request.CacheVariant = "simple" // a session here has no state to set
+		request.CacheVariant = "simple" // a session of the pooler has no state that would change the answer
 	}
 	return request, nil
 }
 
-// ClientDisconnected is documented with dispatch.Replier, as the methods below.
-func (w *slot) ClientDisconnected() bool { return w.session.ClientDisconnected() }
+// ClientDisconnected implements dispatch.Replier.
+func (sl *slot) ClientDisconnected() bool { return sl.session.ClientDisconnected() }
 
-// Serve passes on the row as the server gave it, or begins to.
-func (w *slot) Serve(answer any) {
-	long, ok := answer.(*relay)
+// Serve sends the server's answer, or queues its relay if it is long.
+func (sl *slot) Serve(answer any) {
+	longAnswer, ok := answer.(*relay)
 	switch {
 	case !ok:
-		w.complete(answer.([]byte))
-	case w.request == nil: // abandoned
-		long.Discard()
+		sl.complete(answer.([]byte))
+	case sl.request == nil: // the command was abandoned
+		longAnswer.Discard()
 	default:
-		w.relay = long
-		w.session.sendAnswers()
+		sl.relay = longAnswer
+		sl.session.sendAnswers()
 	}
 }
 
-// Reject tells the client that nothing has run, and when to come again.
-func (w *slot) Reject(after time.Duration) { w.complete(pgwire.AppendRefusal(nil, after)) }
+// Reject answers that the query was not executed and may be retried after the given delay.
+func (sl *slot) Reject(retryAfter time.Duration) { sl.complete(pgwire.AppendRefusal(nil, retryAfter)) }
 
-// Fail tells the client that its query may have run.
-func (w *slot) Fail() { w.complete(appendFailure(nil)) }
+// Fail answers that the query may have been executed.
+func (sl *slot) Fail() { sl.complete(appendFailure(nil)) }
 
-// complete gives the command its final answer, unless it has been abandoned.
-func (w *slot) complete(answer []byte) {
-	if w.request == nil {
+// complete sets the command's final answer, unless the request has ended already, and sends the answers that are due.
+func (sl *slot) complete(answer []byte) {
+	if sl.request == nil {
 		return
 	}
-	w.releaseRequest()
-	w.answered = true
-	w.answer = pgwire.AppendReady(answer)
-	s := w.session
-	s.heldBytes += len(w.answer)
+	sl.releaseRequest()
+	sl.answered = true
+	sl.answer = pgwire.AppendReady(answer)
+	s := sl.session
+	s.queuedAnswerBytes += len(sl.answer)
 	if !s.Connected() {
 		return
 	}
 	s.sendAnswers()
-	if s.heldBytes > maxHeldBytes {
+	if s.queuedAnswerBytes > maxQueuedAnswerBytes {
 		s.fatal(pgwire.CodeTooMany, "too much waits for an earlier answer")
 	}
 }
 
-// completeRelay ends a long answer with what follows the row.
-func (w *slot) completeRelay(trailer []byte) {
-	w.releaseRequest()
-	w.answered = true
-	w.answer = pgwire.AppendReady(trailer)
-	w.session.heldBytes += len(w.answer)
-	w.session.sendAnswers()
+// completeRelay ends a relayed answer with the messages that follow its row.
+func (sl *slot) completeRelay(trailer []byte) {
+	sl.releaseRequest()
+	sl.answered = true
+	sl.answer = pgwire.AppendReady(trailer)
+	sl.session.queuedAnswerBytes += len(sl.answer)
+	sl.session.sendAnswers()
 }
 
-// relayStarted tells whether part of the answer has been sent.
-func (w *slot) relayStarted() bool { return w.relay != nil && w.relay.slot != nil }
+// relayStarted reports whether the relay of the answer has begun to send.
+func (sl *slot) relayStarted() bool { return sl.relay != nil && sl.relay.slot != nil }
 
-// abandon ends a request that nobody waits for any more.
-func (w *slot) abandon() {
-	if w.relay != nil {
-		w.relay.Discard()
+// abandon ends the command's request because its client no longer waits for the answer.
+func (sl *slot) abandon() {
+	if sl.relay != nil {
+		sl.relay.Discard()
 	}
-	if w.request != nil {
-		w.request.HandleDisconnect()
-		w.releaseRequest()
+	if sl.request != nil {
+		sl.request.HandleDisconnect()
+		sl.releaseRequest()
 	}
 }
 
-// releaseRequest gives the request's ID back.
-func (w *slot) releaseRequest() {
-	w.session.frontend.EndRequest(w.requestID)
-	w.request = nil
+// releaseRequest allows other requests to use the request's ID.
+func (sl *slot) releaseRequest() {
+	sl.session.frontend.EndRequest(sl.requestID)
+	sl.request = nil
 }
 
-// appendFailure appends the answer to a query that may have run.
+// appendFailure appends the error for a query that may have been executed.
 func appendFailure(b []byte) []byte {
 	return pgwire.AppendError(b, "ERROR", pgwire.CodeFailed, "no answer in time; the statement may have run", "")
 }
