--- a/internal/pooler/frontend/client.go
+++ b/internal/pooler/frontend/client.go
@@ -5,45 +5,46 @@
 	"threadsail/internal/transport"
 )
 
-// Session is the protocol's side of a client.
+// Session is the protocol-specific part of a client's connection.
 type Session interface {
 	transport.Handler
-	// InFlight tells whether commands of the client wait for their answers.
+	// InFlight reports whether commands of the client wait for their answers.
 	InFlight() bool
-	// BufferedInput returns how many bytes have come that are not taken in yet.
+	// BufferedInput returns the number of bytes received but not processed yet.
 	BufferedInput() int
-	// HasCommand tells whether a complete command is among them.
+	// HasCommand reports whether the buffered input contains a complete command.
 	HasCommand() bool
-	// Abandon gives up what is in flight: the client is disconnected.
+	// Abandon ends the commands in flight because the client is disconnected.
 	Abandon()
-	// Terminate answers what is in flight with a failure, as far as the protocol allows. The connection is closed after it.
+	// Terminate answers the commands in flight with a failure, as far as the protocol allows. The caller then closes the
+	// connection.
 	Terminate()
 }
 
-// Client is one client's connection. A session embeds it; Connect begins its use.
+// Client is a client's connection. A protocol's session embeds it and calls Connect before any other method.
 type Client struct {
 	Conn      *transport.Conn
 	clients   *Clients
 	session   Session
-	admission *connlimit.Admission // nil: rejected
-	paused    bool                 // nothing more is read from it
+	admission *connlimit.Admission // nil: the limiter rejected the client
+	paused    bool                 // reading from the connection is paused
 }
 
-// Connect enters a new connection, which session is to handle. It returns false where there is no room for the client: the caller
-// then closes it.
+// Connect registers a new connection and makes session its handler. It returns false if the connection limiter rejects the
+// client: the caller must then close the connection.
 func (c *Client) Connect(clients *Clients, conn *transport.Conn, session Session) (admitted bool) {
 	c.Conn, c.clients, c.session = conn, clients, session
 	conn.SetHandler(session)
 	clients.connected[c] = true
-	clients.arrived = true
+	clients.clientConnected = true
 	c.admission = clients.limiter.Admit(c)
 	return c.admission != nil
 }
 
-// Connected tells whether the connection is still open here.
+// Connected reports whether the connection is open: neither closed by the pooler nor reported as closed by the client.
 func (c *Client) Connected() bool { return c.clients.connected[c] }
 
-// Closed forgets the client, whose connection has ended, and has the session give up what is in flight.
+// Closed unregisters the client, whose connection has ended, and abandons its commands in flight.
 func (c *Client) Closed(error) {
 	delete(c.clients.connected, c)
 	if c.admission != nil {
@@ -52,10 +53,10 @@
 	c.session.Abandon()
 }
 
-// Quiet tells whether nothing has come from the client that has not been seen yet.
+// Quiet reports whether the client has neither sent nor closed anything that its session has not handled yet.
 func (c *Client) Quiet() bool { return c.Conn.Quiet() }
 
-// Evict closes the connection for the connection limiter, without a message.
+// Evict resets the connection on behalf of the connection limiter, without a message to the client.
 func (c *Client) Evict() {
 	c.Conn.Reset()
 	c.Closed(nil)
@@ -69,8 +70,8 @@
 	}
 }
 
-// ClientDisconnected tells whether the client has closed its connection, and then ends the session, also where the close has not
-// been read yet.
+// ClientDisconnected reports whether the client has closed its connection, even if the close has not been read yet. If so, it
+// also ends the session.
 func (c *Client) ClientDisconnected() bool {
 	if !c.Conn.PeerDisconnected() {
 		return false
@@ -82,20 +83,20 @@
 	return true
 }
 
-// SetState tells the connection limiter what the client is doing.
+// SetState reports the client's state to the connection limiter.
 func (c *Client) SetState(state connlimit.State) {
 	c.admission.SetState(state, c.session.BufferedInput())
 }
 
-// CloseIfDue disconnects the client if it is its turn and this is between two commands: everything that has come has its answer.
-// afterAnswer: the client has just got one.
+// CloseIfDue closes the connection if the client is to be disconnected and is between two commands: all input received has been
+// answered. afterAnswer reports that the client has just received an answer.
 func (c *Client) CloseIfDue(afterAnswer bool) {
-	if !c.Connected() || !c.mustLeave(afterAnswer) {
+	if !c.Connected() || !c.shouldDisconnect(afterAnswer) {
 		return
 	}
 	switch {
 	case c.session.InFlight():
-		if c.clients.closing && !c.Quiet() { // it sends on before it has its answers, and would for good
+		if c.clients.disconnectingAll && !c.Quiet() { // the client sends more before it is answered, and might do so forever
 			c.paused = true
 			c.Conn.Pause(true)
 		}
@@ -106,6 +107,6 @@
 	}
 }
 
-func (c *Client) mustLeave(afterAnswer bool) bool {
+func (c *Client) shouldDisconnect(afterAnswer bool) bool {
 	return c.admission.ShouldDisconnect() || afterAnswer && c.clients.draining
 }
--- a/internal/pooler/frontend/request_test.go
+++ b/internal/pooler/frontend/request_test.go
@@ -11,7 +11,7 @@
 	"threadsail/internal/protocol/comment"
 )
 
-// noServers is a backend without servers.
+// noServers is a dispatch.Backend that sends nothing.
 type noServers struct{}
 
 func (noServers) Send(string, any, time.Duration, dispatch.AttemptCallbacks) dispatch.Call {
@@ -20,7 +20,7 @@
 func (noServers) Probe(string, func(dispatch.AttemptResult)) dispatch.Call { return nil }
 func (noServers) CloseIdle(string)                                         {}
 
-// newClients returns the clients of a frontend whose only class is "any", with servers of group 1.
+// newClients returns the clients of a frontend with the single class "any" and a server in group 1.
 func newClients(t *testing.T) *Clients {
 	t.Helper()
 	loop := dispatch.NewEventLoop()
@@ -35,10 +35,10 @@
 	return NewClients(dispatcher, connlimit.New(loop, 9, 1<<20))
 }
 
-// A comment names a class and a group that are known, or the client is told which is not: the class first.
+// A comment with an unknown class or group is rejected with the error for it; the class is checked first.
 func TestClass(t *testing.T) {
 	clients := newClients(t)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		comment comment.Comment
 		want    error
 	}{
@@ -48,42 +48,42 @@
 		"no group":         {comment.Comment{Class: "any", Group: -1}, ErrUnknownGroup},
 		"neither is known": {comment.Comment{Class: "other", Group: -1}, ErrUnknownClass},
 	} {
-		_, info, err := clients.Class(c.comment)
-		if !errors.Is(err, c.want) {
-			t.Errorf("%s: got %v, want %v", name, err, c.want)
+		_, classSettings, err := clients.Class(test.comment)
+		if !errors.Is(err, test.want) {
+			t.Errorf("%s: got %v, want %v", name, err, test.want)
 		}
-		if err == nil && info.TotalTimeout != time.Minute {
-			t.Errorf("%s: got the timeout %v of another class", name, info.TotalTimeout)
+		if err == nil && classSettings.TotalTimeout != time.Minute {
+			t.Errorf("%s: got the total timeout %v, want 1m0s", name, classSettings.TotalTimeout)
 		}
 	}
 }
 
-// A request's ID is its own while it is in flight; requests without an ID never meet.
+// An ID is rejected while a request with it is in flight. Requests without an ID never conflict.
 func TestRequestID(t *testing.T) {
 	clients := newClients(t)
 	clients.BeginRequest("a")
 	clients.BeginRequest("")
 	if err := clients.CheckRequestID("a"); !errors.Is(err, ErrRequestIDOpen) {
-		t.Errorf("an ID in flight: got %v", err)
+		t.Errorf("an ID in flight: got %v, want ErrRequestIDOpen", err)
 	}
 	for _, id := range []string{"b", ""} {
 		if err := clients.CheckRequestID(id); err != nil {
-			t.Errorf("ID %q: got %v", id, err)
+			t.Errorf("ID %q: got %v, want no error", id, err)
 		}
 	}
 	clients.EndRequest("a")
 	if err := clients.CheckRequestID("a"); err != nil {
-		t.Errorf("an ID whose request has ended: got %v", err)
+		t.Errorf("an ID whose request has ended: got %v, want no error", err)
 	}
 }
 
-// A request waits for as long as its comment says, or else its class.
+// The timeout of a request comes from its comment, or else from its class.
 func TestNewRequestTimeout(t *testing.T) {
-	info := policy.Class{TotalTimeout: time.Minute}
-	if r := NewRequest(0, info, comment.Comment{Patience: time.Second}, 0); r.Timeout != time.Second {
-		t.Errorf("got %v, want the comment's second", r.Timeout)
+	classSettings := policy.Class{TotalTimeout: time.Minute}
+	if request := NewRequest(0, classSettings, comment.Comment{Patience: time.Second}, 0); request.Timeout != time.Second {
+		t.Errorf("got %v, want the comment's timeout of 1s", request.Timeout)
 	}
-	if r := NewRequest(0, info, comment.Comment{}, 0); r.Timeout != time.Minute {
-		t.Errorf("got %v, want the class's minute", r.Timeout)
+	if request := NewRequest(0, classSettings, comment.Comment{}, 0); request.Timeout != time.Minute {
+		t.Errorf("got %v, want the class's timeout of 1m0s", request.Timeout)
 	}
 }
--- a/internal/pooler/postgres/slot.go
+++ b/internal/pooler/postgres/slot.go
@@ -66,16 +66,16 @@
 
 // newRequest returns the request for a query and its comment, or an error that says what is wrong with the comment.
 func (s *session) newRequest(arrivedAt time.Duration, text string, parsedComment comment.Comment) (*dispatch.Request, error) {
-	class, info, err := s.frontend.Class(parsedComment)
+	class, classSettings, err := s.frontend.Class(parsedComment)
 	if err != nil {
 		return nil, err
 	}
 	if err := s.frontend.CheckRequestID(parsedComment.ID); err != nil {
 		return nil, err
 	}
-	request := frontend.NewRequest(class, info, parsedComment, arrivedAt)
+	request := frontend.NewRequest(class, classSettings, parsedComment, arrivedAt)
 	request.Payload = &Statement{Text: text, Comment: parsedComment}
-	if info.Access == policy.ReadSession || info.Access == policy.Write {
+	if classSettings.Access == policy.ReadSession || classSettings.Access == policy.Write {
 		request.Session = comment.Session(text)
 	}
 	if s.frontend.dispatcher.HasGuards() {
