--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -2,25 +2,25 @@
 
 import "sync/atomic"
 
-// Budget bounds the number of descriptors that connections hold at the same time.
+// Budget is a limit on the number of file descriptors that connections hold at the same time. It may be used from any goroutine.
 type Budget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// NewBudget returns a budget of limit descriptors, all of them free.
+// NewBudget returns a Budget that allows limit descriptors, none of which is in use.
 func NewBudget(limit int) *Budget { return &Budget{limit: int64(limit)} }
 
-// Limit is the number of descriptors that may be in use.
+// Limit returns the maximum number of descriptors in use.
 func (b *Budget) Limit() int { return int(b.limit) }
 
-// Used is the number of descriptors in use.
+// Used returns the number of descriptors in use.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
-// Full reports whether a dial would find no free descriptor.
+// Full reports whether all descriptors are in use, so that a dial would fail with ErrNoDescriptor.
 func (b *Budget) Full() bool { return b.used.Load() >= b.limit }
 
-// take reserves a descriptor, if one is free.
+// take reserves a descriptor and reports whether one was free.
 func (b *Budget) take() bool {
 	if b.used.Add(1) > b.limit {
 		b.used.Add(-1)
@@ -29,4 +29,5 @@
 	return true
 }
 
+// release returns a descriptor that take has reserved.
 func (b *Budget) release() { b.used.Add(-1) }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// Conn is one connection. All its methods must be called on its loop.
+// Conn is a TCP connection. All its methods must be called on its loop.
 type Conn struct {
 	loop         Loop
 	socket       socket
 	handler      Handler
-	closed       bool         // by its owner, or reported to it
-	unsent       []byte       // queued for the next write
-	writing      bool         // a goroutine of flush is at work
-	closing      bool         // it is closed once all is written
-	onWritten    func()       // runs once all bytes given to Write are with the kernel; nil: nobody waits
-	peerClosed   bool         // the peer has closed while a write was under way
-	discardInput atomic.Bool  // what the peer still sends is discarded
-	undelivered  atomic.Int64 // bytes that have been read and have not reached the loop yet
-}
-
-// socket is what moves the bytes of a connection: polled on netpoll or, once its peer has had to wait, direct on Go's own
-// poller. Its methods are called on the loop, but for write.
+	closed       bool         // closed by its owner, or its end has been reported to the owner
+	unsent       []byte       // bytes queued for the next write
+	writing      bool         // a goroutine started by flush is writing
+	closing      bool         // Finish was called; the connection is closed once the queue is written
+	onWritten    func()       // called once the kernel has accepted all bytes passed to Write; nil: no callback
+	peerClosed   bool         // the peer has closed the connection or its half of it
+	discardInput atomic.Bool  // further input is discarded
+	undelivered  atomic.Int64 // bytes that have been read but not yet delivered to the handler
+}
+
+// socket is the implementation of a connection's input and output: a polledSocket on netpoll or, after the peer has had to be
+// throttled, a directSocket on Go's network poller. Its methods are called on the loop, except write.
 type socket interface {
-	withDescriptor(f func(fd int)) bool // calls f with the descriptor, unless it is closed; reports whether it is open
-	write(b []byte) error               // blocks while the peer does not read, at most for writeTimeout
-	close()                             // ends the connection
-	finish()                            // ends it so that the peer gets all that was written
-	reset()                             // ends it so that the peer learns that what it sends is not read
-	setPaused(on bool)                  // stops or resumes reading
-	unreadBytes() int                   // bytes that have been read and that Conn.undelivered does not count yet
+	withDescriptor(f func(fd int)) bool // calls f with the descriptor if it is open, and reports whether it is
+	write(b []byte) error               // blocks while the send buffer is full, for writeTimeout at most
+	close()                             // closes the connection at once
+	finish()                            // closes the connection after the peer has received all bytes written
+	reset()                             // closes the connection with a TCP reset
+	setPaused(pause bool)               // stops or resumes reading
+	unreadBytes() int                   // returns the number of bytes read that Conn.undelivered does not count yet
 }
 
-// SetHandler makes h the owner of the connection.
+// SetHandler sets the handler that receives the events of the connection.
 func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
-// Written reports whether all bytes given to Write are with the kernel.
+// Written reports whether the kernel has accepted all bytes passed to Write.
 func (c *Conn) Written() bool { return !c.writing && len(c.unsent) == 0 }
 
-// OnWritten calls f once all bytes given to Write are with the kernel, which may be at once. It does not call f if the
-// connection ends before.
+// OnWritten calls f once the kernel has accepted all bytes passed to Write, which may be before OnWritten returns. It does not
+// call f if the connection ends first.
 func (c *Conn) OnWritten(f func()) {
 	if c.Written() && !c.closed {
 		f()
@@ -50,18 +50,20 @@
 	c.onWritten = f
 }
 
-// Pause stops reading, so that the peer has to wait, or resumes it. Bytes that have been read are delivered all the same. It
-// has no effect while a write is under way.
-func (c *Conn) Pause(on bool) {
+// Pause stops reading if pause is true, so that TCP flow control holds the peer back, and otherwise resumes it. Bytes that have
+// already been read are still delivered. While a write through netpoll is in progress, a connection cannot be paused for the
+// first time: the call then does not stop reading.
+func (c *Conn) Pause(pause bool) {
 	if !c.closed {
-		c.socket.setPaused(on)
+		c.socket.setPaused(pause)
 	}
 }
 
-// LimitSendBuffer bounds what the kernel keeps for a peer that does not read, which would be megabytes by default.
+// LimitSendBuffer limits the kernel's send buffer, which by default grows to megabytes when the peer does not read.
 func (c *Conn) LimitSendBuffer() { c.socket.withDescriptor(limitSendBuffer) }
 
-// Write queues bytes for the peer and never blocks.
+// Write sends b to the peer, or queues the part that the kernel does not accept at once. It never blocks. If the queue grows
+// beyond maxUnsent, the connection fails with ErrOverrun. After Close, Finish or Reset, b is discarded.
 func (c *Conn) Write(b []byte) {
 	if c.closed || c.closing {
 		return
@@ -81,15 +83,16 @@
 	}
 }
 
-// send gives the kernel what it takes at once, which is nearly always all, and returns the number of bytes. A goroutine for
-// each write, and the way through netpoll's buffers, would cost a tenth of the processor. flush meets an error again.
+// send writes to the descriptor without blocking and returns the number of bytes that the kernel accepted, which is nearly always
+// len(b). Starting a goroutine for each write and copying through netpoll's buffers would cost a tenth of the CPU time. An error
+// is ignored, as flush runs into it again.
 func (c *Conn) send(b []byte) (n int) {
 	c.socket.withDescriptor(func(fd int) { n, _ = syscall.Write(fd, b) })
 	return max(n, 0)
 }
 
-// flush writes the queue on a goroutine of its own, where it may wait for a peer that reads slowly. The goroutine belongs to the
-// connection, which has one at a time; it ends when the write does, at the latest writeTimeout after the peer's last read.
+// flush writes the queue on a new goroutine, which may block while the peer reads slowly. A connection has at most one such
+// goroutine. It ends with the write, at the latest writeTimeout after the peer's last read.
 func (c *Conn) flush() {
 	b := c.unsent
 	c.unsent = nil
@@ -100,7 +103,7 @@
 	}()
 }
 
-// flushed takes in the end of a write.
+// flushed handles the end of a write started by flush.
 func (c *Conn) flushed(err error) {
 	switch {
 	case c.closed:
@@ -125,8 +128,8 @@
 	}
 }
 
-// handlePeerClose takes in the peer's close. It may overtake the end of a write. Whether that write was complete decides if the
-// request may have been executed, so the close is reported after it.
+// handlePeerClose handles the peer's close. The event may arrive before the result of a write that is in progress. As that result
+// decides whether the request may have been executed, the close is reported after it.
 func (c *Conn) handlePeerClose() {
 	c.peerClosed = true
 	if !c.writing {
@@ -134,7 +137,7 @@
 	}
 }
 
-// Close ends the connection at once. Its handler receives no more events.
+// Close closes the connection at once and discards queued bytes. The handler receives no more events.
 func (c *Conn) Close() {
 	if !c.closed {
 		c.closed = true
@@ -143,10 +146,10 @@
 	}
 }
 
-// Finish closes the connection after all that is queued has been written. While the peer has yet to read some of it, or still
-// sends, only the sending half is closed and input is discarded, until the peer closes too: so the peer meets the end of the
-// stream behind the last answer. A close with unread input, or before further input, would reset the connection, and the reset
-// could overtake that answer.
+// Finish closes the connection after all queued bytes have been written. While the peer has not acknowledged all of them, or
+// still sends, only the sending half is closed and input is discarded until the peer closes too, so that the peer reads the
+// last answer and then the end of the stream. Closing the descriptor with unread input, or before further input arrives, would
+// reset the connection, and the reset could make the peer lose that answer.
 func (c *Conn) Finish() {
 	c.discardInput.Store(true)
 	c.closing = true
@@ -155,6 +158,7 @@
 	}
 }
 
+// finishSocket marks the connection as closed and finishes the socket.
 func (c *Conn) finishSocket() {
 	if !c.closed {
 		c.closed = true
@@ -163,13 +167,14 @@
 	}
 }
 
-// Reset closes the connection at once so that the peer learns that what it may be sending is not read; an ordinary close would
-// not tell. A reset would discard bytes that the peer has not read: while there are any, Reset is Finish.
+// Reset closes the connection at once with a TCP reset, which tells the peer that bytes it may be sending are not read; an
+// ordinary close would not. As a reset discards bytes that the peer has not read yet, Reset acts like Finish while bytes are
+// queued or unacknowledged.
 func (c *Conn) Reset() {
-	owed := !c.Written()
-	c.socket.withDescriptor(func(fd int) { owed = owed || hasUnsent(fd) })
+	unsent := !c.Written()
+	c.socket.withDescriptor(func(fd int) { unsent = unsent || hasUnsent(fd) })
 	switch {
-	case owed:
+	case unsent:
 		c.Finish()
 	case !c.closed:
 		c.closed = true
@@ -178,7 +183,7 @@
 	}
 }
 
-// fail closes the connection and reports it to the owner.
+// fail closes the connection and reports err to the handler.
 func (c *Conn) fail(err error) {
 	if c.closed {
 		return
@@ -188,16 +193,16 @@
 	handler.Closed(err)
 }
 
-// deliver passes bytes that have been read to the owner.
-func (c *Conn) deliver(at time.Duration, b []byte) {
+// deliver passes bytes that were read at the given time to the handler.
+func (c *Conn) deliver(readAt time.Duration, b []byte) {
 	c.undelivered.Add(-int64(len(b)))
 	if !c.closed && !c.closing && len(b) > 0 {
-		c.handler.Data(at, b)
+		c.handler.Data(readAt, b)
 	}
 }
 
-// Quiet reports whether the peer has neither sent nor closed anything that the owner has not been told of. It looks at the
-// kernel's buffer first, as the goroutines that read may be late.
+// Quiet reports whether the connection is open and has neither bytes nor a close of the peer that are not yet delivered to the
+// handler. It checks the kernel's receive buffer too, as the reading goroutines may not have run yet.
 func (c *Conn) Quiet() bool {
 	if c.closed || c.peerClosed {
 		return false
@@ -207,8 +212,8 @@
 	return quiet && c.AllDelivered()
 }
 
-// PeerDisconnected reports whether the peer has closed its connection, or its half of it. It asks the kernel, where the close
-// may lie behind unread bytes; the event of a close that has been read may still wait behind others of the loop, or a write.
+// PeerDisconnected reports whether the peer has closed the connection or its half of it. It queries the kernel, because the
+// handler may learn of the close much later: after unread bytes, after events queued on the loop, or after a write.
 func (c *Conn) PeerDisconnected() bool {
 	if c.closed || c.peerClosed {
 		return true
@@ -218,7 +223,7 @@
 	return hungUp || !open
 }
 
-// AllDelivered reports whether all bytes that have been read have reached the owner. The kernel may hold more.
+// AllDelivered reports whether all bytes that have been read are delivered to the handler. The kernel may hold further bytes.
 func (c *Conn) AllDelivered() bool {
 	return c.closed || c.socket.unreadBytes() == 0 && c.undelivered.Load() == 0
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -6,9 +6,9 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Dial connects to addr and calls done on the loop, with the connection or an error. done sets the connection's handler, or
-// closes the connection. After a call of cancel, done is not called, and a connection that still comes up is closed. The
-// goroutine that dials ends after timeout at the latest.
+// Dial connects to addr on a new goroutine and calls done on the loop with the connection or an error, which is ErrNoDescriptor
+// if the budget is exhausted. done must set the connection's handler or close the connection. After cancel has been called,
+// done is not called, and a connection that is still established is closed. The goroutine ends after timeout at the latest.
 func Dial(loop Loop, budget *Budget, addr string, timeout time.Duration, done func(*Conn, error)) (cancel func()) {
 	d := &dial{loop: loop, budget: budget, done: done}
 	if !budget.take() {
@@ -22,7 +22,7 @@
 	return d.cancel
 }
 
-// dial is a dial under way. Its methods run on the loop.
+// dial is a dial in progress. Its methods run on the loop.
 type dial struct {
 	loop      Loop
 	budget    *Budget
@@ -38,14 +38,14 @@
 	}
 }
 
-// connected takes in the end of the dial.
+// connected handles the result of the dial.
 func (d *dial) connected(raw netpoll.Connection, err error) {
 	if err != nil {
 		d.budget.release()
 		d.fail(err)
 		return
 	}
-	s := newPolled(d.loop, d.budget, raw)
+	s := newPolledSocket(d.loop, d.budget, raw)
 	if d.cancelled {
 		s.conn.Close()
 		return
--- a/internal/transport/direct.go
+++ b/internal/transport/direct.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	chunkSize      = 32 << 10 // bytes that are read at once
-	maxChunksAhead = 2        // chunks that may be read ahead of the loop
+	chunkSize      = 32 << 10 // bytes per read
+	maxChunksAhead = 2        // chunks read that the loop has not handled yet
 )
 
+// chunks is the pool of read buffers, shared by all connections.
 var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// direct is the socket of a connection on Go's own poller, after a handover from netpoll. A goroutine of its own (read) reads as
-// fast as the loop takes in, and not at all while the socket is paused. After close or reset that goroutine closes the
-// descriptor and gives it back to the budget.
-type direct struct {
+// directSocket is the socket of a connection on Go's network poller, after a handover from netpoll. Its goroutine (read) reads no
+// faster than the loop handles the bytes, and not at all while the socket is paused. After close or reset that goroutine closes
+// the descriptor and releases it to the budget.
+type directSocket struct {
 	conn       *Conn
 	budget     *Budget
 	tcp        *net.TCPConn
@@ -30,23 +31,23 @@
 	readTokens chan struct{} // each token allows the goroutine to read one chunk
 	done       chan struct{} // closed by close and reset
 	reading    atomic.Int32  // 1 while bytes may have been read that Conn.undelivered does not count yet
-	paused     bool          // used on the loop only, as heldTokens is
-	heldTokens int           // tokens kept back while the socket is paused
+	paused     bool          // used only on the loop, as is heldTokens
+	heldTokens int           // tokens withheld while the socket is paused
 }
 
-// newDirect returns a socket on a copy of the descriptor. The caller starts its read.
-func newDirect(c *Conn, budget *Budget, fd int) (*direct, error) {
+// newDirectSocket returns a socket on a duplicate of fd. The caller must start its read method on a goroutine.
+func newDirectSocket(c *Conn, budget *Budget, fd int) (*directSocket, error) {
 	copied, err := syscall.Dup(fd)
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(copied), "connection")
-	defer func() { _ = f.Close() }() // FileConn has copied the descriptor once more
+	defer func() { _ = f.Close() }() // FileConn has duplicated the descriptor again
 	std, err := net.FileConn(f)
 	if err != nil {
 		return nil, err
 	}
-	s := &direct{
+	s := &directSocket{
 		conn:       c,
 		budget:     budget,
 		tcp:        std.(*net.TCPConn),
@@ -60,37 +61,39 @@
 	return s, err
 }
 
-func (s *direct) withDescriptor(f func(fd int)) bool {
+func (s *directSocket) withDescriptor(f func(fd int)) bool {
 	return s.raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-func (s *direct) write(b []byte) error {
+func (s *directSocket) write(b []byte) error {
 	_ = s.tcp.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := s.tcp.Write(b)
 	return err
 }
 
-// close ends sending; linger does the rest.
-func (s *direct) close() {
+// close shuts down the sending half and makes the read goroutine run linger, which closes the descriptor.
+func (s *directSocket) close() {
 	close(s.done)
 	s.withDescriptor(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 	_ = s.tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-func (s *direct) finish() { s.close() }
+func (s *directSocket) finish() { s.close() }
 
-func (s *direct) reset() {
+func (s *directSocket) reset() {
 	_ = s.tcp.SetLinger(0)
 	close(s.done)
-	_ = s.tcp.Close() // linger closes it again
+	_ = s.tcp.Close() // linger's second Close has no effect
 }
 
-// linger discards what the peer still sends, for lingerTimeout and maxLingerBytes at most, and then resets the connection. An
-// outright close would leave a peer that waits for room waiting, as nothing tells it of room or of the end; an immediate reset
-// would discard what the peer has not read yet.
-func (s *direct) linger() {
+// linger discards the peer's input until the peer closes, lingerTimeout passes or maxLingerBytes are exceeded; in the latter
+// two cases it resets the connection unless the peer has yet to acknowledge bytes. Closing the descriptor right away would
+// leave a peer that is blocked on a full window waiting, as it would receive neither a window update nor the end of the
+// connection; an immediate reset would discard bytes that the peer has not read yet. linger also releases the descriptor to the
+// budget.
+func (s *directSocket) linger() {
 	defer s.budget.release()
-	defer func() { _ = s.tcp.Close() }() // after a reset it is closed already
+	defer func() { _ = s.tcp.Close() }() // no effect after reset, which closes it too
 	chunk := chunks.Get().(*[chunkSize]byte)
 	defer chunks.Put(chunk)
 	for discarded := 0; discarded < maxLingerBytes; {
@@ -106,9 +109,9 @@
 	s.withDescriptor(resetUnlessUnsent)
 }
 
-func (s *direct) setPaused(on bool) {
-	s.paused = on
-	if on {
+func (s *directSocket) setPaused(pause bool) {
+	s.paused = pause
+	if pause {
 		return
 	}
 	for ; s.heldTokens > 0; s.heldTokens-- {
@@ -116,11 +119,11 @@
 	}
 }
 
-func (s *direct) unreadBytes() int { return int(s.reading.Load()) }
+func (s *directSocket) unreadBytes() int { return int(s.reading.Load()) }
 
-// read reads chunks and posts them to the loop until the connection ends. It is the socket's own goroutine. It holds a buffer
-// only while there are bytes in it, as many connections are idle.
-func (s *direct) read() {
+// read reads chunks and posts them to the loop until the connection ends. It runs on the socket's goroutine. It takes a buffer
+// from the pool only when there is input, as many connections are idle.
+func (s *directSocket) read() {
 	defer s.linger()
 	for {
 		select {
@@ -134,17 +137,17 @@
 			<-s.done
 			return
 		}
-		at := s.conn.loop.Now()
+		readAt := s.conn.loop.Now()
 		s.conn.loop.Post(func() {
-			s.conn.deliver(at, chunk[:n])
+			s.conn.deliver(readAt, chunk[:n])
 			chunks.Put(chunk)
 			s.returnToken()
 		})
 	}
 }
 
-// returnToken allows the next chunk to be read, or keeps the token back while the socket is paused. It runs on the loop.
-func (s *direct) returnToken() {
+// returnToken allows the next chunk to be read, or withholds the token while the socket is paused. It runs on the loop.
+func (s *directSocket) returnToken() {
 	if s.paused {
 		s.heldTokens++
 		return
@@ -152,8 +155,9 @@
 	s.readTokens <- struct{}{}
 }
 
-// readChunk waits for bytes and reads them into a chunk.
-func (s *direct) readChunk() (chunk *[chunkSize]byte, n int, err error) {
+// readChunk waits for input and reads it into a chunk from the pool, which the caller must put back. It returns io.EOF once the
+// peer has closed.
+func (s *directSocket) readChunk() (chunk *[chunkSize]byte, n int, err error) {
 	closed := s.raw.Read(func(fd uintptr) bool {
 		chunk = chunks.Get().(*[chunkSize]byte)
 		s.reading.Store(1)
@@ -167,7 +171,7 @@
 		if err == nil {
 			err = io.EOF
 		}
-		return err != syscall.EAGAIN // the poller calls again once there is input
+		return err != syscall.EAGAIN // the poller calls the function again once there is input
 	})
 	return chunk, n, cmp.Or(closed, err)
 }
--- a/internal/transport/handover.go
+++ b/internal/transport/handover.go
@@ -8,18 +8,18 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// setPaused hands the connection over to Go's poller, as netpoll cannot stop reading. The goroutine ends when netpoll has closed
-// its descriptor, which completes the handover.
-func (s *polled) setPaused(on bool) {
-	s.paused = on
-	if on && s.beginHandover() {
+// setPaused hands the connection over to Go's network poller when it is first paused, as netpoll cannot stop reading. The
+// goroutine ends when netpoll has closed its descriptor, which completes the handover.
+func (s *polledSocket) setPaused(pause bool) {
+	s.paused = pause
+	if pause && s.beginHandover() {
 		go func() { _ = s.raw.Close() }()
 	}
 }
 
-// beginHandover reports whether the handover begins now: the caller then closes the connection in netpoll. It cannot begin while
-// a write through netpoll is under way.
-func (s *polled) beginHandover() bool {
+// beginHandover begins a handover to Go's network poller if possible and reports whether it did: the caller must then close the
+// connection in netpoll. A handover cannot begin while a write through netpoll is in progress.
+func (s *polledSocket) beginHandover() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.descriptorClosed || s.ownerClosed || s.activeWrites > 0 || s.handover != nil {
@@ -29,17 +29,17 @@
 	return true
 }
 
-// inHandover reports whether a handover has begun. netpoll may go on reading during it.
-func (s *polled) inHandover() bool {
+// inHandover reports whether a handover has begun. netpoll may continue to read until it is complete.
+func (s *polledSocket) inHandover() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handover != nil
 }
 
-// completeHandover makes a direct socket, on a copy of the descriptor, the successor of a socket whose handover has begun, and
-// reports whether there is a successor. The poller may be reading into the buffer, so its turn is waited for. Bytes that netpoll
-// has read are delivered first.
-func (s *polled) completeHandover() bool {
+// completeHandover creates the successor of a socket whose handover has begun, a directSocket on a duplicate of the descriptor.
+// It reports whether there is a successor. As netpoll's poller may be reading into the buffer, it first waits until the poller
+// has handled the events it had fetched. Bytes that netpoll has read are delivered before those that the successor reads.
+func (s *polledSocket) completeHandover() bool {
 	s.mu.Lock()
 	handover, successor := s.handover, s.successor
 	s.mu.Unlock()
@@ -55,18 +55,18 @@
 	if err != nil {
 		return false
 	}
-	successor, err = newDirect(s.conn, s.budget, s.raw.(netpoll.Conn).Fd())
+	successor, err = newDirectSocket(s.conn, s.budget, s.raw.(netpoll.Conn).Fd())
 	if err != nil {
 		return false
 	}
 	s.successor = successor
 	s.conn.undelivered.Add(int64(len(rest)))
-	at := s.conn.loop.Now()
+	readAt := s.conn.loop.Now()
 	s.conn.loop.Post(func() {
-		s.conn.deliver(at, rest)
+		s.conn.deliver(readAt, rest)
 		s.conn.socket = successor
 		successor.paused = s.paused
-		go successor.read() // ends after successor.close or reset
+		go successor.read() // ends after successor.close or successor.reset
 		if s.conn.closed {
 			successor.close()
 		}
@@ -74,24 +74,24 @@
 	return true
 }
 
-// barrier is the barrier of netpoll's one poller.
+// barrier is the barrier of the process's only netpoll poller.
 var barrier pollerBarrier
 
-// pollerBarrier lets goroutines wait until netpoll's one poller has handled all events that it had fetched. It is a listener
-// whose descriptor is a pipe, so that its Accept runs on the poller, between the events of connections.
+// pollerBarrier is a barrier at which goroutines wait until netpoll's only poller has handled all events that it had fetched. It
+// is registered as a listener whose descriptor is a pipe, so that the poller calls its Accept between events of connections.
 type pollerBarrier struct {
 	once            sync.Once
-	readFD, writeFD int // the pipe
+	readFD, writeFD int // ends of the pipe
 
 	mu      sync.Mutex      // guards waiting
-	waiting []chan struct{} // closed by the next Accept
+	waiting []chan struct{} // channels that the next Accept closes
 }
 
-// start makes the pipe and serves it. The goroutine lives as long as the process.
+// start creates the pipe and registers it with netpoll. The goroutine lives as long as the process.
 func (b *pollerBarrier) start() {
 	var fds [2]int
 	if err := syscall.Pipe2(fds[:], syscall.O_NONBLOCK|syscall.O_CLOEXEC); err != nil {
-		panic(err) // only without descriptors, of which the pooler's budget leaves some free
+		panic(err) // happens only when the process is out of descriptors, and the pooler's budget leaves some free
 	}
 	b.readFD, b.writeFD = fds[0], fds[1]
 	events, err := netpoll.NewEventLoop(nil)
@@ -101,18 +101,18 @@
 	go func() { _ = events.Serve(b) }()
 }
 
-// wait waits until the poller has handled what it had fetched. It must not be called on the poller.
+// wait blocks until the poller has handled the events it had fetched. It must not be called on the poller's goroutine.
 func (b *pollerBarrier) wait() {
 	b.once.Do(b.start)
 	done := make(chan struct{})
 	b.mu.Lock()
 	b.waiting = append(b.waiting, done)
 	b.mu.Unlock()
-	_, _ = syscall.Write(b.writeFD, []byte{1}) // a full pipe wakes the poller as well
+	_, _ = syscall.Write(b.writeFD, []byte{1}) // can fail only if the pipe is full, which wakes the poller too
 	<-done
 }
 
-// Accept is called by the poller. It ends all waits and accepts nothing.
+// Accept releases all waiting goroutines. It is called by the poller and returns no connection.
 func (b *pollerBarrier) Accept() (net.Conn, error) {
 	var buf [64]byte
 	_, _ = syscall.Read(b.readFD, buf[:])
@@ -128,8 +128,8 @@
 // Close does nothing: the barrier lives as long as the process.
 func (b *pollerBarrier) Close() error { return nil }
 
-// Addr returns an empty address: netpoll asks every listener for one.
+// Addr returns an empty address. netpoll requires one of every listener.
 func (b *pollerBarrier) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Fd is the descriptor that the poller watches.
+// Fd returns the descriptor that the poller watches: the read end of the pipe.
 func (b *pollerBarrier) Fd() int { return b.readFD }
--- a/internal/transport/kernel.go
+++ b/internal/transport/kernel.go
@@ -6,49 +6,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// noInput reports whether the kernel holds neither bytes of the peer nor its close.
+// noInput reports whether the receive buffer is empty and the peer has not closed or reset the connection.
 func noInput(fd int) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// hasUnsent reports whether the kernel holds bytes that the peer has not acknowledged.
+// hasUnsent reports whether the send buffer holds bytes that the peer has not acknowledged.
 func hasUnsent(fd int) bool {
 	n, err := unix.IoctlGetInt(fd, unix.TIOCOUTQ)
 	return err == nil && n > 0
 }
 
-// resetOnClose has the close of a descriptor reset the connection.
+// resetOnClose makes closing the descriptor reset the connection.
 func resetOnClose(fd int) {
 	_ = syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
 }
 
-// resetUnlessUnsent has the close of a descriptor reset the connection, so that a peer that waits for room learns of the end.
-// It leaves a connection alone whose reset would discard bytes that the peer has yet to read.
+// resetUnlessUnsent makes closing the descriptor reset the connection, so that a peer that is blocked on a full window learns of
+// the end. It has no effect if the peer has not acknowledged all bytes, as a reset would discard them.
 func resetUnlessUnsent(fd int) {
 	if !hasUnsent(fd) {
 		resetOnClose(fd)
 	}
 }
 
-// peerHungUp reports whether the kernel has the peer's close or reset, even behind unread bytes. A failure of the call counts
-// as no: the close is then met when it is read.
+// peerHungUp reports whether the kernel has received the peer's close or reset, even if unread bytes precede it. It returns false
+// if the system call fails; the close is then detected when it is read.
 func peerHungUp(fd int) bool { return pollReady(fd, unix.POLLRDHUP) }
 
-// pollReady reports whether one of the events has come to a descriptor.
+// pollReady reports whether one of the events is pending on the descriptor.
 func pollReady(fd int, events int16) bool {
 	descriptors := [...]unix.PollFd{{Fd: int32(fd), Events: events}}
 	n, err := unix.Poll(descriptors[:], 0)
 	return err == nil && n > 0
 }
 
-// limitReceiveBuffer bounds what the kernel keeps of a peer that is not read.
+// limitReceiveBuffer limits the kernel's receive buffer, which fills while the connection is not read.
 func limitReceiveBuffer(fd int) {
 	_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, kernelBufferSize)
 }
 
-// limitSendBuffer bounds what the kernel keeps for a peer that does not read.
+// limitSendBuffer limits the kernel's send buffer, which fills while the peer does not read.
 func limitSendBuffer(fd int) {
 	_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, kernelBufferSize)
 }
--- a/internal/transport/polled.go
+++ b/internal/transport/polled.go
@@ -11,34 +11,36 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// polled is the socket of a connection on netpoll. Its poller reads whatever comes, and closes the descriptor after the peer has
-// hung up. read and handleClose run on netpoll's goroutines, write on that of Conn.flush, everything else on the loop.
-type polled struct {
+// polledSocket is the socket of a connection on netpoll. netpoll's poller reads all input without flow control and closes the
+// descriptor after the peer has hung up. read and handleClose run on netpoll's goroutines, write runs on that of Conn.flush,
+// finishTimer runs abort on one of its own, and the other socket methods run on the loop.
+type polledSocket struct {
 	conn      *Conn
 	budget    *Budget
 	raw       netpoll.Connection
-	released  atomic.Bool  // the descriptor has been given back to the budget
+	released  atomic.Bool  // the descriptor has been released to the budget
 	watched   bool         // the poller watches the descriptor and closes it after a hang-up
-	paused    bool         // what the successor of a handover begins with
-	discarded atomic.Int64 // 1 once its owner has finished; from then on it counts the bytes that are discarded, too
+	paused    bool         // initial state of the successor after a handover
+	discarded atomic.Int64 // 0 until the owner has finished the connection, then 1 plus the number of bytes discarded
 
-	mu               sync.Mutex    // guards all that follows
+	mu               sync.Mutex    // guards the fields below
 	descriptorClosed bool          // the descriptor no longer belongs to this socket
-	ownerClosed      bool          // the owner has closed or finished the connection
-	finishTimer      *time.Timer   // ends a finished connection whose peer does not close; nil: there is none
-	activeWrites     int           // writes through netpoll that are under way
-	handover         chan struct{} // closed when the handover ends; nil: none has begun
-	successor        *direct       // the socket after the handover
+	ownerClosed      bool          // close or finish has been called
+	finishTimer      *time.Timer   // aborts a finished connection whose peer does not close; nil: not started
+	activeWrites     int           // writes through netpoll in progress
+	handover         chan struct{} // closed when the handover ends; nil: no handover has begun
+	successor        *directSocket // socket after the handover; nil: none
 }
 
-func newPolled(loop Loop, budget *Budget, raw netpoll.Connection) *polled {
-	s := &polled{budget: budget, raw: raw}
+// newPolledSocket returns a socket on a netpoll connection, for whose descriptor budget.take has been called.
+func newPolledSocket(loop Loop, budget *Budget, raw netpoll.Connection) *polledSocket {
+	s := &polledSocket{budget: budget, raw: raw}
 	s.conn = &Conn{loop: loop, socket: s}
 	s.withDescriptor(limitReceiveBuffer)
 	return s
 }
 
-func (s *polled) withDescriptor(f func(fd int)) bool {
+func (s *polledSocket) withDescriptor(f func(fd int)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.successor != nil {
@@ -51,9 +53,10 @@
 	return true
 }
 
-// write does not use netpoll's Writer: its buffers are taken away under a writer when the peer hangs up, which ends the program.
-// Write holds the lock that netpoll's close waits for.
-func (s *polled) write(b []byte) error {
+// write writes b and blocks for writeTimeout at most. During a handover it waits for the successor and writes to it. It does
+// not use netpoll's Writer: netpoll frees the buffers when the peer hangs up, which crashes the program if a write is using
+// them. netpoll's Write holds a lock that its close waits for.
+func (s *polledSocket) write(b []byte) error {
 	s.mu.Lock()
 	if handover := s.handover; handover != nil {
 		s.mu.Unlock()
@@ -72,12 +75,12 @@
 	return err
 }
 
-// close does not use netpoll's Close, which spins on the loop while the poller is at work on the connection; on one core the
-// poller's thread stands still meanwhile, for 24 ms on average. After a shutdown of both directions the connection is over for
-// the peer at once, and the poller closes it. A peer that still sends is reset, as it might wait for room forever; during a
-// handover the successor sees to that.
-func (s *polled) close() {
-	if !s.watched { // the poller would leave it open
+// close shuts down both directions: the connection ends for the peer at once, and the poller then closes the descriptor. It
+// does not use netpoll's Close, which busy-waits on the loop while the poller handles the connection; on one core the poller's
+// thread does not run meanwhile, for 24 ms on average. If input has not been delivered, the connection is reset, as the peer
+// might otherwise stay blocked on a full window forever; during a handover the successor does this.
+func (s *polledSocket) close() {
+	if !s.watched { // the poller would not close it
 		_ = s.raw.Close()
 		s.release()
 		return
@@ -98,12 +101,12 @@
 	})
 }
 
-// finish leaves the socket with netpoll, which reads on until the peer closes. If the peer has read everything and sends
-// nothing, there is nothing to wait for.
-func (s *polled) finish() {
-	owed := false
-	s.withDescriptor(func(fd int) { owed = hasUnsent(fd) || !s.quiet(fd) })
-	if !s.watched || !owed {
+// finish closes the sending half; netpoll continues to read until the peer closes, for lingerTimeout and maxLingerBytes at
+// most. If the peer has acknowledged all bytes and its input is all delivered, it closes the connection at once.
+func (s *polledSocket) finish() {
+	unfinished := false
+	s.withDescriptor(func(fd int) { unfinished = hasUnsent(fd) || !s.quiet(fd) })
+	if !s.watched || !unfinished {
 		s.close()
 		return
 	}
@@ -117,44 +120,44 @@
 	s.withDescriptor(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 }
 
-// quiet reports whether everything that the peer has sent has reached the owner.
-func (s *polled) quiet(fd int) bool {
+// quiet reports whether the peer has not closed and all bytes it has sent are delivered to the handler.
+func (s *polledSocket) quiet(fd int) bool {
 	return noInput(fd) && s.unreadBytes() == 0 && s.conn.undelivered.Load() == 0
 }
 
-// abort ends a finished connection though its peer has not closed it.
-func (s *polled) abort() {
+// abort closes a finished connection whose peer has not closed it.
+func (s *polledSocket) abort() {
 	s.withDescriptor(func(fd int) {
 		resetUnlessUnsent(fd)
 		_ = syscall.Shutdown(fd, syscall.SHUT_RDWR)
 	})
 }
 
-func (s *polled) reset() {
+func (s *polledSocket) reset() {
 	s.withDescriptor(resetOnClose)
-	_ = s.raw.Close() // it has no input, so the poller is not at work on it
+	_ = s.raw.Close() // does not wait for the poller: there is no input for it to handle
 	s.release()
 }
 
-func (s *polled) unreadBytes() int { return s.raw.Reader().Len() }
+func (s *polledSocket) unreadBytes() int { return s.raw.Reader().Len() }
 
-// release gives the descriptor back to the budget, once.
-func (s *polled) release() {
+// release releases the descriptor to the budget. Further calls have no effect.
+func (s *polledSocket) release() {
 	if s.released.CompareAndSwap(false, true) {
 		s.budget.release()
 	}
 }
 
-// start begins to read a connection that was dialled.
-func (s *polled) start() {
+// start begins to read a connection that was dialed.
+func (s *polledSocket) start() {
 	s.watched = true
 	_ = s.raw.SetOnRequest(func(context.Context, netpoll.Connection) error { return s.read() })
 	s.watchClose()
 }
 
-// watchClose has the end of the connection reported. The end may have come before the callback was set, so the state of the
-// connection is checked last.
-func (s *polled) watchClose() {
+// watchClose arranges for handleClose to be called at the end of the connection. The connection may have ended before the
+// callback was set, so its state is checked afterwards.
+func (s *polledSocket) watchClose() {
 	_ = s.raw.SetWriteTimeout(writeTimeout)
 	// The callback runs before the descriptor is closed, and never together with read.
 	_ = s.raw.AddCloseCallback(func(netpoll.Connection) error {
@@ -166,10 +169,11 @@
 	}
 }
 
-// read takes in what netpoll has read. It runs on netpoll's goroutines, one call at a time. The time of arrival is taken here,
-// so that waiting in the loop's queue counts. If the peer outruns the loop, the connection is handed over to Go's poller; if that
-// cannot be, because the peer does not read what is being written to it, the connection fails.
-func (s *polled) read() error {
+// read posts the bytes that netpoll has read to the loop. It runs on netpoll's goroutines, one call at a time. The time of
+// arrival is taken here, so that it includes the time spent in the loop's queue. If the peer sends faster than the loop handles
+// the bytes, the connection is handed over to Go's network poller. A handover is not possible while a write is blocked because
+// the peer does not read; the connection then fails with ErrFlood.
+func (s *polledSocket) read() error {
 	c, reader := s.conn, s.raw.Reader()
 	n := reader.Len()
 	if c.discardInput.Load() {
@@ -190,8 +194,8 @@
 		return err
 	}
 	_ = reader.Release()
-	at := c.loop.Now()
-	c.loop.Post(func() { c.deliver(at, b) })
+	readAt := c.loop.Now()
+	c.loop.Post(func() { c.deliver(readAt, b) })
 	if handingOver {
 		return s.raw.Close()
 	}
@@ -204,8 +208,8 @@
 	return reader.Release()
 }
 
-// handleClose takes in that netpoll is about to close the descriptor: at the end of the connection, or for a handover.
-func (s *polled) handleClose() {
+// handleClose is called when netpoll is about to close the descriptor, at the end of the connection or for a handover.
+func (s *polledSocket) handleClose() {
 	if s.completeHandover() {
 		return
 	}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// reuseDelay is the least time between an answer and the next request on its connection.
+// reuseDelay is the minimum time that a connection stays in the pool before it is reused.
 const reuseDelay = 5 * time.Millisecond
 
-// Pool keeps idle connections by their peer's address for reuse. The connection that was used last is reused first. All its
-// methods must be called on the loop of its connections.
+// Pool is a pool of idle connections, grouped by the peer's address. The most recently used connection is reused first. All
+// methods must be called on the loop of the connections.
 type Pool struct {
 	idleTimeout time.Duration
 	maxIdle     int
-	count       int                    // of all connections in idle
-	idle        map[string][]*idleConn // by address; those of an address in the order in which they were put
+	count       int                    // number of connections in idle
+	idle        map[string][]*idleConn // by address, each in the order of Put
 }
 
 // idleConn is a connection in the pool.
 type idleConn struct {
-	conn  *Conn
-	state any // what its protocol knows of it
-	since time.Duration
+	conn      *Conn
+	state     any           // state of the protocol on the connection
+	idleSince time.Duration // loop time of Put
 }
 
-// idleHandler is the handler of a connection in the pool. Bytes of the peer, or its close, end the connection.
+// idleHandler is the handler of a connection in the pool. It removes the connection when the peer sends bytes or closes.
 type idleHandler struct {
 	pool *Pool
 	addr string
 	idle *idleConn
 }
 
-// NewPool returns a pool that keeps at most maxIdle connections, each for idleTimeout at most.
+// NewPool returns an empty pool that holds at most maxIdle connections, each for idleTimeout at most.
 func NewPool(idleTimeout time.Duration, maxIdle int) *Pool {
 	return &Pool{idleTimeout: idleTimeout, maxIdle: maxIdle, idle: map[string][]*idleConn{}}
 }
 
-// SetIdleTimeout sets for how long connections are kept, those in the pool included.
+// SetIdleTimeout sets the idle timeout of all connections, including those already in the pool.
 func (p *Pool) SetIdleTimeout(idleTimeout time.Duration) { p.idleTimeout = idleTimeout }
 
-// Put gives a connection to the pool, with what its protocol knows of it. The pool closes a connection that it cannot keep.
+// Put adds a connection and its protocol state to the pool. It closes the connection if it cannot be reused or the pool is full.
 func (p *Pool) Put(addr string, c *Conn, state any) {
-	// An answer may overtake the event that its request is written, so only queued bytes speak against reuse.
+	// The answer may be delivered before the event that the request is written, so only queued bytes rule out reuse.
 	if c.closed || c.peerClosed || len(c.unsent) > 0 {
 		c.Close()
 		return
@@ -54,21 +54,21 @@
 		c.Close()
 		return
 	}
-	idle := &idleConn{conn: c, state: state, since: c.loop.Now()}
+	idle := &idleConn{conn: c, state: state, idleSince: c.loop.Now()}
 	c.SetHandler(idleHandler{p, addr, idle})
 	p.idle[addr] = append(p.idle[addr], idle)
 	p.count++
 }
 
-// Get takes a connection to addr and its state from the pool, or returns nil. The caller sets its handler. Bytes that a peer
-// sends right behind an answer would be taken for the next answer: so a connection rests for reuseDelay first, and is closed
-// unless the peer was quiet.
+// Get removes a connection to addr from the pool and returns it with its protocol state, or nil if there is none. The caller
+// must set its handler. Bytes that a peer sends right after an answer could be mistaken for the next answer. Therefore a
+// connection is not reused before reuseDelay has passed, and it is closed if the peer has sent anything.
 func (p *Pool) Get(addr string, now time.Duration) (*Conn, any) {
 	for _, idle := range slices.Backward(p.idle[addr]) {
-		if now-idle.since >= p.idleTimeout { // so are all that were put before
+		if now-idle.idleSince >= p.idleTimeout { // connections put earlier have expired too
 			break
 		}
-		if now-idle.since < reuseDelay || !idle.conn.Written() { // its answer came before its request was written
+		if now-idle.idleSince < reuseDelay || !idle.conn.Written() { // a request that was answered early is still being written
 			continue
 		}
 		p.remove(addr, idle)
@@ -80,7 +80,7 @@
 	return nil, nil
 }
 
-// CloseIdle closes all connections in the pool to addr.
+// CloseIdle closes and removes all connections to addr in the pool.
 func (p *Pool) CloseIdle(addr string) {
 	for _, idle := range p.idle[addr] {
 		p.count--
@@ -89,10 +89,10 @@
 	delete(p.idle, addr)
 }
 
-// Sweep closes the connections that have been idle for longer than the idle timeout.
+// Sweep closes and removes the connections that have been idle for the idle timeout or longer.
 func (p *Pool) Sweep(now time.Duration) {
 	for addr, connections := range p.idle {
-		for len(connections) > 0 && now-connections[0].since >= p.idleTimeout {
+		for len(connections) > 0 && now-connections[0].idleSince >= p.idleTimeout {
 			connections[0].conn.Close()
 			p.remove(addr, connections[0])
 			connections = p.idle[addr]
@@ -100,13 +100,13 @@
 	}
 }
 
-// CloseOldest closes the connection that has been idle longest, to make room for a dial elsewhere, and reports whether there
-// was one.
+// CloseOldest closes and removes the connection that has been idle longest, to free a descriptor for another dial. It reports
+// whether there was one.
 func (p *Pool) CloseOldest() bool {
 	var oldest *idleConn
 	oldestAddr := ""
 	for addr, connections := range p.idle {
-		if oldest == nil || connections[0].since < oldest.since {
+		if oldest == nil || connections[0].idleSince < oldest.idleSince {
 			oldest = connections[0]
 			oldestAddr = addr
 		}
@@ -119,7 +119,7 @@
 	return true
 }
 
-// remove takes a connection out of the pool, if it is in it. It leaves the slices that callers iterate over unchanged.
+// remove removes a connection from the pool, if present. It does not modify slices that callers may be iterating over.
 func (p *Pool) remove(addr string, idle *idleConn) {
 	connections := p.idle[addr]
 	i := slices.Index(connections, idle)
@@ -134,10 +134,10 @@
 	p.idle[addr] = slices.Concat(connections[:i], connections[i+1:])
 }
 
-// Closed takes the connection out of the pool.
+// Closed removes the connection from the pool.
 func (h idleHandler) Closed(error) { h.pool.remove(h.addr, h.idle) }
 
-// Data closes the connection: bytes out of turn could be taken for another request's answer.
+// Data closes the connection, as unsolicited bytes could be mistaken for the answer to another request.
 func (h idleHandler) Data(time.Duration, []byte) {
 	h.idle.conn.Close()
 	h.Closed(io.ErrUnexpectedEOF)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,14 +1,16 @@
 // Package transport owns the pooler's TCP sockets: listeners, dials, connections, idle connections kept for reuse, and the
-// budget of descriptors. It moves bytes, keeps their order, and decides when a peer has to wait for the pooler or is cut off.
+// budget of descriptors. It transfers bytes in order, and decides when a peer is throttled or disconnected.
 //
 // Each connection belongs to one event loop (Loop). All its callbacks run on the goroutine of that loop, and all its methods
-// must be called there; the same holds for Pool, Dial and its cancel function. Budget may be used from any goroutine.
+// must be called on it. The same applies to Pool, Dial and the cancel function that Dial returns. A Budget may be used from any
+// goroutine.
 //
-// A connection is read and written by netpoll, whose poller reads whatever comes. Once a peer sends faster than the loop takes
-// in, or the connection is paused, it is handed over to Go's own poller, where it is read by a goroutine of its own (direct),
-// and its peer can be made to wait.
+// A connection starts on netpoll (polledSocket), whose poller reads all input without flow control. Once a peer sends faster
+// than the loop handles the bytes, or the connection is paused, it is handed over to Go's network poller (directSocket). There
+// a goroutine reads the connection and can stop reading, so that TCP flow control throttles the peer.
 //
-// The package knows no protocol, never resends anything, and does not decide which connection serves which request.
+// The package does not depend on the protocol, never sends bytes again, and does not decide which connection serves which
+// request.
 package transport
 
 import (
@@ -19,47 +21,47 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// ErrNoDescriptor is the error of a dial for which no descriptor is free.
+// ErrNoDescriptor is the error of a dial when the budget has no free descriptor.
 var ErrNoDescriptor = errors.New("transport: no descriptor is free")
 
-// ErrOverrun is the error of a connection whose peer does not read what it is sent.
+// ErrOverrun is the error of a connection whose queue of unsent bytes has grown too long, as the peer does not read them.
 var ErrOverrun = errors.New("transport: the peer leaves too much unread")
 
-// ErrFlood is the error of a connection whose peer sends faster than the loop takes in, where it cannot be made to wait.
+// ErrFlood is the error of a connection whose peer sends faster than the loop handles the bytes and cannot be throttled.
 var ErrFlood = errors.New("transport: the peer sends too much at once")
 
 const (
-	maxUnsent        = 1 << 20          // bytes queued for one peer, above which it counts as stuck
-	pauseThreshold   = 128 << 10        // bytes of one peer on their way to the loop, above which it has to wait
-	maxUndelivered   = 512 << 10        // and the bound on them where the peer cannot be made to wait
-	kernelBufferSize = 64 << 10         // of each connection, for what has not been read: values are no larger
-	writeTimeout     = 10 * time.Second // a peer that takes no byte for this long is stuck; slow ones pause for seconds
-	lingerTimeout    = 500 * time.Millisecond
-	maxLingerBytes   = 1 << 20 // bytes that a peer may still send to a connection that is closing, before it is reset
+	maxUnsent        = 1 << 20                // bytes queued for a peer, above which the connection fails
+	pauseThreshold   = 128 << 10              // undelivered bytes of a peer, above which it is throttled
+	maxUndelivered   = 512 << 10              // undelivered bytes of an unthrottled peer, above which the connection fails
+	kernelBufferSize = 64 << 10               // bytes of a connection's kernel buffer for unread data; values are no larger
+	writeTimeout     = 10 * time.Second       // timeout of a write, as the peer is stuck by then; slow peers stop reading for seconds
+	lingerTimeout    = 500 * time.Millisecond // time that a closing connection waits for the peer's close before it is reset
+	maxLingerBytes   = 1 << 20                // bytes that a closing connection discards before it is reset
 )
 
 func init() {
-	// netpoll logs every unusual disconnect of a peer. Here they are counted as outcomes, and the pooler's log is bounded.
-	// The configuration must precede the start of its pollers. One poller is enough for one core.
+	// netpoll's log is discarded: it has a line for every unusual disconnect of a peer, while the pooler counts these as outcomes
+	// and bounds its log. netpoll must be configured before its pollers start. One poller is enough for one core.
 	if err := netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: io.Discard}); err != nil {
 		panic(err)
 	}
 }
 
-// Loop is an event loop: one goroutine on which all callbacks of its connections run. Both methods may be called from any
+// Loop is an event loop: a single goroutine on which all callbacks of its connections run. Both methods may be called from any
 // goroutine.
 type Loop interface {
-	// Post has f run on the loop, after all functions that were posted before.
+	// Post queues f to run on the loop, after all functions posted before.
 	Post(f func())
-	// Now is the time of the loop's clock.
+	// Now returns the time of the loop's clock.
 	Now() time.Duration
 }
 
 // Handler receives the events of a connection, on its loop.
 type Handler interface {
-	// Data receives bytes and the time at which they were read. The handler may use them until it returns.
-	Data(at time.Duration, b []byte)
-	// Closed reports the end of the connection, once, after the last Data. It is not called after a Close, Finish or Reset
-	// by the owner.
+	// Data receives bytes and the time at which they were read. The handler must not use b after it returns.
+	Data(readAt time.Duration, b []byte)
+	// Closed reports the end of the connection. It is called once, after the last Data, unless the owner has called Close, Finish
+	// or Reset.
 	Closed(err error)
 }
