--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -8,37 +8,37 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// A connection that nobody has accepted shows, so that its listener is not closed over it.
-func TestPendingConnectionsShow(t *testing.T) {
-	std, err := net.Listen("tcp", "127.0.0.1:0")
+// Pending must report a connection that has not been accepted: closing the listener would reset it.
+func TestPendingReportsUnacceptedConnections(t *testing.T) {
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	polled, err := netpoll.ConvertListener(std)
+	netpollListener, err := netpoll.ConvertListener(tcpListener)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := &Listener{listener: &ownListener{polled, std}}
+	ln := &Listener{listener: &ownListener{netpollListener, tcpListener}}
 	defer ln.Close()
 	if ln.Pending() {
-		t.Error("one shows before any has come")
+		t.Error("Pending reports a connection before any was opened")
 	}
-	c, err := net.Dial("tcp", ln.Addr())
+	client, err := net.Dial("tcp", ln.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	for late := time.Now().Add(20 * time.Second); !ln.Pending(); { // the handshake's last packet may be on its way
-		if time.Now().After(late) {
-			t.Fatal("one that waits does not show")
+	defer client.Close()
+	for deadline := time.Now().Add(20 * time.Second); !ln.Pending(); { // the last packet of the handshake may not have arrived yet
+		if time.Now().After(deadline) {
+			t.Fatal("Pending does not report a connection that waits to be accepted")
 		}
 	}
-	accepted, err := polled.Accept()
+	accepted, err := netpollListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer accepted.Close()
 	if ln.Pending() {
-		t.Error("one that is accepted still shows")
+		t.Error("Pending still reports a connection that was accepted")
 	}
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,32 +16,37 @@
 	"threadsail/internal/transport"
 )
 
-const late = 20 * time.Second
+// testTimeout is the time after which a test that waits for an event fails.
+const testTimeout = 20 * time.Second
 
-// side is a connection's owner that passes on what it hears.
-type side struct {
+// recordingHandler is a connection's handler that passes the events on to channels.
+type recordingHandler struct {
 	data   chan []byte
 	closed chan error
 }
 
-func newSide() side { return side{make(chan []byte, 64), make(chan error, 4)} }
+// newRecordingHandler returns a recordingHandler with buffered channels.
+func newRecordingHandler() recordingHandler {
+	return recordingHandler{make(chan []byte, 64), make(chan error, 4)}
+}
 
-func (s side) Data(_ time.Duration, b []byte) { s.data <- append([]byte(nil), b...) }
-func (s side) Closed(err error)               { s.closed <- err }
+func (h recordingHandler) Data(_ time.Duration, b []byte) { h.data <- append([]byte(nil), b...) }
+func (h recordingHandler) Closed(err error)               { h.closed <- err }
 
-// fixture is a loop with a listener on loopback.
+// fixture is an event loop with a listener on the loopback interface. Connections that it accepts have the handler server.
 type fixture struct {
 	t        *testing.T
 	loop     *dispatch.EventLoop
 	budget   *transport.Budget
 	ln       *transport.Listener
 	accepted chan *transport.Conn
-	server   side
+	server   recordingHandler
 }
 
+// newFixture returns a fixture with a budget of the given number of descriptors. It ends with the test.
 func newFixture(t *testing.T, descriptors int) *fixture {
 	f := &fixture{t: t, loop: dispatch.NewEventLoop(), budget: transport.NewBudget(descriptors),
-		accepted: make(chan *transport.Conn, 8), server: newSide()}
+		accepted: make(chan *transport.Conn, 8), server: newRecordingHandler()}
 	ln, err := transport.Listen(f.loop, f.budget, "127.0.0.1:0", func(c *transport.Conn) {
 		c.SetHandler(f.server)
 		f.accepted <- c
@@ -50,103 +55,106 @@
 		t.Fatal(err)
 	}
 	f.ln = ln
-	ended := make(chan struct{})
-	go func() { f.loop.Run(); close(ended) }()
-	t.Cleanup(func() { ln.Close(); f.loop.Stop(); <-ended })
+	loopStopped := make(chan struct{})
+	go func() { f.loop.Run(); close(loopStopped) }()
+	t.Cleanup(func() { ln.Close(); f.loop.Stop(); <-loopStopped })
 	return f
 }
 
-// on runs f on the loop and waits for it.
-func (f *fixture) on(do func()) {
+// runOnLoop runs action on the loop and waits until it returns.
+func (f *fixture) runOnLoop(action func()) {
 	done := make(chan struct{})
-	f.loop.Post(func() { do(); close(done) })
+	f.loop.Post(func() { action(); close(done) })
 	<-done
 }
 
+// dial connects to the fixture's listener and waits for the result. The connection has the handler h.
 func (f *fixture) dial(h transport.Handler) (*transport.Conn, error) {
-	type end struct {
+	type dialResult struct {
 		c   *transport.Conn
 		err error
 	}
-	ended := make(chan end, 1)
-	f.on(func() {
+	results := make(chan dialResult, 1)
+	f.runOnLoop(func() {
 		transport.Dial(f.loop, f.budget, f.ln.Addr(), time.Second, func(c *transport.Conn, err error) {
 			if err == nil {
 				c.SetHandler(h)
 			}
-			ended <- end{c, err}
+			results <- dialResult{c, err}
 		})
 	})
-	e := <-ended
-	return e.c, e.err
+	result := <-results
+	return result.c, result.err
 }
 
-// free waits until only so many descriptors are counted: netpoll closes them.
-func (f *fixture) free(most int) {
+// awaitDescriptors waits until at most limit descriptors are in use. netpoll closes them asynchronously.
+func (f *fixture) awaitDescriptors(limit int) {
 	f.t.Helper()
-	for until := time.Now().Add(late); f.budget.Used() > most; f.on(func() {}) {
-		if time.Now().After(until) {
-			f.t.Fatalf("%d descriptors are still counted", f.budget.Used())
+	for deadline := time.Now().Add(testTimeout); f.budget.Used() > limit; f.runOnLoop(func() {}) {
+		if time.Now().After(deadline) {
+			f.t.Fatalf("%d descriptors are still in use", f.budget.Used())
 		}
 	}
 }
 
-func receive[T any](t *testing.T, c chan T) (v T) {
+// receive returns the next value of events and fails the test if none arrives in time.
+func receive[T any](t *testing.T, events chan T) (event T) {
 	t.Helper()
 	select {
-	case v = <-c:
-	case <-time.After(late):
-		t.Fatal("nothing comes")
+	case event = <-events:
+	case <-time.After(testTimeout):
+		t.Fatal("no event arrived in time")
 	}
-	return v
+	return event
 }
 
-// awaitClose waits until a connection's close is reported, whatever its error is.
+// awaitClose waits until the end of a connection is reported, with any error.
 func awaitClose(t *testing.T, closed chan error) {
 	t.Helper()
 	_ = receive(t, closed)
 }
 
-// Bytes arrive whole, a close after them; descriptors are given back; a dial beyond the budget fails.
+// All bytes must arrive before the close is reported, descriptors must be released, and a dial beyond the budget must fail.
 func TestConnection(t *testing.T) {
 	f := newFixture(t, 2)
-	client := newSide()
+	client := newRecordingHandler()
 	c, err := f.dial(client)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := receive(t, f.accepted)
-	if _, err := f.dial(newSide()); !errors.Is(err, transport.ErrNoDescriptor) {
-		t.Errorf("a dial beyond the budget ends with %v", err)
+	if _, err := f.dial(newRecordingHandler()); !errors.Is(err, transport.ErrNoDescriptor) {
+		t.Errorf("a dial beyond the budget returned %v, want ErrNoDescriptor", err)
 	}
-	const size = 300000 // more than the kernel takes at once: the peer must read on
-	f.on(func() { c.Write(make([]byte, size)); c.Finish() })
+	const size = 300000 // more than the kernel accepts at once, so the peer must read several times
+	f.runOnLoop(func() { c.Write(make([]byte, size)); c.Finish() })
 	got := 0
 	for got < size {
 		got += len(receive(t, f.server.data))
 	}
 	awaitClose(t, f.server.closed)
-	f.on(func() { s.Close() })
+	f.runOnLoop(func() { s.Close() })
 	if got != size {
-		t.Errorf("%d bytes came", got)
+		t.Errorf("received %d bytes, want all of them", got)
 	}
-	f.free(0)
+	f.awaitDescriptors(0)
 }
 
-// Nobody may hear of a connection after closing it, and a peer's close before the first read must not be missed.
+// A handler must receive no event after its owner has closed the connection, and a peer's close before the first read must be
+// reported.
 func TestClose(t *testing.T) {
 	f := newFixture(t, 8)
-	client := newSide()
+	client := newRecordingHandler()
 	c, err := f.dial(client)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := receive(t, f.accepted)
-	f.on(s.Close)
+	f.runOnLoop(s.Close)
 	if err := receive(t, client.closed); !errors.Is(err, io.EOF) {
-		t.Errorf("closed with %v", err)
+		t.Errorf("the connection ended with %v, want io.EOF", err)
 	}
-	f.on(c.Close)
+	f.runOnLoop(c.Close)
 	raw, err := net.Dial("tcp", f.ln.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -155,145 +163,146 @@
 	receive(t, f.accepted)
 	awaitClose(t, f.server.closed)
 	if len(f.server.closed)+len(client.closed) > 0 {
-		t.Error("a connection was reported closed twice, or after its owner's own close")
+		t.Error("the end of a connection was reported twice, or after its owner had closed it")
 	}
 }
 
-// The pool gives back the connection used last, and none that its peer has closed, spoken on or left idle too long.
+// The pool must return the most recently used connection, and none that its peer has closed or sent on, or that has been idle too
+// long.
 func TestPool(t *testing.T) {
 	f := newFixture(t, 64)
 	pool := transport.NewPool(time.Minute, 3)
 	var conns, peers []*transport.Conn
 	for range 4 {
-		c, err := f.dial(newSide())
+		c, err := f.dial(newRecordingHandler())
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns, peers = append(conns, c), append(peers, receive(t, f.accepted))
 	}
 	get := func(now time.Duration) (c *transport.Conn) {
-		f.on(func() { c, _ = pool.Get("a", now) })
+		f.runOnLoop(func() { c, _ = pool.Get("a", now) })
 		return c
 	}
-	f.on(func() {
-		for _, c := range conns { // the fourth is one too many
+	f.runOnLoop(func() {
+		for _, c := range conns { // the fourth exceeds maxIdle
 			pool.Put("a", c, nil)
 		}
 		peers[2].Close()
-		peers[1].Write([]byte("out of turn"))
+		peers[1].Write([]byte("unsolicited"))
 	})
-	f.free(2) // those of no use are gone
+	f.awaitDescriptors(2) // the unusable connections are closed
 	if c := get(f.loop.Now() + time.Second); c != conns[0] {
-		t.Error("not the connection that is left")
+		t.Error("Get did not return the only usable connection")
 	}
-	f.on(func() { pool.Put("a", conns[0], nil) })
+	f.runOnLoop(func() { pool.Put("a", conns[0], nil) })
 	if c := get(f.loop.Now() + time.Hour); c != nil {
-		t.Error("a connection that was idle too long comes back")
+		t.Error("Get returned a connection that had been idle too long")
 	}
-	newer, err := f.dial(newSide())
+	newer, err := f.dial(newRecordingHandler())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.on(func() {
+	f.runOnLoop(func() {
 		pool.Put("b", newer, nil)
 		if !pool.CloseOldest() {
-			t.Error("nothing is shed")
+			t.Error("CloseOldest closed no connection")
 		}
 	})
 	if c := get(f.loop.Now() + time.Second); c != nil {
-		t.Error("not the oldest was shed")
+		t.Error("CloseOldest did not close the oldest connection")
 	}
-	f.on(func() { pool.Sweep(f.loop.Now() + time.Hour) })
+	f.runOnLoop(func() { pool.Sweep(f.loop.Now() + time.Hour) })
 	if pool.CloseOldest() {
-		t.Error("something is left to shed")
+		t.Error("a connection is left in the pool after Sweep")
 	}
-	f.free(0)
+	f.awaitDescriptors(0)
 }
 
-// A connection whose request is still being written, as its answer came early, is not given to the next one.
-func TestPoolWaitsForTheLastByte(t *testing.T) {
+// Get must not return a connection whose request is still being written because its answer arrived early.
+func TestPoolSkipsConnectionWithUnfinishedWrite(t *testing.T) {
 	f := newFixture(t, 4)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	came := make(chan *transport.Conn, 1)
-	f.on(func() {
-		transport.Dial(f.loop, f.budget, ln.Addr().String(), time.Second, func(c *transport.Conn, _ error) { came <- c })
+	dialed := make(chan *transport.Conn, 1)
+	f.runOnLoop(func() {
+		transport.Dial(f.loop, f.budget, ln.Addr().String(), time.Second, func(c *transport.Conn, _ error) { dialed <- c })
 	})
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	c := receive(t, came)
+	c := receive(t, dialed)
 	pool := transport.NewPool(time.Minute, 4)
-	const size = 64 << 20 // more than the kernel takes
-	f.on(func() {
+	const size = 64 << 20 // more than the kernel accepts
+	f.runOnLoop(func() {
 		for n := 0; n < size && c.Written(); n += 1 << 20 {
 			c.Write(make([]byte, 1<<20))
 		}
 		pool.Put("a", c, nil)
 		if got, _ := pool.Get("a", f.loop.Now()+time.Second); got != nil {
-			t.Error("it is given away while it is being written to")
+			t.Error("Get returned a connection with a write in progress")
 		}
 	})
 	go func() { _, _ = io.Copy(io.Discard, peer) }()
-	for late := time.Now().Add(late); ; {
+	for deadline := time.Now().Add(testTimeout); ; {
 		var got *transport.Conn
-		f.on(func() { got, _ = pool.Get("a", f.loop.Now()+time.Second) })
+		f.runOnLoop(func() { got, _ = pool.Get("a", f.loop.Now()+time.Second) })
 		if got == c {
 			return
 		}
-		if time.Now().After(late) {
-			t.Fatal("it never comes back")
+		if time.Now().After(deadline) {
+			t.Fatal("Get did not return the connection after the write had ended")
 		}
 	}
 }
 
-// A peer that takes all bytes and closes at once must not look as if the last byte had never gone out: the request may
-// have run. The close can overtake the news that the write is done.
-func TestCloseRightAfterTheLastByte(t *testing.T) {
+// If a peer reads all bytes and closes at once, the write must count as complete, as the request may have been executed. The
+// event of the close can arrive before that of the end of the write.
+func TestPeerClosesRightAfterLastByte(t *testing.T) {
 	f := newFixture(t, 64)
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	const text = "write"
+	const request = "write"
 	go func() {
 		for {
 			c, err := peer.Accept()
 			if err != nil {
 				return
 			}
-			_, _ = io.ReadFull(c, make([]byte, len(text)))
+			_, _ = io.ReadFull(c, make([]byte, len(request)))
 			c.Close()
 		}
 	}()
 	for range 500 {
 		written := make(chan bool, 1)
-		f.on(func() {
+		f.runOnLoop(func() {
 			transport.Dial(f.loop, f.budget, peer.Addr().String(), time.Second, func(c *transport.Conn, err error) {
 				if err != nil {
 					t.Error(err)
 					written <- true
 					return
 				}
-				c.SetHandler(closer(func() { written <- c.Written() }))
-				c.Write([]byte(text))
+				c.SetHandler(closeFunc(func() { written <- c.Written() }))
+				c.Write([]byte(request))
 			})
 		})
 		if !receive(t, written) {
-			t.Fatal("a request that has gone out whole counts as never written")
+			t.Fatal("a request that the peer has read in full counts as unwritten")
 		}
 	}
 }
 
-// A peer that hangs up while it is being written to must cost its connection only. netpoll frees the buffers on its own
-// goroutines then, and a write through them ended the program.
-func TestPeerHangsUpUnderAWrite(t *testing.T) {
+// A peer that resets its connection during a write must not affect anything else. netpoll then frees its buffers on its own
+// goroutines, and a write through these buffers crashed the program.
+func TestPeerResetsDuringWrite(t *testing.T) {
 	f := newFixture(t, 256)
 	for range 3000 {
 		c, err := net.Dial("tcp", f.ln.Addr())
@@ -303,13 +312,12 @@
 		s := receive(t, f.accepted)
 		_ = c.(*net.TCPConn).SetLinger(0)
 		go c.Close()
-		f.on(func() { s.Write([]byte("a")) })
+		f.runOnLoop(func() { s.Write([]byte("a")) })
 		awaitClose(t, f.server.closed)
 	}
 }
 
-// An owner that closes a connection as soon as it comes must not meet netpoll while that still registers it: the program
-// ended then.
+// Closing a connection as soon as it is accepted must not interfere with netpoll's registration of it: this crashed the program.
 func TestCloseOnAccept(t *testing.T) {
 	loop := dispatch.NewEventLoop()
 	closed := make(chan bool, 64)
@@ -320,9 +328,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
-	go func() { loop.Run(); close(ended) }()
-	defer func() { ln.Close(); loop.Stop(); <-ended }()
+	loopStopped := make(chan struct{})
+	go func() { loop.Run(); close(loopStopped) }()
+	defer func() { ln.Close(); loop.Stop(); <-loopStopped }()
 	for range 2000 {
 		c, err := net.Dial("tcp", ln.Addr())
 		if err != nil {
@@ -333,8 +341,8 @@
 	}
 }
 
-// What a client sends with its connection must be read, however it meets the accept: now and then netpoll kept it to
-// itself for good, and the client's request was lost.
+// Bytes that a client sends right after connecting must be delivered, whether they arrive before or after the accept.
+// Occasionally netpoll never reported them, and the client's request was lost.
 func TestFirstBytesAreRead(t *testing.T) {
 	f := newFixture(t, 64)
 	for range 5000 {
@@ -352,26 +360,26 @@
 	}
 }
 
-// A small write is with the kernel when Write returns: no goroutine and no round through the loop for each.
-func TestSmallWriteGoesOutAtOnce(t *testing.T) {
+// The kernel must have accepted a small write when Write returns, without a goroutine and an event on the loop for each write.
+func TestSmallWriteIsSynchronous(t *testing.T) {
 	f := newFixture(t, 8)
-	c, err := f.dial(newSide())
+	c, err := f.dial(newRecordingHandler())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.on(func() {
+	f.runOnLoop(func() {
 		if c.Write([]byte("query")); !c.Written() {
-			t.Error("the write is still under way")
+			t.Error("the write is still in progress after Write has returned")
 		}
 	})
 	if b := receive(t, f.server.data); string(b) != "query" {
-		t.Errorf("%q came", b)
+		t.Errorf("received %q", b)
 	}
 }
 
-// A peer that sends faster than the loop takes in has to wait, and nothing of what it sends may be lost on the way from
-// netpoll to Go's poller: nothing else bounds what is kept for it.
-func TestPeerHasToWait(t *testing.T) {
+// A peer that sends faster than the loop handles the bytes must be throttled, as nothing else bounds the memory that its bytes
+// take. No byte may be lost in the handover from netpoll to Go's network poller, and a paused connection must still write.
+func TestFastPeerIsThrottled(t *testing.T) {
 	f := newFixture(t, 8)
 	c, err := net.Dial("tcp", f.ln.Addr())
 	if err != nil {
@@ -380,20 +388,20 @@
 	defer c.Close()
 	s := receive(t, f.accepted)
 	const size = 64 << 20
-	text := make([]byte, size)
-	for i := range text {
-		text[i] = byte(i >> 8)
+	payload := make([]byte, size)
+	for i := range payload {
+		payload[i] = byte(i >> 8)
 	}
 	sent := 0
-	f.on(func() { // while the loop is busy
+	f.runOnLoop(func() { // blocks the loop while the peer sends
 		_ = c.SetWriteDeadline(time.Now().Add(500 * time.Millisecond))
-		sent, err = c.Write(text)
+		sent, err = c.Write(payload)
 	})
 	if err == nil || sent > size/2 {
-		t.Fatalf("%d bytes are taken from a peer that nobody listens to", sent)
+		t.Fatalf("%d bytes were accepted from a peer while the loop was blocked", sent)
 	}
-	hears := func(upTo int, got int) int {
-		for got < upTo {
+	receiveUntil := func(total int, got int) int {
+		for got < total {
 			for _, b := range receive(t, f.server.data) {
 				if b != byte(got>>8) {
 					t.Fatalf("byte %d is %d", got, b)
@@ -403,95 +411,97 @@
 		}
 		return got
 	}
-	got := hears(sent, 0)
-	f.on(func() { s.Pause(true); s.Write([]byte("still")) })
-	_ = c.SetDeadline(time.Now().Add(late))
-	go func() { _, _ = c.Write(text[sent:]) }()
+	got := receiveUntil(sent, 0)
+	f.runOnLoop(func() { s.Pause(true); s.Write([]byte("still")) })
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	go func() { _, _ = c.Write(payload[sent:]) }()
 	if _, err := io.ReadFull(c, make([]byte, 5)); err != nil {
-		t.Errorf("a paused connection does not write: %v", err)
+		t.Errorf("the bytes written to a paused connection did not arrive: %v", err)
 	}
-	f.on(func() { s.Pause(false) })
-	hears(size, got)
+	f.runOnLoop(func() { s.Pause(false) })
+	receiveUntil(size, got)
 	c.Close()
 	awaitClose(t, f.server.closed)
-	f.on(s.Close)
-	f.free(0)
+	f.runOnLoop(s.Close)
+	f.awaitDescriptors(0)
 }
 
-// Whatever closes a connection, its peer gets all that was written to it and then the end of the stream, though it is still
-// sending then and begins to read late: a reset would take with it what the peer has not taken yet. The descriptor is given back
-// once the peer has closed, or sends on for good.
-func TestAnswerBeforeTheEnd(t *testing.T) {
-	for name, end := range map[string]func(*transport.Conn){
+// However a connection is closed, the peer must receive all bytes written and then the end of the stream, even if it is still
+// sending and starts to read late: a reset would discard the bytes that it has not read yet. The descriptor must be released
+// once the peer has closed, or if the peer never stops sending.
+func TestPeerReceivesAnswerBeforeClose(t *testing.T) {
+	for name, closeConn := range map[string]func(*transport.Conn){
 		"finish":        (*transport.Conn).Finish,
-		"reset":         (*transport.Conn).Reset, // an answer is owed
+		"reset":         (*transport.Conn).Reset, // must act like Finish, as an answer is unsent
 		"pause, finish": func(c *transport.Conn) { c.Pause(true); c.Finish() },
 	} {
-		for _, size := range []int{4, 64 << 10, 256 << 10} { // taken at once, held by the kernel here, more than it takes
+		for _, size := range []int{4, 64 << 10, 256 << 10} { // received at once, fits the send buffer, exceeds it
 			if size == 4 && name == "reset" {
-				continue // nothing is owed
+				continue // nothing is unsent
 			}
 			f := newFixture(t, 8)
-			ln, err := net.Listen("tcp", "127.0.0.1:0") // its connections take little: the rest stays with the closing side
+			ln, err := net.Listen("tcp", "127.0.0.1:0") // a small receive buffer keeps most bytes on the closing side
 			if err != nil {
 				t.Fatal(err)
 			}
 			raw, _ := ln.(*net.TCPListener).SyscallConn()
 			_ = raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
-			came := make(chan *transport.Conn, 1)
-			f.on(func() {
+			dialed := make(chan *transport.Conn, 1)
+			f.runOnLoop(func() {
 				transport.Dial(f.loop, f.budget, ln.Addr().String(), time.Second, func(c *transport.Conn, _ error) {
-					c.SetHandler(newSide())
-					came <- c
+					c.SetHandler(newRecordingHandler())
+					dialed <- c
 				})
 			})
 			c, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := receive(t, came)
+			s := receive(t, dialed)
 			send := func() {
 				if _, err := c.Write([]byte("not read")); err != nil {
 					t.Error(err)
 				}
 			}
-			f.on(func() {
+			f.runOnLoop(func() {
 				send()
 				s.Write(make([]byte, size))
-				end(s)
+				closeConn(s)
 				send()
 			})
 			send()
-			_ = c.SetDeadline(time.Now().Add(late))
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if got, err := io.ReadAll(c); len(got) != size || err != nil {
-				t.Errorf("%s: %d of %d bytes come, and then %v", name, len(got), size, err)
+				t.Errorf("%s: received %d of %d bytes and then error %v", name, len(got), size, err)
 			}
-			if size == 4 { // one that never stops is cut off
+			if size == 4 { // a peer that never stops sending must be disconnected
 				for err = nil; err == nil; {
 					_, err = c.Write(make([]byte, 64<<10))
 				}
 			}
 			c.Close()
 			ln.Close()
-			f.free(0)
+			f.awaitDescriptors(0)
 		}
 	}
 }
 
-// A peer's close or reset is known to who asks, at a moment when its owner can't have been told: the loop is busy, bytes lie
-// unread before it on a paused connection, or a write still waits for a peer that has closed its half only.
-func TestPeerGone(t *testing.T) {
+// PeerDisconnected must report a peer's close or reset before the handler can know of it: while the loop is blocked, while
+// unread bytes precede the close on a paused connection, or while a write to a peer that has closed only its sending half is in
+// progress.
+func TestPeerDisconnected(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		for _, how := range []string{"busy", "paused", "writing"} {
-			if reset && how == "writing" { // the write meets the reset
+		for _, state := range []string{"busy", "paused", "writing"} {
+			if reset && state == "writing" { // the reset ends the write
 				continue
 			}
-			t.Run(fmt.Sprint(how, reset), func(t *testing.T) { testPeerGone(t, how, reset) })
+			t.Run(fmt.Sprint(state, reset), func(t *testing.T) { testPeerDisconnected(t, state, reset) })
 		}
 	}
 }
 
-func testPeerGone(t *testing.T, how string, reset bool) {
+// testPeerDisconnected tests PeerDisconnected on a connection in the given state, after a close or a reset.
+func testPeerDisconnected(t *testing.T, state string, reset bool) {
 	f := newFixture(t, 8)
 	c, err := net.Dial("tcp", f.ln.Addr())
 	if err != nil {
@@ -499,40 +509,41 @@
 	}
 	defer c.Close()
 	s := receive(t, f.accepted)
-	t.Cleanup(func() { f.on(s.Close) })
-	switch how {
+	t.Cleanup(func() { f.runOnLoop(s.Close) })
+	switch state {
 	case "paused":
-		f.on(func() { s.Pause(true) })
+		f.runOnLoop(func() { s.Pause(true) })
 	case "writing":
-		f.on(func() { s.Pause(true); s.Pause(false); s.Write(make([]byte, 1<<20)) })
+		f.runOnLoop(func() { s.Pause(true); s.Pause(false); s.Write(make([]byte, 1<<20)) })
 	}
-	f.on(func() {
+	f.runOnLoop(func() {
 		if s.PeerDisconnected() {
-			t.Error("it has gone before its close")
+			t.Error("PeerDisconnected reports a close before the peer has closed")
 		}
 	})
-	f.on(func() {
-		if how == "writing" {
+	f.runOnLoop(func() {
+		if state == "writing" {
 			_ = c.(*net.TCPConn).CloseWrite()
 			awaitDisconnected(s)
 		} else {
-			sendAndLeave(t, c, reset)
+			sendAndClose(t, c, reset)
 		}
 		if !s.PeerDisconnected() || len(f.server.closed) > 0 {
-			t.Error("its close is not known to who asks")
+			t.Error("PeerDisconnected does not report the close, or the handler was called first")
 		}
 	})
 }
 
-// awaitDisconnected waits, on the loop, until a connection's peer counts as disconnected, but not for long.
+// awaitDisconnected waits on the loop until PeerDisconnected reports true, for testTimeout at most.
 func awaitDisconnected(c *transport.Conn) {
-	for until := time.Now().Add(late); !c.PeerDisconnected() && time.Now().Before(until); {
+	for deadline := time.Now().Add(testTimeout); !c.PeerDisconnected() && time.Now().Before(deadline); {
 		runtime.Gosched()
 	}
 }
 
-// sendAndLeave leaves bytes behind that nobody reads, and waits until the kernel has the close.
-func sendAndLeave(t *testing.T, c net.Conn, reset bool) {
+// sendAndClose sends bytes that stay unread, closes or resets the connection, and waits until the other end's kernel has the
+// close.
+func sendAndClose(t *testing.T, c net.Conn, reset bool) {
 	if _, err := c.Write(make([]byte, 100<<10)); err != nil {
 		t.Error(err)
 	}
@@ -541,33 +552,34 @@
 	}
 }
 
-type closer func()
+// closeFunc is a handler that calls the function when the connection ends.
+type closeFunc func()
 
-func (c closer) Data(time.Duration, []byte) {}
-func (c closer) Closed(error)               { c() }
+func (f closeFunc) Data(time.Duration, []byte) {}
+func (f closeFunc) Closed(error)               { f() }
 
-// A listener that is closed twice, as a pooler's is at its end, must not close what has taken its descriptor's number.
-func TestListenerIsClosedOnce(t *testing.T) {
+// Closing a listener twice, as a pooler does when it ends, must not close a file that has been given the same descriptor number.
+func TestListenerCloseIsIdempotent(t *testing.T) {
 	f := newFixture(t, 4)
 	ln := f.ln
-	if _, err := f.dial(newSide()); err != nil {
+	if _, err := f.dial(newRecordingHandler()); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, f.accepted) // it serves: one closed before could still be registered, under a number that is the next test's
+	receive(t, f.accepted) // netpoll serves it now; if closed earlier, it could be registered under a number of the next test
 	ln.Close()
 	var files []*os.File
-	for range 16 { // the lowest numbers that are free, its own among them
-		f, err := os.Open(os.DevNull)
+	for range 16 { // these get the lowest free numbers, among them the listener's
+		file, err := os.Open(os.DevNull)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = f.Close() }()
-		files = append(files, f)
+		defer func() { _ = file.Close() }()
+		files = append(files, file)
 	}
 	ln.Close()
-	for _, f := range files {
-		if _, err := f.Stat(); err != nil {
-			t.Errorf("a file of the test: %v", err)
+	for _, file := range files {
+		if _, err := file.Stat(); err != nil {
+			t.Errorf("the second Close closed the descriptor of another file: %v", err)
 		}
 	}
 }
