--- a/internal/fleet/audit/audit_test.go
+++ b/internal/fleet/audit/audit_test.go
@@ -20,7 +20,7 @@
 
 // A journal truncated at any byte, as by a crash of the machine, can be opened again: only the torn record is lost, and new records
 // are appended after the complete ones.
-func TestCutAnywhere(t *testing.T) {
+func TestOpenTornJournal(t *testing.T) {
 	var whole []byte
 	var ends []int
 	for i := range 4 {
@@ -59,7 +59,7 @@
 
 // The part of a record that a failed write leaves on a full disk is truncated before the next write, and a file that could not be opened
 // after a rotation is opened by a later write.
-func TestAfterAFullDisk(t *testing.T) {
+func TestWriteAfterFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "acts")
 	j, _, err := Open(path, 1<<20, 1)
 	if err != nil {
--- a/internal/fleet/audit/frame.go
+++ b/internal/fleet/audit/frame.go
@@ -11,7 +11,8 @@
 // A frame is a four-byte length and a four-byte CRC-32C, both little-endian, followed by one Record as JSON.
 const (
 	frameHeaderSize = 4 + 4 // bytes
-	// maxRecordSize is the maximum size of a frame's JSON in bytes. Names are short, so a larger length means that the header is damaged.
+	// maxRecordSize is the maximum size of a frame's JSON in bytes. Names are short; a larger length is not trusted, because the header
+	// may be torn.
 	maxRecordSize = 64 << 10
 )
 
--- a/internal/fleet/audit/journal.go
+++ b/internal/fleet/audit/journal.go
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// rotate renames the rotated files and the file itself, and closes it. After an error the next Write tries to rotate again.
+// rotate renames the rotated files and the current file, and closes the current file. After an error the record is not written, and the
+// next Write tries again.
 func (j *Journal) rotate() error {
 	for i := j.maxRotated; i > 0; i-- {
 		err := os.Rename(j.rotatedPath(i-1), j.rotatedPath(i))
--- a/internal/fleet/audit/report.go
+++ b/internal/fleet/audit/report.go
@@ -24,12 +24,12 @@
 
 // OldToken is an act that a leader carried out after another pooler had acted with a newer token.
 type OldToken struct {
-	Record Record `json:"Record"`
-	Newer  Record `json:"Newer"`
+	Record Record `json:"Record"` // act with the old token
+	Newer  Record `json:"Newer"`  // earlier act with a newer token
 }
 
-// Merge sorts the records of many journals by time, as given by the poolers' clocks, and returns a report on them. It does not change
-// records.
+// Merge sorts the records of many journals by time, as given by the poolers' clocks, and returns a report on them. It leaves the slice
+// records unchanged.
 func Merge(records []Record, limits Limits) Report {
 	merged := slices.Clone(records)
 	slices.SortStableFunc(merged, func(a, b Record) int {
--- a/internal/fleet/coordinator.go
+++ b/internal/fleet/coordinator.go
@@ -50,14 +50,14 @@
 // Announce broadcasts the announcement of the leader's newest list to all poolers. remaining is the time until the leader's
 // lease expires; nothing is sent after that. Announce calls done once, on any goroutine, with complete set if the broadcast was
 // sent to all poolers before the expiry.
-func (c *Coordinator) Announce(a discoveryleader.Announcement, remaining time.Duration, done func(complete bool)) {
-	if list := c.components.serverList; list != nil && list.observeAnnouncement(a, time.Now().Add(remaining)) {
+func (c *Coordinator) Announce(announcement discoveryleader.Announcement, remaining time.Duration, done func(complete bool)) {
+	if list := c.components.serverList; list != nil && list.observeAnnouncement(announcement, time.Now().Add(remaining)) {
 		c.events.ListRequested(c.config.Name) // the pooler then calls SendList with its own name, which publishes the list
 	}
 	minimum := c.minimumVersion.Load()
 	c.broadcast(topicAnnouncement, message{
 		Kind:                  kindAnnouncement,
-		Announcement:          a,
+		Announcement:          announcement,
 		MinimumBuild:          minimum.Build,
 		MinimumConfigRevision: minimum.ConfigRevision,
 	}, remaining, done)
@@ -89,10 +89,10 @@
 // FetchList requests the list of an announcement from a pooler that has it. The list arrives by
 // coordination.Events.ListReceived; the request or the answer may be lost. If the network delivers lists without
 // requests, FetchList reports the current list again instead. It starts a goroutine for this, which ends within seconds.
-func (c *Coordinator) FetchList(a discoveryleader.Announcement) {
-	source, needed := c.network.ListSource(a)
+func (c *Coordinator) FetchList(announcement discoveryleader.Announcement) {
+	source, needed := c.network.ListSource(announcement)
 	if !needed {
-		go c.components.serverList.redeliver(a, c.events.ListReceived)
+		go c.components.serverList.redeliver(announcement, c.events.ListReceived)
 		return
 	}
 	request := encodeMessage(message{Kind: kindListRequest, From: c.config.Name})
@@ -105,9 +105,9 @@
 
 // SendList sends a list to the pooler that requested it. If streams distribute the lists and to is this pooler itself, SendList
 // publishes the list to all poolers. It starts a goroutine for this, which ends within seconds.
-func (c *Coordinator) SendList(to string, a discoveryleader.Announcement, list []byte) {
+func (c *Coordinator) SendList(to string, announcement discoveryleader.Announcement, list []byte) {
 	if c.components.serverList != nil && to == c.config.Name {
-		go c.publishList(a, list)
+		go c.publishList(announcement, list)
 		return
 	}
 	select {
@@ -115,7 +115,7 @@
 	default:
 		return
 	}
-	encoded := encodeMessage(message{Kind: kindList, Announcement: a, List: list})
+	encoded := encodeMessage(message{Kind: kindList, Announcement: announcement, List: list})
 	go func() {
 		defer func() { <-c.listTransfers }()
 		if err := c.network.Send(to, encoded); err != nil {
@@ -125,16 +125,16 @@
 }
 
 // publishList publishes a list of this pooler on the streams.
-func (c *Coordinator) publishList(a discoveryleader.Announcement, list []byte) {
-	if err := c.components.serverList.publish(a, list); err != nil {
+func (c *Coordinator) publishList(announcement discoveryleader.Announcement, list []byte) {
+	if err := c.components.serverList.publish(announcement, list); err != nil {
 		c.log.Error().Err(err).Msg("list: own list can't be published")
 	}
 }
 
 // SetStatus sets the status that this pooler publishes to the others: the announcement of the list in force, the build and the
 // digest of the configuration.
-func (c *Coordinator) SetStatus(a discoveryleader.Announcement, build, configDigest string) {
-	c.network.SetStatus(a, build, configDigest)
+func (c *Coordinator) SetStatus(announcement discoveryleader.Announcement, build, configDigest string) {
+	c.network.SetStatus(announcement, build, configDigest)
 }
 
 // Reload applies the settings of the fleet's configuration file that can change while the pooler runs: the minimum version and
--- a/internal/fleet/coordinator_test.go
+++ b/internal/fleet/coordinator_test.go
@@ -56,8 +56,8 @@
 // failingComponent is a component whose Run returns an error at once.
 type failingComponent struct{}
 
-func (failingComponent) Run(_ context.Context, r Runtime) error {
-	r.Audit(audit.Record{Act: audit.ReplicaSaved})
+func (failingComponent) Run(_ context.Context, runtime Runtime) error {
+	runtime.Audit(audit.Record{Act: audit.ReplicaSaved})
 	return errors.New("broken")
 }
 
@@ -69,11 +69,11 @@
 	records := make(chan audit.Record, 9)
 	runtimes := make(chan Runtime, 1)
 	dir := t.TempDir()
-	c := &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: gossipAddr}, Voters: []config.Peer{{Name: "a", Addr: addr}},
+	settings := &config.Fleet{Name: "a", GossipConfig: config.GossipConfig{Listen: gossipAddr}, Voters: []config.Peer{{Name: "a", Addr: addr}},
 		LeaseConfig: config.LeaseConfig{Term: 900 * time.Millisecond, MaxClockDrift: 30 * time.Millisecond, ElectionTimeout: 300 * time.Millisecond},
 		Voter:       config.VoterConfig{Listen: addr, Dir: t.TempDir()}, Replica: config.ReplicaConfig{Dir: dir}}
-	coordinator, err := Start(Options{Config: c, Components: []Component{failingComponent{}, runningComponent(runtimes)}, Log: zerolog.Nop()},
-		coordination.Events{Failed: func(err error) { failed <- err }, Audit: func(r audit.Record) { records <- r }})
+	coordinator, err := Start(Options{Config: settings, Components: []Component{failingComponent{}, runningComponent(runtimes)}, Log: zerolog.Nop()},
+		coordination.Events{Failed: func(err error) { failed <- err }, Audit: func(record audit.Record) { records <- record }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,25 +81,25 @@
 	if err := <-failed; err == nil || (<-records).Act != audit.ReplicaSaved {
 		t.Error(err)
 	}
-	r, ctx := <-runtimes, t.Context()
-	leadership := r.Campaign(ctx, "d")
-	changed, version := r.View.Changed(), uint64(0)
+	runtime, ctx := <-runtimes, t.Context()
+	leadership := runtime.Campaign(ctx, "d")
+	changed, version := runtime.View.Changed(), uint64(0)
 	for version == 0 { // on a slow disk the lease may expire, or a write may succeed without an answer
 		leadershipChanged := leadership.Changed()
 		if token, _, ok := leadership.Token(); !ok {
 			<-leadershipChanged
-		} else if version, err = r.Store.Put(ctx, "p/a", 0, []byte("x"), replication.Fence{Lease: "d", Token: token}); err != nil {
-			d, _ := r.Store.Read(ctx, "p/a")
-			version = d.Version
+		} else if version, err = runtime.Store.Put(ctx, "p/a", 0, []byte("x"), replication.Fence{Lease: "d", Token: token}); err != nil {
+			document, _ := runtime.Store.Read(ctx, "p/a")
+			version = document.Version
 		}
 	}
 	<-changed
-	if d, err := r.Store.Read(ctx, "p/a"); err != nil || d.Version != version {
-		t.Errorf("%+v %v, want version %d", d, err, version)
+	if document, err := runtime.Store.Read(ctx, "p/a"); err != nil || document.Version != version {
+		t.Errorf("%+v %v, want version %d", document, err, version)
 	}
 	for { // until the document is on disk and the replica is confirmed
 		status := coordinator.Status()
-		if s, _, err := replication.LoadSnapshot(dir); err == nil && s.Version == version && status.DocumentsVersion == version && status.DocumentsAge >= 0 {
+		if snapshot, _, err := replication.LoadSnapshot(dir); err == nil && snapshot.Version == version && status.DocumentsVersion == version && status.DocumentsAge >= 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -109,8 +109,8 @@
 // runningComponent is a component that sends its Runtime on the channel and runs until it is stopped.
 type runningComponent chan Runtime
 
-func (c runningComponent) Run(ctx context.Context, r Runtime) error {
-	c <- r
+func (c runningComponent) Run(ctx context.Context, runtime Runtime) error {
+	c <- runtime
 	<-ctx.Done()
 	return nil
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -68,7 +68,7 @@
 	coordinator.minimumVersion.Store(&discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6})
 	announcement := discoveryleader.Announcement{Token: 7, Sequence: 3, Holder: "pooler-1/1-2", Source: "pooler-1"}
 	list := []byte(`{"revision":5,"complete":true,"members":[]}`)
-	var log strings.Builder
+	var sentLines strings.Builder
 	for _, send := range []func(){
 		func() { coordinator.Announce(announcement, time.Minute, func(bool) {}) },
 		func() {
@@ -80,7 +80,7 @@
 	} {
 		send()
 		recorded := <-network
-		fmt.Fprintln(&log, recorded.method, recorded.to, recorded.encoded)
+		fmt.Fprintln(&sentLines, recorded.method, recorded.to, recorded.encoded)
 	}
 
 	var got []any
@@ -98,7 +98,7 @@
 		},
 	}
 	coordinator.events = events
-	for _, line := range bytes.Split(bytes.TrimSpace(goldentest.Check(t, "messages.txt", []byte(log.String()))), []byte("\n")) {
+	for _, line := range bytes.Split(bytes.TrimSpace(goldentest.Check(t, "messages.txt", []byte(sentLines.String()))), []byte("\n")) {
 		coordinator.dispatch(bytes.SplitN(line, []byte(" "), 3)[2])
 	}
 	want := []any{"word", announcement, discoveryleader.MinimumVersion{Build: "1.4", ConfigRevision: 6}, "found", uint64(7), 4, "db-2", 8 * time.Second, "lost", 4, "wanted", "pooler-1", "list", announcement, string(list)}
--- a/internal/fleet/gossip/counting_transport.go
+++ b/internal/fleet/gossip/counting_transport.go
@@ -39,8 +39,8 @@
 	return c
 }
 
-// forward counts received packets and passes them and received streams to memberlist. When the shutdown has begun, it discards
-// what memberlist no longer receives, so that the underlying transport can end.
+// forward counts received packets and passes them and received streams to memberlist. After the shutdown has begun, it
+// discards packets and closes streams that memberlist no longer receives, so that the underlying transport can end.
 func (t *countingTransport) forward() {
 	for {
 		select {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -6,6 +6,7 @@
 	"threadsail/internal/goldentest"
 )
 
+// The encodings of the meta and of a message of the bus are stable: poolers of different builds exchange them.
 func TestMessageForms(t *testing.T) {
 	full := goldentest.Filled[Meta](t)
 	goldentest.CheckJSONOf(t, "meta.json", full)
--- a/internal/fleet/gossip/message_kind.go
+++ b/internal/fleet/gossip/message_kind.go
@@ -120,8 +120,8 @@
 // the length. The length and the message follow.
 const userMessageHeader = "\x08\x81\xaaUserMsgLen"
 
-// First and last of the MessagePack type bytes of integers that are followed by 1, 2, 4 or 8 bytes, unsigned and signed. Other
-// integers consist of one byte only.
+// The range of MessagePack type bytes that are followed by an integer of 1, 2, 4 or 8 bytes, unsigned or signed. Other integers
+// consist of the type byte only.
 const (
 	messagePackFirstSized = 0xcc
 	messagePackLastSized  = 0xd3
--- a/internal/fleet/gossip/node.go
+++ b/internal/fleet/gossip/node.go
@@ -42,7 +42,7 @@
 type Options struct {
 	Name      string
 	Listen    string // host:port, TCP and UDP
-	Advertise string // host:port at which others reach the node; empty for Listen
+	Advertise string // host:port at which others reach the node; empty if the same as Listen
 	Peers     []Peer
 	// OnMessage handles a message of another pooler that was not sent with a Bus. It is called on memberlist's goroutines, must
 	// not block, and owns the message.
--- a/internal/fleet/gossip_network.go
+++ b/internal/fleet/gossip_network.go
@@ -41,22 +41,22 @@
 func (g gossipNetwork) replicationBus() bus.Bus { return g.Node.Bus() }
 
 // SetStatus implements network.
-func (g gossipNetwork) SetStatus(a discoveryleader.Announcement, build, configDigest string) {
-	g.SetMeta(gossip.Meta{Build: build, Config: configDigest, Token: a.Token, Sequence: a.Sequence})
+func (g gossipNetwork) SetStatus(announcement discoveryleader.Announcement, build, configDigest string) {
+	g.SetMeta(gossip.Meta{Build: build, Config: configDigest, Token: announcement.Token, Sequence: announcement.Sequence})
 }
 
 // ListSource implements network. It picks at random one of the other poolers whose published status shows the announcement's
 // list, or returns the announcement's source if there is none.
-func (g gossipNetwork) ListSource(a discoveryleader.Announcement) (name string, needed bool) {
+func (g gossipNetwork) ListSource(announcement discoveryleader.Announcement) (name string, needed bool) {
 	var sources []string
 	for _, member := range g.Members() {
-		hasList := member.Meta.Token == a.Token && member.Meta.Sequence == a.Sequence
+		hasList := member.Meta.Token == announcement.Token && member.Meta.Sequence == announcement.Sequence
 		if hasList && member.Name != g.Bus().Self() {
 			sources = append(sources, member.Name)
 		}
 	}
 	if len(sources) == 0 {
-		return a.Source, true
+		return announcement.Source, true
 	}
 	return sources[rand.IntN(len(sources))], true
 }
--- a/internal/fleet/message.go
+++ b/internal/fleet/message.go
@@ -12,11 +12,11 @@
 
 // The kinds of messages.
 const (
-	kindAnnouncement messageKind = "word"  // Announcement of the leader's newest list, MinimumBuild, MinimumConfigRevision
-	kindListRequest  messageKind = "want"  // From requests the list in force
-	kindList         messageKind = "list"  // List of an Announcement
-	kindPrimaryDown  messageKind = "lost"  // From has found the primary of Group down
-	kindPrimary      messageKind = "found" // Server, which the leader has found to be the primary of Group; Announcement.Token, AsOf
+	kindAnnouncement messageKind = "word"  // announces the leader's newest list: Announcement, MinimumBuild, MinimumConfigRevision
+	kindListRequest  messageKind = "want"  // requests the list in force: From
+	kindList         messageKind = "list"  // carries the list in force: Announcement, List
+	kindPrimaryDown  messageKind = "lost"  // reports that a primary is down: From, Group
+	kindPrimary      messageKind = "found" // names the primary found by the leader: Announcement.Token, Group, Server, AsOf
 )
 
 // Topics of the leader's broadcasts. A newer message replaces an older one of the same topic.
@@ -39,8 +39,8 @@
 }
 
 // encodeMessage returns the JSON of a message.
-func encodeMessage(m message) []byte {
-	encoded, err := json.Marshal(m)
+func encodeMessage(content message) []byte {
+	encoded, err := json.Marshal(content)
 	if err != nil {
 		panic(err) // unreachable: the only raw JSON is the list, which this process has encoded
 	}
@@ -50,22 +50,22 @@
 // dispatch decodes a message of another pooler and calls the event callback of its kind. A message that can't be decoded is
 // logged and ignored; a message of an unknown kind is ignored.
 func (c *Coordinator) dispatch(encoded []byte) {
-	var m message
-	if err := json.Unmarshal(encoded, &m); err != nil {
+	var received message
+	if err := json.Unmarshal(encoded, &received); err != nil {
 		c.log.Warn().Err(err).Msg("fleet: message of another pooler can't be decoded")
 		return
 	}
-	switch m.Kind {
+	switch received.Kind {
 	case kindAnnouncement:
-		minimum := discoveryleader.MinimumVersion{Build: m.MinimumBuild, ConfigRevision: m.MinimumConfigRevision}
-		c.events.Announced(m.Announcement, minimum)
+		minimum := discoveryleader.MinimumVersion{Build: received.MinimumBuild, ConfigRevision: received.MinimumConfigRevision}
+		c.events.Announced(received.Announcement, minimum)
 	case kindListRequest:
-		c.events.ListRequested(m.From)
+		c.events.ListRequested(received.From)
 	case kindList:
-		c.events.ListReceived(m.Announcement, m.List)
+		c.events.ListReceived(received.Announcement, received.List)
 	case kindPrimaryDown:
-		c.events.PrimaryReportedDown(m.Group)
+		c.events.PrimaryReportedDown(received.Group)
 	case kindPrimary:
-		c.events.PrimaryAnnounced(m.Announcement.Token, m.Group, m.Server, m.AsOf)
+		c.events.PrimaryAnnounced(received.Announcement.Token, received.Group, received.Server, received.AsOf)
 	}
 }
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -20,10 +20,10 @@
 	// SendBestEffort sends a message to one pooler without blocking. The message may be lost.
 	SendBestEffort(name string, encoded []byte)
 	// SetStatus sets the status that this pooler publishes to the others.
-	SetStatus(a discoveryleader.Announcement, build, configDigest string)
+	SetStatus(announcement discoveryleader.Announcement, build, configDigest string)
 	// ListSource returns the pooler from which to fetch the list of an announcement. needed is false if the network delivers
 	// lists without a request.
-	ListSource(a discoveryleader.Announcement) (name string, needed bool)
+	ListSource(announcement discoveryleader.Announcement) (name string, needed bool)
 	// Close disconnects the pooler from the network.
 	Close()
 
--- a/internal/fleet/server_list.go
+++ b/internal/fleet/server_list.go
@@ -38,8 +38,8 @@
 }
 
 // announcementVersion returns the version of an announcement. Versions order announcements by token, then by sequence.
-func announcementVersion(a discoveryleader.Announcement) uint64 {
-	return a.Token<<sequenceBits | min(a.Sequence, 1<<sequenceBits-1)
+func announcementVersion(announcement discoveryleader.Announcement) uint64 {
+	return announcement.Token<<sequenceBits | min(announcement.Sequence, 1<<sequenceBits-1)
 }
 
 // listHeader is the header document of a list: everything but its servers.
@@ -58,12 +58,12 @@
 
 // observeAnnouncement records an announcement of this process, which is the leader until the deadline. It reports whether the
 // announcement's list has not been published yet.
-func (l *serverListReplica) observeAnnouncement(a discoveryleader.Announcement, deadline time.Time) (missing bool) {
+func (l *serverListReplica) observeAnnouncement(announcement discoveryleader.Announcement, deadline time.Time) (missing bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.announcedVersion = announcementVersion(a)
+	l.announcedVersion = announcementVersion(announcement)
 	l.leaseDeadline = deadline
-	return a.Sequence > 0 && l.replica.Version() < l.announcedVersion
+	return announcement.Sequence > 0 && l.replica.Version() < l.announcedVersion
 }
 
 // confirmVersion returns the version of the replica and the current time, like consensus.Voter.ConfirmVersion. ok is true if
@@ -79,12 +79,12 @@
 // publish replaces the list with one that this process announces. Servers that have not changed since the last list under the
 // same lease keep their versions, so that a delta contains only the changed ones. Under a new lease all servers get the new
 // version, because the last list of the previous leader may not have been received here.
-func (l *serverListReplica) publish(a discoveryleader.Announcement, encoded []byte) error {
+func (l *serverListReplica) publish(announcement discoveryleader.Announcement, encoded []byte) error {
 	var list encodedList
 	if err := json.Unmarshal(encoded, &list); err != nil {
 		return fmt.Errorf("fleet: publish list: decode: %w", err)
 	}
-	header, err := json.Marshal(listHeader{a, list.Revision, list.Complete})
+	header, err := json.Marshal(listHeader{announcement, list.Revision, list.Complete})
 	if err != nil {
 		return fmt.Errorf("fleet: publish list: encode header: %w", err)
 	}
@@ -95,8 +95,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old := l.replica.Snapshot()
-	sameLease := old.Version>>sequenceBits == a.Token
-	next := replication.Snapshot{Version: announcementVersion(a), Documents: make(map[string]replication.Document, len(servers)+1)}
+	sameLease := old.Version>>sequenceBits == announcement.Token
+	next := replication.Snapshot{Version: announcementVersion(announcement), Documents: make(map[string]replication.Document, len(servers)+1)}
 	for _, document := range append(servers, replication.Document{Key: headerKey, Value: header}) {
 		document.Version = next.Version
 		if previous, ok := old.Documents[document.Key]; ok && sameLease && bytes.Equal(previous.Value, document.Value) {
@@ -129,35 +129,35 @@
 
 // decodeList returns the announcement and the encoded list that a published snapshot holds, with the servers sorted by name. It
 // returns an error if the header is missing or malformed, or does not match the version of the snapshot.
-func decodeList(snapshot replication.Snapshot) (a discoveryleader.Announcement, encoded []byte, err error) {
+func decodeList(snapshot replication.Snapshot) (announcement discoveryleader.Announcement, encoded []byte, err error) {
 	var header listHeader
 	if err := json.Unmarshal(snapshot.Documents[headerKey].Value, &header); err != nil {
-		return a, nil, fmt.Errorf("fleet: decode list: header: %w", err)
+		return announcement, nil, fmt.Errorf("fleet: decode list: header: %w", err)
 	}
-	a = header.Announcement
-	if snapshot.Version != announcementVersion(a) {
-		return a, nil, fmt.Errorf("fleet: decode list: snapshot has version %d, its announcement %d", snapshot.Version, announcementVersion(a))
+	announcement = header.Announcement
+	if snapshot.Version != announcementVersion(announcement) {
+		return announcement, nil, fmt.Errorf("fleet: decode list: snapshot has version %d, its announcement %d", snapshot.Version, announcementVersion(announcement))
 	}
 	list := encodedList{Revision: header.Revision, Complete: header.Complete, Members: []json.RawMessage{}}
 	for _, document := range snapshot.List(serverKeyPrefix) {
 		list.Members = append(list.Members, document.Value)
 	}
 	encoded, err = json.Marshal(list)
-	return a, encoded, err
+	return announcement, encoded, err
 }
 
 // follow calls onList with each list that the replica receives, until ctx ends. It skips the lists that this process has
 // published.
-func (l *serverListReplica) follow(ctx context.Context, self string, onList func(a discoveryleader.Announcement, list []byte), log zerolog.Logger) {
+func (l *serverListReplica) follow(ctx context.Context, self string, onList func(announcement discoveryleader.Announcement, list []byte), log zerolog.Logger) {
 	for {
 		changed := l.replica.Changed()
 		if snapshot := l.replica.Snapshot(); snapshot.Version > 0 {
-			a, encoded, err := decodeList(snapshot)
+			announcement, encoded, err := decodeList(snapshot)
 			switch {
 			case err != nil:
 				log.Warn().Err(err).Msg("list: replica can't be decoded")
-			case a.Source != self:
-				onList(a, encoded)
+			case announcement.Source != self:
+				onList(announcement, encoded)
 			}
 		}
 		select {
@@ -170,9 +170,9 @@
 
 // redeliver calls onList again with the current list if that is at least as new as the announcement. It serves a pooler that
 // has not received the announcement's list yet.
-func (l *serverListReplica) redeliver(a discoveryleader.Announcement, onList func(a discoveryleader.Announcement, list []byte)) {
+func (l *serverListReplica) redeliver(announcement discoveryleader.Announcement, onList func(announcement discoveryleader.Announcement, list []byte)) {
 	snapshot := l.replica.Snapshot()
-	if snapshot.Version < announcementVersion(a) {
+	if snapshot.Version < announcementVersion(announcement) {
 		return
 	}
 	if current, encoded, err := decodeList(snapshot); err == nil {
--- a/internal/fleet/stream_network.go
+++ b/internal/fleet/stream_network.go
@@ -21,13 +21,13 @@
 	directTopic       = leaderTopicPrefix + "one" // topic of messages to one pooler
 )
 
-// sendTimeout is the maximum time to send a message to one pooler.
+// sendTimeout is the maximum time for which a message to one pooler waits for its stream.
 const sendTimeout = 2 * time.Second
 
 // streamNetwork is the network of a fleet with distributors. Exactly one of subscriber and distributor is set.
 type streamNetwork struct {
 	bus               bus.Bus
-	subscriber        *distribution.Subscriber  // this pooler's stream; nil if this pooler is a distributor
+	subscriber        *distribution.Subscriber  // nil if this pooler is a distributor
 	distributor       *distribution.Distributor // nil if this pooler is not a distributor
 	distributorGossip *gossip.Node              // gossip among the distributors; nil if this pooler is not one
 }
@@ -130,13 +130,13 @@
 	return n.bus.Send(ctx, name, directTopic, encoded)
 }
 
-// SendBestEffort implements network. It relies on sends on a stream not blocking; see package distribution.
+// SendBestEffort implements network. It uses Send, because sending on a stream does not block; see package distribution.
 func (n *streamNetwork) SendBestEffort(name string, encoded []byte) { _ = n.Send(name, encoded) }
 
 // SetStatus implements network. A distributor publishes no status.
-func (n *streamNetwork) SetStatus(a discoveryleader.Announcement, build, configDigest string) {
+func (n *streamNetwork) SetStatus(announcement discoveryleader.Announcement, build, configDigest string) {
 	if n.subscriber != nil {
-		n.subscriber.SetStatus(distribution.Status{Build: build, Config: configDigest, Token: a.Token, Sequence: a.Sequence})
+		n.subscriber.SetStatus(distribution.Status{Build: build, Config: configDigest, Token: announcement.Token, Sequence: announcement.Sequence})
 	}
 }
 
