--- a/internal/fleet/distribution/admission_test.go
+++ b/internal/fleet/distribution/admission_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// callTimes is a heap of the times at which callers call next.
+// callTimes is a heap of the times at which poolers connect next.
 type callTimes []time.Duration
 
 func (c callTimes) Len() int           { return len(c) }
@@ -25,7 +25,7 @@
 	return last
 }
 
-// drawCallTimes draws crowds of callers.
+// drawCallTimes draws bursts of connecting poolers.
 func drawCallTimes(rt *rapid.T) (times callTimes) {
 	for range rapid.IntRange(1, 6).Draw(rt, "crowds") {
 		at, over := rapid.IntRange(0, 3000).Draw(rt, "at ms"), rapid.IntRange(1, 500_000).Draw(rt, "over µs")
@@ -36,9 +36,10 @@
 	return times
 }
 
-// playCalls has callers call a distributor, and again when it says, up to some microseconds late. It returns when each was admitted; or
-// the refusal that ended the play: one for good, or the last of too many.
-func playCalls(t *testing.T, times callTimes, lateMicros int) (admitted []time.Duration, calls int, ended *refusal) {
+// simulateConnects lets poolers connect to a distributor, and retry after the delay that it returns plus up to lateMicros microseconds. It
+// returns the times of admission and the number of attempts. ended is the refusal that ended the simulation early: one without a retry
+// delay, or the last one when there were too many attempts.
+func simulateConnects(t *testing.T, times callTimes, lateMicros int) (admitted []time.Duration, calls int, ended *refusal) {
 	callers := len(times)
 	heap.Init(&times)
 	synctest.Test(t, func(*testing.T) {
@@ -62,14 +63,14 @@
 	return admitted, calls, ended
 }
 
-// However callers come, no more are admitted in any span of time than the burst and the pace allow, and each that is to call again is
-// admitted in the end: the last by as long after the last call as all take at the pace.
+// No matter when poolers connect, no more are admitted in any interval than the burst and the admission rate allow, and every pooler that
+// retries is admitted eventually: the last one no later after the last first attempt than admitting all at the admission rate takes.
 func TestAdmission(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		lateMicros := rapid.IntRange(0, 5000).Draw(rt, "late µs")
 		times := drawCallTimes(rt)
 		lastCall, callers := slices.Max(times), len(times)
-		admitted, calls, ended := playCalls(t, times, lateMicros)
+		admitted, calls, ended := simulateConnects(t, times, lateMicros)
 		if ended != nil {
 			rt.Fatalf("call %d of %d callers: %+v", calls, callers, *ended)
 		}
@@ -88,7 +89,7 @@
 	})
 }
 
-// A thousand poolers that call one distributor at once all have a stream, and a snapshot, at its pace.
+// A thousand poolers that connect to one distributor at once are admitted at its admission rate, and all receive a snapshot.
 func TestThousandAtOnce(t *testing.T) {
 	const poolers, step = 1000, 50 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -109,28 +110,28 @@
 	})
 }
 
-// loadedCluster is a cluster of which most poolers prefer d0, whose distributors and poolers come and go.
-type loadedCluster struct {
+// churnCluster is a cluster whose distributors and poolers are started and stopped at random, and most of whose poolers prefer d0.
+type churnCluster struct {
 	*cluster
 	random             *rand.Rand
-	tried              int // numbers of poolers
-	fewestDistributors int // that were there since all were
-	mostPoolers        int
+	nextPoolerNumber   int // number of the next pooler to consider
+	fewestDistributors int // lowest number of available distributors since all were running
+	mostPoolers        int // highest number of poolers
 }
 
-// addPoolers starts poolers, three of four of which prefer d0.
-func (l *loadedCluster) addPoolers(n int) {
-	for ; n > 0; l.tried++ {
-		preferred := Rank(fmt.Sprint("n", l.tried), "r0", l.endpoints)[0].Name
-		if preferred == "d0" || l.tried%4 == 0 {
-			l.startPooler(l.tried, 1000, "r0")
+// addPoolers starts n poolers. Of every four considered it starts the first and those that prefer d0, so that most prefer d0.
+func (l *churnCluster) addPoolers(n int) {
+	for ; n > 0; l.nextPoolerNumber++ {
+		preferred := Rank(fmt.Sprint("n", l.nextPoolerNumber), "r0", l.endpoints)[0].Name
+		if preferred == "d0" || l.nextPoolerNumber%4 == 0 {
+			l.startPooler(l.nextPoolerNumber, 1000, "r0")
 			n--
 		}
 	}
 }
 
-// disturb does something at random, and tells what.
-func (l *loadedCluster) disturb() string {
+// injectRandomChange starts, stops or stalls a distributor or replaces poolers, at random, and returns a description.
+func (l *churnCluster) injectRandomChange() string {
 	endpoint := l.endpoints[l.random.IntN(len(l.endpoints))]
 	distributor, running := l.distributors[endpoint.Name]
 	switch {
@@ -156,9 +157,9 @@
 	return what
 }
 
-// check fails unless each pooler has one stream, and no distributor holds more than a quarter over the mean, where up to four poolers
-// on their way are counted at both ends.
-func (l *loadedCluster) check(after string) {
+// checkLoads fails unless each pooler has one stream and no distributor holds more than 1.25 times the mean. Up to four poolers that are
+// moving may be counted twice.
+func (l *churnCluster) checkLoads(after string) {
 	l.t.Helper()
 	synctest.Wait()
 	sum, held := 0, []int{}
@@ -172,27 +173,27 @@
 	}
 }
 
-// Whatever distributors are lost and return, and whatever poolers come and go, of whom most prefer one distributor, each has one stream
-// within the recovery limit, and no distributor holds more than its share.
+// When distributors are lost and return and poolers start and stop, each pooler has one stream within the recovery limit, and no
+// distributor holds more than its share, although most poolers prefer the same distributor.
 func TestBoundedLoads(t *testing.T) {
 	t.Parallel()
 	const distributors = 3
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
-			l := &loadedCluster{cluster: newCluster(t, distributors, 1), random: rand.New(rand.NewPCG(seed, 0)), fewestDistributors: distributors}
+			l := &churnCluster{cluster: newCluster(t, distributors, 1), random: rand.New(rand.NewPCG(seed, 0)), fewestDistributors: distributors}
 			defer l.close()
 			time.Sleep(2 * testHeartbeat)
 			l.addPoolers(170)
 			for range 6 {
-				what := l.disturb()
+				what := l.injectRandomChange()
 				time.Sleep(recoveryLimit)
 				l.fewestDistributors = min(l.fewestDistributors, len(l.distributors))
 				l.mostPoolers = max(l.mostPoolers, len(l.poolers))
-				l.check(what)
+				l.checkLoads(what)
 			}
 			l.startMissingDistributors()
 			time.Sleep(2 * preferredRetryHeartbeats * testHeartbeat)
-			l.check("all are back")
+			l.checkLoads("all distributors restarted")
 		})
 	}
 }
--- a/internal/fleet/distribution/cluster_test.go
+++ b/internal/fleet/distribution/cluster_test.go
@@ -16,14 +16,14 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// TestMain plays fewer random cases than rapid would, of one seed unless another is given: each is minutes of a whole fleet.
-// It fails the package where a goroutine outlives the tests.
+// TestMain reduces the number of random cases and fixes the seed unless flags say otherwise, because each case simulates minutes of a whole
+// fleet. It fails if a goroutine outlives the tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	explicit := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { explicit[f.Name] = true })
 	for name, value := range map[string]string{"rapid.checks": "40", "rapid.seed": "1"} {
-		if !given[name] {
+		if !explicit[name] {
 			_ = flag.Set(name, value)
 		}
 	}
@@ -32,27 +32,28 @@
 
 const (
 	testHeartbeat = time.Second
-	// recoveryLimit is within what time a pooler that can reach a distributor has the newest version, whatever was lost.
+	// recoveryLimit is the time within which a pooler that can reach a distributor has the newest version after any fault.
 	recoveryLimit = 6 * time.Second
-	// promptly is within what time a change reaches the poolers of a cluster at rest.
-	promptly = 20 * time.Millisecond
-	// zones is how many zones a cluster's distributors and poolers are spread over.
+	// deliveryLimit is the time within which a change reaches all poolers of a cluster without faults.
+	deliveryLimit = 20 * time.Millisecond
+	// zones is the number of zones over which the distributors and poolers of a cluster are spread.
 	zones = 10
 )
 
-// cluster is distributors and poolers on one network, in a synctest bubble. The test writes the log, which the distributors follow.
+// cluster is a set of distributors and poolers on one simulated network, in a synctest bubble. The test writes the log that the
+// distributors follow.
 type cluster struct {
 	t            *testing.T
 	network      *network
-	endpoints    []Endpoint                      // of all distributors, running or not
-	distributors map[string]*Distributor         // that run
-	published    map[string]*replication.Replica // of the distributors that run
+	endpoints    []Endpoint                      // all distributors, running or not
+	distributors map[string]*Distributor         // running distributors, by name
+	published    map[string]*replication.Replica // replicas of the running distributors
 	poolers      map[string]*Subscriber
-	replicas     map[string]*replication.Replica // of poolers
-	documents    map[string]replication.Document // of the log's newest version
-	version      uint64                          // the log's newest
-	isolated     map[string]bool                 // distributors that hear nothing of the log
-	tallies      map[string]*frameTally          // of distributors and poolers
+	replicas     map[string]*replication.Replica // replicas of the poolers
+	documents    map[string]replication.Document // documents of the log's newest version
+	version      uint64                          // newest version of the log
+	isolated     map[string]bool                 // distributors that can't reach the log
+	tallies      map[string]*frameTally          // frames of the distributors and poolers, by name
 
 	mu       sync.Mutex // guards the fields below
 	written  map[uint64]writtenVersion
@@ -65,7 +66,7 @@
 	documents map[string]replication.Document
 }
 
-// newCluster starts distributors d0, d1, ..., spread over the zones, and these over regions r0, r1, ....
+// newCluster starts the distributors d0, d1, ..., spread over the zones, which are spread over the regions r0, r1, ....
 func newCluster(t *testing.T, distributors, regions int) *cluster {
 	c := &cluster{t: t, network: newNetwork(), distributors: map[string]*Distributor{}, published: map[string]*replication.Replica{},
 		poolers: map[string]*Subscriber{}, replicas: map[string]*replication.Replica{}, documents: map[string]replication.Document{},
@@ -78,7 +79,7 @@
 	return c
 }
 
-// newSettledCluster starts a cluster with documents, and waits until it is at rest, between two heartbeats.
+// newSettledCluster starts a cluster with documents, and waits until all poolers are up to date and it is half a heartbeat past one.
 func newSettledCluster(t *testing.T, distributors, regions, poolers int) *cluster {
 	c := newCluster(t, distributors, regions)
 	for i := range 40 {
@@ -98,7 +99,7 @@
 
 func regionOf(i, regions int) string { return fmt.Sprint("r", i%zones%regions) }
 
-// close ends all poolers and distributors, and what is under way on the network.
+// close stops all poolers and distributors, and waits until the network has delivered everything in flight.
 func (c *cluster) close() {
 	c.network.heal()
 	for _, pooler := range c.poolers {
@@ -110,7 +111,7 @@
 	time.Sleep(time.Minute)
 }
 
-// startDistributor starts a distributor with an empty replica, which catches up with the log at once.
+// startDistributor starts a distributor whose replica holds the log's newest version, without history.
 func (c *cluster) startDistributor(endpoint Endpoint) {
 	replica := replication.NewReplica(replication.Snapshot{})
 	if c.version > 0 {
@@ -140,11 +141,11 @@
 	return c.endpoints[slices.IndexFunc(c.endpoints, func(e Endpoint) bool { return e.Name == name })]
 }
 
-// startPooler starts a pooler with an empty replica; of several, the jitter follows from the number.
-func (c *cluster) startPooler(i, of int, region string) (name string) {
+// startPooler starts pooler i of total with an empty replica. Its jitter fraction is i/total.
+func (c *cluster) startPooler(i, total int, region string) (name string) {
 	name = fmt.Sprint("n", i)
 	c.replicas[name] = replication.NewReplica(replication.Snapshot{})
-	c.subscribe(name, region, float64(i)/float64(of))
+	c.subscribe(name, region, float64(i)/float64(total))
 	return name
 }
 
@@ -154,7 +155,7 @@
 		Dial: c.network.dialer(name), Counter: c.tally(name), Log: c.log})
 }
 
-// restartPooler restarts a pooler, with its replica or an empty one.
+// restartPooler restarts a pooler with its replica or with an empty one.
 func (c *cluster) restartPooler(name string, keepsReplica bool) {
 	options := c.poolers[name].options
 	c.poolers[name].Close()
@@ -172,7 +173,7 @@
 	delete(c.replicas, name)
 }
 
-// write writes a document, or deletes it where the value is empty; the distributors have it at once.
+// write writes a document, or deletes it if the value is empty. The distributors that reach the log receive the change at once.
 func (c *cluster) write(key, value string) {
 	c.version += 3
 	c.documents = maps.Clone(c.documents)
@@ -187,7 +188,7 @@
 	c.confirm()
 }
 
-// confirm makes all distributors that hear of the log hold and confirm its newest version.
+// confirm makes all distributors that reach the log hold and confirm its newest version.
 func (c *cluster) confirm() {
 	for name, replica := range c.published {
 		if !c.isolated[name] {
@@ -197,7 +198,7 @@
 	}
 }
 
-// passHeartbeats lets heartbeats pass in which the log confirms that nothing is new.
+// passHeartbeats waits for n heartbeats, and confirms the newest version at each.
 func (c *cluster) passHeartbeats(n int) {
 	for range n {
 		c.confirm()
@@ -206,7 +207,7 @@
 	synctest.Wait()
 }
 
-// requireNewest fails unless all poolers but some have the newest version after a time.
+// requireNewest waits for the given time, and fails unless all poolers except the given ones have the newest version then.
 func (c *cluster) requireNewest(after time.Duration, what string, except ...string) {
 	c.t.Helper()
 	time.Sleep(after)
@@ -228,7 +229,7 @@
 func (c *cluster) poolerNames() []string      { return slices.Sorted(maps.Keys(c.replicas)) }
 func (c *cluster) distributorNames() []string { return slices.Sorted(maps.Keys(c.published)) }
 
-// zone returns all that are in a zone, and all others.
+// zone returns the names of the poolers and distributors inside a zone and of those outside.
 func (c *cluster) zone(zone int) (inside, outside []string) {
 	for _, name := range append(c.poolerNames(), c.distributorNames()...) {
 		var i int
@@ -242,14 +243,14 @@
 	return inside, outside
 }
 
-// log takes a line of any distributor's or pooler's log.
+// log records a log line of a distributor or pooler.
 func (c *cluster) log(line string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.logLines = append(c.logLines, line)
 }
 
-// countLogged counts the lines that contain a text.
+// countLogged returns the number of log lines that contain text.
 func (c *cluster) countLogged(text string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/distribution/conn.go
+++ b/internal/fleet/distribution/conn.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// bufferSize is that of a stream's reader and writer, in bytes.
+// bufferSize is the size of the buffers of a stream's reader and writer, in bytes.
 const bufferSize = 4 << 10
 
-// minWriteRate is how fast a peer must take what is longer than its buffers, in bytes a second: a snapshot of 5 MB within nine seconds.
+// minWriteRate is the minimum rate, in bytes per second, at which a peer must accept data that exceeds its buffers: a snapshot of 5 MB
+// within nine seconds.
 const minWriteRate = 1 << 20
 
-// timeoutConn is a connection that fails where its peer sends nothing for a while, or takes nothing.
+// timeoutConn is a connection whose reads and writes fail if the peer sends or accepts no data within the limits of timing.
 type timeoutConn struct {
 	net.Conn
 	timing timing
@@ -33,7 +34,7 @@
 	return c.Conn.Write(b)
 }
 
-// frameWriter writes encoded frames to a connection through a buffer, and counts them. It is not safe for use by several goroutines.
+// frameWriter writes encoded frames to a connection through a buffer and counts them. It is not safe for concurrent use.
 type frameWriter struct {
 	*bufio.Writer
 	counter Counter
@@ -43,7 +44,7 @@
 	return frameWriter{bufio.NewWriterSize(conn, bufferSize), counter}
 }
 
-// writeFrames writes frames in their order. It fails with net.ErrClosed at endOfStream.
+// writeFrames writes frames in order. It returns net.ErrClosed when it reaches the empty frame that outbox.endOfStream queues.
 func (w frameWriter) writeFrames(frames ...[]byte) error {
 	for _, frame := range frames {
 		if len(frame) == 0 {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// flushFrames writes frames in their order, and flushes the buffer.
+// flushFrames writes frames in order and flushes the buffer.
 func (w frameWriter) flushFrames(frames ...[]byte) error {
 	if err := w.writeFrames(frames...); err != nil {
 		return err
--- a/internal/fleet/distribution/dial.go
+++ b/internal/fleet/distribution/dial.go
@@ -15,37 +15,38 @@
 	counter Counter
 }
 
-// clientStream is a stream that a distributor has admitted.
+// clientStream is the client side of a stream that a distributor has admitted.
 type clientStream struct {
 	Endpoint
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// open calls a distributor, whose answer must come within a timeout, as there are others to call. Errors are refusedError,
-// errMalformedFrame, errFrameTooLong, and the network's.
+// open connects to a distributor and performs the handshake. The answer must arrive within timeout, as the caller may try other
+// distributors. Errors are refusedError, errors that wrap errMalformedFrame or errFrameTooLong, the error of ctx or of the timeout, and
+// network errors.
 func (d streamDialer) open(ctx context.Context, endpoint Endpoint, timeout time.Duration, h hello) (*clientStream, error) {
-	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	handshakeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	plain, err := d.dial(callCtx, endpoint.Addr)
+	rawConn, err := d.dial(handshakeCtx, endpoint.Addr)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(callCtx, func() { _ = plain.Close() })
-	conn := timeoutConn{plain, d.timing}
+	stop := context.AfterFunc(handshakeCtx, func() { _ = rawConn.Close() })
+	conn := timeoutConn{rawConn, d.timing}
 	reader := bufio.NewReaderSize(conn, bufferSize)
 	err = d.handshake(conn, reader, h)
-	if !stop() && err == nil { // the time is over, and the connection closed
-		err = callCtx.Err()
+	if !stop() && err == nil { // the timeout has expired and the connection is closed
+		err = handshakeCtx.Err()
 	}
 	if err != nil {
-		_ = plain.Close()
+		_ = rawConn.Close()
 		return nil, err
 	}
 	return &clientStream{endpoint, conn, reader}, nil
 }
 
-// handshake sends the hello and waits for the welcome.
+// handshake sends the hello and waits for the welcome. It returns a refusedError if the distributor refuses the stream.
 func (d streamDialer) handshake(conn net.Conn, reader *bufio.Reader, h hello) error {
 	frame := encodeJSONFrame(kindHello, h)
 	if _, err := conn.Write(frame); err != nil {
--- a/internal/fleet/distribution/directory.go
+++ b/internal/fleet/distribution/directory.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// directory is where each pooler's stream ends, as the other distributors tell. It is not safe for use by several goroutines.
+// directory maps each pooler to the distributor that it is connected to, as reported by the other distributors. It is not safe for
+// concurrent use.
 type directory struct {
-	distributorOf map[string]string            // by pooler: the distributor that told last that the pooler arrived
-	distributors  map[string]*distributorState // by name; each that distributorOf names is among them
+	distributorOf map[string]string            // by pooler: the distributor that last reported the arrival of the pooler
+	distributors  map[string]*distributorState // by name; contains every distributor that distributorOf refers to
 }
 
-// distributorState is what is known of one other distributor.
+// distributorState is the known state of one other distributor.
 type distributorState struct {
 	region       string
-	summary      Summary   // of its poolers, as reported last
-	poolerCount  int       // of the poolers for which distributorOf names it
-	openLinks    int       // links that it has open to this distributor
-	lastClosedAt time.Time // when the last link ended
+	summary      Summary   // last summary that it reported of its poolers
+	poolerCount  int       // number of poolers that distributorOf maps to it
+	openLinks    int       // number of links that it has open to this distributor
+	lastClosedAt time.Time // time at which the last link ended
 }
 
 func newDirectory() directory {
@@ -32,8 +33,8 @@
 	state.openLinks++
 }
 
-// linkClosed records that a distributor's link has ended. Its poolers are kept for a while: they are on their way to others, and quota
-// shares that depend on the fleet's size must not grow for a link that was reset.
+// linkClosed records that a distributor's link has ended. Its poolers are kept until expire removes them: they are reconnecting to other
+// distributors, and quota shares, which depend on the fleet's size, must not grow because a link was reset.
 func (d *directory) linkClosed(name string, now time.Time) {
 	if state := d.distributors[name]; state != nil {
 		state.openLinks--
@@ -41,7 +42,7 @@
 	}
 }
 
-// update records the holdings that a distributor reports.
+// update records the holdings reported by a distributor. Holdings of an unknown distributor are ignored.
 func (d *directory) update(name string, h holdings) {
 	state := d.distributors[name]
 	if state == nil {
@@ -58,14 +59,14 @@
 		state.poolerCount++
 	}
 	for _, pooler := range h.Departed {
-		if d.distributorOf[pooler] == name { // else it has arrived elsewhere already
+		if d.distributorOf[pooler] == name { // otherwise it has arrived at another distributor already
 			delete(d.distributorOf, pooler)
 			state.poolerCount--
 		}
 	}
 }
 
-// forget removes a distributor's poolers.
+// forget removes the poolers of a distributor.
 func (d *directory) forget(name string) {
 	for pooler, distributor := range d.distributorOf {
 		if distributor == name {
@@ -75,7 +76,7 @@
 	d.distributors[name].poolerCount = 0
 }
 
-// expire removes the distributors that have had no link for a while, and their poolers.
+// expire removes the distributors whose last link ended at least the given time ago, with their poolers.
 func (d *directory) expire(now time.Time, after time.Duration) {
 	for name, state := range d.distributors {
 		if state.openLinks == 0 && now.Sub(state.lastClosedAt) >= after {
@@ -85,7 +86,7 @@
 	}
 }
 
-// alive returns the distributors that have a link open here.
+// alive returns the names of the distributors that have a link open here.
 func (d *directory) alive() (names []string) {
 	for name, state := range d.distributors {
 		if state.openLinks > 0 {
@@ -95,7 +96,7 @@
 	return names
 }
 
-// load returns how many streams the other live distributors of a region hold, and how many of those distributors there are.
+// load returns the number of streams that the other live distributors of a region hold in total, and the number of these distributors.
 func (d *directory) load(region string) (streams, distributors int) {
 	for _, state := range d.distributors {
 		if state.region == region && state.openLinks > 0 {
--- a/internal/fleet/distribution/distributor_bus.go
+++ b/internal/fleet/distribution/distributor_bus.go
@@ -8,23 +8,23 @@
 	"threadsail/internal/fleet/bus"
 )
 
-// Self is documented with bus.Bus.
+// Self implements bus.Bus.
 func (d *Distributor) Self() string { return d.options.Name }
 
-// Members returns the distributors that are alive, which any pooler may call.
+// Members implements bus.Bus. It returns the names of the distributors that are alive, to which any pooler may connect.
 func (d *Distributor) Members() []string {
 	members := append(d.registry.aliveDistributors(), d.options.Name)
 	slices.Sort(members)
 	return members
 }
 
-// Size is documented with bus.Bus.
+// Size implements bus.Bus.
 func (d *Distributor) Size() int { return d.registry.fleetSize() }
 
-// StreamCount returns how many poolers' streams end here.
+// StreamCount returns the number of poolers that are connected to this distributor.
 func (d *Distributor) StreamCount() int { return d.registry.streamCount() }
 
-// Send is documented with bus.Bus.
+// Send implements bus.Bus.
 func (d *Distributor) Send(ctx context.Context, to, topic string, body []byte) error {
 	if err := checkMessageSize(topic, body, maxQueuedBytes/2); err != nil {
 		return err
@@ -35,16 +35,17 @@
 	return ctx.Err()
 }
 
-// Broadcast is documented with bus.Bus.
+// Broadcast implements bus.Bus. A message of an invalid size is logged and dropped.
 func (d *Distributor) Broadcast(topic string, body []byte) {
 	if err := checkMessageSize(topic, body, maxQueuedBytes/2); err != nil {
-		d.options.Log("distributor: broadcast not sent: " + err.Error())
+		d.options.Log("distributor: broadcast dropped: " + err.Error())
 		return
 	}
 	d.registry.forwardBroadcast(broadcast{from: d.options.Name, topic: topic, body: body}, false)
 }
 
-// handleMessage forwards a message towards its pooler. One from another distributor goes no further than to this one's poolers.
+// handleMessage forwards a message to its recipient. A message from another distributor is delivered only here or to this distributor's
+// poolers.
 func (d *Distributor) handleMessage(s *serverStream, body []byte) error {
 	m, err := decodeMessage(body)
 	if err != nil {
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// forward gives a message to this process, or queues it towards its pooler; ok false: the pooler is not known.
+// forward dispatches a message that is addressed to this distributor, or queues it for its recipient. ok is false if the recipient is
+// unknown or is being disconnected.
 func (d *Distributor) forward(m message, lastHop bool) (ok bool) {
 	if m.to == d.options.Name {
 		d.dispatch(m.from, m.topic, m.body)
@@ -66,8 +68,8 @@
 	return d.registry.forward(m.to, m.frame(), lastHop)
 }
 
-// handleBroadcast forwards a broadcast: a pooler's to this distributor's poolers and the other distributors, a distributor's to this
-// one's poolers.
+// handleBroadcast dispatches and forwards a broadcast. One from a pooler is forwarded to this distributor's other poolers and to the other
+// distributors, one from a distributor only to this distributor's poolers.
 func (d *Distributor) handleBroadcast(s *serverStream, body []byte) error {
 	b, err := decodeBroadcast(body)
 	if err != nil {
@@ -81,10 +83,11 @@
 	return nil
 }
 
-// checkSender refuses a message that a pooler sends under another's name. Distributors forward the messages of others.
+// checkSender returns an error that wraps errMalformedFrame if a pooler sends a message with another pooler's name as the sender.
+// Distributors forward the messages of others.
 func checkSender(s *serverStream, from string) error {
 	if from != s.Name && !s.Distributor {
-		return fmt.Errorf("%w: it speaks for %s", errMalformedFrame, from)
+		return fmt.Errorf("%w: sender is %s", errMalformedFrame, from)
 	}
 	return nil
 }
--- a/internal/fleet/distribution/distributor_stream.go
+++ b/internal/fleet/distribution/distributor_stream.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// serve serves one caller until either side ends.
-func (d *Distributor) serve(ctx context.Context, plain net.Conn) {
-	closeConn := func() { _ = plain.Close() }
+// serve serves one connection until the peer ends it or ctx ends.
+func (d *Distributor) serve(ctx context.Context, rawConn net.Conn) {
+	closeConn := func() { _ = rawConn.Close() }
 	defer closeConn()
 	defer context.AfterFunc(ctx, closeConn)()
-	conn := timeoutConn{plain, d.timing}
+	conn := timeoutConn{rawConn, d.timing}
 	reader := bufio.NewReaderSize(conn, bufferSize)
 	frame, err := readFrame(reader, maxPoolerFrame)
-	<-d.pendingCalls
+	<-d.pendingHandshakes
 	if err != nil || frame.kind != kindHello {
-		return // no peer of this protocol, or one that has gone
+		return // not a peer of this protocol, or disconnected
 	}
 	d.options.Counter.In(frame.kind.String(), frame.size)
 	var h hello
@@ -34,26 +34,26 @@
 		return
 	}
 	defer d.registry.remove(s)
-	err = d.useStream(ctx, reader, s)
+	err = d.runStream(ctx, reader, s)
 	if isProtocolError(err) {
 		d.logRefusalOnce(h.Name+": "+sentinelOf(err).Error(), h.Name, err.Error())
 	}
 }
 
-// newStream returns the stream of a caller that is not admitted yet.
+// newStream returns the stream of a peer that is not admitted yet.
 func (d *Distributor) newStream(conn net.Conn, h hello) *serverStream {
 	s := &serverStream{hello: h, conn: conn, report: heartbeat{Versions: h.Versions, Status: h.Status}}
 	for _, resource := range d.resources {
 		s.sentVersions = append(s.sentVersions, h.Versions[resource.Name])
 	}
 	s.outbox = newOutbox(poolerQueueLimits, func() {
-		d.options.Log(fmt.Sprintf("distributor: %s is cut off: too much waits for it", h.Name))
+		d.options.Log(fmt.Sprintf("distributor: disconnected %s: its send queue exceeded a limit", h.Name))
 		_ = conn.Close()
 	})
 	return s
 }
 
-// admit admits a caller, or returns the refusal.
+// admit admits a stream, or returns the refusal.
 func (d *Distributor) admit(s *serverStream) *refusal {
 	if err := s.validate(); err != nil {
 		return &refusal{Reason: err.Error()}
@@ -65,7 +65,7 @@
 	return d.registry.add(s, d.options.Region)
 }
 
-// refuse answers a call that is not admitted.
+// refuse sends a refusal, and logs its reason if it is permanent.
 func (d *Distributor) refuse(conn net.Conn, name string, r refusal) {
 	frame := encodeJSONFrame(kindRefusal, r)
 	d.options.Counter.Out(kindRefusal.String(), len(frame))
@@ -75,15 +75,15 @@
 	}
 }
 
-// logRefusalOnce logs why a caller is refused, once for each reason.
-func (d *Distributor) logRefusalOnce(reason, name, why string) {
-	d.logger.logOnce(reason, fmt.Sprintf("distributor: %s is refused: %s", name, why))
+// logRefusalOnce logs why the stream with a peer was refused or ended, once for each reason.
+func (d *Distributor) logRefusalOnce(reason, name, detail string) {
+	d.logger.logOnce(reason, fmt.Sprintf("distributor: stream with %s rejected: %s", name, detail))
 }
 
-// useStream reads and writes an admitted caller's stream until it ends, and returns why.
-func (d *Distributor) useStream(ctx context.Context, reader *bufio.Reader, s *serverStream) error {
+// runStream reads from and writes to an admitted stream until it ends, and returns the read error that ended it.
+func (d *Distributor) runStream(ctx context.Context, reader *bufio.Reader, s *serverStream) error {
 	var writer sync.WaitGroup
-	writer.Go(func() { // ends with ctx, at the end of the outbox, or where a write fails
+	writer.Go(func() { // ends with ctx, at endOfStream, or when a write fails
 		if err := d.writeStream(ctx, s); err != nil {
 			_ = s.conn.Close()
 		}
@@ -95,10 +95,10 @@
 	return err
 }
 
-// readStream handles what a caller sends, until the connection fails or the caller breaks the protocol.
+// readStream handles the frames that a peer sends, until the connection fails or the peer violates the protocol.
 func (d *Distributor) readStream(reader *bufio.Reader, s *serverStream) error {
 	maxLength := maxPoolerFrame
-	if s.Distributor { // it may forward what was sent down to it
+	if s.Distributor { // it may forward messages of the length that distributors may send
 		maxLength = maxDistributorFrame
 	}
 	for {
@@ -113,7 +113,7 @@
 	}
 }
 
-// handleFrame handles one frame. An error ends the stream.
+// handleFrame handles one frame. If it returns an error, the stream ends.
 func (d *Distributor) handleFrame(s *serverStream, frame receivedFrame) error {
 	switch {
 	case frame.kind == kindHeartbeat:
@@ -127,14 +127,14 @@
 		if err := decodeJSON(frame.body, &h); err != nil {
 			return err
 		}
-		d.registry.takeHoldings(s.Name, h)
+		d.registry.recordHoldings(s.Name, h)
 		return nil
 	default:
 		return fmt.Errorf("%w: %s", errMalformedFrame, frame.kind)
 	}
 }
 
-// handleHeartbeat records a pooler's report, or a distributor's summary; neither has changed where the body is empty.
+// handleHeartbeat records a pooler's report or a distributor's summary. An empty body means that it has not changed.
 func (d *Distributor) handleHeartbeat(s *serverStream, body []byte) error {
 	if len(body) == 0 {
 		return nil
@@ -144,18 +144,18 @@
 		if err := decodeJSON(body, &summary); err != nil {
 			return err
 		}
-		d.registry.takeSummary(s.Name, summary)
+		d.registry.recordSummary(s.Name, summary)
 		return nil
 	}
 	var report heartbeat
 	if err := decodeJSON(body, &report); err != nil {
 		return err
 	}
-	d.registry.takeReport(s, report)
+	d.registry.recordReport(s, report)
 	return nil
 }
 
-// writeStream sends a caller what it lacks, an announcement at each heartbeat and after each update, and what waits in the outbox, until
+// writeStream sends a peer the updates that it needs, an announcement at each heartbeat and after each update, and the queued frames, until
 // ctx ends or a write fails.
 func (d *Distributor) writeStream(ctx context.Context, s *serverStream) error {
 	writer := newFrameWriter(s.conn, d.options.Counter)
@@ -164,23 +164,23 @@
 	}
 	ticker := time.NewTicker(d.timing.heartbeat)
 	defer ticker.Stop()
-	for due := true; ; {
-		if err := d.writePending(ctx, s, writer, due); err != nil {
+	for announcementDue := true; ; {
+		if err := d.writePending(ctx, s, writer, announcementDue); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-s.outbox.wake:
-			due = false
+			announcementDue = false
 		case <-ticker.C:
-			due = true
+			announcementDue = true
 		}
 	}
 }
 
-// writePending writes what waits, the updates that a pooler lacks, and an announcement if it is due or there was an update.
-func (d *Distributor) writePending(ctx context.Context, s *serverStream, writer frameWriter, due bool) error {
+// writePending writes the queued frames, the updates that a pooler needs, and an announcement if it is due or there was an update.
+func (d *Distributor) writePending(ctx context.Context, s *serverStream, writer frameWriter, announcementDue bool) error {
 	if err := writer.writeFrames(s.outbox.drain()...); err != nil {
 		return err
 	}
@@ -189,15 +189,15 @@
 		if err != nil {
 			return err
 		}
-		due = due || updated
+		announcementDue = announcementDue || updated
 	}
-	if !due {
+	if !announcementDue {
 		return writer.Flush()
 	}
 	return writer.flushFrames(encodeJSONFrame(kindAnnouncement, d.announcement()))
 }
 
-// writeUpdates writes what a pooler lacks of the resources, and reports whether it lacked anything.
+// writeUpdates writes the updates that a pooler needs, and reports whether there were any.
 func (d *Distributor) writeUpdates(ctx context.Context, s *serverStream, writer frameWriter) (updated bool, err error) {
 	for i, resource := range d.resources {
 		update := resource.updateSince(s.sentVersions[i])
@@ -213,7 +213,7 @@
 	return updated, nil
 }
 
-// writeUpdate writes an update. A snapshot waits for a slot.
+// writeUpdate writes an update. For a snapshot it first blocks until a slot is free or ctx ends.
 func (d *Distributor) writeUpdate(ctx context.Context, update publishedUpdate, writer frameWriter) error {
 	if !update.isSnapshot() {
 		return writer.writeFrames(update.frame)
@@ -227,7 +227,7 @@
 	}
 }
 
-// announcement returns what the distributor knows of its resources and of the fleet's size now.
+// announcement returns the current versions of the resources and the current size of the fleet.
 func (d *Distributor) announcement() announcement {
 	a := announcement{Poolers: d.Size()}
 	now := time.Now()
--- a/internal/fleet/distribution/errors.go
+++ b/internal/fleet/distribution/errors.go
@@ -2,17 +2,18 @@
 
 import "errors"
 
-// What ends a stream because of its peer.
+// Protocol violations and failures of the peer that end a stream.
 var (
 	errMalformedFrame = errors.New("malformed frame")
 	errFrameTooLong   = errors.New("frame too long")
-	// What only a distributor can do.
-	errDeltaGap        = errors.New("delta does not follow on the replica")
+	// The following errors are caused by distributors only.
+	errDeltaGap        = errors.New("delta does not apply to the replica's version")
 	errUnknownResource = errors.New("unknown resource")
-	errDistributorLags = errors.New("distributor stays behind this pooler's replicas")
+	errDistributorLags = errors.New("distributor announced other versions than this pooler's replicas for too long")
 )
 
-// sentinelOf returns the sentinel error that an error wraps, without its versions and lengths; the error itself where it wraps none.
+// sentinelOf returns the sentinel error that err wraps, without details such as versions and lengths, or err itself if it wraps none.
+// Logging once per sentinel keeps a peer from filling the log by varying the details.
 func sentinelOf(err error) error {
 	for _, sentinel := range []error{errMalformedFrame, errFrameTooLong, errDeltaGap, errUnknownResource, errDistributorLags} {
 		if errors.Is(err, sentinel) {
@@ -22,7 +23,7 @@
 	return err
 }
 
-// refusedError is a call that the distributor refused.
+// refusedError is the error of a connection attempt that the distributor refused.
 type refusedError struct{ refusal }
 
 func (r refusedError) Error() string { return r.Reason }
--- a/internal/fleet/distribution/faults_test.go
+++ b/internal/fleet/distribution/faults_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// A reader that takes nothing is disconnected at each of its limits, holds nobody up, and has what it missed from another distributor by
-// deltas.
+// A reader that accepts no data is disconnected when any queue limit is exceeded and delays no other pooler. It then receives what it
+// missed from another distributor, as deltas.
 func TestSlowReader(t *testing.T) {
 	for what, send := range map[string]func(d *Distributor, i int){
 		"bytes":      func(d *Distributor, i int) { d.Broadcast(fmt.Sprint("t", i%100), make([]byte, 64<<10)) },
@@ -36,19 +36,19 @@
 				before := c.trafficOf(c.poolerNames()...)
 				c.network.cut(distributor, "n5", true)
 				start := time.Now()
-				for i := 0; i < 1200 && c.countLogged("n5 is cut off") == 0; i++ {
+				for i := 0; i < 1200 && c.countLogged("disconnected n5: ") == 0; i++ {
 					send(c.distributors[distributor], i)
 					synctest.Wait()
 				}
 				c.write("p/a", what)
-				c.requireNewest(0, "the others", "n5")
-				if waited := time.Since(start); waited > 0 || c.countLogged("n5 is cut off") != 1 || c.countLogged("is cut off") != 1 {
-					t.Errorf("after %v: got the log %q, want that n5 is cut off once, at once", waited, c.logLines)
+				c.requireNewest(0, "the other poolers", "n5")
+				if waited := time.Since(start); waited > 0 || c.countLogged("disconnected n5: ") != 1 || c.countLogged("disconnected ") != 1 {
+					t.Errorf("after %v: got the log %q, want n5 alone disconnected, once and without delay", waited, c.logLines)
 				}
 				if what != "frames" && received.Load() == 0 {
 					t.Error("another pooler has received no broadcast")
 				}
-				c.requireNewest(recoveryLimit, "the slow one")
+				c.requireNewest(recoveryLimit, "the slow reader")
 				if snapshots := c.trafficSince(before, c.poolerNames()...).sum("in whole").frames; snapshots > 0 {
 					t.Errorf("got %v snapshots, want none", snapshots)
 				}
@@ -57,39 +57,39 @@
 	}
 }
 
-// badDistributor is what a distributor that breaks the protocol sends to each caller.
-type badDistributor struct {
-	frames    [][]byte
-	announces uint64 // of which version it sends an announcement at each heartbeat; 0: none
-	want      string // in the pooler's log
+// faultyDistributor is a distributor that violates the protocol.
+type faultyDistributor struct {
+	frames    [][]byte // sent to each pooler that connects
+	announces uint64   // version that it announces at each heartbeat; 0 for no announcements
+	want      string   // text expected in the pooler's log
 }
 
-// badDistributors are the cases of TestBadDistributor. They run as x, which is the pooler's preferred distributor.
-func badDistributors() map[string]badDistributor {
+// faultyDistributors returns the cases of TestFaultyDistributor. They run under the name x, as the pooler's preferred distributor.
+func faultyDistributors() map[string]faultyDistributor {
 	welcome := encodeFrame(kindWelcome)
 	update := func(kind frameKind, resource, json string) []byte {
 		return encodeFrame(kind, prependNames([]byte(json), resource))
 	}
-	const ended, refused = "the stream to x has ended", "x refuses this pooler: protocol 2"
+	const ended, refused = "the stream to x has ended", "x refused this pooler: protocol 2"
 	httpAnswer := []byte("HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n400 Bad Request")
 	halfDocument := `{"since":0,"version":1000001,"docs":[{"key":"p/x","version":1000000}]}`
-	return map[string]badDistributor{
-		"a delta that does not follow": {[][]byte{welcome, update(kindDelta, "shared", `{"since":1000000,"version":1000001}`)}, 0, ended},
-		"a delta with half a document": {[][]byte{welcome, update(kindDelta, "shared", halfDocument)}, 0, ended},
-		"a malformed delta":            {[][]byte{welcome, update(kindDelta, "shared", `{"since":0,"ver`)}, 0, ended},
-		"a malformed snapshot":         {[][]byte{welcome, update(kindSnapshot, "shared", `[]`)}, 0, ended},
-		"a frame that is too long":     {[][]byte{welcome, binary.AppendUvarint(nil, maxDistributorFrame+1)}, 0, ended},
-		"an unknown resource":          {[][]byte{welcome, update(kindDelta, "other", `{"since":0,"version":1000001}`)}, 0, ended},
-		"an unknown kind":              {[][]byte{welcome, encodeFrame(99)}, 0, ended},
-		"a malformed announcement":     {[][]byte{welcome, encodeFrame(kindAnnouncement, []byte("{"))}, 0, ended},
-		"another protocol":             {[][]byte{encodeJSONFrame(kindRefusal, refusal{Reason: "protocol 2, here it is 1"})}, 0, refused},
-		"no such answer":               {[][]byte{httpAnswer}, 0, "x"},
-		"another log":                  {[][]byte{welcome}, 1, ended},
+	return map[string]faultyDistributor{
+		"a delta that does not apply":   {[][]byte{welcome, update(kindDelta, "shared", `{"since":1000000,"version":1000001}`)}, 0, ended},
+		"a delta with half a document":  {[][]byte{welcome, update(kindDelta, "shared", halfDocument)}, 0, ended},
+		"a malformed delta":             {[][]byte{welcome, update(kindDelta, "shared", `{"since":0,"ver`)}, 0, ended},
+		"a malformed snapshot":          {[][]byte{welcome, update(kindSnapshot, "shared", `[]`)}, 0, ended},
+		"a frame that is too long":      {[][]byte{welcome, binary.AppendUvarint(nil, maxDistributorFrame+1)}, 0, ended},
+		"an unknown resource":           {[][]byte{welcome, update(kindDelta, "other", `{"since":0,"version":1000001}`)}, 0, ended},
+		"an unknown kind":               {[][]byte{welcome, encodeFrame(99)}, 0, ended},
+		"a malformed announcement":      {[][]byte{welcome, encodeFrame(kindAnnouncement, []byte("{"))}, 0, ended},
+		"another protocol":              {[][]byte{encodeJSONFrame(kindRefusal, refusal{Reason: "protocol 2, here it is 1"})}, 0, refused},
+		"an answer of another protocol": {[][]byte{httpAnswer}, 0, "x"},
+		"another log":                   {[][]byte{welcome}, 1, ended},
 	}
 }
 
-// run answers all callers of a listener, until it is closed.
-func (b badDistributor) run(listener net.Listener, running *sync.WaitGroup, calls *int) {
+// run serves all connections of a listener until it is closed. calls counts them.
+func (b faultyDistributor) run(listener net.Listener, running *sync.WaitGroup, calls *int) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -100,8 +100,8 @@
 	}
 }
 
-// serve answers one caller.
-func (b badDistributor) serve(conn net.Conn, running *sync.WaitGroup) {
+// serve serves one connection.
+func (b faultyDistributor) serve(conn net.Conn, running *sync.WaitGroup) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	if _, err := readFrame(reader, maxPoolerFrame); err != nil {
@@ -118,10 +118,10 @@
 	time.Sleep(testHeartbeat)
 }
 
-// A distributor that breaks the protocol is left, with the reason logged once however often the pooler comes back; the replica stands,
-// and the pooler has each change from another.
-func TestBadDistributor(t *testing.T) {
-	for what, bad := range badDistributors() {
+// A pooler disconnects from a distributor that violates the protocol, and logs the reason once no matter how often it reconnects. Its
+// replica is unharmed, and it receives each change from another distributor.
+func TestFaultyDistributor(t *testing.T) {
+	for what, faulty := range faultyDistributors() {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, 2, 1)
@@ -129,23 +129,23 @@
 				c.write("p/a", "1")
 				c.endpoints = append(c.endpoints, Endpoint{"x", "x", "r9"})
 				time.Sleep(2 * testHeartbeat)
-				c.startPooler(0, 1, "r9") // which prefers x
-				c.watch("n0", t.Context().Done())
+				c.startPooler(0, 1, "r9") // prefers x
+				c.watchReplica("n0", t.Context().Done())
 				c.requireNewest(recoveryLimit, "the start")
 				listener := c.network.listen("x")
 				calls := 0
 				var running sync.WaitGroup
-				running.Go(func() { bad.run(listener, &running, &calls) })
+				running.Go(func() { faulty.run(listener, &running, &calls) })
 				for i := range 10 {
 					c.write("p/a", fmt.Sprint("change ", i))
 					c.requireNewest(recoveryLimit, what)
 					c.passHeartbeats(preferredRetryHeartbeats)
 				}
-				if lines := c.countLogged(bad.want); lines != 1 || calls < 4 {
+				if lines := c.countLogged(faulty.want); lines != 1 || calls < 4 {
 					t.Errorf("got %d lines after %d calls, want 1 after 4 or more: %q", lines, calls, c.logLines)
 				}
-				if bad.announces > 0 && c.countLogged("is newer (version") != 1 {
-					t.Errorf("got the log %q, want that the replica is newer", c.logLines)
+				if faulty.announces > 0 && c.countLogged("is newer (version") != 1 {
+					t.Errorf("got the log %q, want a line that the replica is newer", c.logLines)
 				}
 				c.poolers["n0"].Close()
 				_ = listener.Close()
@@ -155,34 +155,34 @@
 	}
 }
 
-// badPooler is what a caller that breaks the protocol sends.
-type badPooler struct {
+// faultyPooler is a peer that violates the protocol towards a distributor.
+type faultyPooler struct {
 	hello hello
-	frame []byte // after the hello; nil: it is refused by that
-	want  string // in the distributor's log
+	frame []byte // sent after the hello; nil if the hello itself is refused
+	want  string // text expected in the distributor's log
 }
 
-// badPoolers are the cases of TestBadPooler.
-func badPoolers() map[string]badPooler {
+// faultyPoolers returns the cases of TestFaultyPooler.
+func faultyPoolers() map[string]faultyPooler {
 	call := hello{Protocol: protocolVersion, Name: "bad"}
 	message := func(from string) []byte { return encodeFrame(kindMessage, prependNames([]byte("x"), "n0", from, "t")) }
-	return map[string]badPooler{
-		"another protocol":          {hello{Protocol: 2, Name: "bad"}, nil, "protocol 2, here it is 1"},
-		"no name":                   {hello{Protocol: protocolVersion}, nil, "empty or too long"},
-		"a long name":               {hello{Protocol: protocolVersion, Name: strings.Repeat("n", maxNameLength+1)}, nil, "empty or too long"},
-		"a message for another":     {call, message("n1"), "it speaks for n1"},
-		"a broadcast for another":   {call, encodeFrame(kindBroadcast, prependNames([]byte("x"), "n1", "t")), "it speaks for n1"},
-		"a frame that is too long":  {call, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "frame too long"},
-		"an unknown kind":           {call, encodeFrame(99), "kind 99"},
-		"holdings of a pooler":      {call, encodeJSONFrame(kindHoldings, holdings{Complete: true}), "holds"},
-		"a malformed heartbeat":     {call, encodeFrame(kindHeartbeat, []byte("{")), "malformed frame"},
-		"malformed holdings":        {hello{Protocol: protocolVersion, Name: "d0", Distributor: true}, encodeFrame(kindHoldings, []byte("{")), "malformed frame"},
-		"a link of no named pooler": {hello{Protocol: protocolVersion, Name: "bad", Distributor: true}, nil, "not among those named here"},
+	return map[string]faultyPooler{
+		"another protocol":                   {hello{Protocol: 2, Name: "bad"}, nil, "protocol 2, here it is 1"},
+		"no name":                            {hello{Protocol: protocolVersion}, nil, "empty or too long"},
+		"a long name":                        {hello{Protocol: protocolVersion, Name: strings.Repeat("n", maxNameLength+1)}, nil, "empty or too long"},
+		"a message with a false sender":      {call, message("n1"), "sender is n1"},
+		"a broadcast with a false sender":    {call, encodeFrame(kindBroadcast, prependNames([]byte("x"), "n1", "t")), "sender is n1"},
+		"a frame that is too long":           {call, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "frame too long"},
+		"an unknown kind":                    {call, encodeFrame(99), "kind 99"},
+		"holdings from a pooler":             {call, encodeJSONFrame(kindHoldings, holdings{Complete: true}), "holds"},
+		"a malformed heartbeat":              {call, encodeFrame(kindHeartbeat, []byte("{")), "malformed frame"},
+		"malformed holdings":                 {hello{Protocol: protocolVersion, Name: "d0", Distributor: true}, encodeFrame(kindHoldings, []byte("{")), "malformed frame"},
+		"a link from an unknown distributor": {hello{Protocol: protocolVersion, Name: "bad", Distributor: true}, nil, "not among those named here"},
 	}
 }
 
-// callOnce calls d0, and fails unless the call is refused, or ended by its frame.
-func (b badPooler) callOnce(t *testing.T, c *cluster) {
+// callOnce connects to d0, and fails unless the hello is refused or the frame after it ends the stream.
+func (b faultyPooler) callOnce(t *testing.T, c *cluster) {
 	t.Helper()
 	conn, err := c.network.dialer("bad")(t.Context(), "d0")
 	if err != nil {
@@ -201,33 +201,33 @@
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(testHeartbeat / 10))
 	if _, err = bufio.NewReader(conn).WriteTo(new(bytes.Buffer)); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("the connection stands")
+		t.Error("the connection is still open")
 	}
 	_ = conn.Close()
 	running.Wait()
 }
 
-// A caller that breaks the protocol is refused or disconnected, with the reason logged once however often it comes, and nobody receives
-// what it sends.
-func TestBadPooler(t *testing.T) {
-	for what, bad := range badPoolers() {
+// A peer that violates the protocol is refused or disconnected. The reason is logged once no matter how often the peer reconnects, and no
+// pooler receives what it sends.
+func TestFaultyPooler(t *testing.T) {
+	for what, faulty := range faultyPoolers() {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newSettledCluster(t, 1, 1, 2)
 				defer c.close()
-				c.poolers["n0"].Handle("t", func(from string, _ []byte) { t.Errorf("n0 has received a message of %s", from) })
+				c.poolers["n0"].Handle("t", func(from string, _ []byte) { t.Errorf("n0 has received a message from %s", from) })
 				for range 3 {
-					bad.callOnce(t, c)
+					faulty.callOnce(t, c)
 				}
-				if c.countLogged(bad.want) != 1 || len(c.logLines) != 1 {
-					t.Errorf("got the log %q, want one line with %q", c.logLines, bad.want)
+				if c.countLogged(faulty.want) != 1 || len(c.logLines) != 1 {
+					t.Errorf("got the log %q, want one line with %q", c.logLines, faulty.want)
 				}
 			})
 		})
 	}
 }
 
-// A message that a receiver would end the stream for is refused to its sender, and the stream stands.
+// Sending a message of a size that would make the receiver end the stream returns an error, and the stream stays open.
 func TestMessageSizes(t *testing.T) {
 	long := strings.Repeat("n", maxNameLength+1)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/distribution/frame.go
+++ b/internal/fleet/distribution/frame.go
@@ -10,18 +10,18 @@
 	"io"
 )
 
-// A frame on a connection is the length of what follows as a uvarint, its kind in a byte, and its body.
+// A frame on a connection consists of the length of its kind and body as a uvarint, its kind as one byte, and its body.
 
-// frameKind is a frame's kind.
+// frameKind is the kind of a frame.
 type frameKind byte
 
-// The kinds of frames. "Up" is from the caller to the distributor that it has called.
+// The kinds of frames. "Up" means from the peer that opened the stream to the distributor that accepted it, "down" the reverse.
 const (
 	kindHello        frameKind = iota + 1 // up, first: JSON hello
-	kindWelcome                           // down, first: the call is admitted; no body
+	kindWelcome                           // down, first: the stream is admitted; no body
 	kindRefusal                           // down, first and last: JSON refusal
-	kindHeartbeat                         // up, each heartbeat: JSON heartbeat, on links JSON Summary; no body where nothing has changed
-	kindAnnouncement                      // down, each heartbeat and at each change: JSON announcement
+	kindHeartbeat                         // up, each heartbeat: JSON heartbeat, on links JSON Summary; no body if nothing has changed
+	kindAnnouncement                      // down, at each heartbeat and after each update: JSON announcement
 	kindDelta                             // down: update with a JSON replication.Delta
 	kindSnapshot                          // down: update with a JSON replication.Snapshot
 	kindMessage                           // both ways: message
@@ -29,7 +29,7 @@
 	kindHoldings                          // up, on links: JSON holdings
 )
 
-// kindNames are the names that frames are counted under; some differ from the constants, as the metrics keep their names.
+// kindNames are the names under which the metrics count frames. Some differ from the constants because metric names must not change.
 var kindNames = [...]string{kindHello: "hello", kindWelcome: "welcome", kindRefusal: "refusal", kindHeartbeat: "live", kindAnnouncement: "word",
 	kindDelta: "delta", kindSnapshot: "whole", kindMessage: "message", kindBroadcast: "cast", kindHoldings: "holds"}
 
@@ -41,16 +41,17 @@
 }
 
 const (
-	// maxPoolerFrame bounds a frame that a pooler may send, in bytes: a document's largest value as JSON, as in a request to the voters.
+	// maxPoolerFrame is the maximum length of a frame from a pooler, in bytes: the largest document value as JSON, as in a request to
+	// the voters.
 	maxPoolerFrame = 128 << 10
-	// maxDistributorFrame bounds a frame that a distributor may send, in bytes: all documents as JSON, as in a voter's response.
+	// maxDistributorFrame is the maximum length of a frame from a distributor, in bytes: all documents as JSON, as in a voter's response.
 	maxDistributorFrame = 8 << 20
-	// maxPreallocated is up to where the memory for a frame is allocated by the length that it states, in bytes; a longer one grows
-	// as it comes.
+	// maxPreallocated is the largest body, in bytes, whose buffer is allocated from the length prefix alone; the buffer of a longer
+	// body grows as data arrives.
 	maxPreallocated = 64 << 10
 )
 
-// encodeFrame returns the frame of a kind whose body is the parts, one behind the other.
+// encodeFrame returns a frame of the given kind whose body is the concatenation of parts.
 func encodeFrame(kind frameKind, parts ...[]byte) []byte {
 	length := 1
 	for _, part := range parts {
@@ -64,29 +65,29 @@
 	return frame
 }
 
-// encodeJSONFrame returns the frame of a kind with a message's JSON. The message's type must be one that JSON can always hold.
+// encodeJSONFrame returns a frame of the given kind whose body is message as JSON. It panics if message can't be encoded.
 func encodeJSONFrame(kind frameKind, message any) []byte {
 	return encodeFrame(kind, mustMarshal(message))
 }
 
-// mustMarshal returns the JSON of a value whose type JSON can always hold.
+// mustMarshal returns value as JSON. It panics if the value can't be encoded.
 func mustMarshal(value any) []byte {
-	text, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
-	return text
+	return encoded
 }
 
-// decodeJSON decodes a frame's body. The error is errMalformedFrame.
-func decodeJSON(body []byte, into any) error {
-	if err := json.Unmarshal(body, into); err != nil {
+// decodeJSON decodes the JSON body of a frame into target. The error wraps errMalformedFrame.
+func decodeJSON(body []byte, target any) error {
+	if err := json.Unmarshal(body, target); err != nil {
 		return fmt.Errorf("%w: %w", errMalformedFrame, err)
 	}
 	return nil
 }
 
-// kindOfFrame returns the kind of an encoded frame; 0: it is too short to have one.
+// kindOfFrame returns the kind of an encoded frame, or 0 if the frame is too short to have one.
 func kindOfFrame(frame []byte) frameKind {
 	if _, used := binary.Uvarint(frame); used > 0 && used < len(frame) {
 		return frameKind(frame[used])
@@ -94,15 +95,15 @@
 	return 0
 }
 
-// receivedFrame is a frame as it was read.
+// receivedFrame is a frame read from a connection.
 type receivedFrame struct {
 	kind frameKind
 	body []byte
-	size int // of the whole frame on the connection, in bytes
+	size int // length of the whole frame on the connection, in bytes
 }
 
-// readFrame reads a frame whose kind and body take up to maxLength bytes. Other errors than the reader's are errMalformedFrame and
-// errFrameTooLong.
+// readFrame reads a frame whose kind and body are at most maxLength bytes long. It returns errMalformedFrame for a frame without a kind,
+// an error that wraps errFrameTooLong for a longer frame, and the reader's errors.
 func readFrame(reader *bufio.Reader, maxLength int) (receivedFrame, error) {
 	length, err := binary.ReadUvarint(reader)
 	switch {
@@ -125,7 +126,8 @@
 	return receivedFrame{kind: frameKind(kind), body: body, size: prefix + int(length)}, nil
 }
 
-// readBody reads a frame's body, and allocates little more than has come.
+// readBody reads the body of a frame. Beyond maxPreallocated it allocates memory only as data arrives, so a peer can't make it allocate
+// a large buffer by a length prefix alone.
 func readBody(reader *bufio.Reader, length int) ([]byte, error) {
 	if length <= maxPreallocated {
 		body := make([]byte, length)
@@ -137,7 +139,8 @@
 	return body.Bytes(), err
 }
 
-// isProtocolError reports whether a stream has ended by a frame that the protocol does not allow, and not by its connection.
+// isProtocolError reports whether err means that the peer sent a frame that the protocol does not allow, as opposed to a connection
+// error.
 func isProtocolError(err error) bool {
 	return errors.Is(err, errMalformedFrame) || errors.Is(err, errFrameTooLong)
 }
--- a/internal/fleet/distribution/frame_test.go
+++ b/internal/fleet/distribution/frame_test.go
@@ -8,7 +8,7 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// A frame of any bytes is decoded or ends in an error, and takes no more memory than came.
+// Decoding arbitrary bytes returns a frame or an error, and a frame is never longer than the input.
 func FuzzFrame(f *testing.F) {
 	f.Add(encodeJSONFrame(kindHello, hello{Protocol: 1, Name: "n"}))
 	f.Add(encodeFrame(kindMessage, prependNames([]byte("x"), "to", "from", "topic")))
--- a/internal/fleet/distribution/golden_test.go
+++ b/internal/fleet/distribution/golden_test.go
@@ -17,7 +17,7 @@
 	goldentest.CheckJSONOf(t, "summary.json", goldentest.Filled[Summary](t))
 }
 
-// What frames are counted as is part of the metrics' names.
+// The names of frame kinds are part of the metrics and must not change.
 func TestFrameKinds(t *testing.T) {
 	for number, want := range []string{"kind 0", "hello", "welcome", "refusal", "live", "word", "delta", "whole", "message", "cast", "holds", "kind 11"} {
 		if got := frameKind(number).String(); got != want {
@@ -26,14 +26,14 @@
 	}
 }
 
-// All poolers that know the same distributors agree, whatever their builds, on which of them a pooler turns to first.
+// The order of preference must not change between builds: all processes that know the same distributors compute the same order.
 func TestRankOrder(t *testing.T) {
 	all := []Endpoint{{"d1", "", "north"}, {"d2", "", "north"}, {"d3", "", "north"}, {"d4", "", "south"}, {"d5", "", "south"}}
 	var out bytes.Buffer
 	for _, pooler := range []string{"pooler-1", "pooler-2", "pooler-3", "pooler-4"} {
 		fmt.Fprint(&out, pooler)
-		for _, p := range Rank(pooler, "north", all) {
-			fmt.Fprint(&out, " ", p.Name)
+		for _, endpoint := range Rank(pooler, "north", all) {
+			fmt.Fprint(&out, " ", endpoint.Name)
 		}
 		fmt.Fprintln(&out)
 	}
--- a/internal/fleet/distribution/handlers.go
+++ b/internal/fleet/distribution/handlers.go
@@ -5,13 +5,14 @@
 	"sync"
 )
 
-// handlers are the receivers of messages by topic.
+// handlers holds the message handlers by topic. The zero value is ready for use. It is safe for concurrent use.
 type handlers struct {
 	mu      sync.Mutex // guards byTopic
 	byTopic map[string]func(from string, body []byte)
 }
 
-// Handle is documented with bus.Bus. A topic that ends in a slash stands for all that begin with it and have no handler of their own.
+// Handle implements bus.Bus. A topic that ends in its first slash is a prefix: its handler receives the messages of all topics
+// that begin with it and have no handler of their own.
 func (h *handlers) Handle(topic string, handler func(from string, body []byte)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -21,14 +22,14 @@
 	h.byTopic[topic] = handler
 }
 
-// dispatch calls the handler of a message's topic. A message without one has no effect.
+// dispatch calls the handler of a message's topic. A message without a handler is dropped.
 func (h *handlers) dispatch(from, topic string, body []byte) {
 	if handler := h.find(topic); handler != nil {
 		handler(from, body)
 	}
 }
 
-// find returns the handler of a topic, or of the prefix up to its first slash; nil: neither has one.
+// find returns the handler of a topic, else that of its prefix up to and including the first slash, or nil if neither has one.
 func (h *handlers) find(topic string) func(from string, body []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/distribution/link.go
+++ b/internal/fleet/distribution/link.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// maintainLink keeps a stream open to another distributor, by which this one reports its holdings and forwards messages, until ctx ends.
+// maintainLink keeps a link open to another distributor until ctx ends. Over it this distributor reports its holdings and forwards
+// messages.
 func (d *Distributor) maintainLink(ctx context.Context, endpoint Endpoint) {
 	for ctx.Err() == nil {
 		var refused refusedError
@@ -18,18 +19,18 @@
 			d.logRefusalOnce("link: "+refused.Reason, endpoint.Name, "link: "+refused.Reason)
 		}
 		sleep(ctx, d.timing.heartbeat)
-		d.registry.expire(d.timing.avoidFor())
+		d.registry.expire(d.timing.avoidDuration())
 	}
 }
 
-// openLink opens a link and uses it until it ends. The error tells why it could not be opened.
+// openLink opens a link and uses it until it ends. It returns an error only if the link could not be opened.
 func (d *Distributor) openLink(ctx context.Context, endpoint Endpoint) error {
 	h := hello{Protocol: protocolVersion, Name: d.options.Name, Region: d.options.Region, Distributor: true}
-	opened, err := d.dialer.open(ctx, endpoint, d.timing.answerTimeout(), h)
+	stream, err := d.dialer.open(ctx, endpoint, d.timing.answerTimeout(), h)
 	if err != nil {
 		return err
 	}
-	closeConn := func() { _ = opened.conn.Close() }
+	closeConn := func() { _ = stream.conn.Close() }
 	out := newOutbox(linkQueueLimits, closeConn)
 	d.registry.addLink(endpoint.Name, out)
 	defer d.registry.removeLink(endpoint.Name, out)
@@ -38,15 +39,16 @@
 	defer closeConn()
 	defer context.AfterFunc(ctx, closeConn)()
 	reader.Go(func() { // ends with the connection
-		d.discardFrames(opened.reader)
+		d.discardFrames(stream.reader)
 		closeConn()
 		out.endOfStream()
 	})
-	d.writeLink(ctx, opened.conn, out)
+	d.writeLink(ctx, stream.conn, out)
 	return nil
 }
 
-// discardFrames reads until the connection ends: announcements come on a link only to show that the other side is alive.
+// discardFrames reads and discards frames until the connection ends. The announcements that arrive on a link only show that the other
+// distributor is alive.
 func (d *Distributor) discardFrames(reader *bufio.Reader) {
 	for {
 		frame, err := readFrame(reader, maxDistributorFrame)
@@ -57,12 +59,12 @@
 	}
 }
 
-// writeLink writes what waits, and a heartbeat at each interval, until ctx ends or a write fails.
+// writeLink writes the queued frames, and a heartbeat at each interval, until ctx ends or a write fails.
 func (d *Distributor) writeLink(ctx context.Context, conn net.Conn, out *outbox) {
 	writer := newFrameWriter(conn, d.options.Counter)
 	ticker := time.NewTicker(d.timing.heartbeat)
 	defer ticker.Stop()
-	var reported []byte
+	var lastReported []byte
 	for writer.flushFrames(out.drain()...) == nil {
 		select {
 		case <-ctx.Done():
@@ -70,13 +72,13 @@
 		case <-out.wake:
 		case <-ticker.C:
 			summary := mustMarshal(d.ownSummary())
-			out.enqueue(summaryFrame(summary, reported))
-			reported = summary
+			out.enqueue(summaryFrame(summary, lastReported))
+			lastReported = summary
 		}
 	}
 }
 
-// summaryFrame returns the frame of a link's heartbeat, which has the summary only where that differs from the one before it.
+// summaryFrame returns a link's heartbeat frame. It contains the summary only if that differs from the last one reported.
 func summaryFrame(summary, reported []byte) []byte {
 	if bytes.Equal(summary, reported) {
 		return encodeFrame(kindHeartbeat)
--- a/internal/fleet/distribution/network_test.go
+++ b/internal/fleet/distribution/network_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// network is one within the process: connections that buffer some bytes, and links that are cut, one way or both, on which what is
-// under way waits, as on TCP, until they are healed. It reads the plain clock, which testing/synctest replaces.
+// network is a simulated network within the process. Connections buffer a limited number of bytes. Links can be cut in one direction or
+// both; data in flight then waits, as with TCP, until the link is healed. It uses package time, whose clock testing/synctest replaces.
 type network struct {
 	mu         sync.Mutex // guards the fields below
 	listeners  map[string]*listener
 	cuts       map[link]chan struct{} // closed when the link is healed
-	delay      time.Duration          // of every link
-	linkDelays map[link]time.Duration // beyond delay
+	delay      time.Duration          // delay of every link
+	linkDelays map[link]time.Duration // additional delay of single links
 }
 
-// link is one direction between two names.
+// link is one direction of the path between two names.
 type link struct{ from, to string }
 
 func newNetwork() *network {
 	return &network{listeners: map[string]*listener{}, cuts: map[link]chan struct{}{}, linkDelays: map[link]time.Duration{}}
 }
 
-// listener accepts the connections to a name.
+// listener accepts the connections to one name.
 type listener struct {
 	network *network
 	name    string
@@ -35,7 +35,7 @@
 	once    sync.Once
 }
 
-// listen accepts connections to a name.
+// listen returns a listener for the connections to a name.
 func (n *network) listen(name string) net.Listener {
 	l := &listener{network: n, name: name, pending: make(chan net.Conn, 4096), closed: make(chan struct{})}
 	n.mu.Lock()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// resetPending ends the connections that a closed listener has not accepted.
+// resetPending closes the connections that have not been accepted.
 func (l *listener) resetPending() {
 	for {
 		select {
@@ -80,9 +80,9 @@
 
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{Name: l.name} }
 
-var errNoListener = errors.New("nobody listens")
+var errNoListener = errors.New("connection refused: no listener")
 
-// dialer dials from a name.
+// dialer returns a Dialer for connections from a name. It blocks while the path in either direction is cut.
 func (n *network) dialer(from string) Dialer {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		if !n.wait(ctx, link{from, to}) || !n.wait(ctx, link{to, from}) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// wait waits until a link carries, or ctx ends (ok false).
+// wait blocks until a link is not cut. ok is false if ctx ended before.
 func (n *network) wait(ctx context.Context, l link) (ok bool) {
 	for {
 		n.mu.Lock()
@@ -131,16 +131,16 @@
 	}
 }
 
-// delayOf is how long a link takes.
+// delayOf returns the delay of a link.
 func (n *network) delayOf(l link) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay + n.linkDelays[l]
 }
 
-// pump carries one direction of a connection; its end, too, comes only over a link that carries.
+// pump transfers the data of one direction of a connection. The end of the connection, too, is delivered only while the link is not cut.
 func (n *network) pump(l link, in, out net.Conn) {
-	chunks := make(chan []byte, 16) // of 4 KB: the buffers of both sides
+	chunks := make(chan []byte, 16) // chunks of 4 KB: the buffers of both sides
 	go readChunks(in, chunks)
 	broken := false
 	for chunk := range chunks {
@@ -160,7 +160,7 @@
 	_ = in.Close()
 }
 
-// readChunks reads until the connection ends.
+// readChunks reads from a connection and sends the data to chunks, until the connection ends.
 func readChunks(in net.Conn, chunks chan<- []byte) {
 	defer close(chunks)
 	buffer := make([]byte, 4<<10)
@@ -173,21 +173,21 @@
 	}
 }
 
-// setDelay sets how long every link takes.
+// setDelay sets the delay of every link.
 func (n *network) setDelay(delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// setLinkDelay sets how long a link takes beyond all others.
+// setLinkDelay sets the additional delay of one link.
 func (n *network) setLinkDelay(from, to string, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.linkDelays[link{from, to}] = delay
 }
 
-// cut cuts or heals what goes from one name to another.
+// cut cuts or heals the link from one name to another.
 func (n *network) cut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -202,38 +202,38 @@
 	}
 }
 
-// cutFrom cuts or heals what goes from a name to others, cutTo what comes to it, and cutAround both.
+// cutFrom cuts or heals the links from a name to others.
 func (n *network) cutFrom(name string, others []string, cut bool) {
 	for _, other := range others {
 		n.cut(name, other, cut)
 	}
 }
 
-// cutTo is documented with cutFrom.
+// cutTo cuts or heals the links to a name from others.
 func (n *network) cutTo(name string, others []string, cut bool) {
 	for _, other := range others {
 		n.cut(other, name, cut)
 	}
 }
 
-// cutAround is documented with cutFrom.
+// cutAround cuts or heals the links between a name and others in both directions.
 func (n *network) cutAround(name string, others []string, cut bool) {
 	n.partition([]string{name}, others, cut)
 }
 
-// partition cuts or heals all that goes between two sets of names.
-func (n *network) partition(a, b []string, cut bool) {
-	for _, x := range a {
-		for _, y := range b {
-			if x != y {
-				n.cut(x, y, cut)
-				n.cut(y, x, cut)
+// partition cuts or heals all links between two sets of names.
+func (n *network) partition(left, right []string, cut bool) {
+	for _, leftName := range left {
+		for _, rightName := range right {
+			if leftName != rightName {
+				n.cut(leftName, rightName, cut)
+				n.cut(rightName, leftName, cut)
 			}
 		}
 	}
 }
 
-// heal heals every link.
+// heal heals all links.
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/distribution/once_logger.go
+++ b/internal/fleet/distribution/once_logger.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// maxLoggedReasons bounds the reasons that are kept; further ones are not logged.
+// maxLoggedReasons is the maximum number of reasons that are remembered. Lines with further reasons are not logged.
 const maxLoggedReasons = 1024
 
-// onceLogger logs what a peer may cause again and again once for each reason.
+// onceLogger logs one line per reason, so that a peer that repeats a fault does not fill the log. It is safe for concurrent use.
 type onceLogger struct {
 	log func(string)
 
@@ -13,13 +13,14 @@
 	logged map[string]bool
 }
 
-// logOnce logs a line unless its reason has been logged before.
+// logOnce logs a line unless one with the same reason has been logged before.
 func (l *onceLogger) logOnce(reason, line string) {
 	if l.isNew(reason) {
 		l.log(line)
 	}
 }
 
+// isNew reports whether reason has not been logged before, and records it.
 func (l *onceLogger) isNew(reason string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/distribution/outbox.go
+++ b/internal/fleet/distribution/outbox.go
@@ -5,39 +5,39 @@
 	"sync"
 )
 
-// queueLimits bound what may wait for a reader. A reader is disconnected beyond them: what the resources hold it gets by its versions when
-// it calls again.
+// queueLimits are the limits of the frames that are queued for a reader. A reader for which more is queued is disconnected; it receives the
+// resources that it missed, by its versions, when it reconnects.
 type queueLimits struct{ bytes, frames, broadcasts int }
 
-// maxQueuedBytes bounds what may wait for a pooler, a whole list of servers among it, in bytes.
+// maxQueuedBytes is the maximum total length of the frames queued for a pooler, in bytes. A whole list of servers fits into it.
 const maxQueuedBytes = 4 << 20
 
 var (
 	poolerQueueLimits = queueLimits{bytes: maxQueuedBytes, frames: 512, broadcasts: 1024}
-	// linkQueueLimits hold for another distributor, which stands for hundreds of poolers.
+	// linkQueueLimits are the limits for another distributor, which forwards messages to hundreds of poolers.
 	linkQueueLimits = queueLimits{bytes: 32 << 20, frames: math.MaxInt, broadcasts: math.MaxInt}
 )
 
-// outbox is what waits for a stream's writer: frames in their order, and of the broadcasts the newest of each topic and sender. It is safe
-// for use by several goroutines.
+// outbox is the queue of a stream's writer: frames in order, and the newest broadcast of each topic and sender. It is safe for concurrent
+// use.
 type outbox struct {
 	limits     queueLimits
-	onOverflow func()        // called once, when a limit is passed; it must not wait
-	wake       chan struct{} // has a token when the writer has something to look for
+	onOverflow func()        // called once, when a limit is exceeded; must not block
+	wake       chan struct{} // holds a token if the writer has to check for new data
 
 	mu             sync.Mutex // guards the fields below
 	frames         [][]byte
-	broadcasts     map[string][]byte // by key
-	broadcastOrder []string          // keys
-	bytes          int               // of all frames and broadcasts
-	overflowed     bool              // nothing is taken any more
+	broadcasts     map[string][]byte // queued frames, by key
+	broadcastOrder []string          // keys of broadcasts, in the order of arrival
+	bytes          int               // total length of frames and broadcasts
+	overflowed     bool              // a limit was exceeded; further frames are dropped
 }
 
 func newOutbox(limits queueLimits, onOverflow func()) *outbox {
 	return &outbox{limits: limits, onOverflow: onOverflow, wake: make(chan struct{}, 1), broadcasts: map[string][]byte{}}
 }
 
-// enqueue queues a frame; ok false: the reader is being disconnected, and the frame is dropped.
+// enqueue queues a frame. ok is false if the reader is being disconnected, in which case the frame is not sent.
 func (o *outbox) enqueue(frame []byte) (ok bool) {
 	return o.add(func() {
 		o.frames = append(o.frames, frame)
@@ -45,14 +45,14 @@
 	})
 }
 
-// endOfStream queues a frame of no bytes, which no peer sends: the writer ends at it.
+// endOfStream queues an empty frame, which stops the writer when it is reached. No peer sends an empty frame.
 func (o *outbox) endOfStream() { o.enqueue(nil) }
 
-// enqueueBroadcast queues a frame in the place of one with the same key that still waits.
+// enqueueBroadcast queues a frame. It replaces a frame with the same key that is still queued.
 func (o *outbox) enqueueBroadcast(key string, frame []byte) {
 	o.add(func() {
-		replaced, waits := o.broadcasts[key]
-		if !waits {
+		replaced, queued := o.broadcasts[key]
+		if !queued {
 			o.broadcastOrder = append(o.broadcastOrder, key)
 		}
 		o.broadcasts[key] = frame
@@ -60,7 +60,8 @@
 	})
 }
 
-// add changes what waits, and wakes the writer or, beyond a limit, disconnects the reader (ok false).
+// add applies a change to the queue and wakes the writer. If a limit is exceeded, it calls onOverflow and returns false;
+// later changes are dropped.
 func (o *outbox) add(change func()) (ok bool) {
 	o.mu.Lock()
 	if o.overflowed {
@@ -79,7 +80,7 @@
 	return true
 }
 
-// wakeWriter makes the writer look for what is new, here and in the resources.
+// wakeWriter makes the writer check the outbox and the resources for new data. It does not block.
 func (o *outbox) wakeWriter() {
 	select {
 	case o.wake <- struct{}{}:
@@ -87,16 +88,16 @@
 	}
 }
 
-// drain removes and returns all that waits, the frames before the broadcasts.
+// drain removes and returns everything that is queued, the frames before the broadcasts.
 func (o *outbox) drain() [][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	waiting := o.frames
+	pending := o.frames
 	for _, key := range o.broadcastOrder {
-		waiting = append(waiting, o.broadcasts[key])
+		pending = append(pending, o.broadcasts[key])
 	}
 	o.frames, o.broadcastOrder = nil, nil
 	o.bytes = 0
 	clear(o.broadcasts)
-	return waiting
+	return pending
 }
--- a/internal/fleet/distribution/published_resource.go
+++ b/internal/fleet/distribution/published_resource.go
@@ -8,15 +8,15 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// publishedResource is a Resource as a distributor publishes it: a delta or snapshot is encoded once for all streams that need the same
-// one. It is safe for use by several goroutines.
+// publishedResource is a Resource with its history and its encoded updates. Each delta and snapshot is encoded once for all streams that
+// need it. It is safe for concurrent use.
 type publishedResource struct {
 	Resource
 
 	mu            sync.Mutex // guards the fields below
 	history       replication.History
-	deltaFrames   map[uint64][]byte // to the newest version, by the version that they begin at
-	snapshotFrame []byte            // of the newest version; nil: not needed yet
+	deltaFrames   map[uint64][]byte // deltas to the newest version, by their base version
+	snapshotFrame []byte            // snapshot of the newest version; nil if not encoded yet
 }
 
 func newPublishedResource(resource Resource) *publishedResource {
@@ -25,7 +25,7 @@
 	return published
 }
 
-// follow records each version of the replica, and calls onChange after it, until ctx ends.
+// follow records each new version of the replica and then calls onChange, until ctx ends.
 func (p *publishedResource) follow(ctx context.Context, onChange func()) {
 	for {
 		changed := p.Replica.Changed()
@@ -39,7 +39,7 @@
 	}
 }
 
-// record takes the replica's snapshot into the history, if it is newer.
+// record adds the replica's snapshot to the history if it is newer, and discards the encoded updates then.
 func (p *publishedResource) record() {
 	snapshot := p.Replica.Snapshot()
 	p.mu.Lock()
@@ -52,43 +52,45 @@
 	p.snapshotFrame = nil
 }
 
-// publishedUpdate is the frame that brings a replica to a version.
+// publishedUpdate is an encoded update to the newest version of a resource.
 type publishedUpdate struct {
-	frame   []byte // nil: there is nothing newer
-	version uint64 // the newest
+	frame   []byte // nil if the replica is up to date
+	version uint64 // newest version
 }
 
 // isSnapshot reports whether the update is a snapshot.
 func (u publishedUpdate) isSnapshot() bool { return kindOfFrame(u.frame) == kindSnapshot }
 
-// updateSince returns what a replica of a version lacks: a delta where the history reaches back to it, and else a snapshot.
+// updateSince returns the update for a replica at the given version: a delta if the history reaches back to that version, and a snapshot
+// otherwise. The frame is nil if the replica is up to date.
 func (p *publishedResource) updateSince(version uint64) publishedUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	newest := p.history.Version()
-	if version >= newest {
-		return publishedUpdate{version: newest}
+	newestVersion := p.history.Version()
+	if version >= newestVersion {
+		return publishedUpdate{version: newestVersion}
 	}
 	if frame := p.deltaFrames[version]; frame != nil {
-		return publishedUpdate{frame, newest}
+		return publishedUpdate{frame, newestVersion}
 	}
 	if delta, ok := p.history.DeltaSince(version); ok {
 		frame := p.encode(kindDelta, delta)
 		p.deltaFrames[version] = frame
-		return publishedUpdate{frame, newest}
+		return publishedUpdate{frame, newestVersion}
 	}
 	if p.snapshotFrame == nil {
 		p.snapshotFrame = p.encode(kindSnapshot, p.history.Snapshot())
 	}
-	return publishedUpdate{p.snapshotFrame, newest}
+	return publishedUpdate{p.snapshotFrame, newestVersion}
 }
 
-// encode returns the frame of an update, with the resource's name before its JSON.
+// encode returns the frame of an update. Its body is the resource's name followed by the update as JSON.
 func (p *publishedResource) encode(kind frameKind, update any) []byte {
 	return encodeFrame(kind, prependNames(mustMarshal(update), p.Name))
 }
 
-// announcement returns as of when no version newer than the replica's was known. The version is read after that time.
+// announcement returns the replica's version and the time at which it was confirmed to be the newest. The time is read before the version:
+// a version that is installed in between is newer than the one confirmed, so the announcement stays correct.
 func (p *publishedResource) announcement(now time.Time) resourceAnnouncement {
 	confirmedAt := p.Replica.ConfirmedAt()
 	a := resourceAnnouncement{Resource: p.Name, Version: p.Replica.Version()}
--- a/internal/fleet/distribution/rank.go
+++ b/internal/fleet/distribution/rank.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders distributors by a pooler's preference: those of its own region first, and within a region by rendezvous hashing, so that
-// poolers spread evenly, all that know the same distributors agree, and the poolers of a lost distributor spread over all others.
-// Loads are bounded where the poolers call: see streamLimit.
+// Rank returns the distributors in a pooler's order of preference: those of its own region first, and within a region by rendezvous
+// hashing. Poolers thus spread evenly, all processes that know the same distributors compute the same order, and the poolers of a lost
+// distributor spread over all others. The distributors bound their loads themselves (streamLimit).
 func Rank(pooler, region string, distributors []Endpoint) []Endpoint {
 	distance := func(e Endpoint) int {
 		if e.Region == region {
@@ -25,16 +25,16 @@
 	return ranked
 }
 
-// deprioritize moves the distributors that are to be avoided behind all others, and keeps the order otherwise.
+// deprioritize returns the distributors with the avoided ones moved to the end. The order is stable otherwise.
 func deprioritize(ranked []Endpoint, avoided func(Endpoint) bool) []Endpoint {
 	order := make([]Endpoint, 0, len(ranked))
-	var last []Endpoint
+	var deprioritized []Endpoint
 	for _, endpoint := range ranked {
 		if avoided(endpoint) {
-			last = append(last, endpoint)
+			deprioritized = append(deprioritized, endpoint)
 		} else {
 			order = append(order, endpoint)
 		}
 	}
-	return append(order, last...)
+	return append(order, deprioritized...)
 }
--- a/internal/fleet/distribution/recovery_test.go
+++ b/internal/fleet/distribution/recovery_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// cutZone cuts a zone off, and heals it: those outside have a change meanwhile, those inside keep what they have and know its age.
-func (c *cluster) cutZone(zone int) {
+// isolateZone partitions a zone from the rest and heals the partition. Meanwhile the poolers outside receive a change, and those inside
+// keep their replicas and know their age.
+func (c *cluster) isolateZone(zone int) {
 	inside, outside := c.zone(zone)
 	cut := func(cut bool) {
 		c.network.partition(inside, outside, cut)
@@ -34,9 +35,9 @@
 	c.requireNewest(recoveryLimit, "the heal")
 }
 
-// loseAll stops all distributors, and starts one again that remembers nothing: the poolers keep what they have meanwhile, and know its
+// stopAllDistributors stops all distributors, and then starts one without history. Meanwhile the poolers keep their replicas and know their
 // age.
-func (c *cluster) loseAll() {
+func (c *cluster) stopAllDistributors() {
 	for _, name := range c.distributorNames() {
 		c.stopDistributor(name)
 	}
@@ -48,10 +49,10 @@
 		}
 	}
 	c.startDistributor(c.endpoints[0])
-	c.requireNewest(recoveryLimit, "one is back")
+	c.requireNewest(recoveryLimit, "one distributor restarted")
 }
 
-// stopDuringChange stops a distributor while a change is on its way.
+// stopDuringChange stops a distributor while a change is in flight.
 func (c *cluster) stopDuringChange() {
 	c.network.setDelay(20 * time.Millisecond)
 	c.write("p/a", "stopped")
@@ -60,8 +61,9 @@
 	c.requireNewest(recoveryLimit, "during a change")
 }
 
-// partRegions cuts the poolers of one region off for some minutes of changes, with or without the region's distributor.
-func (c *cluster) partRegions(minutes int, withDistributor bool) {
+// partitionRegions partitions the poolers of one region from the rest for some minutes of changes, with or without the region's
+// distributor.
+func (c *cluster) partitionRegions(minutes int, withDistributor bool) {
 	inside, outside := []string{"n0", "n2"}, []string{"n1", "n3", "d1"}
 	if withDistributor {
 		inside = append(inside, "d0")
@@ -82,8 +84,8 @@
 	c.requireNewest(recoveryLimit, "the heal")
 }
 
-// restartThird restarts three of ten poolers, every second of them with an empty replica, and returns how many those were.
-func (c *cluster) restartThird() (empty int) {
+// restartThreeOfTen restarts three of every ten poolers, every second one with an empty replica, and returns how many had an empty one.
+func (c *cluster) restartThreeOfTen() (empty int) {
 	c.write("p/a", "restarts")
 	for i, name := range c.poolerNames() {
 		if i%10 >= 3 {
@@ -99,32 +101,33 @@
 	return empty
 }
 
-// Whatever is lost, the last pooler that can be reached has a change within the recovery limit, and all have it within that after the
-// heal, by deltas where their distributor remembers what they have. The plays return how many snapshots are to be sent.
+// After any fault, every reachable pooler has a change within the recovery limit, and all poolers have it within the recovery limit after
+// the fault is healed. They receive deltas if the distributor's history reaches back to their versions. The scenarios return the expected
+// number of snapshots.
 func TestRecovery(t *testing.T) {
 	t.Parallel()
-	for _, play := range []struct {
-		what                           string
+	for _, scenario := range []struct {
+		name                           string
 		distributors, regions, poolers int
 		run                            func(c *cluster) (snapshots int)
 	}{
-		{"a distributor is stopped during a change, of 200", 6, 3, 200, func(c *cluster) int { c.stopDuringChange(); return 0 }},
-		{"a distributor is stopped during a change, of 800", 18, 3, 800, func(c *cluster) int { c.stopDuringChange(); return 0 }},
-		{"a zone with a distributor is cut off", 6, 3, 200, func(c *cluster) int { c.cutZone(0); return 0 }},
-		{"a zone without a distributor is cut off", 6, 3, 200, func(c *cluster) int { c.cutZone(9); return 0 }},
-		{"30% are restarted", 6, 3, 200, (*cluster).restartThird},
-		{"all distributors are lost, then one is back, of 200", 6, 3, 200, func(c *cluster) int { c.loseAll(); return 200 }},
-		{"all distributors are lost, then one is back, of 800", 18, 3, 800, func(c *cluster) int { c.loseAll(); return 800 }},
-		{"regions are apart for an hour", 2, 2, 4, func(c *cluster) int { c.partRegions(60, true); return 0 }},
-		{"poolers of a region are alone for an hour", 2, 2, 4, func(c *cluster) int { c.partRegions(60, false); return 0 }},
-		{"poolers of a region are alone for longer than history is kept", 2, 2, 4, func(c *cluster) int { c.partRegions(150, false); return 2 }},
+		{"a distributor is stopped during a change, 200 poolers", 6, 3, 200, func(c *cluster) int { c.stopDuringChange(); return 0 }},
+		{"a distributor is stopped during a change, 800 poolers", 18, 3, 800, func(c *cluster) int { c.stopDuringChange(); return 0 }},
+		{"a zone with a distributor is isolated", 6, 3, 200, func(c *cluster) int { c.isolateZone(0); return 0 }},
+		{"a zone without a distributor is isolated", 6, 3, 200, func(c *cluster) int { c.isolateZone(9); return 0 }},
+		{"30% of the poolers are restarted", 6, 3, 200, (*cluster).restartThreeOfTen},
+		{"all distributors are lost and one restarts, 200 poolers", 6, 3, 200, func(c *cluster) int { c.stopAllDistributors(); return 200 }},
+		{"all distributors are lost and one restarts, 800 poolers", 18, 3, 800, func(c *cluster) int { c.stopAllDistributors(); return 800 }},
+		{"regions are partitioned for an hour", 2, 2, 4, func(c *cluster) int { c.partitionRegions(60, true); return 0 }},
+		{"poolers of a region have no distributor for an hour", 2, 2, 4, func(c *cluster) int { c.partitionRegions(60, false); return 0 }},
+		{"poolers of a region have no distributor for longer than history is kept", 2, 2, 4, func(c *cluster) int { c.partitionRegions(150, false); return 2 }},
 	} {
-		t.Run(play.what, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newSettledCluster(t, play.distributors, play.regions, play.poolers)
+				c := newSettledCluster(t, scenario.distributors, scenario.regions, scenario.poolers)
 				defer c.close()
 				before := c.trafficOf(c.poolerNames()...)
-				want := play.run(c)
+				want := scenario.run(c)
 				if got := c.trafficSince(before, c.poolerNames()...).sum("in whole").frames; got != float64(want) {
 					t.Errorf("got %v snapshots, want %d", got, want)
 				}
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// serverStream is an admitted caller's.
+// serverStream is the distributor's side of a stream.
 type serverStream struct {
 	hello
 	conn         net.Conn
 	outbox       *outbox
-	sentVersions []uint64  // by resource, in their order: what the caller holds or was sent; the writer's alone
-	report       heartbeat // the caller's last; guarded by registry.mu
+	sentVersions []uint64  // newest version that the peer holds or was sent, in the order of Distributor.resources; used by the writer only
+	report       heartbeat // the peer's last report; guarded by registry.mu
 }
 
-// registry is a distributor's streams, links and knowledge of the other distributors, and decides which callers are admitted. Its zero
-// value is not ready for use. It is safe for use by several goroutines.
+// registry holds a distributor's streams and links and what it knows of the other distributors, and decides which streams are admitted.
+// The zero value is not ready for use. It is safe for concurrent use.
 type registry struct {
 	mu          sync.Mutex               // guards the fields below
-	streams     map[string]*serverStream // by caller: poolers, and distributors that have called
-	poolerCount int                      // of streams
-	links       map[string]*outbox       // of the links that this distributor has opened, by distributor
+	streams     map[string]*serverStream // by name of the peer: poolers, and distributors that have opened a link to this one
+	poolerCount int                      // number of streams from poolers
+	links       map[string]*outbox       // outboxes of the links that this distributor has opened, by distributor
 	directory   directory
 	admission   admission
 }
@@ -32,7 +32,7 @@
 	return registry{streams: map[string]*serverStream{}, links: map[string]*outbox{}, directory: newDirectory()}
 }
 
-// add admits a caller to a distributor of a region, or returns the refusal.
+// add admits a stream, or returns the refusal. region is the region of this distributor. A previous stream of the same peer is closed.
 func (r *registry) add(s *serverStream, region string) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 		}
 	}
 	if previous != nil {
-		_ = previous.conn.Close() // the caller has come again, and its new call tells what it holds
+		_ = previous.conn.Close() // the peer has reconnected, and its new hello states the versions that it holds
 	}
 	r.streams[s.Name] = s
 	switch {
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// refusePooler returns why a pooler is not admitted now; nil: it is admitted. A pooler that returns takes the place of its own stream. The caller
-// holds the mutex.
-func (r *registry) refusePooler(s *serverStream, region string, returns bool) *refusal {
-	if !returns {
+// refusePooler returns the refusal if a pooler is not admitted now, and nil otherwise. The stream limits do not apply to a pooler that
+// reconnects, as it replaces its own stream. The caller must hold r.mu.
+func (r *registry) refusePooler(s *serverStream, region string, reconnects bool) *refusal {
+	if !reconnects {
 		if r.poolerCount >= maxStreams {
 			return &refusal{Reason: "no descriptor is left", Full: true}
 		}
-		streams, others := r.directory.load(region)
-		limit := streamLimit(streams+r.poolerCount, others+1)
+		streams, otherDistributors := r.directory.load(region)
+		limit := streamLimit(streams+r.poolerCount, otherDistributors+1)
 		if r.poolerCount >= limit && !s.Insists {
 			return &refusal{Reason: fmt.Sprintf("it holds %d streams, %d are its share", r.poolerCount, limit), Full: true}
 		}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// remove records the end of a stream, which a newer one of its caller may have replaced.
+// remove records the end of a stream. A newer stream of the same peer may have replaced it already.
 func (r *registry) remove(s *serverStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// addLink records a link that this distributor has opened, and queues all its holdings on it.
+// addLink records a link that this distributor has opened, and queues its complete holdings on it.
 func (r *registry) addLink(name string, out *outbox) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// sendHoldings reports a change of the holdings on all links. The caller holds the mutex.
+// sendHoldings queues a change of the holdings on all links. The caller must hold r.mu.
 func (r *registry) sendHoldings(h holdings) {
 	frame := encodeJSONFrame(kindHoldings, h)
 	for _, out := range r.links {
@@ -124,8 +124,9 @@
 	}
 }
 
-// takeHoldings records another distributor's holdings. A pooler that has arrived there has left here, even if its stream is still open.
-func (r *registry) takeHoldings(distributor string, h holdings) {
+// recordHoldings records another distributor's holdings. A pooler that has arrived there has left this distributor, so its stream here, if
+// still open, is closed. Complete holdings do not tell when a pooler arrived and close no stream.
+func (r *registry) recordHoldings(distributor string, h holdings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.directory.update(distributor, h)
@@ -139,15 +140,15 @@
 	}
 }
 
-// takeReport records a pooler's report.
-func (r *registry) takeReport(s *serverStream, report heartbeat) {
+// recordReport records the last report of a pooler.
+func (r *registry) recordReport(s *serverStream, report heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.report = report
 }
 
-// takeSummary records another distributor's summary of its poolers.
-func (r *registry) takeSummary(distributor string, summary Summary) {
+// recordSummary records another distributor's summary of its poolers.
+func (r *registry) recordSummary(distributor string, summary Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if state := r.directory.distributors[distributor]; state != nil {
@@ -155,14 +156,14 @@
 	}
 }
 
-// expire forgets distributors that have had no link for a while.
+// expire removes the distributors that have had no link open here for the given time.
 func (r *registry) expire(after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.directory.expire(time.Now(), after)
 }
 
-// wakeStreams makes the writers of all streams look at the resources.
+// wakeStreams makes the writers of all streams check the resources for new versions.
 func (r *registry) wakeStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,8 +172,8 @@
 	}
 }
 
-// forward queues a message towards its pooler; ok false: it is not known, or is being disconnected. A message that another distributor
-// has forwarded already (lastHop) goes to poolers of this one alone.
+// forward queues a message for its recipient, or for the distributor of its recipient. ok is false if the recipient is unknown or is being
+// disconnected. A message that another distributor has forwarded already (lastHop) is sent only to poolers connected here.
 func (r *registry) forward(to string, frame []byte, lastHop bool) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,8 +190,8 @@
 	return out != nil && out.enqueue(frame)
 }
 
-// forwardBroadcast queues a broadcast for all poolers of this distributor but its sender, and, unless another distributor has forwarded
-// it (lastHop), on all links.
+// forwardBroadcast queues a broadcast for all poolers of this distributor except its sender, and on all links unless another distributor
+// has forwarded it already (lastHop).
 func (r *registry) forwardBroadcast(b broadcast, lastHop bool) {
 	frame, key := b.frame(), b.from+"\x00"+b.topic
 	r.mu.Lock()
@@ -208,21 +209,21 @@
 	}
 }
 
-// aliveDistributors returns the other distributors that have a link open here.
+// aliveDistributors returns the names of the other distributors that have a link open here.
 func (r *registry) aliveDistributors() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.directory.alive()
 }
 
-// fleetSize returns how many poolers are known to be alive, this distributor and the others among them.
+// fleetSize returns the number of poolers that are known to be alive, including this distributor and the others.
 func (r *registry) fleetSize() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.directory.distributorOf) + r.poolerCount + len(r.directory.alive()) + 1
 }
 
-// streamCount returns how many poolers' streams end here.
+// streamCount returns the number of streams from poolers.
 func (r *registry) streamCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/distribution/stream_test.go
+++ b/internal/fleet/distribution/stream_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A change reaches all poolers by deltas, the replicas are confirmed, and the poolers' number and reports come up.
+// A change reaches all poolers, their replicas are confirmed, and the fleet's size and the summaries of the reports are correct.
 func TestUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
@@ -49,13 +49,13 @@
 	})
 }
 
-// received is the messages that each member has received, in their order.
+// received records the messages that each member has received, in order.
 type received struct {
 	mu     sync.Mutex // guards byName
 	byName map[string]string
 }
 
-// handler records a member's messages.
+// handler returns a handler that records the messages of a member.
 func (r *received) handler(name string) func(from string, body []byte) {
 	return func(from string, body []byte) {
 		r.mu.Lock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// Messages and broadcasts go between poolers of different distributors and to distributors, each once.
+// Messages and broadcasts are delivered exactly once, between poolers of different distributors and to and from distributors.
 func TestMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 3, 1, 12)
@@ -86,12 +86,12 @@
 		if err := c.poolers["n0"].Send(t.Context(), "d1", "t", []byte("one")); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(testHeartbeat) // two senders have no order between them
+		time.Sleep(testHeartbeat) // messages of different senders are not ordered
 		if err := c.distributors["d1"].Send(t.Context(), "n7", "t", []byte("back")); err != nil {
 			t.Error(err)
 		}
 		if err := c.distributors["d1"].Send(t.Context(), "n99", "t", nil); err == nil {
-			t.Error("a message to a pooler that does not exist was taken")
+			t.Error("got no error for a message to a pooler that does not exist")
 		}
 		time.Sleep(testHeartbeat)
 		want := map[string]string{"n0": "n0:one ", "n7": "n0:all n0:one d1:back ", "d0": "n0:all ", "d1": "n0:all n0:one ", "d2": "n0:all "}
@@ -108,23 +108,23 @@
 	})
 }
 
-// Whatever one distributor does (stops, stalls, is cut off one way or the other), its poolers have each change within the recovery
-// limit, and return to their preferred distributor once it is there again.
+// If one distributor stops, stalls, or loses its outgoing or incoming traffic, its poolers receive each change within the recovery limit,
+// and they return to it once it is available again.
 func TestOneDistributorIsLost(t *testing.T) {
 	cut := func(direction func(n *network, name string, others []string, cut bool)) (lose, heal func(c *cluster, others []string)) {
 		return func(c *cluster, others []string) { direction(c.network, "d1", others, true) },
 			func(c *cluster, others []string) { direction(c.network, "d1", others, false) }
 	}
-	loseStalled, healStalled := cut((*network).cutAround)
-	loseMute, healMute := cut((*network).cutFrom)
-	loseDeaf, healDeaf := cut((*network).cutTo)
-	for what, play := range map[string]struct {
+	cutBoth, healBoth := cut((*network).cutAround)
+	cutOutgoing, healOutgoing := cut((*network).cutFrom)
+	cutIncoming, healIncoming := cut((*network).cutTo)
+	for what, scenario := range map[string]struct {
 		lose, heal func(c *cluster, others []string)
 	}{
-		"stopped": {func(c *cluster, _ []string) { c.stopDistributor("d1") }, func(c *cluster, _ []string) { c.startDistributor(c.endpoint("d1")) }},
-		"stalled": {loseStalled, healStalled},
-		"mute":    {loseMute, healMute},
-		"deaf":    {loseDeaf, healDeaf},
+		"stopped":                 {func(c *cluster, _ []string) { c.stopDistributor("d1") }, func(c *cluster, _ []string) { c.startDistributor(c.endpoint("d1")) }},
+		"stalled":                 {cutBoth, healBoth},
+		"outgoing traffic is cut": {cutOutgoing, healOutgoing},
+		"incoming traffic is cut": {cutIncoming, healIncoming},
 	} {
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -137,26 +137,26 @@
 				c.write("p/a", "1")
 				c.requireNewest(3*testHeartbeat, "the start")
 				before := c.distributors["d1"].StreamCount()
-				play.lose(c, others)
+				scenario.lose(c, others)
 				time.Sleep(200 * time.Millisecond)
 				c.write("p/b", "2")
 				c.requireNewest(recoveryLimit, what)
 				c.write("p/b", "")
-				c.requireNewest(promptly, "by the others")
-				play.heal(c, others)
+				c.requireNewest(deliveryLimit, "from the other distributors")
+				scenario.heal(c, others)
 				time.Sleep(2 * preferredRetryHeartbeats * testHeartbeat)
 				if after := c.distributors["d1"].StreamCount(); before < 5 || after != before {
 					t.Errorf("got %d streams after its return, %d before", after, before)
 				}
 				c.write("p/c", "3")
-				c.requireNewest(promptly, "after the return")
+				c.requireNewest(deliveryLimit, "after the return")
 			})
 		})
 	}
 }
 
-// A pooler that returns to its preferred distributor has a stream all the time, also where the one that it leaves hears of that, and ends
-// its stream, before the pooler does.
+// A pooler that returns to its preferred distributor always has a stream, even if the distributor that it leaves learns of the move, and
+// closes the old stream, before the pooler receives the welcome.
 func TestReturnToPreferredDistributor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(t, 2, 1, 1)
@@ -173,7 +173,7 @@
 	})
 }
 
-// Distributors that all take seconds to answer are waited for longer at each turn, and admit their poolers in the end.
+// If all distributors take seconds to answer, the answer timeout grows with each round until a distributor admits the pooler.
 func TestSlowAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 2, 1)
--- a/internal/fleet/distribution/subscriber.go
+++ b/internal/fleet/distribution/subscriber.go
@@ -12,40 +12,41 @@
 
 // SubscriberOptions configure a Subscriber.
 type SubscriberOptions struct {
-	Name              string // of the pooler
+	Name              string // name of the pooler
 	Region            string
 	Distributors      []Endpoint
 	Resources         []Resource
 	HeartbeatInterval time.Duration
-	JitterFraction    float64      // from 0 up to 1, by the pooler's own seed: when it calls, among all
-	Dial              Dialer       // nil: TCP
-	Counter           Counter      // nil: none
-	Log               func(string) // nil: none
+	JitterFraction    float64      // in [0, 1), by the pooler's own seed: spreads the poolers' connection attempts over time
+	Dial              Dialer       // default: TCP
+	Counter           Counter      // default: no counting
+	Log               func(string) // default: no logging
 }
 
-// Subscriber keeps a pooler's replicas up to date by a stream to one distributor at a time. It implements bus.Bus. It is safe for use by
-// several goroutines.
+// Subscriber keeps a pooler's replicas up to date over a stream to one distributor at a time. It implements bus.Bus. It is safe for
+// concurrent use.
 type Subscriber struct {
 	handlers
 	options SubscriberOptions
 	timing  timing
 	dialer  streamDialer
 	logger  onceLogger
-	ranked  []Endpoint // by preference
+	ranked  []Endpoint // distributors in order of preference
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
 	mu          sync.Mutex // guards the fields below
 	status      Status
-	distributor string  // that the stream ends at; "": there is no stream
-	outbox      *outbox // of the stream; nil: there is none
-	fleetSize   int     // poolers, as announced last
-	lostAt      map[string]time.Time
+	distributor string               // distributor of the current stream; "" if there is none
+	outbox      *outbox              // outbox of the current stream; nil if there is none
+	fleetSize   int                  // number of poolers, as last announced
+	lostAt      map[string]time.Time // time of the last failure of a distributor, by name
 }
 
 var _ bus.Bus = (*Subscriber)(nil)
 
-// Subscribe keeps the resources' replicas as new as a distributor has them, until Close. It returns at once.
+// Subscribe returns a Subscriber that keeps the resources' replicas up to date with a distributor's until Close. It does not wait for a
+// connection.
 func Subscribe(options SubscriberOptions) *Subscriber {
 	setDefaults(&options.Dial, &options.Counter, &options.Log)
 	limits := timing{options.HeartbeatInterval}
@@ -63,30 +64,31 @@
 	return s
 }
 
-// Close ends the stream, and waits for its goroutines.
+// Close ends the stream. It blocks until its goroutines have ended.
 func (s *Subscriber) Close() {
 	s.cancel()
 	s.running.Wait()
 }
 
-// SetStatus changes what the pooler reports of itself.
+// SetStatus sets the status that the pooler reports. It is sent with the next heartbeat.
 func (s *Subscriber) SetStatus(status Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status = status
 }
 
-// Distributor returns the distributor that the pooler has a stream to; "": none.
+// Distributor returns the name of the distributor that the pooler is connected to, or "" if there is none.
 func (s *Subscriber) Distributor() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.distributor
 }
 
-// Self is documented with bus.Bus.
+// Self implements bus.Bus.
 func (s *Subscriber) Self() string { return s.options.Name }
 
-// Members returns the distributors and this pooler, as no pooler knows the others. While it has no stream it is alone.
+// Members implements bus.Bus. It returns the names of the distributors and of this pooler, which does not know the other poolers. Without a
+// stream it returns only the name of this pooler.
 func (s *Subscriber) Members() []string {
 	members := []string{s.options.Name}
 	if s.Distributor() != "" {
@@ -98,14 +100,15 @@
 	return members
 }
 
-// Size is documented with bus.Bus.
+// Size implements bus.Bus. It returns the size that a distributor last announced.
 func (s *Subscriber) Size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.fleetSize, 1)
 }
 
-// Send is documented with bus.Bus. Its error tells of the stream to the distributor. A message to this pooler itself takes no stream.
+// Send implements bus.Bus. A nil error means only that the message is queued for the distributor. A message to this pooler itself is
+// dispatched directly, without a stream.
 func (s *Subscriber) Send(ctx context.Context, to, topic string, body []byte) error {
 	if err := checkMessageSize(topic, body, maxMessageBody); err != nil {
 		return err
@@ -117,15 +120,15 @@
 	out := s.currentOutbox()
 	addressable := to != "" && len(to) <= maxNameLength
 	if out == nil || !addressable || !out.enqueue(message{to: to, from: s.options.Name, topic: topic, body: body}.frame()) {
-		return fmt.Errorf("%w: %s, without a distributor", bus.ErrUnknownMember, to)
+		return fmt.Errorf("%w: %s can't be reached through a distributor", bus.ErrUnknownMember, to)
 	}
 	return ctx.Err()
 }
 
-// Broadcast is documented with bus.Bus.
+// Broadcast implements bus.Bus. A message of an invalid size is logged and dropped; without a stream a broadcast is dropped.
 func (s *Subscriber) Broadcast(topic string, body []byte) {
 	if err := checkMessageSize(topic, body, maxMessageBody); err != nil {
-		s.options.Log("distribution: broadcast not sent: " + err.Error())
+		s.options.Log("distribution: broadcast dropped: " + err.Error())
 		return
 	}
 	if out := s.currentOutbox(); out != nil {
@@ -133,7 +136,7 @@
 	}
 }
 
-// currentOutbox returns the outbox of the stream; nil: there is no stream.
+// currentOutbox returns the outbox of the current stream, or nil if there is none.
 func (s *Subscriber) currentOutbox() *outbox {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/distribution/subscriber_connect.go
+++ b/internal/fleet/distribution/subscriber_connect.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// run uses one stream after another, until ctx ends.
+// run keeps a stream to a distributor, and reconnects when it is lost, until ctx ends.
 func (s *Subscriber) run(ctx context.Context) {
 	var stream *clientStream
 	timeout := s.timing.answerTimeout()
@@ -17,23 +17,23 @@
 		if stream == nil {
 			stream = s.connect(ctx, timeout)
 		}
-		if stream == nil { // no distributor takes the pooler, which works on alone
+		if stream == nil { // no distributor admits the pooler, which goes on without one
 			sleep(ctx, s.jittered(s.timing.heartbeat))
 			timeout = s.timing.nextAnswerTimeout(timeout)
 			continue
 		}
 		timeout = s.timing.answerTimeout()
-		stream = s.useUntilLost(ctx, stream)
+		stream = s.runUntilLost(ctx, stream)
 	}
 	if stream != nil {
 		_ = stream.conn.Close()
 	}
 }
 
-// useUntilLost uses a stream until it ends, and returns the one that replaces it; nil: it was lost. All poolers of a lost distributor call
-// others now, within a heartbeat by their jitter.
-func (s *Subscriber) useUntilLost(ctx context.Context, stream *clientStream) (replacement *clientStream) {
-	replacement, err := s.useStream(ctx, stream)
+// runUntilLost uses a stream until it ends. It returns the stream to the preferred distributor that replaces it, or nil if the stream was
+// lost. In that case it first sleeps for a fraction of a heartbeat, so that the poolers of a lost distributor reconnect spread over time.
+func (s *Subscriber) runUntilLost(ctx context.Context, stream *clientStream) (replacement *clientStream) {
+	replacement, err := s.runStream(ctx, stream)
 	if replacement != nil || ctx.Err() != nil {
 		return replacement
 	}
@@ -43,11 +43,11 @@
 	return nil
 }
 
-// connect calls the distributors in their order until one admits the pooler; nil: none does. Where distributors are full, all are called
-// once more with that said, and only the limit of descriptors may refuse the pooler then.
+// connect tries the distributors in order and returns the stream to the first that admits the pooler, or nil if none does. If a
+// distributor was full, it tries all of them a second time with hello.Insists set.
 func (s *Subscriber) connect(ctx context.Context, timeout time.Duration) *clientStream {
 	for _, insist := range []bool{false, true} {
-		stream, full := s.callInOrder(ctx, timeout, insist)
+		stream, full := s.connectInOrder(ctx, timeout, insist)
 		if stream != nil || !full {
 			return stream
 		}
@@ -55,10 +55,11 @@
 	return nil
 }
 
-// callInOrder calls the distributors until one admits the pooler; nil: none does. full: one has refused it as full.
-func (s *Subscriber) callInOrder(ctx context.Context, timeout time.Duration, insist bool) (stream *clientStream, full bool) {
+// connectInOrder tries each distributor once and returns the stream to the first that admits the pooler, or nil if none does. full reports
+// whether a distributor refused the pooler as full.
+func (s *Subscriber) connectInOrder(ctx context.Context, timeout time.Duration, insist bool) (stream *clientStream, full bool) {
 	for _, endpoint := range s.preferredOrder() {
-		stream, err := s.callUntilDecided(ctx, endpoint, timeout, insist)
+		stream, err := s.connectWithRetry(ctx, endpoint, timeout, insist)
 		if ctx.Err() != nil {
 			if stream != nil {
 				_ = stream.conn.Close()
@@ -82,10 +83,10 @@
 	return nil, full
 }
 
-// callUntilDecided calls a distributor, and again each time that it names a time to call again.
-func (s *Subscriber) callUntilDecided(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*clientStream, error) {
+// connectWithRetry connects to a distributor, and retries after the given delay as long as the distributor refuses with one.
+func (s *Subscriber) connectWithRetry(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*clientStream, error) {
 	for {
-		stream, err := s.call(ctx, endpoint, timeout, insist)
+		stream, err := s.connectOnce(ctx, endpoint, timeout, insist)
 		var refused refusedError
 		if !errors.As(err, &refused) || refused.RetryAfterMillis == 0 || ctx.Err() != nil {
 			return stream, err
@@ -94,14 +95,14 @@
 	}
 }
 
-// call calls a distributor once.
-func (s *Subscriber) call(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*clientStream, error) {
+// connectOnce connects to a distributor once. It returns a refusedError if the distributor refuses.
+func (s *Subscriber) connectOnce(ctx context.Context, endpoint Endpoint, timeout time.Duration, insist bool) (*clientStream, error) {
 	report := s.report()
 	return s.dialer.open(ctx, endpoint, timeout, hello{Protocol: protocolVersion, Name: s.options.Name, Region: s.options.Region,
 		Versions: report.Versions, Insists: insist, Status: report.Status})
 }
 
-// report returns the pooler's report as of now.
+// report returns the pooler's current report.
 func (s *Subscriber) report() heartbeat {
 	report := heartbeat{Versions: map[string]uint64{}}
 	for _, resource := range s.options.Resources {
@@ -113,39 +114,39 @@
 	return report
 }
 
-// preferredOrder returns the distributors in the order in which they are called now: those that were lost lately come last.
+// preferredOrder returns the distributors in the order in which they are to be tried: by preference, with recently lost ones last.
 func (s *Subscriber) preferredOrder() []Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return deprioritize(s.ranked, func(endpoint Endpoint) bool {
 		lostAt, lost := s.lostAt[endpoint.Name]
-		return lost && time.Since(lostAt) < s.timing.avoidFor()
+		return lost && time.Since(lostAt) < s.timing.avoidDuration()
 	})
 }
 
-// markLost makes a distributor avoided for a while.
+// markLost records a failure of a distributor, which is avoided for timing.avoidDuration.
 func (s *Subscriber) markLost(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lostAt[name] = time.Now()
 }
 
-// jittered returns from half of a time up to one and a half of it, by the pooler's jitter.
+// jittered returns a duration from 0.5 to 1.5 times d, by the pooler's jitter.
 func (s *Subscriber) jittered(d time.Duration) time.Duration {
 	return d/2 + time.Duration(s.options.JitterFraction*float64(d))
 }
 
-// returnToPreferred calls the preferred distributor from time to time while the current stream to another lasts, sends the new stream to
-// replacement once it is admitted, and ends the current one. The call may outlast the current stream: its distributor may hear that the
-// pooler has moved, and end it, before the pooler hears that it is admitted.
+// returnToPreferred retries the preferred distributor periodically while the current stream to another one lasts. Once it is admitted, it
+// sends the new stream to replacement and closes the current one. An attempt uses ctx and may outlast the current stream: the current
+// distributor may learn that the pooler has moved, and close the stream, before the pooler receives the welcome.
 func (s *Subscriber) returnToPreferred(ctx, streamCtx context.Context, current *clientStream, replacement chan<- *clientStream) {
 	preferred := s.ranked[0]
 	for preferred.Name != current.Name {
-		sleep(streamCtx, s.jittered(s.timing.preferredRetry()))
+		sleep(streamCtx, s.jittered(s.timing.preferredRetryInterval()))
 		if streamCtx.Err() != nil {
 			return
 		}
-		stream, err := s.call(ctx, preferred, s.timing.answerTimeout(), false)
+		stream, err := s.connectOnce(ctx, preferred, s.timing.answerTimeout(), false)
 		if err == nil {
 			replacement <- stream
 			_ = current.conn.Close()
@@ -155,27 +156,27 @@
 	}
 }
 
-// logStreamEnd logs why a stream has ended: each time where the connection was lost, and once for each breach of the protocol.
+// logStreamEnd logs why a stream has ended. A lost connection is logged each time, a protocol violation once per distributor and kind.
 func (s *Subscriber) logStreamEnd(distributor string, err error) {
 	line := fmt.Sprintf("distribution: the stream to %s has ended: %v", distributor, err)
-	var network net.Error
-	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &network) {
+	var networkErr net.Error
+	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &networkErr) {
 		s.options.Log(line)
 		return
 	}
 	s.logger.logOnce(fmt.Sprintf("ended %s: %v", distributor, sentinelOf(err)), line)
 }
 
-// logRefusal logs why a distributor does not admit the pooler, unless it is full, busy or can't be reached.
+// logRefusal logs why a distributor did not admit the pooler, unless it is full, busy or unreachable.
 func (s *Subscriber) logRefusal(endpoint Endpoint, err error) {
 	var refused refusedError
 	switch {
 	case errors.As(err, &refused):
 		if refused.permanent() {
-			line := fmt.Sprintf("distribution: %s refuses this pooler: %s", endpoint.Name, refused.Reason)
+			line := fmt.Sprintf("distribution: %s refused this pooler: %s", endpoint.Name, refused.Reason)
 			s.logger.logOnce(line, line)
 		}
 	case isProtocolError(err):
-		s.logger.logOnce("answer "+endpoint.Name, fmt.Sprintf("distribution: invalid answer of %s to a call: %v", endpoint.Name, err))
+		s.logger.logOnce("answer "+endpoint.Name, fmt.Sprintf("distribution: invalid answer from %s to a hello: %v", endpoint.Name, err))
 	}
 }
--- a/internal/fleet/distribution/subscriber_stream.go
+++ b/internal/fleet/distribution/subscriber_stream.go
@@ -11,9 +11,9 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// useStream uses a stream until it ends, and returns why; or until the preferred distributor admits the pooler again, whose stream is
-// the replacement then.
-func (s *Subscriber) useStream(ctx context.Context, stream *clientStream) (replacement *clientStream, err error) {
+// runStream uses a stream until it ends, and returns the read error that ended it. replacement is the stream to the preferred distributor
+// if that has admitted the pooler in the meantime, and nil otherwise.
+func (s *Subscriber) runStream(ctx context.Context, stream *clientStream) (replacement *clientStream, err error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	closeConn := func() { _ = stream.conn.Close() }
@@ -25,12 +25,12 @@
 
 	replacements := make(chan *clientStream, 1)
 	var running sync.WaitGroup
-	running.Go(func() { // ends with streamCtx, or where a write fails
+	running.Go(func() { // ends with streamCtx, or when a write fails
 		if err := s.writeStream(streamCtx, stream.conn, out); err != nil {
 			closeConn()
 		}
 	})
-	running.Go(func() { s.returnToPreferred(ctx, streamCtx, stream, replacements) }) // ends after streamCtx, and a call
+	running.Go(func() { s.returnToPreferred(ctx, streamCtx, stream, replacements) }) // ends with streamCtx, after a pending connection attempt
 	err = s.readStream(stream)
 	cancel()
 	running.Wait()
@@ -41,7 +41,7 @@
 	return replacement, err
 }
 
-// setStream sets the stream that messages take.
+// setStream sets the distributor and the outbox of the current stream.
 func (s *Subscriber) setStream(distributor string, out *outbox) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,19 +49,19 @@
 	s.outbox = out
 }
 
-// writeStream sends a heartbeat at each interval, with a report where that has changed, and what waits in the outbox, until ctx ends or
-// a write fails.
+// writeStream sends a heartbeat at each interval, with a report if that has changed, and the queued frames, until ctx ends or a write
+// fails.
 func (s *Subscriber) writeStream(ctx context.Context, conn net.Conn, out *outbox) error {
 	writer := newFrameWriter(conn, s.options.Counter)
 	ticker := time.NewTicker(s.timing.heartbeat)
 	defer ticker.Stop()
-	var reported heartbeat
-	for due := true; ; {
+	var lastReport heartbeat
+	for heartbeatDue := true; ; {
 		frames := out.drain()
-		if due {
+		if heartbeatDue {
 			report := s.report()
-			frames = append(frames, heartbeatFrame(report, reported))
-			reported = report
+			frames = append(frames, heartbeatFrame(report, lastReport))
+			lastReport = report
 		}
 		if err := writer.flushFrames(frames...); err != nil {
 			return err
@@ -70,22 +70,23 @@
 		case <-ctx.Done():
 			return nil
 		case <-out.wake:
-			due = false
+			heartbeatDue = false
 		case <-ticker.C:
-			due = true
+			heartbeatDue = true
 		}
 	}
 }
 
-// heartbeatFrame returns the frame of a heartbeat, which has a report only where that differs from the one before it.
-func heartbeatFrame(report, reported heartbeat) []byte {
-	if report.Status == reported.Status && maps.Equal(report.Versions, reported.Versions) {
+// heartbeatFrame returns the frame of a heartbeat. It contains the report only if that differs from the last one sent.
+func heartbeatFrame(report, lastReport heartbeat) []byte {
+	if report.Status == lastReport.Status && maps.Equal(report.Versions, lastReport.Versions) {
 		return encodeFrame(kindHeartbeat)
 	}
 	return encodeJSONFrame(kindHeartbeat, report)
 }
 
-// readStream handles what the distributor sends, until the connection fails, or the distributor breaks the protocol or lags for too long.
+// readStream handles the frames that the distributor sends, until the connection fails, the distributor violates the protocol, or it lags
+// for too long.
 func (s *Subscriber) readStream(stream *clientStream) error {
 	lag := lagDetector{limit: s.timing.maxLag()}
 	for {
@@ -100,7 +101,7 @@
 	}
 }
 
-// handleFrame handles one frame. An error ends the stream.
+// handleFrame handles one frame. If it returns an error, the stream ends.
 func (s *Subscriber) handleFrame(frame receivedFrame, lag *lagDetector) error {
 	switch frame.kind {
 	case kindAnnouncement:
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// handleAnnouncement confirms the replicas by what the distributor knows. differs: it announces another version of one than this pooler
-// holds.
+// handleAnnouncement confirms the replicas by an announcement. differs reports whether the distributor announced a version of a resource
+// other than the one that this pooler holds.
 func (s *Subscriber) handleAnnouncement(body []byte) (differs bool, err error) {
 	var a announcement
 	if err := decodeJSON(body, &a); err != nil {
@@ -154,7 +155,8 @@
 	return differs, nil
 }
 
-// confirm confirms a replica by an announcement of its resource, if the distributor's own was ever confirmed.
+// confirm confirms a replica by an announcement of its resource, if the distributor's replica was ever confirmed. It logs a replica that is
+// newer than the announced version.
 func (s *Subscriber) confirm(resource Resource, announced resourceAnnouncement, now time.Time) {
 	if announced.ConfirmedAtUnixNano <= 0 {
 		return
@@ -162,14 +164,14 @@
 	confirmedAt := replication.ConfirmationTime(now, announced.ConfirmedAtUnixNano, announced.Age)
 	if !resource.Replica.Confirm(announced.Version, confirmedAt) {
 		s.logger.logOnce("newer "+resource.Name, fmt.Sprintf("distribution: replica of %s is newer (version %d) than the voters' log (version %d); "+
-			"if that log has begun anew, stop this pooler, empty shared.dir and start it", resource.Name, resource.Replica.Version(), announced.Version))
+			"if that log was recreated, stop this pooler, empty shared.dir and restart it", resource.Name, resource.Replica.Version(), announced.Version))
 	}
 }
 
-// handleUpdate installs a newer version of a resource, complete, or changes nothing.
+// handleUpdate installs the version of a resource that an update contains, or changes nothing if the update is not newer or is invalid.
 func (s *Subscriber) handleUpdate(frame receivedFrame) error {
 	var name string
-	text, err := cutNames(frame.body, &name)
+	payload, err := cutNames(frame.body, &name)
 	if err != nil {
 		return err
 	}
@@ -177,7 +179,7 @@
 		if resource.Name != name {
 			continue
 		}
-		next, newer, err := nextSnapshot(frame.kind, text, resource.Replica.Snapshot())
+		next, newer, err := nextSnapshot(frame.kind, payload, resource.Replica.Snapshot())
 		if newer {
 			resource.Replica.Install(next)
 		}
--- a/internal/fleet/distribution/summary.go
+++ b/internal/fleet/distribution/summary.go
@@ -1,31 +1,33 @@
 package distribution
 
-// maxSummaryKeys bounds how many builds and configurations a summary tells apart; further ones are counted under "".
+// maxSummaryKeys is the maximum number of builds, and of configurations, that a summary counts separately. Poolers with further ones are
+// counted under "".
 const maxSummaryKeys = 16
 
-// Summary adds up the reports of poolers: of one distributor's, or of all.
+// Summary aggregates the reports of poolers: those of one distributor, or those of the whole fleet.
 type Summary struct {
 	Poolers       int            `json:"poolers"`
-	Lagging       int            `json:"behind,omitempty"` // poolers whose documents are older than their distributor's
-	OldestVersion uint64         `json:"oldest,omitempty"` // of the documents in force at any pooler; 0: one has none, or all have
-	Builds        map[string]int `json:"builds,omitempty"` // poolers by Status.Build
-	Configs       map[string]int `json:"configs,omitempty"`
+	Lagging       int            `json:"behind,omitempty"`  // number of poolers whose documents are older than their distributor's
+	OldestVersion uint64         `json:"oldest,omitempty"`  // oldest version of the documents in force at any pooler; 0 if a pooler has no documents, or if there are none
+	Builds        map[string]int `json:"builds,omitempty"`  // number of poolers by Status.Build
+	Configs       map[string]int `json:"configs,omitempty"` // number of poolers by Status.Config
 }
 
-// summaryOf returns the summary of one pooler, by its report on the documents and the distributor's version of them.
-func summaryOf(report heartbeat, documents string, newest uint64) Summary {
+// summaryOf returns the summary of one pooler. documents is the name of the documents' resource, and newestVersion the distributor's
+// version of it; 0 means that the distributor has no documents.
+func summaryOf(report heartbeat, documents string, newestVersion uint64) Summary {
 	one := Summary{Poolers: 1, Builds: map[string]int{report.Status.Build: 1}, Configs: map[string]int{report.Status.Config: 1}}
-	if newest == 0 {
+	if newestVersion == 0 {
 		return one
 	}
 	one.OldestVersion = report.Versions[documents]
-	if one.OldestVersion < newest {
+	if one.OldestVersion < newestVersion {
 		one.Lagging = 1
 	}
 	return one
 }
 
-// add adds other poolers to a summary.
+// add merges the summary of other poolers into s.
 func (s *Summary) add(other Summary) {
 	if s.Poolers == 0 || other.Poolers > 0 && other.OldestVersion < s.OldestVersion {
 		s.OldestVersion = other.OldestVersion
@@ -36,7 +38,7 @@
 	addCounts(&s.Configs, other.Configs)
 }
 
-// addCounts adds counts to a total of up to maxSummaryKeys keys.
+// addCounts adds counts to total. Once total has maxSummaryKeys keys, further keys are counted under "".
 func addCounts(total *map[string]int, counts map[string]int) {
 	if *total == nil {
 		*total = map[string]int{}
@@ -49,8 +51,8 @@
 	}
 }
 
-// Summary returns the summaries of this distributor's poolers (own) and of all poolers as the live distributors have reported them. Versions are those of
-// the first resource, the documents.
+// Summary returns the summary of this distributor's poolers (own), and that of all poolers (all), which includes the summaries that the
+// live distributors have reported. Versions are those of the first resource, the documents.
 func (d *Distributor) Summary() (own, all Summary) {
 	own = d.ownSummary()
 	all.add(own)
@@ -69,19 +71,19 @@
 	return d.registry.summary(documents.Name, documents.Replica.Version())
 }
 
-// summary returns the summary of the poolers whose streams end here.
-func (r *registry) summary(documents string, newest uint64) (total Summary) {
+// summary returns the summary of the poolers that are connected to this distributor.
+func (r *registry) summary(documents string, newestVersion uint64) (total Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.streams {
 		if !s.Distributor {
-			total.add(summaryOf(s.report, documents, newest))
+			total.add(summaryOf(s.report, documents, newestVersion))
 		}
 	}
 	return total
 }
 
-// reportedSummaries returns those of the live distributors that have reported poolers.
+// reportedSummaries returns the summaries of the other live distributors, without those that have reported no poolers.
 func (r *registry) reportedSummaries() (summaries []Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/distribution/tally_test.go
+++ b/internal/fleet/distribution/tally_test.go
@@ -9,19 +9,19 @@
 	"sync"
 )
 
-// frameTally counts the frames of one end's streams. It is safe for use by several goroutines.
+// frameTally is a Counter that counts the frames of one distributor or pooler. It is safe for concurrent use.
 type frameTally struct {
 	mu     sync.Mutex // guards counts
 	counts traffic
 }
 
-// traffic is frames and bytes by direction and kind: "in word".
+// traffic is the number of frames and bytes by direction and kind, for example "in word".
 type traffic map[string]frameCount
 
-// frameCount is a count of frames, which may be a mean.
+// frameCount is a number of frames and their bytes. It may be a mean and thus fractional.
 type frameCount struct{ frames, bytes float64 }
 
-// plus adds another count so many times.
+// plus returns c plus other multiplied by times.
 func (c frameCount) plus(other frameCount, times float64) frameCount {
 	return frameCount{c.frames + times*other.frames, c.bytes + times*other.bytes}
 }
@@ -41,7 +41,7 @@
 	return maps.Clone(t.counts)
 }
 
-// plus adds other traffic so many times.
+// plus returns t plus other multiplied by times.
 func (t traffic) plus(other traffic, times float64) traffic {
 	sum := maps.Clone(t)
 	for kind, count := range other {
@@ -50,10 +50,10 @@
 	return sum
 }
 
-// times is the traffic so many times.
+// times returns t multiplied by times.
 func (t traffic) times(times float64) traffic { return traffic{}.plus(t, times) }
 
-// sum adds up the kinds that begin with a prefix.
+// sum returns the total of the keys that begin with prefix.
 func (t traffic) sum(prefix string) (total frameCount) {
 	for kind, count := range t {
 		if strings.HasPrefix(kind, prefix) {
@@ -63,7 +63,7 @@
 	return total
 }
 
-// reversed is the traffic as the other end counts it.
+// reversed returns the traffic as the peer counts it, with the directions swapped.
 func (t traffic) reversed() traffic {
 	out := traffic{}
 	for kind, count := range t {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// tally is the tally of a name, which goes on where the name is restarted.
+// tally returns the tally of a distributor or pooler. It continues when that is restarted.
 func (c *cluster) tally(name string) *frameTally {
 	if c.tallies[name] == nil {
 		c.tallies[name] = &frameTally{counts: traffic{}}
@@ -93,7 +93,7 @@
 	return c.tallies[name]
 }
 
-// trafficOf adds up the traffic of some names.
+// trafficOf returns the total traffic of the given distributors or poolers.
 func (c *cluster) trafficOf(names ...string) traffic {
 	total := traffic{}
 	for _, name := range names {
@@ -102,7 +102,7 @@
 	return total
 }
 
-// trafficSince is the traffic of some names beyond what it was.
+// trafficSince returns the total traffic of the given distributors or poolers minus before.
 func (c *cluster) trafficSince(before traffic, names ...string) traffic {
 	return c.trafficOf(names...).plus(before, -1)
 }
--- a/internal/fleet/distribution/timing_test.go
+++ b/internal/fleet/distribution/timing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A distributor is left once it has announced other versions in each announcement for the limit, and not for one that is late.
+// The lag limit is reached only if every announcement for that long has differed. A single late announcement does not count.
 func TestLagDetector(t *testing.T) {
 	start := time.Unix(0, 0)
 	lag := lagDetector{limit: 3 * time.Second}
@@ -21,7 +21,7 @@
 	}
 }
 
-// The time limits of the default heartbeat interval are those of docs/distribution.md.
+// The time limits for the default heartbeat interval are those in docs/distribution.md.
 func TestTiming(t *testing.T) {
 	limits := timing{time.Second}
 	for name, limit := range map[string]struct{ got, want time.Duration }{
@@ -31,8 +31,8 @@
 		"next answer timeout": {limits.nextAnswerTimeout(500 * time.Millisecond), time.Second},
 		"last answer timeout": {limits.nextAnswerTimeout(3 * time.Second), 4 * time.Second},
 		"lag":                 {limits.maxLag(), 3 * time.Second},
-		"avoidance":           {limits.avoidFor(), 10 * time.Second},
-		"preferred retry":     {limits.preferredRetry(), 30 * time.Second},
+		"avoidance":           {limits.avoidDuration(), 10 * time.Second},
+		"preferred retry":     {limits.preferredRetryInterval(), 30 * time.Second},
 	} {
 		if limit.got != limit.want {
 			t.Errorf("%s: got %v, want %v", name, limit.got, limit.want)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Each reason is logged once, and none beyond the bound.
+// Each reason is logged once, and no reason beyond maxLoggedReasons is logged.
 func TestOnceLogger(t *testing.T) {
 	var lines []string
 	logger := onceLogger{log: func(line string) { lines = append(lines, line) }}
--- a/internal/fleet/distribution/versions_test.go
+++ b/internal/fleet/distribution/versions_test.go
@@ -13,9 +13,9 @@
 	"threadsail/internal/fleet/replication"
 )
 
-// watch checks every snapshot that a pooler's replica holds against the log, until end is closed: complete, of a version that was
-// written, in order, and confirmed as of a time at which nothing newer was.
-func (c *cluster) watch(name string, end <-chan struct{}) {
+// watchReplica checks every snapshot that a pooler's replica holds against the log, until end is closed: the snapshot must be a complete
+// version of the log, not older than the previous one, and confirmed as of a time at which no newer version existed.
+func (c *cluster) watchReplica(name string, end <-chan struct{}) {
 	replica := c.replicas[name]
 	go func() { // ends with end
 		last := uint64(0)
@@ -35,7 +35,7 @@
 	}()
 }
 
-// checkSnapshot checks one snapshot of a pooler's replica.
+// checkSnapshot checks one snapshot of a pooler's replica against the log. last is the version of the previous snapshot.
 func (c *cluster) checkSnapshot(name string, got replication.Snapshot, last uint64, confirmedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,16 +53,16 @@
 	}
 }
 
-// fault is one step of a random play: what is done, to which two, whether it begins or ends, and how long nothing follows.
+// fault is one step of a random scenario: an action, its two targets, whether it begins or ends, and the pause after it.
 type fault struct {
 	Action       faultAction
-	First        int // a distributor
-	Second       int // any, distributors first
+	First        int // index of a distributor
+	Second       int // index of a distributor or pooler, distributors first
 	Begin        bool
-	Milliseconds int
+	Milliseconds int // pause after the action
 }
 
-// faultAction is what a fault does.
+// faultAction is the action of a fault.
 type faultAction int
 
 const (
@@ -79,7 +79,7 @@
 	actionCount
 )
 
-// drawFaults draws the steps of a play.
+// drawFaults draws the steps of a scenario.
 func drawFaults(rt *rapid.T, distributors, poolers int) []fault {
 	upTo := func(most int) *rapid.Generator[int] { return rapid.IntRange(0, most) }
 	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) fault {
@@ -88,8 +88,8 @@
 	}), 20, 60).Draw(rt, "steps")
 }
 
-// play carries out one step, the i-th. names are the distributors and then the poolers.
-func (c *cluster) play(i int, f fault, names []string, end <-chan struct{}) {
+// applyFault executes step i of a scenario. names are the distributors followed by the poolers.
+func (c *cluster) applyFault(i int, f fault, names []string, end <-chan struct{}) {
 	first, second := names[f.First], names[f.Second]
 	switch f.Action {
 	case actionWrite, actionWriteAgain:
@@ -105,7 +105,7 @@
 	case actionRestartPooler:
 		if f.Second >= len(c.endpoints) {
 			c.restartPooler(second, f.Begin)
-			c.watch(second, end)
+			c.watchReplica(second, end)
 		}
 	case actionCut:
 		c.network.cut(first, second, f.Begin)
@@ -124,9 +124,9 @@
 	}
 }
 
-// Whatever happens to links, distributors and poolers, each pooler's replica goes forward from version to version as they were written,
-// complete, and is confirmed as of no time at which a newer one was; and once all is healed everyone has the newest within the recovery
-// limit.
+// Under any faults of links, distributors and poolers, each pooler's replica moves only forward, from one complete version of the log to
+// another, and is never confirmed as of a time at which a newer version existed. Once all faults are healed, every pooler has the newest
+// version within the recovery limit.
 func TestVersionsNeverGoBack(t *testing.T) {
 	t.Parallel()
 	const distributors, poolers = 4, 10
@@ -141,19 +141,19 @@
 			for i := range poolers {
 				name := c.startPooler(i, poolers, fmt.Sprint("r", i%3))
 				names = append(names, name)
-				c.watch(name, end)
+				c.watchReplica(name, end)
 			}
 			for i, f := range faults {
-				c.play(i, f, names, end)
+				c.applyFault(i, f, names, end)
 			}
 			c.network.heal()
 			c.network.setDelay(0)
 			clear(c.isolated)
 			c.startMissingDistributors()
 			c.write("p/last", "1")
-			c.requireNewest(recoveryLimit, "all is healed")
+			c.requireNewest(recoveryLimit, "after the heal")
 			c.write("p/last", "2")
-			c.requireNewest(promptly, "at rest")
+			c.requireNewest(deliveryLimit, "without faults")
 		})
 	})
 }
--- a/internal/fleet/distribution/wire_test.go
+++ b/internal/fleet/distribution/wire_test.go
@@ -16,14 +16,14 @@
 	"threadsail/internal/goldentest"
 )
 
-// scriptHeartbeat is a heartbeat interval of which none passes within a test.
+// scriptHeartbeat is a heartbeat interval that is longer than a test.
 const scriptHeartbeat = time.Minute
 
 func scriptSnapshot(version uint64) replication.Snapshot {
 	return replication.Snapshot{Version: version, Documents: map[string]replication.Document{"purge/plan": {Key: "purge/plan", Version: version, Value: fmt.Append(nil, "plan ", version)}}}
 }
 
-// script plays the other end of a connection by golden frames, each a file as it stands on the connection.
+// script is the peer's end of a connection, whose frames are compared with golden files. Each file contains the bytes of one frame.
 type script struct {
 	t    *testing.T
 	conn net.Conn
@@ -35,10 +35,10 @@
 	return &script{t, conn, bufio.NewReader(conn)}
 }
 
-// heartbeatKind is the kind of the frames that a subscriber sends at times of its own.
+// heartbeatKind is the kind of heartbeat frames, which a subscriber sends at times that the script does not control.
 const heartbeatKind = 4
 
-// receive compares the next frame with a golden file; heartbeats are skipped.
+// receive reads the next frame other than a heartbeat and compares it with a golden file.
 func (s *script) receive(name string) {
 	s.t.Helper()
 	_ = s.conn.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -59,7 +59,7 @@
 	}
 }
 
-// send writes a golden file's frame.
+// send compares a frame with a golden file and writes the frame.
 func (s *script) send(name string, frame []byte) {
 	s.t.Helper()
 	if _, err := s.conn.Write(goldentest.Check(s.t, "frames/"+name, frame)); err != nil {
@@ -67,16 +67,16 @@
 	}
 }
 
-// frameOf is a frame as docs/distribution.md has it, made without the package's own code.
+// frameOf returns a frame as specified in docs/distribution.md, encoded without the package's own code.
 func frameOf(kind byte, body ...string) []byte {
 	text := strings.Join(body, "")
 	return append(append(binary.AppendUvarint(nil, uint64(len(text)+1)), kind), text...)
 }
 
-// nameOf is a name with its length before it.
+// nameOf returns a name preceded by its length.
 func nameOf(name string) string { return string(binary.AppendUvarint(nil, uint64(len(name)))) + name }
 
-// receiveOn sends the messages on some topics of a bus to a channel.
+// receiveOn returns a channel that receives the messages of the given topics of a bus.
 func receiveOn(b bus.Bus, topics ...string) <-chan string {
 	messages := make(chan string, len(topics))
 	for _, topic := range topics {
@@ -85,7 +85,7 @@
 	return messages
 }
 
-// requireMessages fails unless the next messages are these.
+// requireMessages fails unless the next messages are the wanted ones.
 func requireMessages(t *testing.T, messages <-chan string, want ...string) {
 	t.Helper()
 	for _, text := range want {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A subscriber sends and understands the frames of every kind as they were recorded.
+// A subscriber encodes and decodes frames of every kind as in the golden files.
 func TestSubscriberFrames(t *testing.T) {
 	dialed := make(chan net.Conn, 1)
 	dial := func(context.Context, string) (net.Conn, error) {
@@ -141,12 +141,12 @@
 	distributor.receive("cast_up")
 }
 
-// scriptedDistributor is a distributor of the resource "shared", version 9, whose callers and whose link to distributor-2 are scripts.
+// scriptedDistributor is a distributor of the resource "shared", version 9. Its peers, including distributor-2, are scripts.
 type scriptedDistributor struct {
 	*Distributor
 	t         *testing.T
 	documents *replication.Replica
-	link      *script // its link, as distributor-2 sees it
+	link      *script // distributor-2's end of the link to it
 }
 
 func newScriptedDistributor(t *testing.T) *scriptedDistributor {
@@ -167,7 +167,7 @@
 	return &scriptedDistributor{d, t, documents, newScript(t, <-dialed)}
 }
 
-// connect calls the distributor.
+// connect opens a connection to the distributor.
 func (d *scriptedDistributor) connect() *script {
 	conn, err := net.Dial("tcp", d.listener.Addr().String())
 	if err != nil {
@@ -176,7 +176,7 @@
 	return newScript(d.t, conn)
 }
 
-// waitFor fails unless something holds soon.
+// waitFor fails unless a condition holds within ten seconds.
 func (d *scriptedDistributor) waitFor(what string, holds func() bool) {
 	d.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
@@ -187,14 +187,14 @@
 	}
 }
 
-// welcomeLink plays the beginning of the link.
+// welcomeLink performs the handshake of the link to distributor-2.
 func (d *scriptedDistributor) welcomeLink() {
 	d.link.receive("link_hello")
 	_, _ = d.link.conn.Write(frameOf(2))
 	d.link.receive("link_holds_all")
 }
 
-// welcomePooler plays the beginning of the stream of pooler-1.
+// welcomePooler opens a stream as pooler-1 and receives the first update.
 func (d *scriptedDistributor) welcomePooler() *script {
 	pooler := d.connect()
 	pooler.send("hello", frameOf(1, `{"protocol":1,"name":"pooler-1","region":"north","has":{"shared":0},"status":{"build":"1.4","config":"c0ffee","token":7,"seq":3}}`))
@@ -204,7 +204,7 @@
 	return pooler
 }
 
-// A distributor sends a pooler the frames of every kind as they were recorded, and refuses another protocol as it was recorded.
+// A distributor encodes the frames that it sends to a pooler, and the refusal of another protocol version, as in the golden files.
 func TestDistributorFrames(t *testing.T) {
 	d := newScriptedDistributor(t)
 	d.welcomeLink()
@@ -222,7 +222,7 @@
 	pooler.receive("distributor_message")
 }
 
-// A distributor understands a pooler's frames of every kind as they were recorded, and forwards a broadcast as it was recorded.
+// A distributor decodes a pooler's frames of every kind as in the golden files, and so it encodes a broadcast that it forwards.
 func TestDistributorTakesPoolerFrames(t *testing.T) {
 	d := newScriptedDistributor(t)
 	d.welcomeLink()
@@ -241,7 +241,7 @@
 	}
 }
 
-// A distributor understands another distributor's frames of every kind as they were recorded.
+// A distributor decodes another distributor's frames of every kind as in the golden files.
 func TestDistributorTakesLinkFrames(t *testing.T) {
 	d := newScriptedDistributor(t)
 	other := d.connect()
@@ -250,14 +250,14 @@
 	other.send("holds", frameOf(10, `{"all":true,"came":["pooler-2","pooler-3"]}`))
 	other.send("holds_went", frameOf(10, `{"went":["pooler-3"]}`))
 	other.send("live_of_a_distributor", frameOf(4, `{"poolers":1,"behind":1,"oldest":8,"builds":{"1.4":1},"configs":{"c0ffee":1}}`))
-	d.waitFor("the other's poolers", func() bool {
+	d.waitFor("the poolers of distributor-2", func() bool {
 		_, all := d.Summary()
 		return all.Poolers == 1 && all.Lagging == 1 && all.OldestVersion == 8 && d.Size() == 3
 	})
 }
 
-// A pooler that arrives at another distributor has left this one, even if its stream is still open. A new link's complete holdings say
-// nothing of when a pooler arrived, and end no stream.
+// A pooler that arrives at another distributor has left this one, which closes its stream. Complete holdings, sent when a link opens, do
+// not tell when a pooler arrived, and close no stream.
 func TestMovedPoolerIsDisconnected(t *testing.T) {
 	d := newScriptedDistributor(t)
 	d.welcomeLink()
@@ -271,5 +271,5 @@
 	pooler.send("message_to_distributor", frameOf(8, nameOf("distributor-1"), nameOf("pooler-1"), nameOf("quota/ask"), "body 1"))
 	requireMessages(t, messages, "quota/ask pooler-1 body 1")
 	_, _ = other.conn.Write(frameOf(10, `{"came":["pooler-1"]}`))
-	d.waitFor("the old stream's end", func() bool { return d.StreamCount() == 0 })
+	d.waitFor("end of the old stream", func() bool { return d.StreamCount() == 0 })
 }
