--- a/internal/fleet/audit/stragglers.go
+++ b/internal/fleet/audit/stragglers.go
@@ -11,11 +11,11 @@
 // Straggler is a pooler that acted on a version older than the fleet's newest one for longer than Limits.Grace.
 type Straggler struct {
 	Instance     string `json:"Instance"`
-	Subject      string `json:"What"` // "list" or "config"
-	From         int64  `json:"From"` // when any pooler first applied the newer version; Unix time in ns
-	To           int64  `json:"To"`   // when this pooler applied it or an even newer one; Unix time in ns, 0 if never
-	HasVersion   string `json:"Has"`
-	WantsVersion string `json:"Wants"`
+	Subject      string `json:"What"`  // "list" or "config"
+	From         int64  `json:"From"`  // when any pooler first applied the newer version; Unix time in ns
+	To           int64  `json:"To"`    // when this pooler applied it or an even newer one; Unix time in ns, 0 if never
+	HasVersion   string `json:"Has"`   // version before WantsVersion
+	WantsVersion string `json:"Wants"` // the newer version
 }
 
 // rollout holds the times at which instances first applied a version.
--- a/internal/fleet/audit/versions.go
+++ b/internal/fleet/audit/versions.go
@@ -8,7 +8,7 @@
 	Builds  map[string]int            `json:"Builds"`  // poolers by build
 	Configs map[string]int            `json:"Configs"` // poolers by configuration digest
 	Lists   map[uint64]map[uint64]int `json:"Handed"`  // poolers by token and sequence of their list; 0 and 0 if it was not announced
-	Poolers int                       `json:"Poolers"`
+	Poolers int                       `json:"Poolers"` // number of live poolers
 }
 
 // Version identifies the build, configuration and list that a pooler acts on.
--- a/internal/fleet/bus/bus.go
+++ b/internal/fleet/bus/bus.go
@@ -1,4 +1,4 @@
-// Package bus defines the interface by which components exchange messages with the same components of other poolers: a message to one
+// Package bus defines the interface by which components exchange messages with their counterparts at other poolers: a message to one
 // pooler, or a datagram to every pooler that is alive. Packages gossip and distribution implement it over the network, package bustest
 // within one process.
 //
--- a/internal/fleet/component_host.go
+++ b/internal/fleet/component_host.go
@@ -45,7 +45,7 @@
 	goroutines     sync.WaitGroup
 }
 
-// componentWiring holds the connections that the coordinator passes to the components.
+// componentWiring holds what the coordinator passes to the components in addition to their options.
 type componentWiring struct {
 	bus            bus.Bus
 	replicationBus bus.Bus                                        // replicates between poolers; nil if a stream updates the replicas
--- a/internal/fleet/lease_requester.go
+++ b/internal/fleet/lease_requester.go
@@ -33,8 +33,8 @@
 	return &leaseRequester{client: client, term: term, queue: make(chan leaseRequest, maxQueuedLeaseRequests), log: log}
 }
 
-// enqueue queues a request without blocking. If the queue is full, which it also becomes after run has returned, a request
-// fails with consensus.ErrNoLeader and a release is dropped: the lease then expires.
+// enqueue queues a request without blocking. If the queue is full, as it may become after run has returned, a request fails with
+// consensus.ErrNoLeader and a release is dropped, so that the lease expires.
 func (q *leaseRequester) enqueue(r leaseRequest) {
 	select {
 	case q.queue <- r:
