--- a/internal/pooler/connlimit/limiter.go
+++ b/internal/pooler/connlimit/limiter.go
@@ -1,9 +1,9 @@
-// Package connlimit decides which clients of a frontend stay connected: clients that send nothing, or nothing complete, must not
-// keep out or crowd those that send requests.
+// Package connlimit limits the client connections of a frontend and decides which clients are disconnected, so that clients that
+// send nothing, or only incomplete messages, do not take up connections or memory needed by clients that send requests.
 //
-// It owns the count of clients and of the bytes that are buffered for them, and each client's state as its frontend reports it.
-// Everything runs on the worker's event loop. It knows no protocol and closes no connection itself: it asks the frontend to evict
-// a client.
+// It keeps the number of clients, the number of bytes buffered for them, and the state of each client as reported by its
+// frontend. All functions must be called on the worker's event loop. The package does not depend on the protocol and does not
+// close connections itself: it calls Client.Evict, which the frontend implements.
 package connlimit
 
 import (
@@ -14,103 +14,107 @@
 )
 
 const (
+	// sweepInterval is the time between two checks for clients to evict.
 	sweepInterval = 100 * time.Millisecond
 
-	// silenceTimeout after it has connected a client that has sent no well-formed request is evicted, and so is one whose message
-	// has begun and stays incomplete: within 3 s a client is owed an answer or a close.
+	// silenceTimeout is the time after which a client is evicted that has sent no well-formed request since it connected, or has
+	// not completed a message that it began: a client must get an answer or a close within 3 s.
 	silenceTimeout = 2500 * time.Millisecond
 
-	// maxSparedSweeps is how many sweeps more a silent client stays whose bytes have come and are not read yet: where this machine
-	// is late, the last byte of a request may be among them. It stays no longer: one that sends byte by byte is owed its close too.
-	maxSparedSweeps = 4
-
-	// For how long a client must have been in its state before it makes room for a new one.
-	minConnectingTime = 50 * time.Millisecond // an ordinary client has sent a request by then
-	minReceivingTime  = time.Second           // and the rest of a message that has begun
-	minIdleTime       = 2 * time.Second       // without a request in flight
-
-	// Clients may hold a third of the descriptors. Some send one request and stay: with more than crowdedShare of the places
-	// taken, those that have been idle longest are closed, or the next ones to send find no connection left on their side.
-	crowdedShare    = 0.5
-	crowdedIdleTime = 200 * time.Millisecond
+	// maxDeferredSweeps is the number of sweeps for which the eviction of a silent client is deferred while it has unread input: on
+	// an overloaded machine the input may complete a request. It is bounded because a client that sends byte by byte must be closed
+	// in time too.
+	maxDeferredSweeps = 4
+
+	// Minimum time that a client must have been in a state before it is evicted in favor of a new client.
+	minConnectingTime = 50 * time.Millisecond // ordinary clients send a request sooner
+	minReceivingTime  = time.Second           // ordinary clients complete a message sooner
+	minIdleTime       = 2 * time.Second       // no request in flight; ignored when no other client can be evicted
+
+	// Clients may hold a third of the descriptors. Some send one request and stay connected, and their programs limit their own
+	// connections. With more than highWaterShare of maxClients connected, the clients that have been idle longest, and for at least
+	// highWaterIdleTime, are evicted; otherwise the next requests would find no connection left on the client's side.
+	highWaterShare    = 0.5
+	highWaterIdleTime = 200 * time.Millisecond
 )
 
-// State is what a client is doing.
+// State is the state of a client.
 type State uint8
 
 // The states of a client.
 const (
-	Connecting State = iota // it has sent no well-formed request yet
-	Idle                    // it has its answers
-	Receiving               // a message has begun and is not complete
+	Connecting State = iota // the client has sent no well-formed request yet
+	Idle                    // all requests are answered
+	Receiving               // a message is incomplete
 	Active                  // a request is in flight
 )
 
-// Client is a connection as the limiter meets it. Its owner must call Admission.Release once it is closed.
+// Client is a client connection. Its owner must call Admission.Release once the connection is closed.
 type Client interface {
-	// Quiet tells whether nothing has come that has not been seen yet.
+	// Quiet reports whether there is no input that the owner has not handled yet.
 	Quiet() bool
-	// Evict closes the connection without a message: the client's next request may be on the way, and the client would take the
-	// message for its answer.
+	// Evict closes the connection without sending a message: if the client has just sent a request, it would take the message for
+	// the answer.
 	Evict()
 }
 
-// Limiter counts the clients of a frontend.
+// Limiter limits the number of clients of a frontend and the bytes buffered for them.
 type Limiter struct {
 	loop             *dispatch.EventLoop
 	maxClients       int
 	maxBufferedBytes int
 	bufferedBytes    int
 	admissions       map[*Admission]bool
-	disconnectShare  float64 // of the clients that are to leave, from 0 to 1
+	disconnectShare  float64 // share of the clients to disconnect, from 0 to 1
 }
 
-// Admission is the place of one client.
+// Admission is the limiter's record of an admitted client.
 type Admission struct {
-	limiter       *Limiter
-	client        Client
-	state         State
-	since         time.Duration // when it connected, or its state began
-	sparedSweeps  int           // that have left it in though it has been silent for too long
-	bufferedBytes int
-	drainPosition float64 // from 0 to 1: its turn to leave
+	limiter        *Limiter
+	client         Client
+	state          State
+	stateSince     time.Duration // loop time at which the client connected or its state began
+	deferredSweeps int           // sweeps that have found the client silent for too long
+	bufferedBytes  int
+	drainPosition  float64 // random position in the order of disconnecting, from 0 to 1
 }
 
-// New admits maxClients clients at once, whose incomplete messages hold at most maxBufferedBytes together. Its sweeps run as long as
-// the loop.
+// New returns a limiter that admits at most maxClients clients at a time, whose incomplete messages take at most
+// maxBufferedBytes in total. It sweeps periodically for as long as the loop runs.
 func New(loop *dispatch.EventLoop, maxClients, maxBufferedBytes int) *Limiter {
 	l := &Limiter{loop: loop, maxClients: maxClients, maxBufferedBytes: maxBufferedBytes, admissions: map[*Admission]bool{}}
 	l.sweep()
 	return l
 }
 
-// Admit admits a client; nil: there is no room.
+// Admit admits a client, evicting another one if the limit is reached. It returns nil if no client can be evicted.
 func (l *Limiter) Admit(client Client) *Admission {
 	if len(l.admissions) >= l.maxClients && !l.evictOne() {
 		return nil
 	}
-	a := &Admission{limiter: l, client: client, since: l.loop.Now(), drainPosition: rand.Float64()}
+	a := &Admission{limiter: l, client: client, stateSince: l.loop.Now(), drainPosition: rand.Float64()}
 	l.admissions[a] = true
 	return a
 }
 
-// evictOne evicts one client: a silent one, else the one that has been idle longest. A new client that sends a request is worth
-// more than either.
+// evictOne evicts one client without a request in flight and reports whether there was one: preferably one that has sent no
+// request, otherwise one that has been idle or receiving for long, otherwise the one idle longest. A new client that sends a
+// request has precedence over any of them.
 func (l *Limiter) evictOne() bool {
 	return l.evictLongest(Connecting, minConnectingTime) || l.evictLongest(Idle, minIdleTime) ||
 		l.evictLongest(Receiving, minReceivingTime) || l.evictLongest(Idle, 0)
 }
 
-// evictLongest evicts the client that has been in a state longest, and at least for minTime. One whose next request has come and
-// is not read yet stays: closing it would lose that.
+// evictLongest evicts the client that has been in the given state longest, and for at least minTime. It reports whether there was
+// one. It skips clients with unread input, as closing the connection would lose the next request.
 func (l *Limiter) evictLongest(state State, minTime time.Duration) bool {
 	latest := l.loop.Now() - minTime
 	var longest *Admission
 	for a := range l.admissions {
-		if a.state != state || a.since > latest {
+		if a.state != state || a.stateSince > latest {
 			continue
 		}
-		if (longest == nil || a.since < longest.since) && a.client.Quiet() {
+		if (longest == nil || a.stateSince < longest.stateSince) && a.client.Quiet() {
 			longest = a
 		}
 	}
@@ -121,7 +125,7 @@
 	return true
 }
 
-// sweep evicts the clients that stay silent, and idle ones while there are many.
+// sweep evicts clients that have been silent for too long and, above the high-water mark, idle ones. It schedules the next sweep.
 func (l *Limiter) sweep() {
 	now := l.loop.Now()
 	for a := range l.admissions {
@@ -129,30 +133,30 @@
 			a.client.Evict()
 		}
 	}
-	for l.crowded() && l.evictLongest(Idle, crowdedIdleTime) {
+	for l.aboveHighWater() && l.evictLongest(Idle, highWaterIdleTime) {
 		continue
 	}
 	l.loop.After(sweepInterval, l.sweep)
 }
 
-// silentTooLong tells whether a sweep is to evict the client.
+// silentTooLong reports whether the sweep at the given time must evict the client, and counts deferred sweeps.
 func (a *Admission) silentTooLong(now time.Duration) bool {
-	owes := a.state == Connecting || a.state == Receiving
-	if !owes || now-a.since < silenceTimeout {
-		a.sparedSweeps = 0
+	awaitingInput := a.state == Connecting || a.state == Receiving
+	if !awaitingInput || now-a.stateSince < silenceTimeout {
+		a.deferredSweeps = 0
 		return false
 	}
-	a.sparedSweeps++
-	return a.sparedSweeps > maxSparedSweeps || a.client.Quiet()
+	a.deferredSweeps++
+	return a.deferredSweeps > maxDeferredSweeps || a.client.Quiet()
 }
 
-// crowded tells whether idle clients are to make room before there is none.
-func (l *Limiter) crowded() bool {
-	return float64(len(l.admissions)) > crowdedShare*float64(l.maxClients)
+// aboveHighWater reports whether so many clients are connected that idle ones must be evicted early.
+func (l *Limiter) aboveHighWater() bool {
+	return float64(len(l.admissions)) > highWaterShare*float64(l.maxClients)
 }
 
-// SetState sets the client's state, and how many bytes of an incomplete message are buffered for it. Where all clients together
-// have too many, the one that has most is evicted.
+// SetState sets the client's state and the number of bytes buffered for its incomplete message. If the total of all clients
+// exceeds the limit, the client with the most buffered bytes is evicted. After Release, SetState has no effect.
 func (a *Admission) SetState(state State, bufferedBytes int) {
 	l := a.limiter
 	if !l.admissions[a] {
@@ -160,7 +164,7 @@
 	}
 	if state != a.state {
 		a.state = state
-		a.since = l.loop.Now()
+		a.stateSince = l.loop.Now()
 	}
 	l.bufferedBytes += bufferedBytes - a.bufferedBytes
 	a.bufferedBytes = bufferedBytes
@@ -169,9 +173,9 @@
 	}
 }
 
-// evictLargest evicts the client that has most bytes buffered; first is the one to choose where several have as many.
-func (l *Limiter) evictLargest(first *Admission) {
-	largest := first
+// evictLargest evicts the client with the most buffered bytes. preferred is evicted if no other client has more.
+func (l *Limiter) evictLargest(preferred *Admission) {
+	largest := preferred
 	for a := range l.admissions {
 		if a.bufferedBytes > largest.bufferedBytes {
 			largest = a
@@ -180,17 +184,19 @@
 	largest.client.Evict()
 }
 
-// SetDisconnectShare has a share of the clients, from 0 to 1 (all), leave as soon as they are between requests: the pooler is
-// shutting down. All at once they would meet the other poolers together.
+// SetDisconnectShare sets the share of clients, from 0 to 1 (all), that are to be disconnected while the pooler shuts down,
+// each as soon as it has no request in flight. Raising the share gradually avoids that all clients connect to the other poolers
+// at once.
 func (l *Limiter) SetDisconnectShare(share float64) { l.disconnectShare = share }
 
-// ShouldDisconnect tells whether the client is to leave now. One that has sent no request yet is about to: it is among the last.
+// ShouldDisconnect reports whether the client is to be disconnected now. Clients that have sent no request yet are about to
+// send one, so they are disconnected last, when the share is 1.
 func (a *Admission) ShouldDisconnect() bool {
 	share := a.limiter.disconnectShare
 	return share >= 1 || a.state != Connecting && a.drainPosition < share
 }
 
-// Release frees the place of a client whose connection is closed. Called again it does nothing.
+// Release removes a client whose connection is closed from the limiter's counts. Further calls have no effect.
 func (a *Admission) Release() {
 	if a.limiter.admissions[a] {
 		delete(a.limiter.admissions, a)
