--- a/internal/transport/polled.go
+++ b/internal/transport/polled.go
@@ -169,10 +169,10 @@
 	}
 }
 
-// read posts the bytes that netpoll has read to the loop. It runs on netpoll's goroutines, one call at a time. The time of
-// arrival is taken here, so that it includes the time spent in the loop's queue. If the peer sends faster than the loop handles
-// the bytes, the connection is handed over to Go's network poller. A handover is not possible while a write is blocked because
-// the peer does not read; the connection then fails with ErrFlood.
+// read posts the bytes that netpoll has read to the loop. It runs on netpoll's goroutines, one call at a time. It takes the time
+// of arrival before it posts the bytes, so that the handler can account for the time in the loop's queue. If the peer sends
+// faster than the loop handles the bytes, the connection is handed over to Go's network poller. A handover is not possible while
+// a write is blocked because the peer does not read; the connection then fails with ErrFlood.
 func (s *polledSocket) read() error {
 	c, reader := s.conn, s.raw.Reader()
 	n := reader.Len()
