--- a/internal/fleet/distribution/admission_test.go
+++ b/internal/fleet/distribution/admission_test.go
@@ -12,24 +12,24 @@
 	"pgregory.net/rapid"
 )
 
-// callTimes is a heap of the times at which poolers connect next.
-type callTimes []time.Duration
+// connectTimes is a heap of the times at which poolers connect next.
+type connectTimes []time.Duration
 
-func (c callTimes) Len() int           { return len(c) }
-func (c callTimes) Less(i, j int) bool { return c[i] < c[j] }
-func (c callTimes) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *callTimes) Push(x any)        { *c = append(*c, x.(time.Duration)) }
-func (c *callTimes) Pop() any {
+func (c connectTimes) Len() int           { return len(c) }
+func (c connectTimes) Less(i, j int) bool { return c[i] < c[j] }
+func (c connectTimes) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *connectTimes) Push(x any)        { *c = append(*c, x.(time.Duration)) }
+func (c *connectTimes) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
 }
 
-// drawCallTimes draws bursts of connecting poolers.
-func drawCallTimes(rt *rapid.T) (times callTimes) {
-	for range rapid.IntRange(1, 6).Draw(rt, "crowds") {
+// drawConnectTimes draws bursts of connecting poolers.
+func drawConnectTimes(rt *rapid.T) (times connectTimes) {
+	for range rapid.IntRange(1, 6).Draw(rt, "bursts") {
 		at, over := rapid.IntRange(0, 3000).Draw(rt, "at ms"), rapid.IntRange(1, 500_000).Draw(rt, "over µs")
-		for i := range rapid.IntRange(1, 1000).Draw(rt, "callers") {
+		for i := range rapid.IntRange(1, 1000).Draw(rt, "poolers") {
 			times = append(times, time.Duration(at)*time.Millisecond+time.Duration(i*7919%over)*time.Microsecond)
 		}
 	}
@@ -39,28 +39,28 @@
 // simulateConnects lets poolers connect to a distributor, and retry after the delay that it returns plus up to lateMicros microseconds. It
 // returns the times of admission and the number of attempts. ended is the refusal that ended the simulation early: one without a retry
 // delay, or the last one when there were too many attempts.
-func simulateConnects(t *testing.T, times callTimes, lateMicros int) (admitted []time.Duration, calls int, ended *refusal) {
-	callers := len(times)
+func simulateConnects(t *testing.T, times connectTimes, lateMicros int) (admitted []time.Duration, attempts int, ended *refusal) {
+	poolers := len(times)
 	heap.Init(&times)
 	synctest.Test(t, func(*testing.T) {
 		start := time.Now()
 		d := &Distributor{registry: newRegistry()}
-		for ; len(times) > 0 && ended == nil; calls++ {
+		for ; len(times) > 0 && ended == nil; attempts++ {
 			at := heap.Pop(&times).(time.Duration)
 			time.Sleep(time.Until(start.Add(at)))
-			refused := d.admit(&serverStream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", calls)}})
+			refused := d.admit(&serverStream{hello: hello{Protocol: protocolVersion, Name: fmt.Sprint("n", attempts)}})
 			switch {
 			case refused == nil:
 				admitted = append(admitted, at)
-			case refused.RetryAfterMillis > 0 && calls < 4*callers:
-				late := time.Duration(calls*7919%(lateMicros+1)) * time.Microsecond
+			case refused.RetryAfterMillis > 0 && attempts < 4*poolers:
+				late := time.Duration(attempts*7919%(lateMicros+1)) * time.Microsecond
 				heap.Push(&times, at+time.Duration(refused.RetryAfterMillis)*time.Millisecond+late)
 			default:
 				ended = refused
 			}
 		}
 	})
-	return admitted, calls, ended
+	return admitted, attempts, ended
 }
 
 // No matter when poolers connect, no more are admitted in any interval than the burst and the admission rate allow, and every pooler that
@@ -68,23 +68,23 @@
 func TestAdmission(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		lateMicros := rapid.IntRange(0, 5000).Draw(rt, "late µs")
-		times := drawCallTimes(rt)
-		lastCall, callers := slices.Max(times), len(times)
-		admitted, calls, ended := simulateConnects(t, times, lateMicros)
+		times := drawConnectTimes(rt)
+		lastFirstAttempt, poolers := slices.Max(times), len(times)
+		admitted, attempts, ended := simulateConnects(t, times, lateMicros)
 		if ended != nil {
-			rt.Fatalf("call %d of %d callers: %+v", calls, callers, *ended)
+			rt.Fatalf("attempt %d of %d poolers: %+v", attempts, poolers, *ended)
 		}
 		for i := range admitted {
 			for j := i + admissionBurst; j < len(admitted); j += 17 {
 				span := admitted[j] - admitted[i]
-				if most := admissionBurst + 1 + int(span/admissionInterval); j-i+1 > most {
-					rt.Fatalf("got %d admitted within %v, want at most %d", j-i+1, span, most)
+				if limit := admissionBurst + 1 + int(span/admissionInterval); j-i+1 > limit {
+					rt.Fatalf("got %d admitted within %v, want at most %d", j-i+1, span, limit)
 				}
 			}
 		}
-		pace := admissionInterval + time.Duration(lateMicros)*time.Microsecond/100
-		if most := lastCall + time.Duration(callers)*pace + 100*time.Millisecond; admitted[callers-1] > most {
-			rt.Fatalf("the last of %d was admitted after %v, want %v; the last had called after %v", callers, admitted[callers-1], most, lastCall)
+		interval := admissionInterval + time.Duration(lateMicros)*time.Microsecond/100
+		if limit := lastFirstAttempt + time.Duration(poolers)*interval + 100*time.Millisecond; admitted[poolers-1] > limit {
+			rt.Fatalf("the last of %d poolers was admitted after %v, want at most %v; the last first attempt was after %v", poolers, admitted[poolers-1], limit, lastFirstAttempt)
 		}
 	})
 }
@@ -101,12 +101,12 @@
 		}
 		for at := time.Duration(0); at <= poolers*admissionInterval+100*time.Millisecond; at += step {
 			synctest.Wait()
-			if got, most := c.distributors["d0"].StreamCount(), admissionBurst+int(at/admissionInterval); got > most {
-				t.Errorf("got %d streams after %v, want at most %d", got, at, most)
+			if got, limit := c.distributors["d0"].StreamCount(), admissionBurst+int(at/admissionInterval); got > limit {
+				t.Errorf("got %d streams after %v, want at most %d", got, at, limit)
 			}
 			time.Sleep(step)
 		}
-		c.requireNewest(0, "a thousand")
+		c.requireNewest(0, "a thousand poolers")
 	})
 }
 
@@ -143,18 +143,18 @@
 			l.removePooler(name)
 		}
 		l.addPoolers(30)
-		return "poolers came and went"
+		return "poolers were replaced"
 	case len(l.distributors) > 1 && l.random.IntN(2) == 0:
 		l.stopDistributor(endpoint.Name)
 		return endpoint.Name + " was lost"
 	}
-	what := fmt.Sprintf("%s stalled with %d", endpoint.Name, distributor.StreamCount())
+	description := fmt.Sprintf("%s stalled with %d streams", endpoint.Name, distributor.StreamCount())
 	others := append(l.poolerNames(), l.distributorNames()...)
 	l.network.cutAround(endpoint.Name, others, true)
 	time.Sleep(5 * testHeartbeat)
 	l.network.cutAround(endpoint.Name, others, false)
 	l.fewestDistributors = min(l.fewestDistributors, max(len(l.distributors)-1, 1))
-	return what
+	return description
 }
 
 // checkLoads fails unless each pooler has one stream and no distributor holds more than 1.25 times the mean. Up to four poolers that are
@@ -162,14 +162,14 @@
 func (l *churnCluster) checkLoads(after string) {
 	l.t.Helper()
 	synctest.Wait()
-	sum, held := 0, []int{}
+	sum, streamCounts := 0, []int{}
 	for _, distributor := range l.distributors {
-		held = append(held, distributor.StreamCount())
+		streamCounts = append(streamCounts, distributor.StreamCount())
 		sum += distributor.StreamCount()
 	}
 	limit := (5*(l.mostPoolers+4) + 4*l.fewestDistributors - 1) / (4 * l.fewestDistributors)
-	if sum != len(l.poolers) || slices.Max(held) > limit {
-		l.t.Errorf("after %s: got %v streams of %d poolers, a quarter over the mean is %d", after, held, len(l.poolers), limit)
+	if sum != len(l.poolers) || slices.Max(streamCounts) > limit {
+		l.t.Errorf("after %s: got %v streams of %d poolers, want at most %d per distributor", after, streamCounts, len(l.poolers), limit)
 	}
 }
 
--- a/internal/fleet/distribution/cluster_test.go
+++ b/internal/fleet/distribution/cluster_test.go
@@ -79,7 +79,7 @@
 	return c
 }
 
-// newSettledCluster starts a cluster with documents, and waits until all poolers are up to date and it is half a heartbeat past one.
+// newSettledCluster starts a cluster with documents, and waits until all poolers are up to date. It returns between two heartbeats.
 func newSettledCluster(t *testing.T, distributors, regions, poolers int) *cluster {
 	c := newCluster(t, distributors, regions)
 	for i := range 40 {
@@ -97,6 +97,7 @@
 	return c
 }
 
+// regionOf returns the region of distributor or pooler i.
 func regionOf(i, regions int) string { return fmt.Sprint("r", i%zones%regions) }
 
 // close stops all poolers and distributors, and waits until the network has delivered everything in flight.
@@ -123,6 +124,7 @@
 		Dial: c.network.dialer(endpoint.Name), Counter: c.tally(endpoint.Name), Log: c.log})
 }
 
+// startMissingDistributors starts all distributors that are not running.
 func (c *cluster) startMissingDistributors() {
 	for _, endpoint := range c.endpoints {
 		if c.distributors[endpoint.Name] == nil {
--- a/internal/fleet/distribution/distributor_bus.go
+++ b/internal/fleet/distribution/distributor_bus.go
@@ -46,15 +46,15 @@
 
 // handleMessage forwards a message to its recipient. A message from another distributor is delivered only here or to this distributor's
 // poolers.
-func (d *Distributor) handleMessage(s *serverStream, body []byte) error {
+func (d *Distributor) handleMessage(stream *serverStream, body []byte) error {
 	m, err := decodeMessage(body)
 	if err != nil {
 		return err
 	}
-	if err := checkSender(s, m.from); err != nil {
+	if err := checkSender(stream, m.from); err != nil {
 		return err
 	}
-	d.forward(m, s.Distributor)
+	d.forward(m, stream.Distributor)
 	return nil
 }
 
@@ -70,23 +70,23 @@
 
 // handleBroadcast dispatches and forwards a broadcast. One from a pooler is forwarded to this distributor's other poolers and to the other
 // distributors, one from a distributor only to this distributor's poolers.
-func (d *Distributor) handleBroadcast(s *serverStream, body []byte) error {
+func (d *Distributor) handleBroadcast(stream *serverStream, body []byte) error {
 	b, err := decodeBroadcast(body)
 	if err != nil {
 		return err
 	}
-	if err := checkSender(s, b.from); err != nil {
+	if err := checkSender(stream, b.from); err != nil {
 		return err
 	}
-	d.registry.forwardBroadcast(b, s.Distributor)
+	d.registry.forwardBroadcast(b, stream.Distributor)
 	d.dispatch(b.from, b.topic, b.body)
 	return nil
 }
 
 // checkSender returns an error that wraps errMalformedFrame if a pooler sends a message with another pooler's name as the sender.
 // Distributors forward the messages of others.
-func checkSender(s *serverStream, from string) error {
-	if from != s.Name && !s.Distributor {
+func checkSender(stream *serverStream, from string) error {
+	if from != stream.Name && !stream.Distributor {
 		return fmt.Errorf("%w: sender is %s", errMalformedFrame, from)
 	}
 	return nil
--- a/internal/fleet/distribution/distributor_stream.go
+++ b/internal/fleet/distribution/distributor_stream.go
@@ -28,13 +28,13 @@
 		d.refuse(conn, "", refusal{Reason: "a call that can't be read: " + err.Error()})
 		return
 	}
-	s := d.newStream(conn, h)
-	if refused := d.admit(s); refused != nil {
+	stream := d.newStream(conn, h)
+	if refused := d.admit(stream); refused != nil {
 		d.refuse(conn, h.Name, *refused)
 		return
 	}
-	defer d.registry.remove(s)
-	err = d.runStream(ctx, reader, s)
+	defer d.registry.remove(stream)
+	err = d.runStream(ctx, reader, stream)
 	if isProtocolError(err) {
 		d.logRefusalOnce(h.Name+": "+sentinelOf(err).Error(), h.Name, err.Error())
 	}
@@ -42,27 +42,27 @@
 
 // newStream returns the stream of a peer that is not admitted yet.
 func (d *Distributor) newStream(conn net.Conn, h hello) *serverStream {
-	s := &serverStream{hello: h, conn: conn, report: heartbeat{Versions: h.Versions, Status: h.Status}}
+	stream := &serverStream{hello: h, conn: conn, report: heartbeat{Versions: h.Versions, Status: h.Status}}
 	for _, resource := range d.resources {
-		s.sentVersions = append(s.sentVersions, h.Versions[resource.Name])
+		stream.sentVersions = append(stream.sentVersions, h.Versions[resource.Name])
 	}
-	s.outbox = newOutbox(poolerQueueLimits, func() {
+	stream.outbox = newOutbox(poolerQueueLimits, func() {
 		d.options.Log(fmt.Sprintf("distributor: disconnected %s: its send queue exceeded a limit", h.Name))
 		_ = conn.Close()
 	})
-	return s
+	return stream
 }
 
 // admit admits a stream, or returns the refusal.
-func (d *Distributor) admit(s *serverStream) *refusal {
-	if err := s.validate(); err != nil {
+func (d *Distributor) admit(stream *serverStream) *refusal {
+	if err := stream.validate(); err != nil {
 		return &refusal{Reason: err.Error()}
 	}
-	known := slices.ContainsFunc(d.options.Distributors, func(e Endpoint) bool { return e.Name == s.Name })
-	if s.Distributor && !known {
+	known := slices.ContainsFunc(d.options.Distributors, func(e Endpoint) bool { return e.Name == stream.Name })
+	if stream.Distributor && !known {
 		return &refusal{Reason: "a distributor that is not among those named here"}
 	}
-	return d.registry.add(s, d.options.Region)
+	return d.registry.add(stream, d.options.Region)
 }
 
 // refuse sends a refusal, and logs its reason if it is permanent.
@@ -81,24 +81,24 @@
 }
 
 // runStream reads from and writes to an admitted stream until it ends, and returns the read error that ended it.
-func (d *Distributor) runStream(ctx context.Context, reader *bufio.Reader, s *serverStream) error {
+func (d *Distributor) runStream(ctx context.Context, reader *bufio.Reader, stream *serverStream) error {
 	var writer sync.WaitGroup
 	writer.Go(func() { // ends with ctx, at endOfStream, or when a write fails
-		if err := d.writeStream(ctx, s); err != nil {
-			_ = s.conn.Close()
+		if err := d.writeStream(ctx, stream); err != nil {
+			_ = stream.conn.Close()
 		}
 	})
-	err := d.readStream(reader, s)
-	_ = s.conn.Close()
-	s.outbox.endOfStream()
+	err := d.readStream(reader, stream)
+	_ = stream.conn.Close()
+	stream.outbox.endOfStream()
 	writer.Wait()
 	return err
 }
 
 // readStream handles the frames that a peer sends, until the connection fails or the peer violates the protocol.
-func (d *Distributor) readStream(reader *bufio.Reader, s *serverStream) error {
+func (d *Distributor) readStream(reader *bufio.Reader, stream *serverStream) error {
 	maxLength := maxPoolerFrame
-	if s.Distributor { // it may forward messages of the length that distributors may send
+	if stream.Distributor { // it may forward messages of the length that distributors may send
 		maxLength = maxDistributorFrame
 	}
 	for {
@@ -107,27 +107,27 @@
 			return err
 		}
 		d.options.Counter.In(frame.kind.String(), frame.size)
-		if err := d.handleFrame(s, frame); err != nil {
+		if err := d.handleFrame(stream, frame); err != nil {
 			return err
 		}
 	}
 }
 
 // handleFrame handles one frame. If it returns an error, the stream ends.
-func (d *Distributor) handleFrame(s *serverStream, frame receivedFrame) error {
+func (d *Distributor) handleFrame(stream *serverStream, frame receivedFrame) error {
 	switch {
 	case frame.kind == kindHeartbeat:
-		return d.handleHeartbeat(s, frame.body)
+		return d.handleHeartbeat(stream, frame.body)
 	case frame.kind == kindMessage:
-		return d.handleMessage(s, frame.body)
+		return d.handleMessage(stream, frame.body)
 	case frame.kind == kindBroadcast:
-		return d.handleBroadcast(s, frame.body)
-	case frame.kind == kindHoldings && s.Distributor:
+		return d.handleBroadcast(stream, frame.body)
+	case frame.kind == kindHoldings && stream.Distributor:
 		var h holdings
 		if err := decodeJSON(frame.body, &h); err != nil {
 			return err
 		}
-		d.registry.recordHoldings(s.Name, h)
+		d.registry.recordHoldings(stream.Name, h)
 		return nil
 	default:
 		return fmt.Errorf("%w: %s", errMalformedFrame, frame.kind)
@@ -135,43 +135,43 @@
 }
 
 // handleHeartbeat records a pooler's report or a distributor's summary. An empty body means that it has not changed.
-func (d *Distributor) handleHeartbeat(s *serverStream, body []byte) error {
+func (d *Distributor) handleHeartbeat(stream *serverStream, body []byte) error {
 	if len(body) == 0 {
 		return nil
 	}
-	if s.Distributor {
+	if stream.Distributor {
 		var summary Summary
 		if err := decodeJSON(body, &summary); err != nil {
 			return err
 		}
-		d.registry.recordSummary(s.Name, summary)
+		d.registry.recordSummary(stream.Name, summary)
 		return nil
 	}
 	var report heartbeat
 	if err := decodeJSON(body, &report); err != nil {
 		return err
 	}
-	d.registry.recordReport(s, report)
+	d.registry.recordReport(stream, report)
 	return nil
 }
 
 // writeStream sends a peer the updates that it needs, an announcement at each heartbeat and after each update, and the queued frames, until
 // ctx ends or a write fails.
-func (d *Distributor) writeStream(ctx context.Context, s *serverStream) error {
-	writer := newFrameWriter(s.conn, d.options.Counter)
+func (d *Distributor) writeStream(ctx context.Context, stream *serverStream) error {
+	writer := newFrameWriter(stream.conn, d.options.Counter)
 	if err := writer.writeFrames(encodeFrame(kindWelcome)); err != nil {
 		return err
 	}
 	ticker := time.NewTicker(d.timing.heartbeat)
 	defer ticker.Stop()
 	for announcementDue := true; ; {
-		if err := d.writePending(ctx, s, writer, announcementDue); err != nil {
+		if err := d.writePending(ctx, stream, writer, announcementDue); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.outbox.wake:
+		case <-stream.outbox.wake:
 			announcementDue = false
 		case <-ticker.C:
 			announcementDue = true
@@ -180,12 +180,12 @@
 }
 
 // writePending writes the queued frames, the updates that a pooler needs, and an announcement if it is due or there was an update.
-func (d *Distributor) writePending(ctx context.Context, s *serverStream, writer frameWriter, announcementDue bool) error {
-	if err := writer.writeFrames(s.outbox.drain()...); err != nil {
+func (d *Distributor) writePending(ctx context.Context, stream *serverStream, writer frameWriter, announcementDue bool) error {
+	if err := writer.writeFrames(stream.outbox.drain()...); err != nil {
 		return err
 	}
-	if !s.Distributor {
-		updated, err := d.writeUpdates(ctx, s, writer)
+	if !stream.Distributor {
+		updated, err := d.writeUpdates(ctx, stream, writer)
 		if err != nil {
 			return err
 		}
@@ -198,16 +198,16 @@
 }
 
 // writeUpdates writes the updates that a pooler needs, and reports whether there were any.
-func (d *Distributor) writeUpdates(ctx context.Context, s *serverStream, writer frameWriter) (updated bool, err error) {
+func (d *Distributor) writeUpdates(ctx context.Context, stream *serverStream, writer frameWriter) (updated bool, err error) {
 	for i, resource := range d.resources {
-		update := resource.updateSince(s.sentVersions[i])
+		update := resource.updateSince(stream.sentVersions[i])
 		if update.frame == nil {
 			continue
 		}
 		if err := d.writeUpdate(ctx, update, writer); err != nil {
 			return false, err
 		}
-		s.sentVersions[i] = update.version
+		stream.sentVersions[i] = update.version
 		updated = true
 	}
 	return updated, nil
--- a/internal/fleet/distribution/faults_test.go
+++ b/internal/fleet/distribution/faults_test.go
@@ -88,14 +88,14 @@
 	}
 }
 
-// run serves all connections of a listener until it is closed. calls counts them.
-func (b faultyDistributor) run(listener net.Listener, running *sync.WaitGroup, calls *int) {
+// run serves all connections of a listener until it is closed. connections counts them.
+func (b faultyDistributor) run(listener net.Listener, running *sync.WaitGroup, connections *int) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		*calls++
+		*connections++
 		running.Go(func() { b.serve(conn, running) })
 	}
 }
@@ -133,16 +133,16 @@
 				c.watchReplica("n0", t.Context().Done())
 				c.requireNewest(recoveryLimit, "the start")
 				listener := c.network.listen("x")
-				calls := 0
+				connections := 0
 				var running sync.WaitGroup
-				running.Go(func() { faulty.run(listener, &running, &calls) })
+				running.Go(func() { faulty.run(listener, &running, &connections) })
 				for i := range 10 {
 					c.write("p/a", fmt.Sprint("change ", i))
 					c.requireNewest(recoveryLimit, what)
 					c.passHeartbeats(preferredRetryHeartbeats)
 				}
-				if lines := c.countLogged(faulty.want); lines != 1 || calls < 4 {
-					t.Errorf("got %d lines after %d calls, want 1 after 4 or more: %q", lines, calls, c.logLines)
+				if lines := c.countLogged(faulty.want); lines != 1 || connections < 4 {
+					t.Errorf("got %d log lines after %d connections, want 1 after 4 or more: %q", lines, connections, c.logLines)
 				}
 				if faulty.announces > 0 && c.countLogged("is newer (version") != 1 {
 					t.Errorf("got the log %q, want a line that the replica is newer", c.logLines)
@@ -164,25 +164,25 @@
 
 // faultyPoolers returns the cases of TestFaultyPooler.
 func faultyPoolers() map[string]faultyPooler {
-	call := hello{Protocol: protocolVersion, Name: "bad"}
+	validHello := hello{Protocol: protocolVersion, Name: "bad"}
 	message := func(from string) []byte { return encodeFrame(kindMessage, prependNames([]byte("x"), "n0", from, "t")) }
 	return map[string]faultyPooler{
 		"another protocol":                   {hello{Protocol: 2, Name: "bad"}, nil, "protocol 2, here it is 1"},
 		"no name":                            {hello{Protocol: protocolVersion}, nil, "empty or too long"},
 		"a long name":                        {hello{Protocol: protocolVersion, Name: strings.Repeat("n", maxNameLength+1)}, nil, "empty or too long"},
-		"a message with a false sender":      {call, message("n1"), "sender is n1"},
-		"a broadcast with a false sender":    {call, encodeFrame(kindBroadcast, prependNames([]byte("x"), "n1", "t")), "sender is n1"},
-		"a frame that is too long":           {call, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "frame too long"},
-		"an unknown kind":                    {call, encodeFrame(99), "kind 99"},
-		"holdings from a pooler":             {call, encodeJSONFrame(kindHoldings, holdings{Complete: true}), "holds"},
-		"a malformed heartbeat":              {call, encodeFrame(kindHeartbeat, []byte("{")), "malformed frame"},
+		"a message with a false sender":      {validHello, message("n1"), "sender is n1"},
+		"a broadcast with a false sender":    {validHello, encodeFrame(kindBroadcast, prependNames([]byte("x"), "n1", "t")), "sender is n1"},
+		"a frame that is too long":           {validHello, encodeFrame(kindMessage, make([]byte, maxPoolerFrame)), "frame too long"},
+		"an unknown kind":                    {validHello, encodeFrame(99), "kind 99"},
+		"holdings from a pooler":             {validHello, encodeJSONFrame(kindHoldings, holdings{Complete: true}), "holds"},
+		"a malformed heartbeat":              {validHello, encodeFrame(kindHeartbeat, []byte("{")), "malformed frame"},
 		"malformed holdings":                 {hello{Protocol: protocolVersion, Name: "d0", Distributor: true}, encodeFrame(kindHoldings, []byte("{")), "malformed frame"},
 		"a link from an unknown distributor": {hello{Protocol: protocolVersion, Name: "bad", Distributor: true}, nil, "not among those named here"},
 	}
 }
 
-// callOnce connects to d0, and fails unless the hello is refused or the frame after it ends the stream.
-func (b faultyPooler) callOnce(t *testing.T, c *cluster) {
+// connectOnce connects to d0, and fails unless the hello is refused or the frame after it ends the stream.
+func (b faultyPooler) connectOnce(t *testing.T, c *cluster) {
 	t.Helper()
 	conn, err := c.network.dialer("bad")(t.Context(), "d0")
 	if err != nil {
@@ -217,7 +217,7 @@
 				defer c.close()
 				c.poolers["n0"].Handle("t", func(from string, _ []byte) { t.Errorf("n0 has received a message from %s", from) })
 				for range 3 {
-					faulty.callOnce(t, c)
+					faulty.connectOnce(t, c)
 				}
 				if c.countLogged(faulty.want) != 1 || len(c.logLines) != 1 {
 					t.Errorf("got the log %q, want one line with %q", c.logLines, faulty.want)
--- a/internal/fleet/distribution/registry.go
+++ b/internal/fleet/distribution/registry.go
@@ -33,39 +33,39 @@
 }
 
 // add admits a stream, or returns the refusal. region is the region of this distributor. A previous stream of the same peer is closed.
-func (r *registry) add(s *serverStream, region string) *refusal {
+func (r *registry) add(stream *serverStream, region string) *refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	previous := r.streams[s.Name]
-	if !s.Distributor {
-		if refused := r.refusePooler(s, region, previous != nil); refused != nil {
+	previous := r.streams[stream.Name]
+	if !stream.Distributor {
+		if refused := r.refusePooler(stream, region, previous != nil); refused != nil {
 			return refused
 		}
 	}
 	if previous != nil {
 		_ = previous.conn.Close() // the peer has reconnected, and its new hello states the versions that it holds
 	}
-	r.streams[s.Name] = s
+	r.streams[stream.Name] = stream
 	switch {
-	case s.Distributor:
-		r.directory.linkOpened(s.Name, s.Region)
+	case stream.Distributor:
+		r.directory.linkOpened(stream.Name, stream.Region)
 	case previous == nil || previous.Distributor:
 		r.poolerCount++
-		r.sendHoldings(holdings{Arrived: []string{s.Name}})
+		r.sendHoldings(holdings{Arrived: []string{stream.Name}})
 	}
 	return nil
 }
 
 // refusePooler returns the refusal if a pooler is not admitted now, and nil otherwise. The stream limits do not apply to a pooler that
 // reconnects, as it replaces its own stream. The caller must hold r.mu.
-func (r *registry) refusePooler(s *serverStream, region string, reconnects bool) *refusal {
+func (r *registry) refusePooler(stream *serverStream, region string, reconnects bool) *refusal {
 	if !reconnects {
 		if r.poolerCount >= maxStreams {
 			return &refusal{Reason: "no descriptor is left", Full: true}
 		}
 		streams, otherDistributors := r.directory.load(region)
 		limit := streamLimit(streams+r.poolerCount, otherDistributors+1)
-		if r.poolerCount >= limit && !s.Insists {
+		if r.poolerCount >= limit && !stream.Insists {
 			return &refusal{Reason: fmt.Sprintf("it holds %d streams, %d are its share", r.poolerCount, limit), Full: true}
 		}
 	}
@@ -76,19 +76,19 @@
 }
 
 // remove records the end of a stream. A newer stream of the same peer may have replaced it already.
-func (r *registry) remove(s *serverStream) {
+func (r *registry) remove(stream *serverStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s.Distributor {
-		r.directory.linkClosed(s.Name, time.Now())
+	if stream.Distributor {
+		r.directory.linkClosed(stream.Name, time.Now())
 	}
-	if r.streams[s.Name] != s {
+	if r.streams[stream.Name] != stream {
 		return
 	}
-	delete(r.streams, s.Name)
-	if !s.Distributor {
+	delete(r.streams, stream.Name)
+	if !stream.Distributor {
 		r.poolerCount--
-		r.sendHoldings(holdings{Departed: []string{s.Name}})
+		r.sendHoldings(holdings{Departed: []string{stream.Name}})
 	}
 }
 
@@ -141,10 +141,10 @@
 }
 
 // recordReport records the last report of a pooler.
-func (r *registry) recordReport(s *serverStream, report heartbeat) {
+func (r *registry) recordReport(stream *serverStream, report heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.report = report
+	stream.report = report
 }
 
 // recordSummary records another distributor's summary of its poolers.
--- a/internal/fleet/distribution/summary.go
+++ b/internal/fleet/distribution/summary.go
@@ -8,7 +8,7 @@
 type Summary struct {
 	Poolers       int            `json:"poolers"`
 	Lagging       int            `json:"behind,omitempty"`  // number of poolers whose documents are older than their distributor's
-	OldestVersion uint64         `json:"oldest,omitempty"`  // oldest version of the documents in force at any pooler; 0 if a pooler has no documents, or if there are none
+	OldestVersion uint64         `json:"oldest,omitempty"`  // oldest documents in force at any pooler; 0 if a pooler, or the fleet, has none
 	Builds        map[string]int `json:"builds,omitempty"`  // number of poolers by Status.Build
 	Configs       map[string]int `json:"configs,omitempty"` // number of poolers by Status.Config
 }
