--- a/internal/fleet/distribution/admission_test.go
+++ b/internal/fleet/distribution/admission_test.go
@@ -28,9 +28,9 @@
 // drawConnectTimes draws bursts of connecting poolers.
 func drawConnectTimes(rt *rapid.T) (times connectTimes) {
 	for range rapid.IntRange(1, 6).Draw(rt, "bursts") {
-		at, over := rapid.IntRange(0, 3000).Draw(rt, "at ms"), rapid.IntRange(1, 500_000).Draw(rt, "over µs")
+		startMillis, spreadMicros := rapid.IntRange(0, 3000).Draw(rt, "at ms"), rapid.IntRange(1, 500_000).Draw(rt, "over µs")
 		for i := range rapid.IntRange(1, 1000).Draw(rt, "poolers") {
-			times = append(times, time.Duration(at)*time.Millisecond+time.Duration(i*7919%over)*time.Microsecond)
+			times = append(times, time.Duration(startMillis)*time.Millisecond+time.Duration(i*7919%spreadMicros)*time.Microsecond)
 		}
 	}
 	return times
--- a/internal/fleet/distribution/timing.go
+++ b/internal/fleet/distribution/timing.go
@@ -4,7 +4,7 @@
 
 // The time limits of streams, in heartbeat intervals.
 const (
-	// maxAnswerHeartbeats bounds the answer timeout, which doubles after each failed attempt.
+	// maxAnswerHeartbeats bounds the answer timeout, which doubles after each round in which no distributor admitted the pooler.
 	maxAnswerHeartbeats = 4
 	// writeTimeoutHeartbeats is the time limit of a write, in addition to the time allowed for its length by minWriteRate. A slower
 	// reader is disconnected.
