--- a/internal/pooler/upstream/acquire.go
+++ b/internal/pooler/upstream/acquire.go
@@ -8,88 +8,94 @@
 	"threadsail/internal/transport"
 )
 
-// An exchange that may not dial yet waits for a part of the connect timeout, in which a connection may come back to the pool. One
-// that may not dial by then ends as if the server had rejected it: that says nothing of the server's health.
+// An exchange that may not dial yet retries for dialWaitShare of the connect timeout, during which a connection may be returned to
+// the pool. It then ends with policy.Overloaded, which does not count against the server's health.
 const (
 	dialWaitShare = 0.5
 	minDialRetry  = 2 * time.Millisecond
-	maxDialRetry  = 40 * time.Millisecond // it may dial sooner than was returned, and hundreds that ask often cost a busy machine
+	// maxDialRetry limits the delay that MayDial returns, as dialing may be allowed earlier. Shorter delays of hundreds of exchanges
+	// would load a busy machine.
+	maxDialRetry = 40 * time.Millisecond
 )
 
-// acquisition is an exchange's way to its connection.
+// acquisition holds the parameters and the state of the acquisition of a connection for an exchange.
 type acquisition struct {
-	deadline time.Duration // until when it may wait to dial
-	waited   bool
+	deadline time.Duration // end of the wait for permission to dial, on the loop's clock
+	waited   bool          // the acquisition has been delayed at least once
 	handler  transport.Handler
-	idle     func(state any)
-	fresh    func()
+	onIdle   func(state any) // called with the protocol state of a connection from the pool
+	onFresh  func()          // called when a new connection is open
 }
 
-// acquireConn takes an idle connection or dials a new one, now or after a wait.
-func (x *Exchange) acquireConn(a acquisition) {
-	s := x.connector
-	if a.waited && !x.attempt.StillAllowed() {
-		x.Finish(policy.Misdirected)
+// acquireConn takes an idle connection from the pool or dials a new one. If it may not dial yet or no descriptor is free, it
+// schedules a retry. After a delay it first checks that the attempt is still allowed.
+func (e *Exchange) acquireConn(acq acquisition) {
+	connector := e.connector
+	if acq.waited && !e.attempt.StillAllowed() {
+		e.Finish(policy.Misdirected)
 		return
 	}
-	if conn, state := s.Pool.Get(x.addr, s.Loop.Now()); conn != nil {
-		x.Conn = conn
-		x.startConnectTimer()
-		conn.SetHandler(a.handler)
-		a.idle(state)
+	if conn, state := connector.Pool.Get(e.addr, connector.Loop.Now()); conn != nil {
+		e.Conn = conn
+		e.startConnectTimer()
+		conn.SetHandler(acq.handler)
+		acq.onIdle(state)
 		return
 	}
-	if s.Budget.Full() && s.Pool.CloseOldest() && s.Loop.Now()+minDialRetry <= a.deadline { // the poller releases a descriptor a moment later
-		x.acquireAfter(minDialRetry, a)
+	if connector.Budget.Full() && connector.Pool.CloseOldest() && connector.Loop.Now()+minDialRetry <= acq.deadline {
+		// The poller releases the descriptor asynchronously.
+		e.acquireAfter(minDialRetry, acq)
 		return
 	}
-	if s.MayDial != nil {
-		if after, ok := s.MayDial(x.addr); !ok {
-			x.waitToDial(after, a)
+	if connector.MayDial != nil {
+		if delay, ok := connector.MayDial(e.addr); !ok {
+			e.waitToDial(delay, acq)
 			return
 		}
 	}
-	x.dial(a)
+	e.dial(acq)
 }
 
-// waitToDial has the exchange try again after a while, or end where its deadline comes first.
-func (x *Exchange) waitToDial(after time.Duration, a acquisition) {
-	wait := min(max(after, minDialRetry), maxDialRetry)
-	if x.Loop().Now()+wait > a.deadline {
-		x.dialTimer = x.Loop().After(0, func() { x.Finish(policy.Overloaded) })
+// waitToDial schedules a retry after delay, within the bounds of a retry, or ends the exchange with policy.Overloaded if the retry
+// would miss the deadline.
+func (e *Exchange) waitToDial(delay time.Duration, acq acquisition) {
+	wait := min(max(delay, minDialRetry), maxDialRetry)
+	if e.Loop().Now()+wait > acq.deadline {
+		e.dialTimer = e.Loop().After(0, func() { e.Finish(policy.Overloaded) })
 		return
 	}
-	x.acquireAfter(wait, a)
+	e.acquireAfter(wait, acq)
 }
 
-func (x *Exchange) acquireAfter(wait time.Duration, a acquisition) {
-	a.waited = true
-	x.dialTimer = x.Loop().After(wait, func() { x.acquireConn(a) })
+// acquireAfter schedules another call of acquireConn after wait.
+func (e *Exchange) acquireAfter(wait time.Duration, acq acquisition) {
+	acq.waited = true
+	e.dialTimer = e.Loop().After(wait, func() { e.acquireConn(acq) })
 }
 
-// dial opens a new connection.
-func (x *Exchange) dial(a acquisition) {
-	s := x.connector
-	x.startConnectTimer()
-	x.cancelDial = transport.Dial(s.Loop, s.Budget, x.addr, s.ConnectTimeout, func(conn *transport.Conn, err error) {
-		x.cancelDial = nil
+// dial opens a new connection and calls onFresh when it is open, or ends the exchange.
+func (e *Exchange) dial(acq acquisition) {
+	connector := e.connector
+	e.startConnectTimer()
+	e.cancelDial = transport.Dial(connector.Loop, connector.Budget, e.addr, connector.ConnectTimeout, func(conn *transport.Conn, err error) {
+		e.cancelDial = nil
 		switch {
-		case errors.Is(err, transport.ErrNoDescriptor): // a shortage here says nothing of the server's health
-			x.Finish(policy.Overloaded)
+		case errors.Is(err, transport.ErrNoDescriptor): // a local shortage must not count against the server's health
+			e.Finish(policy.Overloaded)
 		case err != nil:
-			x.Finish(policy.ConnectFailed)
+			e.Finish(policy.ConnectFailed)
 		default:
-			x.Conn = conn
-			conn.SetHandler(a.handler)
-			a.fresh()
+			e.Conn = conn
+			conn.SetHandler(acq.handler)
+			acq.onFresh()
 		}
 	})
 }
 
-// startConnectTimer bounds the time until RequestWritten.
-func (x *Exchange) startConnectTimer() {
-	x.connectTimer = x.connector.Loop.After(x.connector.ConnectTimeout, func() {
-		x.Abort()
-		x.Finish(policy.ConnectFailed)
+// startConnectTimer starts the timer that ends the exchange with policy.ConnectFailed unless RequestWritten is called first.
+func (e *Exchange) startConnectTimer() {
+	e.connectTimer = e.connector.Loop.After(e.connector.ConnectTimeout, func() {
+		e.Abort()
+		e.Finish(policy.ConnectFailed)
 	})
 }
--- a/internal/pooler/upstream/connector.go
+++ b/internal/pooler/upstream/connector.go
@@ -7,24 +7,24 @@
 	"threadsail/internal/transport"
 )
 
-// Connector is how servers of one kind are reached.
+// Connector holds what is needed to connect to the servers of one protocol.
 type Connector struct {
 	Loop           *dispatch.EventLoop
-	Budget         *transport.Budget // of the connections to all servers of the worker
+	Budget         *transport.Budget // descriptors of the connections to all servers of the worker
 	Pool           *transport.Pool
-	ConnectTimeout time.Duration // for everything that goes before the request itself
-	// MayDial is asked before each new connection; nil: none need be. Where it returns false, after is how long to wait before it is
-	// asked again.
+	ConnectTimeout time.Duration // limit for dialing and for all messages before the request itself
+	// MayDial reports whether a new connection to addr may be dialed now. If not, after is the delay before the next call. If
+	// MayDial is nil, every dial is allowed.
 	MayDial func(addr string) (after time.Duration, ok bool)
 }
 
-// CloseIdle closes the idle connections to a server.
-func (s *Connector) CloseIdle(addr string) { s.Pool.CloseIdle(addr) }
+// CloseIdle closes the idle connections to the server at addr.
+func (c *Connector) CloseIdle(addr string) { c.Pool.CloseIdle(addr) }
 
-// Account is how the pooler logs in at servers of one kind, and what it asks them in probes.
+// Account holds the credentials with which the pooler logs in to the servers of one protocol, and the settings of its probes.
 type Account struct {
 	User, Password string
 	Database       string
-	Heartbeat      string       // the probe's second query, whose answer is a position; empty: none
-	Log            func(string) // where servers' failures are logged
+	Heartbeat      string       // the probe's second query, which returns a replica's position; empty if there is none
+	Log            func(string) // logs a failure of a server
 }
--- a/internal/pooler/upstream/conversation.go
+++ b/internal/pooler/upstream/conversation.go
@@ -8,47 +8,48 @@
 	"threadsail/internal/protocol"
 )
 
-// errStalled tells that the rest of an answer stays away.
-var errStalled = errors.New("an answer has begun and does not end")
+// errStalled is the error of an answer that stalls before its end or exceeds maxReceivedBytes.
+var errStalled = errors.New("answer was not completed within the time and size limits")
 
-// Protocol is one protocol's side of a Conversation.
+// Protocol is the part of a Conversation that depends on the protocol.
 type Protocol interface {
-	// NextMessage takes one message off input and returns its length; 0: it is not complete yet. over: the exchange has ended. An
-	// error means that the message is malformed.
-	NextMessage(input []byte) (n int, over bool, err error)
-	// FailMalformed ends the exchange because its answer can't be used.
+	// NextMessage handles the first message of input and returns its length n, or 0 if the message is incomplete. It returns
+	// ended if the exchange has ended, and an error if the message is malformed.
+	NextMessage(input []byte) (n int, ended bool, err error)
+	// FailMalformed ends the exchange because its answer is unusable.
 	FailMalformed(err error)
 }
 
-// Conversation is an Exchange with what must go before the request: a login, a database, a prepared statement. Until RequestSent is
-// set nothing can have run.
+// Conversation is an Exchange that may have to log in, select a database or prepare a statement before it sends the request. The
+// server cannot have executed the request before RequestSent is set.
 type Conversation struct {
 	Exchange
 	Account         *Account
-	Deadline        time.Duration // of the client, on the loop's clock
+	Deadline        time.Duration // the client's deadline, on the loop's clock
 	IsProbe         bool
 	RequestSent     bool
-	ServerResponded bool // before the request: time has passed since the attempt was chosen
-	input           []byte
+	ServerResponded bool   // the server sent something before the request, so time has passed since the attempt was scheduled
+	input           []byte // received bytes that are not handled yet
 }
 
-// TimeLeft returns for how long the client still waits.
+// TimeLeft returns the time until the client's deadline.
 func (c *Conversation) TimeLeft() time.Duration { return c.Deadline - c.Loop().Now() }
 
-// Receive takes in what the server has sent, message by message.
-func (c *Conversation) Receive(b []byte, p Protocol) {
-	if !c.Received(len(b), c.RequestSent && !c.IsProbe, func() { p.FailMalformed(errStalled) }) {
+// Receive appends data to the input and passes each complete message to proto. It keeps an incomplete message for the next
+// call.
+func (c *Conversation) Receive(data []byte, proto Protocol) {
+	if !c.Received(len(data), c.RequestSent && !c.IsProbe, func() { proto.FailMalformed(errStalled) }) {
 		return
 	}
-	c.input = append(c.input, b...)
+	c.input = append(c.input, data...)
 	rest := c.input
 	for {
-		n, over, err := p.NextMessage(rest)
+		n, ended, err := proto.NextMessage(rest)
 		if err != nil {
-			p.FailMalformed(err)
+			proto.FailMalformed(err)
 			return
 		}
-		if over {
+		if ended {
 			return
 		}
 		if n == 0 {
@@ -59,13 +60,14 @@
 	c.input = append([]byte(nil), rest...)
 }
 
-// PartialMessage tells whether an incomplete message has come.
+// PartialMessage reports whether an incomplete message has been received.
 func (c *Conversation) PartialMessage() bool { return len(c.input) > 0 }
 
-// LogFailure logs what is wrong with the server.
-func (c *Conversation) LogFailure(what string) { c.Account.Log("server " + c.addr + ": " + what) }
+// LogFailure logs a failure of the server, with its address.
+func (c *Conversation) LogFailure(message string) { c.Account.Log("server " + c.addr + ": " + message) }
 
-// EndMalformed logs err, closes the connection and reports that the request may have run, if it was sent.
+// EndMalformed logs err, closes the connection and finishes the exchange: with policy.ServerError if the request was sent and may
+// have executed, otherwise with policy.ConnectFailed.
 func (c *Conversation) EndMalformed(err error) {
 	c.LogFailure(err.Error())
 	c.Conn.Close()
@@ -76,22 +78,23 @@
 	}
 }
 
-// Overtaken tells whether the request must not be sent any more, after a wait for the server.
+// Overtaken reports whether the request must not be sent any more, because the attempt was disallowed while it waited for the
+// server.
 func (c *Conversation) Overtaken() bool {
 	return c.ServerResponded && !c.RequestSent && !c.MaySend()
 }
 
-// ReportRole enters the role that a probe has found. It returns whether the heartbeat query is to follow, which tells a replica's
-// position.
+// ReportRole records the role that a probe has found. It reports whether the probe must also send the heartbeat query, which
+// returns a replica's position.
 func (c *Conversation) ReportRole(primary bool) (heartbeatFollows bool) {
-	report := &c.Result.Status
-	report.HasRole = true
-	report.RoleIsCurrent = true
-	report.IsPrimary = primary
+	status := &c.Result.Status
+	status.HasRole = true
+	status.RoleIsCurrent = true
+	status.IsPrimary = primary
 	return !primary && c.Account.Heartbeat != ""
 }
 
-// ReportPosition enters the position that the heartbeat query has found.
+// ReportPosition records the position that the heartbeat query has returned.
 func (c *Conversation) ReportPosition(value string) {
 	c.Result.Status.Position, c.Result.Status.HasPosition = protocol.Position(value)
 }
--- a/internal/pooler/upstream/exchange.go
+++ b/internal/pooler/upstream/exchange.go
@@ -1,10 +1,10 @@
-// Package upstream is what the attempts and probes of all protocols share on their way to a server.
+// Package upstream implements what the attempts and probes of all protocols have in common when they use a connection to a server.
 //
-// An Exchange takes a connection, an idle one or a new one, ends exactly once, and gives the connection back. A Conversation is an
-// Exchange that speaks several messages before the request itself. The package decides how long a connection is waited for, when
-// an answer counts as stalled or too large, and whether a request can have run when its connection breaks. It owns no goroutine:
-// everything runs on the worker's event loop. It knows no protocol, chooses no server and repeats no request; only a probe whose
-// connection breaks is started once more.
+// An Exchange acquires an idle or a new connection, ends exactly once, and returns the connection to the pool. A Conversation is an
+// Exchange that may exchange several messages with the server before the request itself. The package decides how long to wait for
+// a connection, when an answer counts as stalled or too large, and whether a request may have executed when its connection breaks.
+// It starts no goroutine: everything runs on the worker's event loop. It is independent of the protocol, selects no server and
+// retries no request; only a probe whose connection breaks is repeated once.
 package upstream
 
 import (
@@ -17,132 +17,136 @@
 )
 
 const (
-	// answerStallTimeout may pass between the first bytes of an answer and its last; values are small.
+	// answerStallTimeout is the time after the first bytes of an answer at which an incomplete answer counts as stalled if no
+	// further bytes are pending. It is short because values are small.
 	answerStallTimeout = 100 * time.Millisecond
-	// stallCheckInterval is how often a stalled answer is looked at again while more of it has come and is not taken in yet.
+	// stallCheckInterval is the interval of further checks while received bytes of the answer are not yet delivered.
 	stallCheckInterval = answerStallTimeout / 4
-	// maxReceivedBytes are taken in for one request, its login and what else goes before it included. The answers that are kept as
-	// a whole have a quarter of it at most: one that goes on, with notices say, would keep this machine busy until its time is over.
+	// maxReceivedBytes limits the bytes received for one request, including the login and all other messages before it. An answer
+	// that is buffered whole is limited to a quarter of it. Without the limit an endless answer, for example of notices, would keep
+	// this machine busy until its timeout.
 	maxReceivedBytes = 4 << 20
 )
 
-// Exchange is one request on one connection. It is a dispatch.Call.
+// Exchange is one request on one connection. It implements dispatch.Call.
 type Exchange struct {
 	Conn          *transport.Conn
-	Result        dispatch.AttemptResult // as it is known so far; Finish reports it
+	Result        dispatch.AttemptResult // the result so far; Finish reports it
 	connector     *Connector
 	addr          string
 	attempt       dispatch.AttemptCallbacks
-	cancelDial    func() // nil: no dial is under way
+	cancelDial    func() // nil if no dial is in progress
 	connectTimer  *dispatch.Timer
-	dialTimer     *dispatch.Timer // while the exchange waits until it may dial
-	answerTimer   *dispatch.Timer // of an answer that has begun
+	dialTimer     *dispatch.Timer // pending retry of the acquisition
+	answerTimer   *dispatch.Timer // pending stall check of the answer
 	finished      bool
-	receivedBytes int
+	receivedBytes int // counted against maxReceivedBytes
 }
 
-// Start takes a connection for handler: an idle one, and calls idle with what was put back with it, or a new one, and calls fresh. A
-// machine that has vanished answers neither the dial nor what follows: one timeout is for everything that goes before
-// RequestWritten.
-func (x *Exchange) Start(s *Connector, addr string, handler transport.Handler, a dispatch.AttemptCallbacks, idle func(state any),
-	fresh func()) {
-	x.connector = s
-	x.addr = addr
-	x.attempt = a
-	wait := time.Duration(dialWaitShare * float64(s.ConnectTimeout))
-	x.acquireConn(acquisition{deadline: s.Loop.Now() + wait, handler: handler, idle: idle, fresh: fresh})
+// Start acquires a connection and sets its handler. It calls onIdle with the protocol state of a connection from the pool, or
+// onFresh once a new connection is open. A single timeout covers everything from the dial to RequestWritten, because a machine
+// that is down answers neither the dial nor the messages after it.
+func (e *Exchange) Start(connector *Connector, addr string, handler transport.Handler, attempt dispatch.AttemptCallbacks,
+	onIdle func(state any), onFresh func()) {
+	e.connector = connector
+	e.addr = addr
+	e.attempt = attempt
+	wait := time.Duration(dialWaitShare * float64(connector.ConnectTimeout))
+	e.acquireConn(acquisition{deadline: connector.Loop.Now() + wait, handler: handler, onIdle: onIdle, onFresh: onFresh})
 }
 
-// RequestWritten tells that the request itself has been given to Write: the connect timeout no longer binds, and its last byte
-// is reported.
-func (x *Exchange) RequestWritten() {
-	x.connectTimer.Stop()
-	x.Conn.OnWritten(x.attempt.Sent)
+// RequestWritten must be called after the request itself has been passed to Write. It stops the connect timeout, and reports the
+// request as sent once its last byte has been written.
+func (e *Exchange) RequestWritten() {
+	e.connectTimer.Stop()
+	e.Conn.OnWritten(e.attempt.Sent)
 }
 
 // Addr returns the address of the server.
-func (x *Exchange) Addr() string { return x.addr }
+func (e *Exchange) Addr() string { return e.addr }
 
 // Loop returns the event loop that the exchange runs on.
-func (x *Exchange) Loop() *dispatch.EventLoop { return x.connector.Loop }
+func (e *Exchange) Loop() *dispatch.EventLoop { return e.connector.Loop }
 
-// MaySend tells whether the request may still be sent.
-func (x *Exchange) MaySend() bool { return x.attempt.StillAllowed() }
+// MaySend reports whether the request may still be sent.
+func (e *Exchange) MaySend() bool { return e.attempt.StillAllowed() }
 
-// Received takes in that bytes of the server have come. begun: they belong to the answer, and if its rest stays away, as behind a
-// length that is too large, failMalformed is called. So it is, and false is returned, where they never end.
-func (x *Exchange) Received(bytes int, begun bool, failMalformed func()) bool {
-	x.receivedBytes += bytes
-	if x.receivedBytes > maxReceivedBytes {
+// Received counts bytes received from the server. It calls failMalformed and returns false if they exceed maxReceivedBytes. If
+// isAnswer is set, the bytes belong to the answer, and failMalformed is called later if the answer stalls, for example because its
+// length field is too large.
+func (e *Exchange) Received(bytes int, isAnswer bool, failMalformed func()) bool {
+	e.receivedBytes += bytes
+	if e.receivedBytes > maxReceivedBytes {
 		failMalformed()
 		return false
 	}
-	if begun && x.answerTimer == nil {
-		x.answerTimer = x.connector.Loop.After(answerStallTimeout, func() { x.checkStalled(failMalformed) })
+	if isAnswer && e.answerTimer == nil {
+		e.answerTimer = e.connector.Loop.After(answerStallTimeout, func() { e.checkStalled(failMalformed) })
 	}
 	return true
 }
 
-// checkStalled ends the exchange if the rest of its answer stays away. More may have come while this machine was busy, and not be
-// taken in yet.
-func (x *Exchange) checkStalled(failMalformed func()) {
-	if x.Conn.Quiet() {
+// checkStalled calls failMalformed if no further bytes of the answer have arrived. Otherwise it checks again later, as bytes may
+// have arrived while this machine was busy and not be delivered yet.
+func (e *Exchange) checkStalled(failMalformed func()) {
+	if e.Conn.Quiet() {
 		failMalformed()
 		return
 	}
-	x.answerTimer = x.connector.Loop.After(stallCheckInterval, func() { x.checkStalled(failMalformed) })
+	e.answerTimer = e.connector.Loop.After(stallCheckInterval, func() { e.checkStalled(failMalformed) })
 }
 
-// Abort gives the exchange up and closes its connection. Its end is not reported.
-func (x *Exchange) Abort() {
-	x.dialTimer.Stop()
-	x.connectTimer.Stop()
-	x.answerTimer.Stop()
-	if x.cancelDial != nil {
-		x.cancelDial()
+// Abort cancels the exchange and closes its connection. It does not report a result.
+func (e *Exchange) Abort() {
+	e.dialTimer.Stop()
+	e.connectTimer.Stop()
+	e.answerTimer.Stop()
+	if e.cancelDial != nil {
+		e.cancelDial()
 	}
-	if x.Conn != nil {
-		x.Conn.Close()
+	if e.Conn != nil {
+		e.Conn.Close()
 	}
 }
 
-// ReleaseConn gives the connection back with what is known of it. clean is false where more has come on it than the answer: it is
-// closed then.
-func (x *Exchange) ReleaseConn(clean bool, state any) {
+// ReleaseConn returns the connection to the pool with its protocol state. If clean is false, because the server sent more than the
+// answer, it closes the connection instead.
+func (e *Exchange) ReleaseConn(clean bool, state any) {
 	if clean {
-		x.connector.Pool.Put(x.addr, x.Conn, state)
+		e.connector.Pool.Put(e.addr, e.Conn, state)
 	} else {
-		x.Conn.Close()
+		e.Conn.Close()
 	}
 }
 
-// Finish reports the end.
-func (x *Exchange) Finish(r policy.Result) {
-	x.connectTimer.Stop()
-	x.answerTimer.Stop()
-	x.Result.Result = r
-	x.finished = true
-	x.attempt.Done(x.Result)
+// Finish ends the exchange and reports its result.
+func (e *Exchange) Finish(result policy.Result) {
+	e.connectTimer.Stop()
+	e.answerTimer.Stop()
+	e.Result.Result = result
+	e.finished = true
+	e.attempt.Done(e.Result)
 }
 
-// FinishBroken reports the end of an exchange whose connection broke.
-func (x *Exchange) FinishBroken(r policy.Result) {
-	x.Result = dispatch.AttemptResult{Broken: true}
-	x.Finish(r)
+// FinishBroken ends an exchange whose connection broke, and reports result without an answer.
+func (e *Exchange) FinishBroken(result policy.Result) {
+	e.Result = dispatch.AttemptResult{Broken: true}
+	e.Finish(result)
 }
 
-// Finished tells whether the end has been reported.
-func (x *Exchange) Finished() bool { return x.finished }
+// Finished reports whether the result has been reported.
+func (e *Exchange) Finished() bool { return e.finished }
 
-// ConnClosed ends an exchange whose connection has closed. sent: its request was given to Write; before its last byte has gone out
-// nothing can have run. The answer of a server that sent more than it was asked for is malformed.
-func (x *Exchange) ConnClosed(err error, sent bool, failMalformed func(error)) {
+// ConnClosed ends an exchange whose connection has closed. sent is set if the request was passed to Write. The server cannot have
+// executed the request before its last byte was written, so the result is then policy.ConnectFailed. The answer of a server that
+// sent more than requested counts as malformed.
+func (e *Exchange) ConnClosed(err error, sent bool, failMalformed func(error)) {
 	switch {
-	case !sent || !x.Conn.Written():
-		x.FinishBroken(policy.ConnectFailed)
+	case !sent || !e.Conn.Written():
+		e.FinishBroken(policy.ConnectFailed)
 	case errors.Is(err, transport.ErrFlood):
 		failMalformed(err)
 	default:
-		x.FinishBroken(policy.ConnectionReset)
+		e.FinishBroken(policy.ConnectionReset)
 	}
 }
--- a/internal/pooler/upstream/exchange_test.go
+++ b/internal/pooler/upstream/exchange_test.go
@@ -10,14 +10,14 @@
 	"threadsail/internal/transport"
 )
 
-// handler notes nothing: only the beginning of exchanges is looked at.
-type handler struct{}
+// noopHandler ignores all events, as the tests only check the acquisition of connections.
+type noopHandler struct{}
 
-func (handler) Closed(error)               {}
-func (handler) Data(time.Duration, []byte) {}
+func (noopHandler) Closed(error)               {}
+func (noopHandler) Data(time.Duration, []byte) {}
 
-// An exchange without leave to dial asks again; with leave it dials, with a connection put back meanwhile it takes that, and
-// with neither it ends as sent away unseen, in time.
+// TestWaitToDial checks that an exchange that may not dial yet retries until MayDial allows it, uses a connection that is returned
+// to the pool meanwhile, and otherwise ends with policy.Overloaded at its deadline.
 func TestWaitToDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,68 +27,69 @@
 	loop := dispatch.NewEventLoop()
 	go loop.Run()
 	defer loop.Stop()
-	asked, leave := 0, 3 // asked on the loop alone
-	s := &Connector{Loop: loop, Budget: transport.NewBudget(4), Pool: transport.NewPool(time.Minute, 4), ConnectTimeout: 2 * time.Second,
+	mayDialCalls, allowedCall := 0, 3 // mayDialCalls is accessed on the loop only
+	connector := &Connector{Loop: loop, Budget: transport.NewBudget(4), Pool: transport.NewPool(time.Minute, 4), ConnectTimeout: 2 * time.Second,
 		MayDial: func(string) (time.Duration, bool) {
-			asked++
-			return time.Millisecond, asked == leave
+			mayDialCalls++
+			return time.Millisecond, mayDialCalls == allowedCall
 		}}
-	ends := make(chan string, 1)
+	events := make(chan string, 1)
 	start := func() *Exchange {
-		x := &Exchange{}
-		a := dispatch.AttemptCallbacks{StillAllowed: func() bool { return true }, Sent: func() {}, Done: func(r dispatch.AttemptResult) {
-			if ends <- "ended"; r.Result != policy.Overloaded {
-				t.Errorf("ends as %v", r.Result)
+		exchange := &Exchange{}
+		attempt := dispatch.AttemptCallbacks{StillAllowed: func() bool { return true }, Sent: func() {}, Done: func(r dispatch.AttemptResult) {
+			if events <- "ended"; r.Result != policy.Overloaded {
+				t.Errorf("the exchange ends with %v", r.Result)
 			}
 		}}
-		x.Start(s, ln.Addr().String(), handler{}, a, func(any) { ends <- "idle" }, func() {
-			ends <- "fresh"
-			x.connectTimer.Stop()
-			loop.After(20*time.Millisecond, func() { x.ReleaseConn(true, nil) })
+		exchange.Start(connector, ln.Addr().String(), noopHandler{}, attempt, func(any) { events <- "idle" }, func() {
+			events <- "fresh"
+			exchange.connectTimer.Stop()
+			loop.After(20*time.Millisecond, func() { exchange.ReleaseConn(true, nil) })
 		})
-		return x
+		return exchange
 	}
 	loop.Post(func() { start() })
-	if end := <-ends; end != "fresh" {
-		t.Errorf("with leave at last: %s", end)
+	if event := <-events; event != "fresh" {
+		t.Errorf("when the dial is allowed: %s", event)
 	}
-	loop.Post(func() { start() }) // before the connection is back
-	if end := <-ends; end != "idle" {
-		t.Errorf("with a connection put back: %s", end)
+	loop.Post(func() { start() }) // before the connection is returned to the pool
+	if event := <-events; event != "idle" {
+		t.Errorf("with a connection returned to the pool: %s", event)
 	}
 	loop.Post(func() {
-		s.Pool.CloseIdle(ln.Addr().String())
-		s.ConnectTimeout = 50 * time.Millisecond
+		connector.Pool.CloseIdle(ln.Addr().String())
+		connector.ConnectTimeout = 50 * time.Millisecond
 		start()
 	})
-	if end := <-ends; end != "ended" {
-		t.Errorf("without leave: %s", end)
+	if event := <-events; event != "ended" {
+		t.Errorf("when no dial is allowed: %s", event)
 	}
-	loop.Post(func() { // an attempt that is given up while it waits asks no more
-		x := start()
+	loop.Post(func() { // an exchange that is aborted while it waits stops retrying
+		exchange := start()
 		loop.After(5*time.Millisecond, func() {
-			x.Abort()
-			before := asked
+			exchange.Abort()
+			callsBefore := mayDialCalls
 			loop.After(100*time.Millisecond, func() {
-				if asked != before || len(ends) > 0 {
-					t.Errorf("given up, it asks %d times more, and %d ends are told", asked-before, len(ends))
+				if mayDialCalls != callsBefore || len(events) > 0 {
+					t.Errorf("after Abort: %d further calls of MayDial, %d events reported", mayDialCalls-callsBefore, len(events))
 				}
-				ends <- "given up"
+				events <- "aborted"
 			})
 		})
 	})
-	<-ends
+	<-events
 }
 
-// What never ends is spoilt by its size, also before the request is sent, where no other time than that to connect is bound.
+// TestTooLargeAnswerIsMalformed checks that an endless answer fails by its size, even before the request is sent, when only the
+// connect timeout applies.
 func TestTooLargeAnswerIsMalformed(t *testing.T) {
-	x, spoilt := &Exchange{}, 0
-	for n := 0; x.Received(64<<10, false, func() { spoilt++ }); n++ {
+	exchange, failures := &Exchange{}, 0
+	for n := 0; exchange.Received(64<<10, false, func() { failures++ }); n++ {
 		if n > 1000 {
-			t.Fatal("64 MB are taken in")
+			t.Fatal("64 MB are accepted")
 		}
 	}
-	if spoilt != 1 {
-		t.Errorf("it is spoilt %d times", spoilt)
+	if failures != 1 {
+		t.Errorf("failMalformed is called %d times, want 1", failures)
 	}
 }
--- a/internal/pooler/upstream/prepared_statements.go
+++ b/internal/pooler/upstream/prepared_statements.go
@@ -1,22 +1,22 @@
 package upstream
 
-// maxPreparedPerConn is how many statements are kept prepared on one connection to a server.
+// maxPreparedPerConn is the maximum number of prepared statements on one connection to a server.
 const maxPreparedPerConn = 64
 
-// PreparedStatements are the statements that are prepared on one connection, by a key of the protocol's choice. The oldest makes
-// room for a new one.
+// PreparedStatements is the set of statements prepared on one connection, by a key that the protocol defines. At most
+// maxPreparedPerConn are kept; the oldest is evicted first.
 type PreparedStatements[S any] struct {
 	byKey map[string]S
-	order []string // the keys, the oldest first
+	order []string // keys, oldest first
 }
 
-// Get returns a statement that is prepared already.
+// Get returns the prepared statement with the given key, if there is one.
 func (p *PreparedStatements[S]) Get(key string) (statement S, ok bool) {
 	statement, ok = p.byKey[key]
 	return statement, ok
 }
 
-// MakeRoom removes the oldest statement if there is no room for another, and returns it for the server to close.
+// MakeRoom removes the oldest statement if the set is full, and returns it so that the caller can close it on the server.
 func (p *PreparedStatements[S]) MakeRoom() (removed S, ok bool) {
 	if len(p.order) < maxPreparedPerConn {
 		return removed, false
@@ -28,7 +28,7 @@
 	return removed, true
 }
 
-// Add enters a statement that has been prepared.
+// Add adds a statement that has been prepared. The caller calls MakeRoom first.
 func (p *PreparedStatements[S]) Add(key string, statement S) {
 	if p.byKey == nil {
 		p.byKey = map[string]S{}
--- a/internal/pooler/upstream/probe.go
+++ b/internal/pooler/upstream/probe.go
@@ -4,51 +4,52 @@
 	"threadsail/internal/dispatch"
 )
 
-// Probe is a probe that is started once more if its connection breaks: the next one tells whether the server is gone. It is a
-// dispatch.Call.
+// Probe is a probe that is repeated once if its connection breaks, as only the second result shows whether the server is down. It
+// implements dispatch.Call.
 type Probe struct{ call dispatch.Call }
 
-// StartProbe starts a probe. start begins it, and may be called a second time.
+// StartProbe starts a probe by calling start, and calls start once more if the connection breaks. It calls done with the last
+// result.
 func StartProbe(start func(done func(dispatch.AttemptResult)) dispatch.Call, done func(dispatch.AttemptResult)) *Probe {
-	p := &Probe{}
-	p.call = start(func(r dispatch.AttemptResult) {
-		if r.Broken {
-			p.call = start(done)
+	probe := &Probe{}
+	probe.call = start(func(result dispatch.AttemptResult) {
+		if result.Broken {
+			probe.call = start(done)
 		} else {
-			done(r)
+			done(result)
 		}
 	})
-	return p
+	return probe
 }
 
-// StartStatusProbe starts a probe of which only the server's status is of use, not its answer.
+// StartStatusProbe starts a probe like StartProbe, and discards the answer so that done receives only the server's status.
 func StartStatusProbe(start func(done func(dispatch.AttemptResult)) dispatch.Call, done func(dispatch.AttemptResult)) *Probe {
-	return StartProbe(start, func(r dispatch.AttemptResult) {
-		r.Answer = nil
-		done(r)
+	return StartProbe(start, func(result dispatch.AttemptResult) {
+		result.Answer = nil
+		done(result)
 	})
 }
 
-// Abort gives the probe up.
+// Abort cancels the probe without calling done.
 func (p *Probe) Abort() { p.call.Abort() }
 
-// ProbeAttempt returns the callbacks of a probe, which is always allowed and counts nowhere.
+// ProbeAttempt returns the callbacks of a probe, which is always allowed and is not counted as sent.
 func ProbeAttempt(done func(dispatch.AttemptResult)) dispatch.AttemptCallbacks {
 	return dispatch.AttemptCallbacks{StillAllowed: func() bool { return true }, Sent: func() {}, Done: done}
 }
 
-// localCall is an attempt that needs no server.
+// localCall is an attempt that is answered without a server. It implements dispatch.Call.
 type localCall struct{ aborted bool }
 
-// Abort has the attempt end unreported.
+// Abort cancels the attempt without reporting its result.
 func (c *localCall) Abort() { c.aborted = true }
 
-// AnswerLocally reports the end of an attempt that needs no server.
-func AnswerLocally(loop *dispatch.EventLoop, a dispatch.AttemptCallbacks, r dispatch.AttemptResult) dispatch.Call {
+// AnswerLocally reports result as the result of an attempt that needs no server, from a later event of the loop.
+func AnswerLocally(loop *dispatch.EventLoop, attempt dispatch.AttemptCallbacks, result dispatch.AttemptResult) dispatch.Call {
 	call := &localCall{}
 	loop.Post(func() {
 		if !call.aborted {
-			a.Done(r)
+			attempt.Done(result)
 		}
 	})
 	return call
