--- a/internal/pooler/admin/metrics.go
+++ b/internal/pooler/admin/metrics.go
@@ -6,67 +6,68 @@
 	"threadsail/internal/protocol/admin"
 )
 
-// Metrics is what the pooler reports.
+// Metrics is a snapshot of the metrics and the status that the pooler reports to operators.
 type Metrics struct {
-	Serving                                      bool // clients are accepted
+	Serving                                      bool // the pooler accepts clients
 	Reloads, ReloadErrors                        uint64
 	Classes                                      []dispatch.ClassCounters
 	PendingRequests, Servers, UnavailableServers int
-	Lists                                        []ListStatus // of frontends that have their servers from a file
-	Fleet                                        *FleetStatus // nil: the pooler runs on its own
+	Lists                                        []ListStatus // one for each frontend that reads its list of servers from a file
+	Fleet                                        *FleetStatus // nil if the pooler runs without a fleet
 }
 
-// FleetStatus is how the pooler's part in its fleet stands.
+// FleetStatus is the status of the pooler as part of a fleet.
 type FleetStatus = coordination.Status
 
-// ListStatus is how a frontend's list of servers stands.
+// ListStatus is the status of a frontend's list of servers.
 type ListStatus struct {
 	Front                 string // name of the frontend
-	Generation            uint64 // in force
-	Taken, Held, Rejected uint64 // candidates, since the start
-	Holding               bool   // one is held now
+	Generation            uint64 // generation of the list in force
+	Taken, Held, Rejected uint64 // number of candidates with each outcome since the start
+	Holding               bool   // a candidate is held at present
 }
 
-// The ways of FleetStatus.DocumentTransport, each of which has a figure.
-var fleetWays = []string{"gossip", "stream", "distributor", "none"}
+// documentTransports are the possible values of FleetStatus.DocumentTransport. The metric fleet_way has one sample for each.
+var documentTransports = []string{"gossip", "stream", "distributor", "none"}
 
-// labelled is a value of one of several figures with the same name.
-type labelled struct {
+// labeledValue is one sample of a metric, with the value of its label.
+type labeledValue struct {
 	label string
 	value uint64
 }
 
-// formatMetrics returns the metrics as operators read them.
-func formatMetrics(m Metrics) []byte {
+// formatMetrics returns the answer to an Info call, with the metrics in the Prometheus text format between its first and its last
+// line.
+func formatMetrics(metrics Metrics) []byte {
 	b := admin.AppendDone(nil)
-	b = appendClasses(b, m.Classes)
-	b = admin.AppendFigure(b, "pending", uint64(m.PendingRequests))
-	b = admin.AppendFigure(b, "members", uint64(m.Servers))
-	b = admin.AppendFigure(b, "members_unavailable", uint64(m.UnavailableServers))
-	b = admin.AppendFigure(b, "config_reloads", m.Reloads)
-	b = admin.AppendFigure(b, "config_reload_errors", m.ReloadErrors)
-	if m.Fleet != nil {
-		b = appendFleet(b, m.Fleet)
+	b = appendClasses(b, metrics.Classes)
+	b = admin.AppendFigure(b, "pending", uint64(metrics.PendingRequests))
+	b = admin.AppendFigure(b, "members", uint64(metrics.Servers))
+	b = admin.AppendFigure(b, "members_unavailable", uint64(metrics.UnavailableServers))
+	b = admin.AppendFigure(b, "config_reloads", metrics.Reloads)
+	b = admin.AppendFigure(b, "config_reload_errors", metrics.ReloadErrors)
+	if metrics.Fleet != nil {
+		b = appendFleet(b, metrics.Fleet)
 	}
-	for _, list := range m.Lists {
+	for _, list := range metrics.Lists {
 		b = appendList(b, list)
 	}
 	return admin.AppendEnd(b)
 }
 
-// appendClasses appends the counters of each class.
+// appendClasses appends the request counters of each class.
 func appendClasses(b []byte, classes []dispatch.ClassCounters) []byte {
-	for _, c := range classes {
-		lane := admin.Label{Name: "lane", Value: c.Class}
-		for _, r := range []labelled{{"completed", c.Served}, {"rejected", c.Rejected}, {"failed", c.Failed}} {
-			b = admin.AppendFigure(b, "downstream_requests", r.value, lane, admin.Label{Name: "result", Value: r.label})
+	for _, class := range classes {
+		classLabel := admin.Label{Name: "lane", Value: class.Class}
+		for _, result := range []labeledValue{{"completed", class.Served}, {"rejected", class.Rejected}, {"failed", class.Failed}} {
+			b = admin.AppendFigure(b, "downstream_requests", result.value, classLabel, admin.Label{Name: "result", Value: result.label})
 		}
-		b = admin.AppendFigure(b, "upstream_requests", c.Attempts, lane)
+		b = admin.AppendFigure(b, "upstream_requests", class.Attempts, classLabel)
 	}
 	return b
 }
 
-// appendFleet appends how the fleet stands.
+// appendFleet appends the metrics of the fleet.
 func appendFleet(b []byte, fleet *FleetStatus) []byte {
 	b = admin.AppendFigure(b, "shared_version", fleet.DocumentsVersion)
 	if fleet.DocumentsAge >= 0 {
@@ -74,47 +75,48 @@
 	}
 	b = admin.AppendFigure(b, "journal_acts_dropped", fleet.JournalRecordsDropped)
 	b = admin.AppendFigure(b, "fleet_poolers", uint64(fleet.Poolers))
-	for _, way := range fleetWays {
-		b = admin.AppendFigure(b, "fleet_way", boolValue(fleet.DocumentTransport == way), admin.Label{Name: "way", Value: way})
+	for _, documentTransport := range documentTransports {
+		b = admin.AppendFigure(b, "fleet_way", boolValue(fleet.DocumentTransport == documentTransport),
+			admin.Label{Name: "way", Value: documentTransport})
 	}
 	b = admin.AppendFigure(b, "streams", uint64(fleet.Streams))
 	b = admin.AppendFigure(b, "fleet_behind", uint64(fleet.PoolersBehind))
 	b = admin.AppendFigure(b, "fleet_oldest_version", fleet.OldestVersion)
 	b = appendTraffic(b, fleet)
-	for _, disk := range []labelled{{"copy", boolValue(fleet.ReplicaWriteFailing)}, {"journal", boolValue(fleet.JournalWriteFailing)},
+	for _, file := range []labeledValue{{"copy", boolValue(fleet.ReplicaWriteFailing)}, {"journal", boolValue(fleet.JournalWriteFailing)},
 		{"steward", boolValue(fleet.VoterWriteFailing)}} {
-		b = admin.AppendFigure(b, "disk_failing", disk.value, admin.Label{Name: "file", Value: disk.label})
+		b = admin.AppendFigure(b, "disk_failing", file.value, admin.Label{Name: "file", Value: file.label})
 	}
 	return b
 }
 
-// appendTraffic appends what the fleet's parts send and receive.
+// appendTraffic appends the bytes and messages exchanged with the other poolers and the voters, by kind.
 func appendTraffic(b []byte, fleet *FleetStatus) []byte {
-	in, out := admin.Label{Name: "way", Value: "in"}, admin.Label{Name: "way", Value: "out"}
-	for _, t := range fleet.Traffic {
-		kind := admin.Label{Name: "kind", Value: t.Kind}
-		b = admin.AppendFigure(b, "fleet_bytes", t.BytesIn, kind, in)
-		b = admin.AppendFigure(b, "fleet_bytes", t.BytesOut, kind, out)
-		b = admin.AppendFigure(b, "fleet_messages", t.MessagesIn, kind, in)
-		b = admin.AppendFigure(b, "fleet_messages", t.MessagesOut, kind, out)
+	inLabel, outLabel := admin.Label{Name: "way", Value: "in"}, admin.Label{Name: "way", Value: "out"}
+	for _, count := range fleet.Traffic {
+		kindLabel := admin.Label{Name: "kind", Value: count.Kind}
+		b = admin.AppendFigure(b, "fleet_bytes", count.BytesIn, kindLabel, inLabel)
+		b = admin.AppendFigure(b, "fleet_bytes", count.BytesOut, kindLabel, outLabel)
+		b = admin.AppendFigure(b, "fleet_messages", count.MessagesIn, kindLabel, inLabel)
+		b = admin.AppendFigure(b, "fleet_messages", count.MessagesOut, kindLabel, outLabel)
 	}
 	return b
 }
 
-// appendList appends how a frontend's list stands.
+// appendList appends the status of a frontend's list of servers.
 func appendList(b []byte, list ListStatus) []byte {
-	front := admin.Label{Name: "front", Value: list.Front}
-	b = admin.AppendFigure(b, "list_generation", list.Generation, front)
-	b = admin.AppendFigure(b, "list_holding", boolValue(list.Holding), front)
-	for _, r := range []labelled{{"taken", list.Taken}, {"held", list.Held}, {"turned_down", list.Rejected}} {
-		b = admin.AppendFigure(b, "list_candidates", r.value, front, admin.Label{Name: "result", Value: r.label})
+	frontLabel := admin.Label{Name: "front", Value: list.Front}
+	b = admin.AppendFigure(b, "list_generation", list.Generation, frontLabel)
+	b = admin.AppendFigure(b, "list_holding", boolValue(list.Holding), frontLabel)
+	for _, result := range []labeledValue{{"taken", list.Taken}, {"held", list.Held}, {"turned_down", list.Rejected}} {
+		b = admin.AppendFigure(b, "list_candidates", result.value, frontLabel, admin.Label{Name: "result", Value: result.label})
 	}
 	return b
 }
 
 // boolValue returns 1 for true and 0 for false.
-func boolValue(is bool) uint64 {
-	if is {
+func boolValue(value bool) uint64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/pooler/admin/server.go
+++ b/internal/pooler/admin/server.go
@@ -1,7 +1,9 @@
-// Package admin is the server that operators ask, by a line-based protocol, whether the pooler accepts clients, and for its metrics.
+// Package admin implements the server that reports to operators, by a line-based protocol, whether the pooler accepts clients, and
+// the pooler's metrics.
 //
-// It owns its listener, its connections and its event loop, whose goroutine runs from Listen to Close, and descriptors of its own. It
-// answers from what was published last, so that a busy pooler keeps no operator waiting. It changes nothing in the pooler.
+// The server has its own listener, connections, file descriptors and event loop, whose goroutine runs from Listen to Close. It
+// answers from the metrics published last, so that its answers are not delayed when the pooler is busy. It never changes the
+// pooler's state.
 package admin
 
 import (
@@ -14,51 +16,52 @@
 )
 
 const (
-	// The server may use one descriptor in descriptorShare of the process's limit, within these bounds.
+	// The server may use 1/descriptorShare of the process's limit of file descriptors, but at least minDescriptors and at most
+	// maxDescriptors.
 	descriptorShare = 16
 	minDescriptors  = 2
 	maxDescriptors  = 24
 
-	callTimeout = 10 * time.Second // from the connection to the end of its call
+	callTimeout = 10 * time.Second // from the accept of a connection to the end of its call
 )
 
-// Descriptors returns how many descriptors the server may use of a limit.
+// Descriptors returns the number of file descriptors that the server may use if the process's limit is limit.
 func Descriptors(limit int) int {
 	return min(max(limit/descriptorShare, minDescriptors), maxDescriptors)
 }
 
-// Server answers operators.
+// Server is the admin server. It answers one call on each connection.
 type Server struct {
 	loop           *dispatch.EventLoop
 	listener       *transport.Listener
 	metrics        func() Metrics
-	connections    []*connection // in the order of their arrival
-	maxConnections int           // the one that has waited longest makes room
+	connections    []*connection // open connections, oldest first
+	maxConnections int           // at this number, the oldest connection is closed when another is accepted
 }
 
-// Listen opens the server, with so many descriptors, a third of them for connections that are being closed. metrics is called on the
-// server's own goroutine and must not wait.
+// Listen starts a server on addr that uses at most the given number of descriptors. It reserves a third of them for connections
+// that are being closed. The server calls metrics on its own goroutine; metrics must not block.
 func Listen(addr string, descriptors int, metrics func() Metrics) (*Server, error) {
-	s := &Server{loop: dispatch.NewEventLoop(), metrics: metrics, maxConnections: max(descriptors*2/3, 1)}
-	listener, err := transport.Listen(s.loop, transport.NewBudget(descriptors), addr, s.accept)
+	server := &Server{loop: dispatch.NewEventLoop(), metrics: metrics, maxConnections: max(descriptors*2/3, 1)}
+	listener, err := transport.Listen(server.loop, transport.NewBudget(descriptors), addr, server.accept)
 	if err != nil {
 		return nil, err
 	}
-	s.listener = listener
-	go s.loop.Run() // until Close
-	return s, nil
+	server.listener = listener
+	go server.loop.Run() // returns after Close
+	return server, nil
 }
 
-// Addr returns where the server listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// Close stops the server.
+// Close closes the listener and stops the event loop. It does not wait for the goroutine of the loop.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.loop.Stop()
 }
 
-// accept begins a connection.
+// accept starts the handling of a connection. If there are maxConnections already, it finishes the oldest one first.
 func (s *Server) accept(conn *transport.Conn) {
 	if len(s.connections) >= s.maxConnections {
 		s.connections[0].finish()
@@ -69,21 +72,21 @@
 	c.timeout = s.loop.After(callTimeout, c.finish)
 }
 
-// connection is one operator's. It gets one answer.
+// connection is a connection of an operator. It carries one call and its answer.
 type connection struct {
 	server  *Server
 	conn    *transport.Conn
-	line    []byte
-	timeout *dispatch.Timer
+	line    []byte          // received part of the call
+	timeout *dispatch.Timer // closes the connection after callTimeout
 }
 
-// finish closes the connection once the answer, if any, is written.
+// finish closes the connection once the answer, if any, has been written, and removes it from the server.
 func (c *connection) finish() {
 	c.conn.Finish()
 	c.Closed(nil)
 }
 
-// Closed forgets the connection.
+// Closed removes the connection from the server.
 func (c *connection) Closed(error) {
 	c.timeout.Stop()
 	if i := slices.Index(c.server.connections, c); i >= 0 {
@@ -91,9 +94,10 @@
 	}
 }
 
-// Data takes in what has come, and answers a complete call.
-func (c *connection) Data(_ time.Duration, b []byte) {
-	c.line = append(c.line, b...)
+// Data appends received bytes to the call. It answers the call once it is complete, or an error if it is malformed, and finishes
+// the connection.
+func (c *connection) Data(_ time.Duration, data []byte) {
+	c.line = append(c.line, data...)
 	call, complete, err := admin.Next(c.line)
 	switch {
 	case err != nil:
--- a/internal/pooler/admin/stored_test.go
+++ b/internal/pooler/admin/stored_test.go
@@ -9,8 +9,8 @@
 	"threadsail/internal/goldentest"
 )
 
-// everyFigure sets every figure that a pooler can report, each to a number of its own.
-func everyFigure() Metrics {
+// allMetrics returns Metrics in which every number that a pooler can report has a distinct value.
+func allMetrics() Metrics {
 	return Metrics{Serving: true, Reloads: 1, ReloadErrors: 2, PendingRequests: 3, Servers: 4, UnavailableServers: 5,
 		Classes: []dispatch.ClassCounters{{Class: "read", Served: 6, Rejected: 7, Failed: 8, Attempts: 9}, {Class: `a "quoted" class`, Served: 10}},
 		Lists:   []ListStatus{{Front: "postgres", Generation: 11, Taken: 12, Held: 13, Rejected: 14, Holding: true}, {Front: "mysql", Generation: 15}},
@@ -19,14 +19,14 @@
 			Poolers: 23, DocumentTransport: "gossip", Streams: 24, PoolersBehind: 25, OldestVersion: 26}}
 }
 
-// The operators' figures keep their names, labels and order.
+// TestStoredFigures checks that the metrics keep their names, labels and order, which operators' tools rely on.
 func TestStoredFigures(t *testing.T) {
-	goldentest.Check(t, "figures.txt", formatMetrics(everyFigure()))
-	f := everyFigure()
-	f.Fleet.DocumentsAge, f.Fleet.ReplicaWriteFailing, f.Fleet.JournalWriteFailing, f.Fleet.VoterWriteFailing = -1, false, false, false
-	for _, way := range []string{"stream", "distributor", "none"} {
-		f.Fleet.DocumentTransport = way
-		goldentest.Check(t, "figures-"+way+".txt", formatMetrics(f))
+	goldentest.Check(t, "figures.txt", formatMetrics(allMetrics()))
+	metrics := allMetrics()
+	metrics.Fleet.DocumentsAge, metrics.Fleet.ReplicaWriteFailing, metrics.Fleet.JournalWriteFailing, metrics.Fleet.VoterWriteFailing = -1, false, false, false
+	for _, documentTransport := range []string{"stream", "distributor", "none"} {
+		metrics.Fleet.DocumentTransport = documentTransport
+		goldentest.Check(t, "figures-"+documentTransport+".txt", formatMetrics(metrics))
 	}
 	goldentest.Check(t, "figures-alone.txt", formatMetrics(Metrics{}))
 }
