--- a/internal/pooler/upstream/conversation.go
+++ b/internal/pooler/upstream/conversation.go
@@ -8,8 +8,8 @@
 	"threadsail/internal/protocol"
 )
 
-// errStalled is the error of an answer that stalls before its end or exceeds maxReceivedBytes.
-var errStalled = errors.New("answer was not completed within the time and size limits")
+// errIncompleteAnswer is the error of an answer that stalls before its end or exceeds maxReceivedBytes.
+var errIncompleteAnswer = errors.New("answer was not completed within the time and size limits")
 
 // Protocol is the part of a Conversation that depends on the protocol.
 type Protocol interface {
@@ -28,7 +28,7 @@
 	Deadline        time.Duration // the client's deadline, on the loop's clock
 	IsProbe         bool
 	RequestSent     bool
-	ServerResponded bool   // the server sent something before the request, so time has passed since the attempt was scheduled
+	ServerResponded bool   // the server sent something before the request, so time has passed since the router chose the server
 	input           []byte // received bytes that are not handled yet
 }
 
@@ -38,7 +38,7 @@
 // Receive appends data to the input and passes each complete message to proto. It keeps an incomplete message for the next
 // call.
 func (c *Conversation) Receive(data []byte, proto Protocol) {
-	if !c.Received(len(data), c.RequestSent && !c.IsProbe, func() { proto.FailMalformed(errStalled) }) {
+	if !c.Received(len(data), c.RequestSent && !c.IsProbe, func() { proto.FailMalformed(errIncompleteAnswer) }) {
 		return
 	}
 	c.input = append(c.input, data...)
