--- a/internal/pooler/mysql/backend.go
+++ b/internal/pooler/mysql/backend.go
@@ -22,33 +22,33 @@
 }
 
 // Send starts an attempt at a *Command, whose client waits for left more.
-func (b *Backend) Send(addr string, payload any, left time.Duration, a dispatch.AttemptCallbacks) dispatch.Call {
+func (b *Backend) Send(addr string, payload any, timeLeft time.Duration, callbacks dispatch.AttemptCallbacks) dispatch.Call {
 	command := payload.(*Command)
-	x := b.newExchange(command, b.Loop.Now()+left)
-	x.text, x.columnsRenamed = translate.ForVersion(command.Text, b.Version(addr))
-	return x.start(addr, a)
+	e := b.newExchange(command, b.Loop.Now()+timeLeft)
+	e.text, e.columnsRenamed = translate.ForVersion(command.Text, b.Version(addr))
+	return e.start(addr, callbacks)
 }
 
 // Probe asks a server for its role, and a replica for its position.
 func (b *Backend) Probe(addr string, done func(dispatch.AttemptResult)) dispatch.Call {
 	start := func(done func(dispatch.AttemptResult)) dispatch.Call {
-		x := b.newExchange(&Command{Text: roleQuery}, b.Loop.Now()+b.ConnectTimeout)
-		x.text = roleQuery
-		x.IsProbe = true
-		return x.start(addr, upstream.ProbeAttempt(done))
+		e := b.newExchange(&Command{Text: roleQuery}, b.Loop.Now()+b.ConnectTimeout)
+		e.text = roleQuery
+		e.IsProbe = true
+		return e.start(addr, upstream.ProbeAttempt(done))
 	}
 	return upstream.StartStatusProbe(start, done)
 }
 
 // newExchange returns an exchange for a command, whose connection is not taken yet.
 func (b *Backend) newExchange(command *Command, deadline time.Duration) *exchange {
-	x := &exchange{backend: b, command: command, database: command.Database}
-	x.Account = &b.Account
-	x.Deadline = deadline
-	if x.database == "" {
-		x.database = b.Database
+	e := &exchange{backend: b, command: command, database: command.Database}
+	e.Account = &b.Account
+	e.Deadline = deadline
+	if e.database == "" {
+		e.database = b.Database
 	}
-	return x
+	return e
 }
 
 // connState is what is known of a connection to a server.
--- a/internal/pooler/mysql/cacheable.go
+++ b/internal/pooler/mysql/cacheable.go
@@ -4,10 +4,10 @@
 // set. ok is false for an error, and for an answer without rows.
 func Cacheable(answer any) (copied any, bytes int, ok bool) {
 	raw, ok := answer.([]byte)
-	const header = 4 // of the first packet; the payload of a result set's is its number of columns
-	if !ok || len(raw) <= header || raw[header] == 0 || raw[header] >= 0xfb {
+	const headerLength = 4 // of the first packet; the payload of a result set's is its number of columns
+	if !ok || len(raw) <= headerLength || raw[headerLength] == 0 || raw[headerLength] >= 0xfb {
 		return nil, 0, false
 	}
-	out := append([]byte(nil), raw...)
-	return out[:len(out):len(out)], len(out), true
+	clone := append([]byte(nil), raw...)
+	return clone[:len(clone):len(clone)], len(clone), true
 }
--- a/internal/pooler/mysql/cacheable_test.go
+++ b/internal/pooler/mysql/cacheable_test.go
@@ -8,16 +8,16 @@
 
 func TestCacheable(t *testing.T) {
 	rows := mysql.Append(mysql.Append(nil, 1, []byte{1}), 2, mysql.ColumnDef("val"))
-	kept, n, ok := Cacheable(rows)
-	if !ok || n != len(rows) || cap(kept.([]byte)) != n {
-		t.Fatalf("%v %v", n, ok)
+	copied, size, ok := Cacheable(rows)
+	if !ok || size != len(rows) || cap(copied.([]byte)) != size {
+		t.Fatalf("%v %v", size, ok)
 	}
-	if rows[4] = 9; kept.([]byte)[4] != 1 {
+	if rows[4] = 9; copied.([]byte)[4] != 1 {
 		t.Error("it is the server's own")
 	}
-	for _, other := range []any{mysql.Append(nil, 1, mysql.OK()), mysql.Append(nil, 1, mysql.Error(mysql.ErrParse, "42000", "x")), []byte{1, 2}, nil} {
-		if _, _, ok := Cacheable(other); ok {
-			t.Errorf("%v is kept", other)
+	for _, answer := range []any{mysql.Append(nil, 1, mysql.OK()), mysql.Append(nil, 1, mysql.Error(mysql.ErrParse, "42000", "x")), []byte{1, 2}, nil} {
+		if _, _, ok := Cacheable(answer); ok {
+			t.Errorf("%v is kept", answer)
 		}
 	}
 }
--- a/internal/pooler/mysql/commands.go
+++ b/internal/pooler/mysql/commands.go
@@ -10,14 +10,14 @@
 	"threadsail/internal/translate"
 )
 
-// errNotOwner is MySQL's ER_KILL_DENIED_ERROR.
-const errNotOwner = 1095
+// errKillDenied is MySQL's ER_KILL_DENIED_ERROR.
+const errKillDenied = 1095
 
 // killPayloadLength is that of COM_PROCESS_KILL: the command and a thread ID.
 const killPayloadLength = 5
 
-// hasAnswer tells whether a command gets an answer at all.
-func hasAnswer(command byte) bool {
+// expectsResponse tells whether a command gets an answer at all.
+func expectsResponse(command byte) bool {
 	return command != mysql.ComStmtClose && command != mysql.ComStmtSendLong
 }
 
@@ -167,7 +167,7 @@
 		s.writeError(mysql.ErrNoThread, "HY000", fmt.Sprintf("Unknown thread id: %d", kill.ID))
 		return
 	case other.login.user != s.login.user:
-		s.writeError(errNotOwner, "HY000", fmt.Sprintf("You are not owner of thread %d", kill.ID))
+		s.writeError(errKillDenied, "HY000", fmt.Sprintf("You are not owner of thread %d", kill.ID))
 		return
 	}
 	if other != s {
--- a/internal/pooler/mysql/exchange.go
+++ b/internal/pooler/mysql/exchange.go
@@ -48,25 +48,25 @@
 }
 
 // start takes a connection for the exchange.
-func (x *exchange) start(addr string, a dispatch.AttemptCallbacks) dispatch.Call {
-	x.Start(&x.backend.Connector, addr, x, a, func(state any) {
-		x.state = state.(*connState)
-		x.sendNext()
-	}, func() { x.state = &connState{} })
-	return x
+func (e *exchange) start(addr string, callbacks dispatch.AttemptCallbacks) dispatch.Call {
+	e.Start(&e.backend.Connector, addr, e, callbacks, func(state any) {
+		e.state = state.(*connState)
+		e.sendNext()
+	}, func() { e.state = &connState{} })
+	return e
 }
 
 // Data takes in what the server has sent.
-func (x *exchange) Data(_ time.Duration, b []byte) { x.Receive(b, x) }
+func (e *exchange) Data(_ time.Duration, data []byte) { e.Receive(data, e) }
 
 // Closed ends the exchange. Before the command's last byte has gone out nothing can have run.
-func (x *exchange) Closed(err error) { x.ConnClosed(err, x.RequestSent, x.FailMalformed) }
+func (e *exchange) Closed(err error) { e.ConnClosed(err, e.RequestSent, e.FailMalformed) }
 
 // FailMalformed is documented with upstream.Protocol.
-func (x *exchange) FailMalformed(err error) { x.EndMalformed(err) }
+func (e *exchange) FailMalformed(err error) { e.EndMalformed(err) }
 
 // NextMessage is documented with upstream.Protocol.
-func (x *exchange) NextMessage(input []byte) (n int, over bool, err error) {
+func (e *exchange) NextMessage(input []byte) (n int, done bool, err error) {
 	seq, payload, n, err := mysql.Next(input, mysql.MaxAnswer)
 	if err == nil && n > 0 && len(payload) == 0 {
 		err = mysql.ErrFraming
@@ -74,183 +74,183 @@
 	if err != nil || n == 0 {
 		return n, false, err
 	}
-	over, err = x.handlePacket(seq, append([]byte(nil), payload...), n == len(input))
-	return n, over, err
+	done, err = e.handlePacket(seq, append([]byte(nil), payload...), n == len(input))
+	return n, done, err
 }
 
 // handlePacket takes in one packet. over: the exchange has ended. last: no more bytes have come yet.
-func (x *exchange) handlePacket(seq byte, payload []byte, last bool) (over bool, err error) {
-	x.ServerResponded = true
-	if x.stage == awaitAnswer {
-		complete, err := x.answer.Feed(seq, payload)
+func (e *exchange) handlePacket(seq byte, payload []byte, inputDrained bool) (done bool, err error) {
+	e.ServerResponded = true
+	if e.stage == awaitAnswer {
+		complete, err := e.answer.Feed(seq, payload)
 		if err != nil || !complete {
 			return false, err
 		}
-		return x.finishAnswer(last), nil
+		return e.finishAnswer(inputDrained), nil
 	}
 	if payload[0] == packetError {
-		return x.handleRejection(payload)
+		return e.handleSetupError(payload)
 	}
-	switch x.stage {
+	switch e.stage {
 	case awaitGreeting:
-		err = x.handleGreeting(seq, payload)
+		err = e.handleGreeting(seq, payload)
 	case awaitLogin:
-		err = x.handleLogin(seq, payload)
+		err = e.handleLogin(seq, payload)
 	case awaitInitDB:
-		x.state.database = x.database
-		x.sendNext()
+		e.state.database = e.database
+		e.sendNext()
 	case awaitPrepare:
-		err = x.handlePrepared(payload)
+		err = e.handlePrepared(payload)
 	case awaitDefinitions:
-		x.definitionsLeft--
-		x.executeOncePrepared()
+		e.definitionsLeft--
+		e.executeOncePrepared()
 	}
-	return x.Finished(), err
+	return e.Finished(), err
 }
 
-// handleRejection ends an exchange whose command has never been sent. A statement that is wrong in itself gets the
+// handleSetupError ends an exchange whose command has never been sent. A statement that is wrong in itself gets the
 // server's own message; everything else counts as no connection made.
-func (x *exchange) handleRejection(payload []byte) (over bool, err error) {
+func (e *exchange) handleSetupError(payload []byte) (done bool, err error) {
 	code, sqlState, text, ok := mysql.ParseError(payload)
-	result := resultOf(code, sqlState)
-	if x.stage < awaitInitDB && result != policy.Overloaded || !ok {
-		x.LogFailure(text)
+	result := resultForError(code, sqlState)
+	if e.stage < awaitInitDB && result != policy.Overloaded || !ok {
+		e.LogFailure(text)
 		result = policy.ConnectFailed
 	}
 	switch result {
 	case policy.OK:
-		x.Result.Answer = mysql.Append(nil, 1, payload)
-		x.release(true)
+		e.Result.Answer = mysql.Append(nil, 1, payload)
+		e.release(true)
 	case policy.Misdirected:
-		x.Result.Role = policy.RoleReplica
-		x.release(true)
+		e.Result.Role = policy.RoleReplica
+		e.release(true)
 	case policy.ServerError:
 		result = policy.ConnectFailed
-		x.Conn.Close()
+		e.Conn.Close()
 	default:
-		x.Conn.Close()
+		e.Conn.Close()
 	}
-	x.Finish(result)
+	e.Finish(result)
 	return true, nil
 }
 
 // sendNext sends what is still to go before the command, or the command.
-func (x *exchange) sendNext() {
-	if x.state.database != x.database && !x.IsProbe {
-		x.stage = awaitInitDB
-		x.writeCommand(mysql.Command(mysql.ComInitDB, x.database))
+func (e *exchange) sendNext() {
+	if e.state.database != e.database && !e.IsProbe {
+		e.stage = awaitInitDB
+		e.writeCommand(mysql.Command(mysql.ComInitDB, e.database))
 		return
 	}
-	if !x.command.Prepared {
-		x.sendCommand(mysql.Command(mysql.ComQuery, x.queryText(x.TimeLeft())))
+	if !e.command.Prepared {
+		e.sendCommand(mysql.Command(mysql.ComQuery, e.queryText(e.TimeLeft())))
 		return
 	}
-	x.prepare()
+	e.prepare()
 }
 
 // queryText returns the text of a plain query, with the time that is left in its comment.
-func (x *exchange) queryText(left time.Duration) string {
-	text := x.command.queryText(left)
-	if x.text == x.command.Text {
+func (e *exchange) queryText(timeLeft time.Duration) string {
+	text := e.command.queryText(timeLeft)
+	if e.text == e.command.Text {
 		return text
 	}
-	text, _ = translate.ForVersion(text, x.backend.Version(x.Addr()))
+	text, _ = translate.ForVersion(text, e.backend.Version(e.Addr()))
 	return text
 }
 
 // writeCommand sends a command.
-func (x *exchange) writeCommand(payload []byte) { x.Conn.Write(mysql.Append(nil, 0, payload)) }
+func (e *exchange) writeCommand(payload []byte) { e.Conn.Write(mysql.Append(nil, 0, payload)) }
 
 // sendCommand sends the command itself, unless it must not be sent to this server any more.
-func (x *exchange) sendCommand(payload []byte) {
-	if x.Overtaken() {
-		x.release(true)
-		x.Finish(policy.Misdirected)
+func (e *exchange) sendCommand(payload []byte) {
+	if e.Overtaken() {
+		e.release(true)
+		e.Finish(policy.Misdirected)
 		return
 	}
-	x.stage = awaitAnswer
-	x.RequestSent = true
-	x.answer = &mysql.Answer{Binary: x.command.Prepared}
-	x.writeCommand(payload)
-	if !x.IsProbe {
-		x.RequestWritten()
+	e.stage = awaitAnswer
+	e.RequestSent = true
+	e.answer = &mysql.Answer{Binary: e.command.Prepared}
+	e.writeCommand(payload)
+	if !e.IsProbe {
+		e.RequestWritten()
 	}
 }
 
 // finishAnswer takes in a complete answer. A probe of a replica goes on with the heartbeat. over: the exchange has ended.
-func (x *exchange) finishAnswer(last bool) (over bool) {
-	if x.IsProbe && x.handleProbeAnswer() {
+func (e *exchange) finishAnswer(inputDrained bool) (done bool) {
+	if e.IsProbe && e.handleProbeAnswer() {
 		return false
 	}
-	x.release(last)
-	if x.answer.Err == nil {
-		x.Result.Answer = x.recodedAnswer()
-		x.Finish(policy.OK)
+	e.release(inputDrained)
+	if e.answer.Err == nil {
+		e.Result.Answer = e.clientAnswer()
+		e.Finish(policy.OK)
 		return true
 	}
-	code, sqlState, _, ok := mysql.ParseError(x.answer.Err)
-	result := resultOf(code, sqlState)
-	if !ok || x.IsProbe && result == policy.OK {
+	code, sqlState, _, ok := mysql.ParseError(e.answer.Err)
+	result := resultForError(code, sqlState)
+	if !ok || e.IsProbe && result == policy.OK {
 		result = policy.ServerError
 	}
 	switch result {
 	case policy.OK:
-		x.Result.Answer = x.recodedAnswer()
+		e.Result.Answer = e.clientAnswer()
 	case policy.Misdirected:
-		x.Result.Role = policy.RoleReplica
+		e.Result.Role = policy.RoleReplica
 	}
-	x.Finish(result)
+	e.Finish(result)
 	return true
 }
 
 // handleProbeAnswer takes in the answer to one query of a probe; true: another one follows.
-func (x *exchange) handleProbeAnswer() bool {
-	value, ok := mysql.TextColumn(x.answer.Row)
-	if !x.Result.Status.HasRole {
-		if x.answer.Err != nil || !ok {
+func (e *exchange) handleProbeAnswer() bool {
+	value, ok := mysql.TextColumn(e.answer.Row)
+	if !e.Result.Status.HasRole {
+		if e.answer.Err != nil || !ok {
 			return false
 		}
-		if !x.ReportRole(value == "0" || value == "OFF") {
+		if !e.ReportRole(value == "0" || value == "OFF") {
 			return false
 		}
-		x.sendCommand(mysql.Command(mysql.ComQuery, x.backend.Heartbeat))
+		e.sendCommand(mysql.Command(mysql.ComQuery, e.backend.Heartbeat))
 		return true
 	}
-	if x.answer.Err != nil { // the role is known all the same; the position stays unknown
-		x.LogFailure("the heartbeat query fails")
-		x.answer.Err = nil
+	if e.answer.Err != nil { // the role is known all the same; the position stays unknown
+		e.LogFailure("the heartbeat query fails")
+		e.answer.Err = nil
 	} else if ok {
-		x.ReportPosition(value)
+		e.ReportPosition(value)
 	}
 	return false
 }
 
-// recodedAnswer returns the answer as the client reads it: as the server gave it, unless the client writes in a charset of 8 bits, or
+// clientAnswer returns the answer as the client reads it: as the server gave it, unless the client writes in a charset of 8 bits, or
 // names or numbers in it are newer than the client.
-func (x *exchange) recodedAnswer() []byte {
-	packets := x.answer.Raw
-	if x.answer.Err != nil {
-		packets = mysql.Append(nil, 1, x.command.Client.OldError(x.answer.Err))
+func (e *exchange) clientAnswer() []byte {
+	packets := e.answer.Raw
+	if e.answer.Err != nil {
+		packets = mysql.Append(nil, 1, e.command.Client.OldError(e.answer.Err))
 	}
-	if !x.command.Client.Foreign() && !x.columnsRenamed {
+	if !e.command.Client.Foreign() && !e.columnsRenamed {
 		return packets
 	}
 	rename := translate.OldColumn
-	if !x.columnsRenamed {
+	if !e.columnsRenamed {
 		rename = nil
 	}
-	recoded, err := x.command.Client.Recode(packets, x.command.Prepared, rename)
+	recoded, err := e.command.Client.Recode(packets, e.command.Prepared, rename)
 	if err != nil { // the statement has run: its error says why nothing is seen of it
-		return x.command.Client.AppendError(nil, translate.AsError(err))
+		return e.command.Client.AppendError(nil, translate.AsError(err))
 	}
 	return recoded
 }
 
 // release gives the connection back. clean is false where more has come than the answer.
-func (x *exchange) release(clean bool) { x.ReleaseConn(clean, x.state) }
+func (e *exchange) release(clean bool) { e.ReleaseConn(clean, e.state) }
 
-// resultOf returns what a server's error means to the policy. OK: the statement itself is wrong, or breaks a constraint, wherever it
+// resultForError returns what a server's error means to the policy. OK: the statement itself is wrong, or breaks a constraint, wherever it
 // runs; the client must hear that from the server.
-func resultOf(code uint16, sqlState string) policy.Result {
+func resultForError(code uint16, sqlState string) policy.Result {
 	return translate.OfMySQL(code, sqlState).Result()
 }
--- a/internal/pooler/mysql/login.go
+++ b/internal/pooler/mysql/login.go
@@ -25,7 +25,7 @@
 		}
 		s.login.user = parsed.User
 		s.database = parsed.Database
-		s.client = clientOfLogin(&parsed)
+		s.client = clientFromLogin(&parsed)
 		if !parsed.IsNative() {
 			s.login.pluginSwitched = true
 			s.writePacket(seq+1, mysql.SwitchToNative(s.login.challenge))
@@ -33,7 +33,7 @@
 		}
 		response = parsed.Response
 	}
-	if !s.mayLogin(response) {
+	if !s.checkCredentials(response) {
 		s.writePacket(seq+1, mysql.Error(mysql.ErrAccessDenied, "28000", "Access denied"))
 		s.Finish()
 		return
@@ -42,8 +42,8 @@
 	s.writePacket(seq+1, mysql.OK())
 }
 
-// mayLogin checks the user and the password. Without a configured user every client may log in.
-func (s *session) mayLogin(response []byte) bool {
+// checkCredentials checks the user and the password. Without a configured user every client may log in.
+func (s *session) checkCredentials(response []byte) bool {
 	cfg := s.frontend.config
 	if cfg.ClientUser == "" {
 		return true
@@ -51,16 +51,16 @@
 	return s.login.user == cfg.ClientUser && mysql.PasswordFits(s.login.challenge, response, cfg.ClientPassword)
 }
 
-// clientOfLogin returns what a login tells of its client's program.
-func clientOfLogin(l *mysql.Login) translate.Client {
+// clientFromLogin returns what a login tells of its client's program.
+func clientFromLogin(request *mysql.Login) translate.Client {
 	client := translate.Client{Generation: translate.Gen80, Charset: translate.UTF8MB4}
 	switch {
-	case !l.PluginAuth():
+	case !request.PluginAuth():
 		client.Generation = translate.Gen50
-	case !l.TracksSessions():
+	case !request.TracksSessions():
 		client.Generation = translate.Gen55
 	}
-	if charset, ok := translate.CharsetOf(l.Collation); ok {
+	if charset, ok := translate.CharsetOf(request.Collation); ok {
 		client.Charset = charset
 	}
 	return client
--- a/internal/pooler/mysql/payload.go
+++ b/internal/pooler/mysql/payload.go
@@ -44,11 +44,11 @@
 }
 
 // queryText returns the statement as it is sent when the client waits for so long still.
-func (c *Command) queryText(left time.Duration) string {
+func (c *Command) queryText(timeLeft time.Duration) string {
 	if c.Comment == nil {
 		return c.Text
 	}
-	return comment.WithEpoch(c.Comment.WithPatience(c.Text, left), c.epoch)
+	return comment.WithEpoch(c.Comment.WithPatience(c.Text, timeLeft), c.epoch)
 }
 
 // Translated is a statement as PostgreSQL servers get it.
@@ -59,9 +59,9 @@
 }
 
 // Text returns the statement's SQL as it is sent when the client waits for so long still.
-func (t *Translated) Text(left time.Duration) string {
+func (t *Translated) Text(timeLeft time.Duration) string {
 	if t.comment == nil {
 		return t.SQL
 	}
-	return comment.WithEpoch(t.comment.WithPatience(t.SQL, left), t.epoch)
+	return comment.WithEpoch(t.comment.WithPatience(t.SQL, timeLeft), t.epoch)
 }
--- a/internal/pooler/mysql/request.go
+++ b/internal/pooler/mysql/request.go
@@ -59,14 +59,14 @@
 }
 
 // withDefaults returns the comment with the class and the cluster that the configuration names where it has none.
-func (s *session) withDefaults(own *comment.Comment, kind mysql.Kind) comment.Comment {
+func (s *session) withDefaults(parsed *comment.Comment, kind mysql.Kind) comment.Comment {
 	defaults := s.frontend.config.ReadDefault
 	if kind == mysql.Write {
 		defaults = s.frontend.config.WriteDefault
 	}
 	cm := comment.Comment{Group: -1}
-	if own != nil {
-		cm = *own
+	if parsed != nil {
+		cm = *parsed
 	}
 	if cm.Class == "" {
 		cm.Class = defaults.Class
--- a/internal/pooler/mysql/session.go
+++ b/internal/pooler/mysql/session.go
@@ -45,18 +45,18 @@
 }
 
 // Data takes in what the client has sent.
-func (s *session) Data(at time.Duration, b []byte) {
-	s.input = append(s.input, b...)
+func (s *session) Data(at time.Duration, data []byte) {
+	s.input = append(s.input, data...)
 	if len(s.input) > maxClientInput {
 		s.failRequest()
 		s.Finish()
 		return
 	}
-	s.takeIn(at)
+	s.processInput(at)
 }
 
-// takeIn takes in the packets that have come, until a command must wait for its answer.
-func (s *session) takeIn(at time.Duration) {
+// processInput takes in the packets that have come, until a command must wait for its answer.
+func (s *session) processInput(at time.Duration) {
 	s.handlePackets(at)
 	s.updateState()
 	s.CloseIfDue(true)
@@ -65,7 +65,7 @@
 // handlePackets takes packets until a command must wait for its answer.
 func (s *session) handlePackets(at time.Duration) {
 	for !s.current.busy && s.Connected() {
-		seq, p, n, err := mysql.Next(s.input, mysql.MaxCommand)
+		seq, packet, n, err := mysql.Next(s.input, mysql.MaxCommand)
 		switch {
 		case err != nil:
 			s.writePacket(1, mysql.Error(mysql.ErrTooBig, "08S01", "Got a packet bigger than 'max_allowed_packet' bytes"))
@@ -74,7 +74,7 @@
 		case n == 0:
 			return
 		}
-		payload := append([]byte(nil), p...)
+		payload := append([]byte(nil), packet...)
 		s.input = s.input[n:]
 		if len(s.input) == 0 {
 			s.input = nil // idle clients hold no memory
@@ -123,7 +123,7 @@
 	s.Conn.Write(packets)
 	s.updateState()
 	if len(s.input) > 0 {
-		s.frontend.loop.Post(func() { s.takeIn(s.frontend.loop.Now()) })
+		s.frontend.loop.Post(func() { s.processInput(s.frontend.loop.Now()) })
 		return
 	}
 	s.CloseIfDue(true)
@@ -139,10 +139,10 @@
 }
 
 // Reject tells the client that nothing has run, and when to come again.
-func (s *session) Reject(after time.Duration) {
+func (s *session) Reject(retryAfter time.Duration) {
 	text := rejectedText
-	if after > 0 {
-		text += fmt.Sprintf("; retry after %d ms", (after+time.Millisecond-1)/time.Millisecond)
+	if retryAfter > 0 {
+		text += fmt.Sprintf("; retry after %d ms", (retryAfter+time.Millisecond-1)/time.Millisecond)
 	}
 	s.answer(mysql.Append(nil, 1, mysql.Error(mysql.ErrConCount, "08004", text)))
 }
@@ -168,7 +168,7 @@
 			return
 		}
 		s.input = s.input[n:]
-		if hasAnswer(payload[0]) {
+		if expectsResponse(payload[0]) {
 			s.writeError(mysql.ErrInterrupted, "70100", shutdownText)
 		}
 	}
@@ -217,8 +217,8 @@
 }
 
 // writeUnsupported answers a command that the pooler does not support.
-func (s *session) writeUnsupported(what string) {
-	s.writeError(mysql.ErrNotSupported, "42000", "This pooler does not support "+what)
+func (s *session) writeUnsupported(feature string) {
+	s.writeError(mysql.ErrNotSupported, "42000", "This pooler does not support "+feature)
 }
 
 // writeTranslationError answers a statement that no server can be sent. Nothing has run.
--- a/internal/pooler/mysql/statements.go
+++ b/internal/pooler/mysql/statements.go
@@ -53,17 +53,17 @@
 }
 
 // appendPrepared appends the answer to PREPARE: a definition for each parameter, and no columns.
-func appendPrepared(out []byte, id uint32, params int) []byte {
-	out = mysql.Append(out, 1, mysql.PrepareOK{ID: id, Params: params}.Payload())
+func appendPrepared(dst []byte, id uint32, params int) []byte {
+	dst = mysql.Append(dst, 1, mysql.PrepareOK{ID: id, Params: params}.Payload())
 	if params == 0 {
-		return out
+		return dst
 	}
 	const firstSeq = 2
 	definition := mysql.ColumnDef("?")
 	for i := range params {
-		out = mysql.Append(out, byte(firstSeq+i), definition)
+		dst = mysql.Append(dst, byte(firstSeq+i), definition)
 	}
-	return mysql.Append(out, byte(firstSeq+params), mysql.EOF())
+	return mysql.Append(dst, byte(firstSeq+params), mysql.EOF())
 }
 
 // handleStatementCommand takes in a command on a prepared statement.
@@ -71,7 +71,7 @@
 	id, ok := mysql.StatementID(payload)
 	st := s.statements[id]
 	if !ok || st == nil {
-		if hasAnswer(payload[0]) {
+		if expectsResponse(payload[0]) {
 			s.writeError(mysql.ErrUnknownStmt, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
 		}
 		return
