--- a/internal/pooler/mysql/cacheable.go
+++ b/internal/pooler/mysql/cacheable.go
@@ -1,10 +1,10 @@
 package mysql
 
-// Cacheable returns a copy of an answer that may be given to other clients of the same cache variant, and its size in bytes: a result
-// set. ok is false for an error, and for an answer without rows.
+// Cacheable returns a copy of answer and its size in bytes if answer is a result set, which may be served to other clients with the
+// same cache variant. ok is false for an error and for an answer that is not a result set.
 func Cacheable(answer any) (copied any, bytes int, ok bool) {
 	raw, ok := answer.([]byte)
-	const headerLength = 4 // of the first packet; the payload of a result set's is its number of columns
+	const headerLength = 4 // of the first packet, whose payload is the number of columns if the answer is a result set
 	if !ok || len(raw) <= headerLength || raw[headerLength] == 0 || raw[headerLength] >= 0xfb {
 		return nil, 0, false
 	}
--- a/internal/pooler/mysql/cacheable_test.go
+++ b/internal/pooler/mysql/cacheable_test.go
@@ -10,14 +10,14 @@
 	rows := mysql.Append(mysql.Append(nil, 1, []byte{1}), 2, mysql.ColumnDef("val"))
 	copied, size, ok := Cacheable(rows)
 	if !ok || size != len(rows) || cap(copied.([]byte)) != size {
-		t.Fatalf("%v %v", size, ok)
+		t.Fatalf("Cacheable returns size %v, ok %v", size, ok)
 	}
 	if rows[4] = 9; copied.([]byte)[4] != 1 {
-		t.Error("it is the server's own")
+		t.Error("the copy shares memory with the server's answer")
 	}
 	for _, answer := range []any{mysql.Append(nil, 1, mysql.OK()), mysql.Append(nil, 1, mysql.Error(mysql.ErrParse, "42000", "x")), []byte{1, 2}, nil} {
 		if _, _, ok := Cacheable(answer); ok {
-			t.Errorf("%v is kept", answer)
+			t.Errorf("Cacheable(%v) reports ok; want not ok", answer)
 		}
 	}
 }
--- a/internal/pooler/mysql/commands.go
+++ b/internal/pooler/mysql/commands.go
@@ -10,18 +10,18 @@
 	"threadsail/internal/translate"
 )
 
-// errKillDenied is MySQL's ER_KILL_DENIED_ERROR.
+// errKillDenied is the code of MySQL's ER_KILL_DENIED_ERROR.
 const errKillDenied = 1095
 
-// killPayloadLength is that of COM_PROCESS_KILL: the command and a thread ID.
+// killPayloadLength is the length in bytes of a COM_PROCESS_KILL payload: the command byte and a thread ID.
 const killPayloadLength = 5
 
-// expectsResponse tells whether a command gets an answer at all.
+// expectsResponse reports whether the protocol defines a response to command.
 func expectsResponse(command byte) bool {
 	return command != mysql.ComStmtClose && command != mysql.ComStmtSendLong
 }
 
-// handleCommand takes in one command.
+// handleCommand executes, submits or rejects one command, which arrived at the time at.
 func (s *session) handleCommand(at time.Duration, payload []byte) {
 	switch payload[0] {
 	case mysql.ComQuit:
@@ -41,7 +41,7 @@
 	}
 }
 
-// handleSessionCommand answers a command that concerns the session alone.
+// handleSessionCommand answers a command that affects only the session, without a server. It rejects unknown commands.
 func (s *session) handleSessionCommand(payload []byte) {
 	switch payload[0] {
 	case mysql.ComPing:
@@ -59,7 +59,8 @@
 	}
 }
 
-// handleFieldList takes in a table's name, and a pattern, which clients that match by themselves leave empty.
+// handleFieldList handles COM_FIELD_LIST. Its arguments are a table name and a column pattern. Only an empty pattern is supported;
+// clients that filter the columns themselves send an empty one.
 func (s *session) handleFieldList(at time.Duration, arguments string) {
 	name, pattern, _ := strings.Cut(arguments, "\x00")
 	table, ok := s.decodeText(name)
@@ -76,7 +77,7 @@
 	s.current.fieldList = s.current.busy
 }
 
-// handleQuery takes in a statement as text.
+// handleQuery handles COM_QUERY, a statement in text form.
 func (s *session) handleQuery(at time.Duration, text string) {
 	if kill, ok := mysql.ParseKill(text); ok {
 		s.handleKill(kill)
@@ -108,7 +109,7 @@
 	}
 }
 
-// handleSet answers a SET that concerns the session alone.
+// handleSet answers a SET statement that affects only the session. SET NAMES changes the character set of the client.
 func (s *session) handleSet(scan mysql.Scan) {
 	if scan.Names != "" {
 		charset, ok := translate.CharsetNamed(scan.Names)
@@ -123,7 +124,7 @@
 	s.writeOK()
 }
 
-// checkSupported answers a statement that is not supported, and tells whether it is.
+// checkSupported reports whether a statement is supported. If it is not, checkSupported sends the client an error.
 func (s *session) checkSupported(scan mysql.Scan) bool {
 	switch {
 	case scan.Multi:
@@ -136,7 +137,7 @@
 	return false
 }
 
-// decodeText returns a client's text in UTF-8. Where that fails the client gets the error.
+// decodeText converts text from the client's character set to UTF-8. If that fails, it sends the client an error and returns false.
 func (s *session) decodeText(text string) (string, bool) {
 	if !s.client.Foreign() {
 		return text, true
@@ -149,7 +150,7 @@
 	return string(decoded), true
 }
 
-// handleProcessKill takes in the command's form of KILL.
+// handleProcessKill handles COM_PROCESS_KILL, the binary form of KILL CONNECTION.
 func (s *session) handleProcessKill(payload []byte) {
 	if len(payload) != killPayloadLength {
 		s.writeError(mysql.ErrHandshake, "08S01", "Malformed communication packet")
@@ -158,8 +159,9 @@
 	s.handleKill(mysql.Kill{ID: binary.LittleEndian.Uint32(payload[1:]), Connection: true})
 }
 
-// handleKill ends what another connection executes, at once, and that connection if it is to end. A command that has its answer is
-// not touched: a cancel never reaches the command after the one it was meant for, as far as its client could know.
+// handleKill cancels the command in flight of the session with the given thread ID immediately, and closes that session if
+// kill.Connection is set. A command that has already been answered is not affected, so a cancellation never hits a later command
+// than the one that the client meant, as far as the client can tell.
 func (s *session) handleKill(kill mysql.Kill) {
 	other := s.frontend.sessionsByThread[kill.ID]
 	switch {
@@ -184,7 +186,8 @@
 	}
 }
 
-// cancel ends the command in flight. The policy ends its attempt; it may have run, and goes on at a server that has begun it.
+// cancel abandons the command in flight and answers it with an error. The policy ends the attempt. The command may have been
+// executed, and a server that has started to execute it continues.
 func (s *session) cancel() {
 	s.current.request.HandleDisconnect()
 	code, state := translate.Cancelled.MySQL(s.client.Generation)
--- a/internal/pooler/mysql/exchange.go
+++ b/internal/pooler/mysql/exchange.go
@@ -10,7 +10,7 @@
 	"threadsail/internal/translate"
 )
 
-// stage is what an exchange waits for.
+// stage is the step of an exchange: the packet from the server that the exchange waits for.
 type stage uint8
 
 const (
@@ -18,11 +18,11 @@
 	awaitLogin
 	awaitInitDB
 	awaitPrepare     // the first packet of the answer to PREPARE
-	awaitDefinitions // and those that describe the statement
+	awaitDefinitions // the remaining packets of that answer, which describe parameters and columns
 	awaitAnswer
 )
 
-// The first bytes of packets that do not belong to a result set.
+// First bytes of packets that are not part of a result set.
 const (
 	packetOK         = 0x00
 	packetAuthMore   = 0x01
@@ -30,24 +30,24 @@
 	packetError      = 0xff
 )
 
-// exchange is one command on one connection, with what must go before it: the login, the database, the PREPARE. Until the command
-// itself is sent nothing can have run.
+// exchange is the execution of one command on one connection, including the setup that must precede the command: the login, the
+// selection of the database and the PREPARE. Nothing can have been executed before the command itself is sent.
 type exchange struct {
 	upstream.Conversation
 	backend         *Backend
 	command         *Command
-	text            string // of the command, as a server of its version knows it
-	columnsRenamed  bool   // columns of the answer have names that such a server knows
+	text            string // of the command, adapted to the version of the server
+	columnsRenamed  bool   // the adapted text makes the server return other column names than the client expects
 	database        string
 	state           *connState
 	stage           stage
-	challenge       []byte // of the login
-	definitionsLeft int    // packets of definitions still to come
+	challenge       []byte // sent by the server for the login
+	definitionsLeft int    // number of definition packets not received yet
 	statement       mysql.PrepareOK
 	answer          *mysql.Answer
 }
 
-// start takes a connection for the exchange.
+// start gets a connection to the server at addr and begins the exchange on it. callbacks receive the outcome.
 func (e *exchange) start(addr string, callbacks dispatch.AttemptCallbacks) dispatch.Call {
 	e.Start(&e.backend.Connector, addr, e, callbacks, func(state any) {
 		e.state = state.(*connState)
@@ -56,16 +56,16 @@
 	return e
 }
 
-// Data takes in what the server has sent.
+// Data processes bytes received from the server.
 func (e *exchange) Data(_ time.Duration, data []byte) { e.Receive(data, e) }
 
-// Closed ends the exchange. Before the command's last byte has gone out nothing can have run.
+// Closed ends the exchange when the connection is lost. Nothing can have been executed before the last byte of the command is sent.
 func (e *exchange) Closed(err error) { e.ConnClosed(err, e.RequestSent, e.FailMalformed) }
 
-// FailMalformed is documented with upstream.Protocol.
+// FailMalformed implements upstream.Protocol.
 func (e *exchange) FailMalformed(err error) { e.EndMalformed(err) }
 
-// NextMessage is documented with upstream.Protocol.
+// NextMessage implements upstream.Protocol.
 func (e *exchange) NextMessage(input []byte) (n int, done bool, err error) {
 	seq, payload, n, err := mysql.Next(input, mysql.MaxAnswer)
 	if err == nil && n > 0 && len(payload) == 0 {
@@ -78,7 +78,8 @@
 	return n, done, err
 }
 
-// handlePacket takes in one packet. over: the exchange has ended. last: no more bytes have come yet.
+// handlePacket processes one packet from the server and reports whether the exchange has ended. inputDrained is true if no bytes
+// after the packet have been received yet.
 func (e *exchange) handlePacket(seq byte, payload []byte, inputDrained bool) (done bool, err error) {
 	e.ServerResponded = true
 	if e.stage == awaitAnswer {
@@ -108,8 +109,9 @@
 	return e.Finished(), err
 }
 
-// handleSetupError ends an exchange whose command has never been sent. A statement that is wrong in itself gets the
-// server's own message; everything else counts as no connection made.
+// handleSetupError ends an exchange after an error packet that arrived before the command was sent. If the statement itself is
+// wrong, the server's error becomes the answer. Malformed error packets, server errors and all login errors but an overload count as a
+// failed connection.
 func (e *exchange) handleSetupError(payload []byte) (done bool, err error) {
 	code, sqlState, text, ok := mysql.ParseError(payload)
 	result := resultForError(code, sqlState)
@@ -134,7 +136,7 @@
 	return true, nil
 }
 
-// sendNext sends what is still to go before the command, or the command.
+// sendNext sends the next setup command that the connection still needs, or else the command itself.
 func (e *exchange) sendNext() {
 	if e.state.database != e.database && !e.IsProbe {
 		e.stage = awaitInitDB
@@ -148,7 +150,8 @@
 	e.prepare()
 }
 
-// queryText returns the text of a plain query, with the time that is left in its comment.
+// queryText returns the text of a COM_QUERY command for the version of the server. If the statement has a comment, the comment
+// carries timeLeft.
 func (e *exchange) queryText(timeLeft time.Duration) string {
 	text := e.command.queryText(timeLeft)
 	if e.text == e.command.Text {
@@ -158,10 +161,11 @@
 	return text
 }
 
-// writeCommand sends a command.
+// writeCommand writes a command packet to the connection.
 func (e *exchange) writeCommand(payload []byte) { e.Conn.Write(mysql.Append(nil, 0, payload)) }
 
-// sendCommand sends the command itself, unless it must not be sent to this server any more.
+// sendCommand sends the command itself. If the command must not be sent to this server any more, sendCommand releases the
+// connection and finishes the exchange as misdirected.
 func (e *exchange) sendCommand(payload []byte) {
 	if e.Overtaken() {
 		e.release(true)
@@ -177,7 +181,8 @@
 	}
 }
 
-// finishAnswer takes in a complete answer. A probe of a replica goes on with the heartbeat. over: the exchange has ended.
+// finishAnswer processes a complete answer and reports whether the exchange has ended. A probe of a replica continues with the
+// heartbeat query. inputDrained is true if no bytes after the answer have been received yet.
 func (e *exchange) finishAnswer(inputDrained bool) (done bool) {
 	if e.IsProbe && e.handleProbeAnswer() {
 		return false
@@ -203,7 +208,7 @@
 	return true
 }
 
-// handleProbeAnswer takes in the answer to one query of a probe; true: another one follows.
+// handleProbeAnswer records the answer to one query of a probe and reports whether it has sent another query.
 func (e *exchange) handleProbeAnswer() bool {
 	value, ok := mysql.TextColumn(e.answer.Row)
 	if !e.Result.Status.HasRole {
@@ -216,7 +221,7 @@
 		e.sendCommand(mysql.Command(mysql.ComQuery, e.backend.Heartbeat))
 		return true
 	}
-	if e.answer.Err != nil { // the role is known all the same; the position stays unknown
+	if e.answer.Err != nil { // the role is known, only the position stays unknown
 		e.LogFailure("the heartbeat query fails")
 		e.answer.Err = nil
 	} else if ok {
@@ -225,8 +230,8 @@
 	return false
 }
 
-// clientAnswer returns the answer as the client reads it: as the server gave it, unless the client writes in a charset of 8 bits, or
-// names or numbers in it are newer than the client.
+// clientAnswer returns the answer in the form that the client expects. It is the server's answer unless the client uses an 8-bit
+// character set, or the answer has column names or error codes that are newer than the client.
 func (e *exchange) clientAnswer() []byte {
 	packets := e.answer.Raw
 	if e.answer.Err != nil {
@@ -240,17 +245,18 @@
 		rename = nil
 	}
 	recoded, err := e.command.Client.Recode(packets, e.command.Prepared, rename)
-	if err != nil { // the statement has run: its error says why nothing is seen of it
+	if err != nil { // the statement has been executed; the error says why its result can't be shown
 		return e.command.Client.AppendError(nil, translate.AsError(err))
 	}
 	return recoded
 }
 
-// release gives the connection back. clean is false where more has come than the answer.
+// release returns the connection to the pool. clean is false if bytes after the answer have been received; the connection is then
+// closed.
 func (e *exchange) release(clean bool) { e.ReleaseConn(clean, e.state) }
 
-// resultForError returns what a server's error means to the policy. OK: the statement itself is wrong, or breaks a constraint, wherever it
-// runs; the client must hear that from the server.
+// resultForError returns the policy's result for an error from a server. The result is policy.OK if the statement would fail on any
+// server, because it is wrong or violates a constraint; the server's error is then sent to the client.
 func resultForError(code uint16, sqlState string) policy.Result {
 	return translate.OfMySQL(code, sqlState).Result()
 }
--- a/internal/pooler/mysql/exchange_prepare.go
+++ b/internal/pooler/mysql/exchange_prepare.go
@@ -7,13 +7,13 @@
 	"threadsail/internal/protocol/mysql"
 )
 
-// What goes before the command on a connection: the login, and the PREPARE of its statement.
+// The steps of an exchange that precede its command: the login and the PREPARE of its statement.
 
-// errLoginNotOK tells that a server answers the login by something else than OK.
-var errLoginNotOK = errors.New("the login is not answered by OK")
+// errLoginNotOK is logged if a server answers the login with an unexpected packet instead of OK.
+var errLoginNotOK = errors.New("login response is not an OK packet")
 
-// handleGreeting answers the server's greeting with the login. The database follows it: a client that names an unknown one must not
-// look like a lost server.
+// handleGreeting answers the server's greeting with the login, which names no database. The database is selected after the login, so
+// that an unknown database named by a client is not mistaken for a failed connection.
 func (e *exchange) handleGreeting(seq byte, payload []byte) error {
 	greeting, err := mysql.ParseGreeting(payload)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// handleLogin goes on with the login.
+// handleLogin processes the server's response to a login packet. It returns errLoginNotOK for an unexpected packet.
 func (e *exchange) handleLogin(seq byte, payload []byte) error {
 	switch payload[0] {
 	case packetAuthSwitch:
@@ -43,7 +43,7 @@
 	return errLoginNotOK
 }
 
-// switchAuth answers by the plugin that the server asks for.
+// switchAuth answers the server's request for another authentication plugin.
 func (e *exchange) switchAuth(seq byte, payload []byte) error {
 	plugin, challenge, err := mysql.ParseSwitch(payload)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// prepare executes a statement that is prepared on the connection, or prepares it.
+// prepare executes the statement if it is already prepared on the connection, or else sends its PREPARE.
 func (e *exchange) prepare() {
 	if statement, ok := e.state.prepared.Get(e.preparedKey()); ok {
 		e.statement = statement
@@ -70,17 +70,17 @@
 	e.writeCommand(mysql.Command(mysql.ComStmtPrepare, e.text))
 }
 
-// preparedKey returns the key of the statement among those of the connection.
+// preparedKey returns the key of the statement in connState.prepared.
 func (e *exchange) preparedKey() string { return e.database + "\x00" + e.text }
 
-// handlePrepared takes in the answer to PREPARE.
+// handlePrepared processes the first packet of the answer to PREPARE.
 func (e *exchange) handlePrepared(payload []byte) error {
 	statement, err := mysql.ParsePrepareOK(payload)
 	e.statement = statement
 	if err != nil {
 		return err
 	}
-	if statement.Params != e.command.ParamCount { // the frontend's count differs: the values can't be laid out
+	if statement.Params != e.command.ParamCount { // the frontend counted differently, so the parameter values can't be encoded
 		e.Result.Answer = mysql.Append(nil, 1, mysql.Error(mysql.ErrWrongArgs, "HY000",
 			"the server counts other parameters in this statement"))
 		e.Conn.Close()
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// definitionPackets returns how many packets define n parameters or columns: one each, and an EOF.
+// definitionPackets returns the number of packets that describe n parameters or columns: one for each, then an EOF if n > 0.
 func definitionPackets(n int) int {
 	if n == 0 {
 		return 0
@@ -101,8 +101,8 @@
 	return n + 1
 }
 
-// executeOncePrepared executes the statement once all its definitions have come. The oldest statement of the connection is closed
-// where there are too many.
+// executeOncePrepared executes the statement when all its definition packets have been received. If the connection has too many
+// prepared statements, it first closes the oldest one.
 func (e *exchange) executeOncePrepared() {
 	if e.definitionsLeft > 0 {
 		return
@@ -114,7 +114,7 @@
 	e.sendExecute()
 }
 
-// sendExecute sends the statement's parameters and has it executed.
+// sendExecute sends the long parameter values of the statement and its EXECUTE.
 func (e *exchange) sendExecute() {
 	for _, data := range e.command.LongData {
 		e.writeCommand(data.Payload(e.statement.ID))
--- a/internal/pooler/mysql/frontend.go
+++ b/internal/pooler/mysql/frontend.go
@@ -1,11 +1,11 @@
-// Package mysql joins the MySQL protocol to the dispatcher: a frontend that accepts clients and their statements, prepared ones too,
-// and a backend that takes attempts and probes to MySQL servers.
+// Package mysql connects the MySQL protocol to the dispatcher: a frontend that accepts clients and their statements, including
+// prepared statements, and a backend that sends attempts and probes to MySQL servers.
 //
-// It decides what a packet means, which statements are supported, and whether a server's answer is well formed. It owns the
-// sessions of its clients with their prepared statements, which outlive any server, and the attempts in flight. Everything runs on
-// the worker's event loop. Which server gets a command, and whether it is sent again, is decided by package policy; packages
-// frontend and upstream hold what the protocols share; package translating takes the commands of this package's clients to
-// PostgreSQL servers.
+// The package interprets packets, decides which statements are supported, and checks that servers' answers are well formed. It owns
+// the attempts in flight and the sessions of its clients. A session's prepared statements outlive any server connection. All code
+// runs on the worker's event loop. Package policy chooses the server for a command and decides on retries. Packages frontend and
+// upstream hold the code that the protocols share. Package translating sends the commands of this package's clients to PostgreSQL
+// servers.
 package mysql
 
 import (
@@ -20,22 +20,22 @@
 	"threadsail/internal/transport"
 )
 
-// challengeLength is how many random bytes a server sends for the login.
+// challengeLength is the length in bytes of the random challenge that a server sends for the login.
 const challengeLength = 20
 
-// Frontend accepts MySQL clients.
+// Frontend is the MySQL frontend: it accepts the connections of MySQL clients.
 type Frontend struct {
 	*frontend.Clients
 	loop             *dispatch.EventLoop
 	dispatcher       *dispatch.Dispatcher
 	config           *config.MySQL
-	routes           *routes.Table // what the servers speak
+	routes           *routes.Table // protocols of the servers
 	lastThreadID     uint32
-	sessionsByThread map[uint32]*session // by the thread ID that each client was sent at its login
+	sessionsByThread map[uint32]*session // keyed by the thread ID sent to the client in the greeting
 }
 
-// Listen starts a frontend for the clients that the limiter admits; listen opens its socket. It must be called before the event
-// loop runs.
+// Listen starts a frontend that accepts the clients admitted by limiter. listen opens its socket. Listen must be called before the
+// event loop runs.
 func Listen(loop *dispatch.EventLoop, listen frontend.ListenFunc, dispatcher *dispatch.Dispatcher, cfg *config.MySQL, limiter *connlimit.Limiter,
 	table *routes.Table) (*Frontend, error) {
 	f := &Frontend{
@@ -49,7 +49,7 @@
 	return f, f.Listen(listen, f.accept)
 }
 
-// accept begins the session of a new connection.
+// accept starts the session of a new connection, or rejects the connection if the limiter does not admit it.
 func (f *Frontend) accept(conn *transport.Conn) {
 	s := &session{frontend: f, login: login{challenge: newChallenge()}, statements: map[uint32]*statement{}}
 	if !s.Connect(f.Clients, conn, s) {
@@ -62,7 +62,7 @@
 	conn.Write(mysql.AppendGreeting(nil, s.threadID, s.login.challenge))
 }
 
-// nextThreadID returns a number that no connected client has. It is never 0.
+// nextThreadID returns a thread ID that no connected client has. It never returns 0.
 func (f *Frontend) nextThreadID() uint32 {
 	f.lastThreadID++
 	for f.lastThreadID == 0 || f.sessionsByThread[f.lastThreadID] != nil {
@@ -71,7 +71,8 @@
 	return f.lastThreadID
 }
 
-// newChallenge draws the bytes for a login, none of them 0 or '$', which end or split strings in some clients.
+// newChallenge returns a random login challenge. It consists of capital letters, because the bytes 0 and '$' end or split strings in
+// some clients.
 func newChallenge() []byte {
 	const letters = 26
 	challenge := make([]byte, challengeLength)
--- a/internal/pooler/mysql/login.go
+++ b/internal/pooler/mysql/login.go
@@ -5,15 +5,15 @@
 	"threadsail/internal/translate"
 )
 
-// login is where a client's login stands.
+// login is the state of a client's login.
 type login struct {
 	challenge      []byte
 	user           string
-	pluginSwitched bool // the client was asked to answer by the native password plugin
+	pluginSwitched bool // the client was sent a request to switch to the native password plugin
 	done           bool
 }
 
-// handleLogin takes in a packet of the login.
+// handleLogin processes a login packet of the client. It closes the session if the packet is malformed or access is denied.
 func (s *session) handleLogin(seq byte, payload []byte) {
 	response := payload
 	if !s.login.pluginSwitched {
@@ -42,7 +42,7 @@
 	s.writePacket(seq+1, mysql.OK())
 }
 
-// checkCredentials checks the user and the password. Without a configured user every client may log in.
+// checkCredentials reports whether the user and the password are correct. Without a configured user, every client may log in.
 func (s *session) checkCredentials(response []byte) bool {
 	cfg := s.frontend.config
 	if cfg.ClientUser == "" {
@@ -51,7 +51,7 @@
 	return s.login.user == cfg.ClientUser && mysql.PasswordFits(s.login.challenge, response, cfg.ClientPassword)
 }
 
-// clientFromLogin returns what a login tells of its client's program.
+// clientFromLogin derives the generation of the client's library and its character set from a login packet.
 func clientFromLogin(request *mysql.Login) translate.Client {
 	client := translate.Client{Generation: translate.Gen80, Charset: translate.UTF8MB4}
 	switch {
--- a/internal/pooler/mysql/payload.go
+++ b/internal/pooler/mysql/payload.go
@@ -8,10 +8,10 @@
 	"threadsail/internal/translate"
 )
 
-// Command is the payload of a request.
+// Command is the payload of a request: a statement with its parameters and the properties of the client that sent it.
 type Command struct {
 	Text       string
-	Comment    *comment.Comment // nil: the statement has none
+	Comment    *comment.Comment // nil if the statement has none
 	Database   string
 	Prepared   bool
 	ParamCount int
@@ -19,18 +19,20 @@
 	LongData   []mysql.LongData
 
 	Client      translate.Client
-	Translated  *Translated    // for servers of the other protocol; nil: its cluster had none when the command came
-	utf8Execute *mysql.Execute // Execute with its texts in UTF-8, where the client's are not; nil: they are
+	Translated  *Translated    // for PostgreSQL servers; nil if the cluster had none when the command arrived
+	utf8Execute *mysql.Execute // Execute with its texts converted to UTF-8; nil if no conversion is needed
 
 	translate func() (*Translated, error)
-	epoch     uint64 // of the shard map; 0: none
+	epoch     uint64 // of the shard map; 0 if none
 }
 
-// SetEpoch is documented with dispatch.EpochCarrier. A prepared statement's text stays as it was prepared, without an epoch.
+// SetEpoch implements dispatch.EpochCarrier. The text of a prepared statement is not changed after its preparation and carries no
+// epoch.
 func (c *Command) SetEpoch(epoch uint64) { c.epoch = epoch }
 
-// ForPostgres returns the command as PostgreSQL servers get it. The command may have come while its cluster had no such server, and
-// be sent, after a wait for a primary, when it has one: what can't be translated fails then, before anything is sent.
+// ForPostgres returns the command translated for PostgreSQL servers, or an error if it can't be translated. The command may have
+// arrived when its cluster had no PostgreSQL server, and be sent to one after a wait for a primary. It is then translated here, and a
+// command that can't be translated fails before anything is sent.
 func (c *Command) ForPostgres() (*Translated, error) {
 	if c.Translated == nil {
 		translated, err := c.translate()
@@ -43,7 +45,8 @@
 	return c.Translated, nil
 }
 
-// queryText returns the statement as it is sent when the client waits for so long still.
+// queryText returns the text of the statement to send. If the statement has a comment, the comment carries timeLeft, the time until
+// the client's deadline, and the epoch.
 func (c *Command) queryText(timeLeft time.Duration) string {
 	if c.Comment == nil {
 		return c.Text
@@ -51,14 +54,15 @@
 	return comment.WithEpoch(c.Comment.WithPatience(c.Text, timeLeft), c.epoch)
 }
 
-// Translated is a statement as PostgreSQL servers get it.
+// Translated is a statement translated for PostgreSQL servers.
 type Translated struct {
 	translate.Statement
-	comment *comment.Comment // nil: the statement has none
-	epoch   uint64           // of the shard map; 0: none
+	comment *comment.Comment // nil if the statement has none
+	epoch   uint64           // of the shard map; 0 if none
 }
 
-// Text returns the statement's SQL as it is sent when the client waits for so long still.
+// Text returns the SQL of the statement to send. If the statement has a comment, the comment carries timeLeft, the time until the
+// client's deadline, and the epoch.
 func (t *Translated) Text(timeLeft time.Duration) string {
 	if t.comment == nil {
 		return t.SQL
--- a/internal/pooler/mysql/request.go
+++ b/internal/pooler/mysql/request.go
@@ -12,10 +12,11 @@
 	"threadsail/internal/translate"
 )
 
-// errWriteInReadClass tells that a comment names a class of reads for a statement that may write. Clients are sent its text as it is.
+// errWriteInReadClass is returned if a comment names a read class for a statement that may write. Its text is sent to clients.
 var errWriteInReadClass = errors.New("comment: a statement that may write is in a class of reads")
 
-// parseComment reads the comment of a statement; nil: it has none. Where it is wrong the client gets the error.
+// parseComment returns the comment of a statement, or nil if there is none. If the comment is invalid, parseComment sends the client
+// an error and returns false.
 func (s *session) parseComment(text string) (*comment.Comment, bool) {
 	cm, err := comment.Parse(text)
 	if errors.Is(err, comment.ErrNone) {
@@ -28,8 +29,8 @@
 	return &cm, true
 }
 
-// submit hands a statement to the dispatcher, by its comment or by the defaults of its kind. st is the prepared statement that it
-// executes; nil: none.
+// submit passes a command to the dispatcher, with the class and cluster from its comment or from the defaults for kind. st is the
+// prepared statement that the command executes, or nil. If the command is invalid, submit sends the client an error instead.
 func (s *session) submit(at time.Duration, kind mysql.Kind, cmd *Command, st *statement) {
 	cm := s.withDefaults(cmd.Comment, kind)
 	class, info, err := s.checkComment(cm, kind)
@@ -58,7 +59,7 @@
 	s.current.request = s.frontend.dispatcher.Submit(request)
 }
 
-// withDefaults returns the comment with the class and the cluster that the configuration names where it has none.
+// withDefaults returns the comment, with the configured default class and cluster where it names none. parsed may be nil.
 func (s *session) withDefaults(parsed *comment.Comment, kind mysql.Kind) comment.Comment {
 	defaults := s.frontend.config.ReadDefault
 	if kind == mysql.Write {
@@ -77,8 +78,8 @@
 	return cm
 }
 
-// checkComment returns the class that a comment names, or what is wrong with the comment. A prepared statement's comment is the
-// same at each EXECUTE: only an ID that is in flight now can't be told apart.
+// checkComment returns the class that a comment names, or an error if the comment is invalid. A prepared statement's comment is the
+// same at each EXECUTE, so only a request ID that is in flight is rejected as a duplicate.
 func (s *session) checkComment(cm comment.Comment, kind mysql.Kind) (int, policy.Class, error) {
 	class, info, err := s.frontend.Class(cm)
 	if err != nil {
@@ -90,8 +91,9 @@
 	return class, info, s.frontend.CheckRequestID(cm.ID)
 }
 
-// cacheVariant returns what else a command's answer depends on; empty: it must not be cached. Parameters are not in the text, and a
-// class by default was not chosen for this statement, which may ask for anything.
+// cacheVariant returns a key for the properties besides the text that a command's answer depends on, or "" if the answer must not
+// be cached. Prepared statements are not cached, because their parameters are not in the text. Statements in a default class are not
+// cached either, because the class was not chosen for them and they may query anything.
 func (s *session) cacheVariant(cmd *Command) string {
 	if cmd.Prepared || cmd.Comment == nil || cmd.Comment.Class == "" {
 		return ""
@@ -99,8 +101,8 @@
 	return fmt.Sprintf("%v %s", s.client, cmd.Database)
 }
 
-// prepareForServers makes a command ready for the servers of a cluster. What can't be translated fails for the whole cluster: the
-// same statement must not be served by one server and not by the next.
+// prepareForServers translates and recodes a command for the servers of a cluster. If the cluster needs translation and the command
+// can't be translated, it fails for the whole cluster, so that a statement never succeeds on one server and fails on another.
 func (s *session) prepareForServers(cmd *Command, st *statement, cluster int) error {
 	cmd.Client = s.client
 	cmd.translate = func() (*Translated, error) { return s.translateOnce(cmd, st) }
@@ -117,7 +119,8 @@
 	return err
 }
 
-// translateOnce translates a command; a prepared statement keeps its translation for the next EXECUTE.
+// translateOnce translates a command to PostgreSQL. It stores the translation in the prepared statement st, if not nil, for the next
+// EXECUTE.
 func (s *session) translateOnce(cmd *Command, st *statement) (*Translated, error) {
 	if st != nil && st.translated != nil {
 		return st.translated, nil
@@ -129,7 +132,8 @@
 	return translated, err
 }
 
-// translateToPostgres returns a statement for PostgreSQL servers. Its comment keeps its place in what is sent.
+// translateToPostgres translates a statement for PostgreSQL servers. The statement's comment stays in its place in the translated
+// text.
 func (s *session) translateToPostgres(text string, params int) (*Translated, error) {
 	if _, err := translate.UTF8MB4.Decode([]byte(text)); err != nil {
 		return nil, err
--- a/internal/pooler/mysql/session.go
+++ b/internal/pooler/mysql/session.go
@@ -11,40 +11,40 @@
 	"threadsail/internal/translate"
 )
 
-// maxClientInput bounds the bytes of commands that a client has sent and that are not taken in yet.
+// maxClientInput is the maximum size in bytes of the received client input that has not been processed yet.
 const maxClientInput = 2 * mysql.MaxCommand
 
-// The texts that clients get where no answer can be had.
+// Error messages sent to clients whose command gets no answer from a server.
 const (
 	shutdownText = "Query execution was interrupted: the server is shutting down"
 	failedText   = "Query execution was interrupted: no answer in time; the statement may have run"
 	rejectedText = "Too many connections: no server can take this statement now; nothing has run"
 )
 
-// session is one client's connection. It carries one command at a time; what comes meanwhile waits. It is the dispatch.Replier of
-// its requests.
+// session is the session of one client connection. It executes one command at a time and buffers the input that arrives meanwhile.
+// It is the dispatch.Replier of its requests.
 type session struct {
 	frontend.Client
 	frontend        *Frontend
 	login           login
 	threadID        uint32
-	client          translate.Client // what the client's program understands
+	client          translate.Client // protocol generation and character set of the client
 	database        string
 	input           []byte
 	current         current
-	statements      map[uint32]*statement // prepared, by ID
+	statements      map[uint32]*statement // prepared statements, keyed by ID
 	lastStatementID uint32
 }
 
-// current is the command in flight.
+// current is the state of the command in flight.
 type current struct {
 	busy      bool
 	requestID string
-	request   *dispatch.OpenRequest // nil: there is none, or it is abandoned
-	fieldList bool                  // the client wants the columns of its answer only
+	request   *dispatch.OpenRequest // nil if there is none or it is abandoned
+	fieldList bool                  // the command is COM_FIELD_LIST, which returns only the columns
 }
 
-// Data takes in what the client has sent.
+// Data processes bytes received from the client. It closes the session if the buffered input exceeds maxClientInput.
 func (s *session) Data(at time.Duration, data []byte) {
 	s.input = append(s.input, data...)
 	if len(s.input) > maxClientInput {
@@ -55,14 +55,14 @@
 	s.processInput(at)
 }
 
-// processInput takes in the packets that have come, until a command must wait for its answer.
+// processInput processes the buffered packets until a command must wait for its answer, then updates the state of the session.
 func (s *session) processInput(at time.Duration) {
 	s.handlePackets(at)
 	s.updateState()
 	s.CloseIfDue(true)
 }
 
-// handlePackets takes packets until a command must wait for its answer.
+// handlePackets processes the buffered packets until a command must wait for its answer or the session ends.
 func (s *session) handlePackets(at time.Duration) {
 	for !s.current.busy && s.Connected() {
 		seq, packet, n, err := mysql.Next(s.input, mysql.MaxCommand)
@@ -77,13 +77,13 @@
 		payload := append([]byte(nil), packet...)
 		s.input = s.input[n:]
 		if len(s.input) == 0 {
-			s.input = nil // idle clients hold no memory
+			s.input = nil // release the buffer, so that idle clients use no memory
 		}
 		s.handlePacket(at, seq, payload)
 	}
 }
 
-// handlePacket takes in one packet: of the login, or a command.
+// handlePacket processes one packet, which belongs to the login or is a command.
 func (s *session) handlePacket(at time.Duration, seq byte, payload []byte) {
 	switch {
 	case !s.login.done:
@@ -96,7 +96,7 @@
 	}
 }
 
-// updateState tells the connection limiter what the client is doing.
+// updateState reports the state of the session to the connection limiter.
 func (s *session) updateState() {
 	state := connlimit.Idle
 	switch {
@@ -110,7 +110,8 @@
 	s.SetState(state)
 }
 
-// answer gives the command in flight its final answer, unless it has been abandoned, and goes on with what has come meanwhile.
+// answer sends the final answer of the command in flight, unless the command has been abandoned, and schedules the processing of the
+// input received meanwhile.
 func (s *session) answer(packets []byte) {
 	if s.current.request == nil {
 		return
@@ -129,7 +130,7 @@
 	s.CloseIfDue(true)
 }
 
-// Serve passes on the server's answer to the command in flight.
+// Serve sends the client the server's answer to the command in flight.
 func (s *session) Serve(answer any) {
 	packets := answer.([]byte)
 	if s.current.fieldList {
@@ -138,7 +139,8 @@
 	s.answer(packets)
 }
 
-// Reject tells the client that nothing has run, and when to come again.
+// Reject answers the command in flight with an error which states that nothing was executed and, if retryAfter is positive, when to
+// retry.
 func (s *session) Reject(retryAfter time.Duration) {
 	text := rejectedText
 	if retryAfter > 0 {
@@ -147,12 +149,12 @@
 	s.answer(mysql.Append(nil, 1, mysql.Error(mysql.ErrConCount, "08004", text)))
 }
 
-// Fail tells the client that its command may have run.
+// Fail answers the command in flight with an error which states that the command may have been executed.
 func (s *session) Fail() {
 	s.answer(mysql.Append(nil, 1, mysql.Error(mysql.ErrInterrupted, "70100", failedText)))
 }
 
-// failRequest answers the command in flight, if there is one.
+// failRequest abandons the command in flight, if there is one, and fails it.
 func (s *session) failRequest() {
 	if s.current.request != nil {
 		s.current.request.HandleDisconnect()
@@ -160,7 +162,7 @@
 	}
 }
 
-// failQueued answers the commands that came ahead of an answer and have not been taken in: nothing of them has run.
+// failQueued answers the buffered commands with an error. None of them has been executed.
 func (s *session) failQueued() {
 	for s.login.done {
 		_, payload, n, err := mysql.Next(s.input, mysql.MaxCommand)
@@ -174,19 +176,19 @@
 	}
 }
 
-// InFlight is documented with frontend.Session, as the methods below.
+// InFlight implements frontend.Session, as do the methods below.
 func (s *session) InFlight() bool { return s.current.busy }
 
-// BufferedInput returns the bytes of commands that are not taken in yet.
+// BufferedInput returns the number of input bytes that have not been processed yet.
 func (s *session) BufferedInput() int { return len(s.input) }
 
-// HasCommand tells that a command has come that is not taken in yet.
+// HasCommand reports whether the buffered input has a complete or invalid packet.
 func (s *session) HasCommand() bool {
 	_, _, n, err := mysql.Next(s.input, mysql.MaxCommand)
 	return n > 0 || err != nil
 }
 
-// Abandon gives up the command in flight.
+// Abandon removes the session from the frontend and abandons the command in flight.
 func (s *session) Abandon() {
 	if s.frontend.sessionsByThread[s.threadID] == s {
 		delete(s.frontend.sessionsByThread, s.threadID)
@@ -197,18 +199,18 @@
 	}
 }
 
-// Terminate answers everything that has come with a failure.
+// Terminate answers the command in flight and all buffered commands with an error.
 func (s *session) Terminate() {
 	s.failRequest()
 	s.failQueued()
 }
 
-// writePacket sends one packet.
+// writePacket sends one packet to the client.
 func (s *session) writePacket(seq byte, payload []byte) {
 	s.Conn.Write(mysql.Append(nil, seq, payload))
 }
 
-// writeOK answers a command that has no result.
+// writeOK answers a command with an OK packet.
 func (s *session) writeOK() { s.writePacket(1, mysql.OK()) }
 
 // writeError answers a command with an error.
@@ -221,7 +223,7 @@
 	s.writeError(mysql.ErrNotSupported, "42000", "This pooler does not support "+feature)
 }
 
-// writeTranslationError answers a statement that no server can be sent. Nothing has run.
+// writeTranslationError answers a statement that can't be decoded or translated with an error. Nothing has been executed.
 func (s *session) writeTranslationError(err error) {
 	s.Conn.Write(s.client.AppendError(nil, translate.AsError(err)))
 }
--- a/internal/pooler/mysql/statements.go
+++ b/internal/pooler/mysql/statements.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	maxClientStatements = 1024   // prepared by one client
-	maxStatementParams  = 0xffff // as the protocol counts them
+	maxClientStatements = 1024   // maximum number of prepared statements of one client
+	maxStatementParams  = 0xffff // maximum of the protocol's 16-bit parameter count
 )
 
-// statement is one that a client has prepared. It belongs to the session, not to a server: it outlives any connection to one.
+// statement is a prepared statement of a client. It belongs to the session, so it outlives any connection to a server.
 type statement struct {
 	text         string
 	paramCount   int
 	scan         mysql.Scan
-	comment      *comment.Comment // nil: it has none
-	translated   *Translated      // nil: it has not been needed yet
+	comment      *comment.Comment // nil if the statement has none
+	translated   *Translated      // nil until the translation is first needed
 	paramTypes   []byte
 	longData     []mysql.LongData
 	longDataSize int
 }
 
-// handlePrepare is answered here. The parameters are counted; what columns come, the answer to EXECUTE tells.
+// handlePrepare handles COM_STMT_PREPARE without a server. Its answer has the number of parameters but no columns, which are known
+// only from the answer to EXECUTE.
 func (s *session) handlePrepare(text string) {
 	text, ok := s.decodeText(text)
 	if !ok {
@@ -52,7 +53,7 @@
 	s.Conn.Write(appendPrepared(nil, s.lastStatementID, scan.Params))
 }
 
-// appendPrepared appends the answer to PREPARE: a definition for each parameter, and no columns.
+// appendPrepared appends the answer to PREPARE to dst: a definition for each parameter and no columns.
 func appendPrepared(dst []byte, id uint32, params int) []byte {
 	dst = mysql.Append(dst, 1, mysql.PrepareOK{ID: id, Params: params}.Payload())
 	if params == 0 {
@@ -66,7 +67,7 @@
 	return mysql.Append(dst, byte(firstSeq+params), mysql.EOF())
 }
 
-// handleStatementCommand takes in a command on a prepared statement.
+// handleStatementCommand handles a command that refers to a prepared statement.
 func (s *session) handleStatementCommand(at time.Duration, payload []byte) {
 	id, ok := mysql.StatementID(payload)
 	st := s.statements[id]
@@ -92,7 +93,7 @@
 	}
 }
 
-// handleLongData keeps a part of a parameter's value until the next EXECUTE.
+// handleLongData stores a part of a parameter's value for the next EXECUTE.
 func (s *session) handleLongData(st *statement, payload []byte) {
 	_, data, err := mysql.ParseLongData(payload)
 	st.longDataSize += len(data.Data)
@@ -104,7 +105,7 @@
 	st.longData = append(st.longData, data)
 }
 
-// handleExecute submits a prepared statement with its parameters.
+// handleExecute submits the execution of a prepared statement with its parameters.
 func (s *session) handleExecute(at time.Duration, st *statement, payload []byte) {
 	execute, err := mysql.ParseExecute(payload, st.paramCount, st.paramTypes)
 	if err != nil {
