--- a/internal/pooler/mysql/commands.go
+++ b/internal/pooler/mysql/commands.go
@@ -104,8 +104,8 @@
 	if !ok {
 		return
 	}
-	if cm, ok := s.parseComment(decoded); ok {
-		s.submit(at, scan.Kind, &Command{Text: decoded, Comment: cm, Database: s.database}, nil)
+	if parsedComment, ok := s.parseComment(decoded); ok {
+		s.submit(at, scan.Kind, &Command{Text: decoded, Comment: parsedComment, Database: s.database}, nil)
 	}
 }
 
--- a/internal/pooler/mysql/request.go
+++ b/internal/pooler/mysql/request.go
@@ -18,7 +18,7 @@
 // parseComment returns the comment of a statement, or nil if there is none. If the comment is invalid, parseComment sends the client
 // an error and returns false.
 func (s *session) parseComment(text string) (*comment.Comment, bool) {
-	cm, err := comment.Parse(text)
+	parsedComment, err := comment.Parse(text)
 	if errors.Is(err, comment.ErrNone) {
 		return nil, true
 	}
@@ -26,36 +26,37 @@
 		s.writeError(mysql.ErrParse, "42000", err.Error())
 		return nil, false
 	}
-	return &cm, true
+	return &parsedComment, true
 }
 
-// submit passes a command to the dispatcher, with the class and cluster from its comment or from the defaults for kind. st is the
-// prepared statement that the command executes, or nil. If the command is invalid, submit sends the client an error instead.
-func (s *session) submit(at time.Duration, kind mysql.Kind, cmd *Command, st *statement) {
-	cm := s.withDefaults(cmd.Comment, kind)
-	class, info, err := s.checkComment(cm, kind)
+// submit passes a command to the dispatcher, with the class and cluster from its comment or from the defaults for kind.
+// prepared is the prepared statement that the command executes, or nil. If the command is invalid, submit sends the client an error
+// instead.
+func (s *session) submit(at time.Duration, kind mysql.Kind, command *Command, prepared *statement) {
+	parsedComment := s.withDefaults(command.Comment, kind)
+	class, info, err := s.checkComment(parsedComment, kind)
 	if err != nil {
 		s.writeError(mysql.ErrParse, "42000", err.Error())
 		return
 	}
-	if err := s.prepareForServers(cmd, st, cm.Group); err != nil {
+	if err := s.prepareForServers(command, prepared, parsedComment.Group); err != nil {
 		s.writeTranslationError(err)
 		return
 	}
-	request := frontend.NewRequest(class, info, cm, at)
-	request.Payload = cmd
+	request := frontend.NewRequest(class, info, parsedComment, at)
+	request.Payload = command
 	request.Reply = s
-	if cm.After > 0 || info.Access == policy.ReadSession {
-		request.Session = comment.Session(cmd.Text)
+	if parsedComment.After > 0 || info.Access == policy.ReadSession {
+		request.Session = comment.Session(command.Text)
 	}
 	if s.frontend.dispatcher.HasGuards() {
-		request.Statement = comment.Bare(cmd.Text)
-		request.Key = comment.QuotedKey(cmd.Text)
-		request.CacheVariant = s.cacheVariant(cmd)
+		request.Statement = comment.Bare(command.Text)
+		request.Key = comment.QuotedKey(command.Text)
+		request.CacheVariant = s.cacheVariant(command)
 	}
 	s.current.busy = true
-	s.current.requestID = cm.ID
-	s.frontend.BeginRequest(cm.ID)
+	s.current.requestID = parsedComment.ID
+	s.frontend.BeginRequest(parsedComment.ID)
 	s.current.request = s.frontend.dispatcher.Submit(request)
 }
 
@@ -65,89 +66,88 @@
 	if kind == mysql.Write {
 		defaults = s.frontend.config.WriteDefault
 	}
-	cm := comment.Comment{Group: -1}
+	completed := comment.Comment{Group: -1}
 	if parsed != nil {
-		cm = *parsed
+		completed = *parsed
 	}
-	if cm.Class == "" {
-		cm.Class = defaults.Class
+	if completed.Class == "" {
+		completed.Class = defaults.Class
 	}
-	if cm.Group < 0 {
-		cm.Group = defaults.Cluster
+	if completed.Group < 0 {
+		completed.Group = defaults.Cluster
 	}
-	return cm
+	return completed
 }
 
 // checkComment returns the class that a comment names, or an error if the comment is invalid. A prepared statement's comment is the
 // same at each EXECUTE, so only a request ID that is in flight is rejected as a duplicate.
-func (s *session) checkComment(cm comment.Comment, kind mysql.Kind) (int, policy.Class, error) {
-	class, info, err := s.frontend.Class(cm)
+func (s *session) checkComment(parsedComment comment.Comment, kind mysql.Kind) (int, policy.Class, error) {
+	class, info, err := s.frontend.Class(parsedComment)
 	if err != nil {
 		return 0, info, err
 	}
 	if kind == mysql.Write && info.Access != policy.Write {
 		return 0, info, errWriteInReadClass
 	}
-	return class, info, s.frontend.CheckRequestID(cm.ID)
+	return class, info, s.frontend.CheckRequestID(parsedComment.ID)
 }
 
 // cacheVariant returns a key for the properties besides the text that a command's answer depends on, or "" if the answer must not
 // be cached. Prepared statements are not cached, because their parameters are not in the text. Statements in a default class are not
 // cached either, because the class was not chosen for them and they may query anything.
-func (s *session) cacheVariant(cmd *Command) string {
-	if cmd.Prepared || cmd.Comment == nil || cmd.Comment.Class == "" {
+func (s *session) cacheVariant(command *Command) string {
+	if command.Prepared || command.Comment == nil || command.Comment.Class == "" {
 		return ""
 	}
-	return fmt.Sprintf("%v %s", s.client, cmd.Database)
+	return fmt.Sprintf("%v %s", s.client, command.Database)
 }
 
 // prepareForServers translates and recodes a command for the servers of a cluster. If the cluster needs translation and the command
 // can't be translated, it fails for the whole cluster, so that a statement never succeeds on one server and fails on another.
-func (s *session) prepareForServers(cmd *Command, st *statement, cluster int) error {
-	cmd.Client = s.client
-	cmd.translate = func() (*Translated, error) { return s.translateOnce(cmd, st) }
+func (s *session) prepareForServers(command *Command, prepared *statement, cluster int) error {
+	command.Client = s.client
+	command.translate = func() (*Translated, error) { return s.translateOnce(command, prepared) }
 	if s.frontend.routes.Needs(cluster).Translation {
-		if _, err := cmd.ForPostgres(); err != nil {
+		if _, err := command.ForPostgres(); err != nil {
 			return err
 		}
 	}
-	if !cmd.Prepared || cmd.ParamCount == 0 || !s.client.Foreign() {
+	if !command.Prepared || command.ParamCount == 0 || !s.client.Foreign() {
 		return nil
 	}
-	execute, err := s.client.RecodeParams(cmd.Execute, cmd.ParamCount, cmd.LongData)
-	cmd.utf8Execute = &execute
+	execute, err := s.client.RecodeParams(command.Execute, command.ParamCount, command.LongData)
+	command.utf8Execute = &execute
 	return err
 }
 
-// translateOnce translates a command to PostgreSQL. It stores the translation in the prepared statement st, if not nil, for the next
-// EXECUTE.
-func (s *session) translateOnce(cmd *Command, st *statement) (*Translated, error) {
-	if st != nil && st.translated != nil {
-		return st.translated, nil
+// translateOnce translates a command to PostgreSQL. It stores the translation in prepared, if that is not nil, for the next EXECUTE.
+func (s *session) translateOnce(command *Command, prepared *statement) (*Translated, error) {
+	if prepared != nil && prepared.translated != nil {
+		return prepared.translated, nil
 	}
-	translated, err := s.translateToPostgres(cmd.Text, cmd.ParamCount)
-	if st != nil {
-		st.translated = translated
+	translated, err := s.translateToPostgres(command.Text, command.ParamCount)
+	if prepared != nil {
+		prepared.translated = translated
 	}
 	return translated, err
 }
 
 // translateToPostgres translates a statement for PostgreSQL servers. The statement's comment stays in its place in the translated
 // text.
-func (s *session) translateToPostgres(text string, params int) (*Translated, error) {
+func (s *session) translateToPostgres(text string, paramCount int) (*Translated, error) {
 	if _, err := translate.UTF8MB4.Decode([]byte(text)); err != nil {
 		return nil, err
 	}
-	st, err := translate.ToPostgres(text, s.frontend.config.Translate)
+	postgresStatement, err := translate.ToPostgres(text, s.frontend.config.Translate)
 	if err != nil {
 		return nil, err
 	}
-	if st.Params != params {
+	if postgresStatement.Params != paramCount {
 		return nil, &translate.Error{Meaning: translate.Syntax, Text: "a parameter that is not bound"}
 	}
-	translated := &Translated{Statement: st}
-	if cm, err := comment.Parse(st.SQL); err == nil {
-		translated.comment = &cm
+	translated := &Translated{Statement: postgresStatement}
+	if parsedComment, err := comment.Parse(postgresStatement.SQL); err == nil {
+		translated.comment = &parsedComment
 	}
 	return translated, nil
 }
--- a/internal/pooler/mysql/statements.go
+++ b/internal/pooler/mysql/statements.go
@@ -44,34 +44,34 @@
 		s.writeError(mysql.ErrMaxPrepared, "42000", "Can't create more prepared statements")
 		return
 	}
-	cm, ok := s.parseComment(text)
+	parsedComment, ok := s.parseComment(text)
 	if !ok {
 		return
 	}
 	s.lastStatementID++
-	s.statements[s.lastStatementID] = &statement{text: text, paramCount: scan.Params, scan: scan, comment: cm}
+	s.statements[s.lastStatementID] = &statement{text: text, paramCount: scan.Params, scan: scan, comment: parsedComment}
 	s.Conn.Write(appendPrepared(nil, s.lastStatementID, scan.Params))
 }
 
 // appendPrepared appends the answer to PREPARE to dst: a definition for each parameter and no columns.
-func appendPrepared(dst []byte, id uint32, params int) []byte {
-	dst = mysql.Append(dst, 1, mysql.PrepareOK{ID: id, Params: params}.Payload())
-	if params == 0 {
+func appendPrepared(dst []byte, id uint32, paramCount int) []byte {
+	dst = mysql.Append(dst, 1, mysql.PrepareOK{ID: id, Params: paramCount}.Payload())
+	if paramCount == 0 {
 		return dst
 	}
 	const firstSeq = 2
 	definition := mysql.ColumnDef("?")
-	for i := range params {
+	for i := range paramCount {
 		dst = mysql.Append(dst, byte(firstSeq+i), definition)
 	}
-	return mysql.Append(dst, byte(firstSeq+params), mysql.EOF())
+	return mysql.Append(dst, byte(firstSeq+paramCount), mysql.EOF())
 }
 
 // handleStatementCommand handles a command that refers to a prepared statement.
 func (s *session) handleStatementCommand(at time.Duration, payload []byte) {
 	id, ok := mysql.StatementID(payload)
-	st := s.statements[id]
-	if !ok || st == nil {
+	prepared := s.statements[id]
+	if !ok || prepared == nil {
 		if expectsResponse(payload[0]) {
 			s.writeError(mysql.ErrUnknownStmt, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
 		}
@@ -81,48 +81,48 @@
 	case mysql.ComStmtClose:
 		delete(s.statements, id)
 	case mysql.ComStmtReset:
-		st.longData = nil
-		st.longDataSize = 0
+		prepared.longData = nil
+		prepared.longDataSize = 0
 		s.writeOK()
 	case mysql.ComStmtFetch:
 		s.writeError(mysql.ErrNoCursor, "HY000", "The statement has no open cursor")
 	case mysql.ComStmtSendLong:
-		s.handleLongData(st, payload)
+		s.handleLongData(prepared, payload)
 	case mysql.ComStmtExecute:
-		s.handleExecute(at, st, payload)
+		s.handleExecute(at, prepared, payload)
 	}
 }
 
 // handleLongData stores a part of a parameter's value for the next EXECUTE.
-func (s *session) handleLongData(st *statement, payload []byte) {
+func (s *session) handleLongData(prepared *statement, payload []byte) {
 	_, data, err := mysql.ParseLongData(payload)
-	st.longDataSize += len(data.Data)
-	if err != nil || st.longDataSize > mysql.MaxCommand || int(data.Param) >= st.paramCount {
+	prepared.longDataSize += len(data.Data)
+	if err != nil || prepared.longDataSize > mysql.MaxCommand || int(data.Param) >= prepared.paramCount {
 		s.writeError(mysql.ErrTooBig, "08S01", "Too much or misplaced long data")
 		s.Finish()
 		return
 	}
-	st.longData = append(st.longData, data)
+	prepared.longData = append(prepared.longData, data)
 }
 
 // handleExecute submits the execution of a prepared statement with its parameters.
-func (s *session) handleExecute(at time.Duration, st *statement, payload []byte) {
-	execute, err := mysql.ParseExecute(payload, st.paramCount, st.paramTypes)
+func (s *session) handleExecute(at time.Duration, prepared *statement, payload []byte) {
+	execute, err := mysql.ParseExecute(payload, prepared.paramCount, prepared.paramTypes)
 	if err != nil {
 		s.writeError(mysql.ErrWrongArgs, "HY000", err.Error())
 		return
 	}
-	st.paramTypes = execute.Types
-	cmd := &Command{
-		Text:       st.text,
-		Comment:    st.comment,
+	prepared.paramTypes = execute.Types
+	command := &Command{
+		Text:       prepared.text,
+		Comment:    prepared.comment,
 		Database:   s.database,
 		Prepared:   true,
-		ParamCount: st.paramCount,
+		ParamCount: prepared.paramCount,
 		Execute:    execute,
-		LongData:   st.longData,
+		LongData:   prepared.longData,
 	}
-	st.longData = nil
-	st.longDataSize = 0
-	s.submit(at, st.scan.Kind, cmd, st)
+	prepared.longData = nil
+	prepared.longDataSize = 0
+	s.submit(at, prepared.scan.Kind, command, prepared)
 }
